--- /dev/null
+++ b/tests/golden/admin_golden.cpp
@@ -0,0 +1,82 @@
+// The admin endpoint: its HTTP answers, byte for byte.
+#include "console/admin_endpoint.h"
+#include "golden_part.h"
+#include "recording_client.h"
+
+namespace lotusyard::golden {
+namespace {
+
+class SampleOperations final : public console::Operations {
+ public:
+  bool is_ready = true, can_keep = true;
+  bool ready() const override { return is_ready; }
+  console::Done disable(const std::string& host) override { return change(host); }
+  console::Done enable(const std::string& host) override { return change(host); }
+  std::optional<console::Said> other(const console::Request& request) override {
+    if (request.path != "/-/other") return std::nullopt;
+    return console::Said{202, R"({"done":false,"why":"","index":0})"};
+  }
+
+ private:
+  console::Done change(const std::string& host) const {
+    if (host != "h1") return console::Done::unknown_host;
+    return can_keep ? console::Done::yes : console::Done::not_kept;
+  }
+};
+
+class Endpoint {
+ public:
+  SampleOperations operations;
+  Endpoint() : endpoint_(world_.loop, world_.counters, operations, 4) {
+    REQUIRE(endpoint_.listen("127.0.0.1:0"));
+  }
+  std::string answer(const std::string& bytes) {
+    RecordingClient client(world_, endpoint_.address(), bytes);
+    REQUIRE(world_.turn_until([&] { return client.closed(); }));
+    return client.received_bytes();
+  }
+  std::string answer(const std::string& method, const std::string& path) {
+    return answer(method + " " + path + " HTTP/1.1\r\nHost: x\r\n\r\n");
+  }
+
+ private:
+  test::World world_{0};
+  console::AdminEndpoint endpoint_;
+};
+
+void add_faulty(Endpoint& endpoint, std::vector<Sample>& out) {
+  const std::string line = "GET /-/ready HTTP/1.1\r\n", host = "Host: x\r\n";
+  const std::vector<std::pair<std::string, std::string>> faulty = {
+      {"bad request", "GET  /-/ready HTTP/1.1\r\n"},
+      {"too large", line + host + "Content-Length: 70000\r\n\r\n"},
+      {"long path", "GET /" + std::string(5000, 'a')},
+      {"long header", line + "X: " + std::string(5000, 'a')},
+      {"encoding", line + host + "Transfer-Encoding: gzip\r\n"},
+      {"version", "GET /-/ready HTTP/2.0\r\n"}};
+  for (const auto& [name, bytes] : faulty) out.push_back({name, endpoint.answer(bytes), {}});
+}
+
+}  // namespace
+
+Part admin_part() {
+  Endpoint endpoint;
+  Part out{"admin", {}};
+  const auto add = [&](const std::string& name, const std::string& method, const std::string& path) {
+    out.samples.push_back({name, endpoint.answer(method, path), {}});
+  };
+  add("ready", "GET", "/-/ready");
+  add("ready by another method", "POST", "/-/ready");
+  add("disable", "POST", "/-/hosts/h1/disable");
+  add("enable", "POST", "/-/hosts/h1/enable");
+  add("enable by another method", "GET", "/-/hosts/h1/enable");
+  add("unknown host", "POST", "/-/hosts/h2/enable");
+  add("unknown call", "GET", "/-/none");
+  add("other call", "GET", "/-/other");
+  add_faulty(endpoint, out.samples);
+  endpoint.operations.is_ready = endpoint.operations.can_keep = false;
+  add("not ready", "GET", "/-/ready");
+  add("not kept", "POST", "/-/hosts/h1/disable");
+  return out;
+}
+
+}  // namespace lotusyard::golden
--- /dev/null
+++ b/tests/golden/compliance_golden.cpp
@@ -0,0 +1,30 @@
+// Compliance: log entries of every kind and the state's snapshot.
+#include "golden_part.h"
+#include "maintenance_samples.h"
+
+namespace lotusyard::golden {
+namespace {
+
+std::string reencode_entry(const std::string& bytes) {
+  return compliance::worded(compliance::read_entry(nlohmann::json::parse(bytes)));
+}
+
+std::string reencode_snapshot(const std::string& bytes) {
+  compliance::Book state;
+  if (!state.restore(nlohmann::json::parse(bytes)))
+    throw std::runtime_error("the snapshot can't be restored");
+  return state.snapshot().dump();
+}
+
+}  // namespace
+
+Part compliance_part() {
+  Part out{"compliance", {}};
+  for (const auto& [name, entry] : sample_compliance_entries())
+    out.samples.push_back({"entry " + name, compliance::worded(entry), reencode_entry});
+  out.samples.push_back({"snapshot empty", compliance::Book().snapshot().dump(), reencode_snapshot});
+  out.samples.push_back({"snapshot", sample_compliance_state().snapshot().dump(), reencode_snapshot});
+  return out;
+}
+
+}  // namespace lotusyard::golden
--- /dev/null
+++ b/tests/golden/recording_client.h
@@ -0,0 +1,37 @@
+// A client that sends bytes on a loop and keeps what comes back.
+#pragma once
+
+#include <string>
+#include <utility>
+
+#include "helper.h"
+
+namespace lotusyard::golden {
+
+// Calls wait as long as a busy machine needs.
+inline core::Settings patient_settings() {
+  core::Settings out = test::settings();
+  for (auto& row : out.classes) row.deadline = core::Millis(60000);
+  return out;
+}
+
+class RecordingClient final : public net::Stream {
+ public:
+  RecordingClient(test::World& world, const std::string& address, const std::string& bytes)
+      : Stream(world.loop, world.pool, net::connect_to(address), true) {
+    write(bytes);
+  }
+  void send(const std::string& bytes) { write(bytes); }
+  const std::string& received_bytes() const { return received_bytes_; }
+  bool closed() const { return closed_; }
+
+ private:
+  std::string received_bytes_;
+  bool closed_ = false;
+
+  void connected() override { loop().flush_later(*this); }
+  void received(std::string_view bytes) override { received_bytes_ += bytes; }
+  void ended() override { closed_ = true; }
+};
+
+}  // namespace lotusyard::golden
--- /dev/null
+++ b/tests/golden/stores_golden.cpp
@@ -0,0 +1,178 @@
+// The stores' SQLite files: their tables and rows as SQL, and files made from that SQL read by the stores.
+#include <sqlite3.h>
+#include <unistd.h>
+
+#include <algorithm>
+#include <catch2/catch.hpp>
+#include <cstdio>
+
+#include "answers/sqlite_store.h"
+#include "golden_part.h"
+#include "group/store.h"
+#include "sqlite/query.h"
+
+namespace lotusyard::golden {
+namespace {
+
+using answers::Record;
+using answers::Stage;
+using core::Millis;
+using sqlite::Query;
+
+// A file of this process that goes with the object.
+class TemporaryFile {
+ public:
+  TemporaryFile()
+      : path_("golden-store-" + std::to_string(getpid()) + "-" + std::to_string(++last_) + ".db") {
+    remove();
+  }
+  ~TemporaryFile() { remove(); }
+  TemporaryFile(const TemporaryFile&) = delete;
+  TemporaryFile& operator=(const TemporaryFile&) = delete;
+  const std::string& path() const { return path_; }
+
+ private:
+  static int last_;
+  std::string path_;
+  void remove() const {
+    for (const char* suffix : {"", "-wal", "-shm", "-journal"}) std::remove((path_ + suffix).c_str());
+  }
+};
+int TemporaryFile::last_ = 0;
+
+class Database {
+ public:
+  explicit Database(const std::string& path) { REQUIRE(sqlite3_open(path.c_str(), &db_) == SQLITE_OK); }
+  ~Database() { sqlite3_close(db_); }
+  Database(const Database&) = delete;
+  Database& operator=(const Database&) = delete;
+
+  void execute(const std::string& sql) {
+    REQUIRE(sqlite3_exec(db_, sql.c_str(), nullptr, nullptr, nullptr) == SQLITE_OK);
+  }
+  // The schema and all rows as SQL, a statement a line.
+  std::string dump() {
+    std::string out;
+    for (const auto& sql : column("SELECT sql FROM sqlite_master WHERE sql IS NOT NULL ORDER BY name"))
+      out += sql + ";\n";
+    for (const auto& table : column("SELECT name FROM sqlite_master WHERE type = 'table' ORDER BY name")) {
+      for (const auto& values : column("SELECT " + quoted_row(table) + " FROM " + table + " ORDER BY 1"))
+        out += "INSERT INTO " + table + " VALUES(" + values + ");\n";
+    }
+    return out;
+  }
+
+ private:
+  sqlite3* db_ = nullptr;
+
+  std::vector<std::string> column(const std::string& sql) {
+    std::vector<std::string> out;
+    Query query(db_, sql.c_str());
+    int code = query.step();
+    for (; code == SQLITE_ROW; code = query.step()) out.push_back(query.bytes(0));
+    REQUIRE(code == SQLITE_DONE);
+    return out;
+  }
+  std::string quoted_row(const std::string& table) {
+    std::string out;
+    for (const auto& name : column("SELECT name FROM pragma_table_info('" + table + "') ORDER BY cid"))
+      out += (out.empty() ? "quote(" : " || ',' || quote(") + name + ")";
+    return out;
+  }
+};
+
+std::string dump_of(const TemporaryFile& file) { return Database(file.path()).dump(); }
+
+void fill_log_store(group::Store& store) {
+  store.begin({"yard-1", "member-1", 1ULL << 60, 7});
+  store.set_term(4);
+  store.set_vote(2);
+  store.append({{1, 3, std::string("\0\xff", 2)}, {3, 1, "works\n{\"t\":\"ask\"}"}, {4, 2, ""}});
+  store.put_snapshot({3, 4, 1, {{1, "127.0.0.1:7200", 1}, {2, "127.0.0.1:7201", 0}}, "{\"parts\":{}}"}, 0);
+  store.append({{4, 1, "quota\n{}"}, {4, 2, ""}});
+}
+
+std::string log_store() {
+  const TemporaryFile file;
+  {
+    group::Store store(file.path());
+    fill_log_store(store);
+  }
+  return dump_of(file);
+}
+
+void copy_log_store(const group::Store& from, group::Store& to) {
+  to.begin(from.identity());
+  to.set_term(from.term());
+  to.set_vote(from.vote());
+  if (from.has_snapshot()) to.put_snapshot(from.snapshot(), 0);
+  to.append(from.entries());
+}
+
+std::string reencode_log_store(const std::string& sql) {
+  const TemporaryFile stored, copied;
+  Database(stored.path()).execute(sql);
+  {
+    const group::Store from(stored.path());
+    group::Store to(copied.path());
+    copy_log_store(from, to);
+  }
+  return dump_of(copied);
+}
+
+Record record(Stage stage, core::Verdict verdict, const std::string& body) {
+  Record out;
+  out.stage = stage;
+  out.answer = {verdict, Millis(verdict == core::Verdict::refused ? 250.5 : 0), body};
+  out.at = Millis(1700000000000.25 + static_cast<int>(stage));
+  if (stage == Stage::confirmed) out.address = "answers";
+  return out;
+}
+
+// By way of the stages that must come before the record's.
+void put(answers::SqliteStore& store, const std::string& id, const Record& last) {
+  for (const Stage stage : {Stage::sent, Stage::answered}) {
+    if (stage >= last.stage) break;
+    Record before = last;
+    before.stage = stage;
+    before.address.clear();
+    REQUIRE(store.put(id, before));
+  }
+  REQUIRE(store.put(id, last));
+}
+
+std::string result_store() {
+  const TemporaryFile file;
+  core::Counters counters;
+  {
+    answers::SqliteStore store(file.path(), {}, Millis(1690000000000.5), counters, [](const auto&) {});
+    put(store, "sent", record(Stage::sent, core::Verdict::failed, ""));
+    put(store, "cleared", record(Stage::cleared, core::Verdict::failed, ""));
+    put(store, "answered", record(Stage::answered, core::Verdict::served, std::string("\0\xff", 2)));
+    put(store, "refused", record(Stage::answered, core::Verdict::refused, ""));
+    put(store, std::string("confirmed\0\xff", 11), record(Stage::confirmed, core::Verdict::served, "body"));
+  }
+  return dump_of(file);
+}
+
+std::string reencode_result_store(const std::string& sql) {
+  const TemporaryFile stored, copied;
+  Database(stored.path()).execute(sql);
+  core::Counters counters;
+  {
+    answers::SqliteStore from(stored.path(), {}, Millis(0), counters, [](const auto&) {});
+    answers::SqliteStore to(copied.path(), {}, from.complete_from(), counters, [](const auto&) {});
+    from.each([&to](const std::string& id, const Record& one) { put(to, id, one); });
+  }
+  return dump_of(copied);
+}
+
+}  // namespace
+
+Part stores_part() {
+  return {"stores",
+          {{"log store", log_store(), reencode_log_store},
+           {"result store", result_store(), reencode_result_store}}};
+}
+
+}  // namespace lotusyard::golden
