--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -109,7 +109,9 @@
         f.missed = false;
         if (now_ >= w.ejected_until) w.probation = false;
         std::tie(c.standing, c.proven, c.used) = std::tuple(std::max(c.standing, 1), true, now_);
-        served_ = served_ * fading(served_at_, kRateTau) + work_of(r);
+        // Many cold workers would raise the rate that paces them: only what warm ones serve is counted.
+        if (shared() || cold(w)) break;
+        served_ = served_ * fading(served_at_, kRateTau) + work_of(r) / std::max(w.weight, warm_cores());
         served_at_ = now_;
         break;
       }
--- a/src/policy/hosts.h
+++ b/src/policy/hosts.h
@@ -164,11 +164,14 @@
     w.answered = now_;
     if (std::exchange(w.lost, false)) std::tie(w.died, w.cold_filled) = std::tuple(now_, kNever);
   }
-  double fleet_rate() const {  // what this router gets served by a warm worker, for each millisecond
+  double warm_cores() const {
     double all = 0;
-    for (const auto& w : workers_) all += w.state == WorkerState::ready && !cold(w);
+    for (const auto& w : workers_) all += usable(w) && !cold(w) ? w.weight : 0;
+    return all;
+  }
+  double fleet_rate() const {  // what this router gets served by a warm core, for each millisecond
     const double served = served_ * fading(served_at_, kRateTau) / kRateTau.count();
-    return all > 0 && served > 0 ? served / all : my_part();
+    return served > 0 && warm_cores() > 0 ? served : my_part();
   }
   void take_entry(int index, const WorkerEntry& entry) {
     Worker& w = at(index);
@@ -179,7 +182,9 @@
       w.cold_filled = kNever;
     }
     if (again || entry.state != WorkerState::ready) forget_copies(index);
+    const Millis started = std::max(w.started, entry.started);  // a list may be older than what was told
     static_cast<WorkerEntry&>(w) = entry;
+    w.started = started;
     w.listed = list_version_;
     w.hash = hash_of(entry.worker);
     if (!(w.weight > 0)) w.weight = 1;
@@ -195,14 +200,15 @@
     const double share = s_.cold_from + (1 - s_.cold_from) * std::min(1.0, age);
     // Danger: what one of many gets from a warm worker is part of what that can do; many part its cores.
     const double work = cold_work(r);
-    const double part = shared() ? w.weight * my_part() : fleet_rate();
+    const double part = w.weight * (shared() ? my_part() : fleet_rate());
     const double pace = kColdSafety * s_.cold_multiple * share * part;
-    if (w.cold_filled == kNever) w.cold_tokens = work * chance();
+    if (w.cold_filled == kNever) std::tie(w.cold_tokens, w.cold_spent) = std::tuple(work * chance(), false);
     if (w.cold_filled > kNever) w.cold_tokens += pace * (now_ - w.cold_filled).count();
     w.cold_filled = now_;
     w.cold_tokens = std::min(w.cold_tokens, std::max(work, pace * s_.cold_window.count() / 5));
-    // Danger: where a miss has used up what was saved, a cold worker stays empty. A known copy is used ahead.
-    const Copy* c = shared() ? find_copy(*r.function, index_of(w)) : nullptr;
+    // Danger: where a miss has used up what was saved, a cold worker stays empty. A known copy is used ahead,
+    // but not before the router's first call there: loads that end together would bring one call of each.
+    const Copy* c = shared() && w.cold_spent ? find_copy(*r.function, index_of(w)) : nullptr;
     return w.cold_tokens >= (c != nullptr && c->proven ? 0 : work);
   }
   double cold_work(const Request& r) const {  // the rule weighs a call as the mean work of its class
--- a/src/policy/records.h
+++ b/src/policy/records.h
@@ -54,6 +54,7 @@
   Millis held_at{kNever}, doubted{kNever};  // since when a broken connection leaves open whether it runs
   bool doubted_reset = false;
   double limit = kLimitFirst, waiting = 0, stretch = 1, cold_tokens = 0, held = 0;  // held: as reported
+  bool cold_spent = false;  // a call went there since it started
   std::vector<Health> classes;
 };
 struct ClassRecord {
--- a/src/policy/routing.h
+++ b/src/policy/routing.h
@@ -114,7 +114,9 @@
     if (w.inflight++ == 0) w.heard = now_;
     ++c.busy;
     c.used = now_;
-    if (cold(w)) w.cold_tokens -= cold_work(r);
+    if (!cold(w)) return;
+    w.cold_tokens -= cold_work(r);
+    w.cold_spent = true;
   }
   void try_again(Request& r) {
     const bool spent = static_cast<int>(r.attempts.size()) >= r.max_attempts;
--- /dev/null
+++ b/tests/slow_start_scenarios.h
@@ -0,0 +1,62 @@
+// The disturbances under which the slow-start budget is checked.
+#pragma once
+
+#include <algorithm>
+#include <vector>
+
+namespace robinfold::test {
+
+constexpr double kMeanWork = 100, kColdFor = 8000, kColdFrom = 0.25, kStart = 1600, kEnd = 6000, kStep = 4;
+constexpr int kHosts = 6, kFunctions = 30;
+
+enum class Disturbance {
+  none,             // the host starts again under its id, and a delta says so
+  process_restart,  // every process restarts 600 ms later; its full list says when the host started
+  late_notice,      // the same, but that list says nothing of the start; a delta does 300 ms later
+  more_processes,   // a reload: a third of the processes become all, the new ones know nothing
+  fewer_processes,  // a reload: all become a third; those that leave go on for 300 ms
+  full_lists,       // a full list every 250 ms
+  stale_list,       // 500 ms after the start a cached list from before it; a full list 300 ms later
+  second_start,     // the host starts once more half a window later
+  mass_start,       // five of six hosts start at once
+  small_host,       // the host has a quarter of the others' cores
+  quiet_time,       // no call for 2.5 s after the start, then all at once
+  overload,         // five of six hosts start at once, and four times the calls come
+};
+struct Scenario {
+  Disturbance disturbance;
+  const char* name;
+};
+constexpr Scenario kScenarios[] = {
+    {Disturbance::none, "one start"},
+    {Disturbance::process_restart, "process restart"},
+    {Disturbance::late_notice, "process restart, late notice"},
+    {Disturbance::more_processes, "reload, a third to all"},
+    {Disturbance::fewer_processes, "reload, all to a third"},
+    {Disturbance::full_lists, "full list every 250 ms"},
+    {Disturbance::stale_list, "stale cached list"},
+    {Disturbance::second_start, "two starts in a window"},
+    {Disturbance::mass_start, "five of six hosts start"},
+    {Disturbance::small_host, "host of a quarter's size"},
+    {Disturbance::quiet_time, "quiet time, then a burst"},
+    {Disturbance::overload, "five of six start, 4 x calls"},
+};
+
+inline bool starts_many(Disturbance disturbance) {
+  return disturbance == Disturbance::mass_start || disturbance == Disturbance::overload;
+}
+
+// The worst window of any host: calls of processes that were notified of its start, and how many it may get.
+struct Worst {
+  int calls = 0;
+  double allowed = 0;
+  int total = 0;  // over the whole day
+  double part() const { return calls / std::max(allowed, 1.0); }
+};
+
+struct StartingHost {
+  double started = kStart, cores = 4;
+  std::vector<double> sent{};  // since it started, by notified processes
+};
+
+}  // namespace robinfold::test
