--- a/src/amqp/front.cpp
+++ b/src/amqp/front.cpp
@@ -61,10 +61,12 @@
 }
 
 void Front::connect() {
-  net::Socket socket = net::connect_to(recovery_.address());
-  if (!socket) return channel_down(Ending());
+  net::ConnectResult connection = net::connect_to(recovery_.address());
+  net::count_connect_error(loop_, connection);
+  if (!connection) return channel_down(Ending());
   Consumer& consumer = *this;
-  channel_ = std::make_shared<Channel>(loop_, pool_, counters_, broker_, consumer, std::move(socket));
+  channel_ =
+      std::make_shared<Channel>(loop_, pool_, counters_, broker_, consumer, std::move(connection.socket));
 }
 
 void Front::channel_up() {
--- a/src/app/invoker.cpp
+++ b/src/app/invoker.cpp
@@ -71,6 +71,7 @@
         dispatcher_.members(std::move(entries));
       }),
       front_(loop_, pool_, dispatcher_, counters_, front_limits()) {
+  loop_.count_errors([this](const char* name) { counters_.add(name); });
   fleet_.attach(dispatcher_);
   outline_ = config::outline(std::move(outline_));
   if (!folder_.empty()) look();    // before any host is named: none may be used that is out
@@ -150,7 +151,7 @@
   companion_ = make_companion({loop_, counters_, membership_, fleet_, settings, share, config_->name},
                               read_file(file_));
   if (!companion_) return;
-  dispatcher_.guard(companion_->gate());
+  dispatcher_.guard(fleet_.gate(companion_->gate()));
   dispatcher_.watch_refusals([this](const core::Call& call) { companion_->refused(call); });
   fleet_.ask_before([this](const std::string& host, const core::Call* call, std::uint64_t function) {
     return companion_->may_send(host, call, function);
--- a/src/console/admin_endpoint.cpp
+++ b/src/console/admin_endpoint.cpp
@@ -100,17 +100,17 @@
 
 void AdminEndpoint::ready(short) {
   for (std::size_t i = 0; i < kAcceptsATurn; ++i) {
-    bool exhausted = false;
-    net::Socket socket = net::accept_from(listener_, &exhausted);
-    if (exhausted) {
+    net::AcceptResult accepted = net::accept_from(listener_);
+    net::count_accept_errors(loop_, accepted);
+    if (accepted.status == net::AcceptStatus::out_of_resources) {
       // Danger: a listener that stays readable would spin the loop.
       counters_.add("console.no_descriptor");
       loop_.forget(listener_.fd(), *this);
       again_ = loop_.at(loop_.now() + kNoDescriptor, [this] { watch(); });
     }
-    if (!socket) return;
+    if (!accepted.socket) return;
     counters_.add("console.connections");
-    callers_.push_back(std::make_shared<Caller>(*this, std::move(socket)));
+    callers_.push_back(std::make_shared<Caller>(*this, std::move(accepted.socket)));
     const std::shared_ptr<Caller> fresh = callers_.back();
     fresh->place = std::prev(callers_.end());
     fresh->ready(POLLIN);  // a whole call is mostly there already, and then needs no place to wait in
--- a/src/control/node_server.cpp
+++ b/src/control/node_server.cpp
@@ -127,9 +127,14 @@
 void NodeServer::watch_listener() { loop_.watch(listener_.fd(), *this, POLLIN); }
 
 void NodeServer::ready(short) {
-  bool exhausted = false;
-  while (net::Socket socket = net::accept_from(listener_, &exhausted)) accept(std::move(socket));
-  if (exhausted) pause_accepting();
+  net::AcceptStatus status = net::AcceptStatus::accepted;
+  while (status == net::AcceptStatus::accepted) {
+    net::AcceptResult accepted = net::accept_from(listener_);
+    net::count_accept_errors(loop_, accepted);
+    status = accepted.status;
+    if (accepted.socket) accept(std::move(accepted.socket));
+  }
+  if (status == net::AcceptStatus::out_of_resources) pause_accepting();
 }
 
 void NodeServer::accept(net::Socket socket) {
--- a/src/control/session_client.cpp
+++ b/src/control/session_client.cpp
@@ -75,9 +75,10 @@
 
 void SessionClient::connect(const NodeAddress& node) {
   disconnect();
-  net::Socket socket = net::connect_to(node.address);
-  if (socket) {
-    connection_ = std::make_shared<Connection>(*this, std::move(socket));
+  net::ConnectResult connection = net::connect_to(node.address);
+  net::count_connect_error(loop_, connection);
+  if (connection) {
+    connection_ = std::make_shared<Connection>(*this, std::move(connection.socket));
   } else {
     failure_timer_ = loop_.at(loop_.now(), [this] { connection_failed(); });
   }
--- a/src/discovery/discovery.cpp
+++ b/src/discovery/discovery.cpp
@@ -139,9 +139,10 @@
 Discovery::~Discovery() { loop_.cancel(timer_); }
 
 void Discovery::connect() {
-  net::Socket socket = net::connect_to(address_);
-  if (!socket) return again();
-  connection_ = std::make_shared<Connection>(*this, std::move(socket));
+  net::ConnectResult connection = net::connect_to(address_);
+  net::count_connect_error(loop_, connection);
+  if (!connection) return again();
+  connection_ = std::make_shared<Connection>(*this, std::move(connection.socket));
 }
 
 // Danger: the old address tells nothing more but stays open a while, and looks well. The new one is asked at
--- a/src/full/operate.cpp
+++ b/src/full/operate.cpp
@@ -61,7 +61,7 @@
 
 Reply ask(const std::string& address, const std::string& method, const std::string& path) {
   const auto until = Clock::now() + std::chrono::milliseconds(kAnswerMs);
-  net::Socket socket = net::connect_to(address);
+  const net::Socket socket = net::connect_to(address).socket;
   if (!socket || !wait_for(socket, POLLOUT, until) || net::pending_error(socket) != 0)
     throw std::runtime_error("no member answers at " + address);
   const std::string call = method + ' ' + escaped(path) + " HTTP/1.1\r\nHost: " + address +
--- a/src/group/links.cpp
+++ b/src/group/links.cpp
@@ -8,6 +8,7 @@
 
 using robinfold::Millis;
 
+constexpr robinfold::Millis kAcceptPause{100};
 constexpr std::size_t kBlocks = 1024;   // of 16 KB: what may wait on all links
 constexpr Millis kAgain{100};           // between two connections to one address
 constexpr Millis kHeardPace{200};       // how often a link's other end says that something has come
@@ -141,6 +142,7 @@
 Links::~Links() { close(); }
 
 void Links::close() {
+  loop_.cancel(accept_timer_);
   if (listener_) loop_.forget(listener_.fd(), *this);
   listener_.close();
   out_.clear();
@@ -149,17 +151,30 @@
 
 bool Links::listen(const std::string& address) {
   listener_ = net::listen_on(address);
-  if (listener_) loop_.watch(listener_.fd(), *this, POLLIN, net::Loop::Rank::urgent);
+  if (listener_) watch_listener();
   return static_cast<bool>(listener_);
 }
 
+void Links::watch_listener() { loop_.watch(listener_.fd(), *this, POLLIN, net::Loop::Rank::urgent); }
+
+// The listener stays readable while its connections cannot be taken: watched on, the loop would never rest.
+void Links::pause_accepting() {
+  counters_.add("group.no_descriptor");
+  loop_.forget(listener_.fd(), *this);
+  accept_timer_ = loop_.at(loop_.now() + kAcceptPause, [this] { watch_listener(); });
+}
+
 void Links::ready(short) {
-  while (net::Socket socket = net::accept_from(listener_)) {
+  for (;;) {
+    net::AcceptResult accepted = net::accept_from(listener_);
+    net::count_accept_errors(loop_, accepted);
+    if (accepted.status == net::AcceptStatus::out_of_resources) return pause_accepting();
+    if (!accepted.socket) return;
     if (in_.size() >= incoming_most) {
       counters_.add("group.too_many_links");
       continue;
     }
-    in_.push_back(std::make_shared<In>(*this, std::move(socket)));
+    in_.push_back(std::make_shared<In>(*this, std::move(accepted.socket)));
     in_.back()->place = std::prev(in_.end());
   }
 }
@@ -195,11 +210,12 @@
   if (found == out_.end()) {
     const auto waits = not_before_.find(key);
     if (waits != not_before_.end() && loop_.now() < waits->second) return false;
-    net::Socket socket = net::connect_to(address);
-    if (!socket) return false;
+    net::ConnectResult connection = net::connect_to(address);
+    net::count_connect_error(loop_, connection);
+    if (!connection) return false;
     counters_.add("group.links_opened");
     not_before_.erase(key);
-    found = out_.emplace(key, std::make_shared<Out>(*this, key, std::move(socket))).first;
+    found = out_.emplace(key, std::make_shared<Out>(*this, key, std::move(connection.socket))).first;
     Hello hello = mine_;
     hello.to = to;
     found->second->write(framed(Frame::Kind::hello, worded(hello)));
--- a/src/group/links.h
+++ b/src/group/links.h
@@ -48,8 +48,11 @@
   std::map<std::string, robinfold::Millis> not_before_;  // likewise, since the last link there ended
   std::list<std::shared_ptr<In>> in_;
   std::set<std::string> noted_;
+  net::Loop::TimerId accept_timer_{};
 
   void ready(short events) override;
+  void watch_listener();
+  void pause_accepting();
   const char* fault_of(const Hello& hello) const;
   void note_once(const std::string& line);
 };
--- a/src/hosts/fleet.cpp
+++ b/src/hosts/fleet.cpp
@@ -38,11 +38,22 @@
 
 Fleet::Fleet(net::Loop& loop, net::BufferPool& pool, core::Counters& counters, Limits limits)
     : loop_(loop), pool_(pool), counters_(counters), limits_(std::move(limits)), probes_left_(kProbesMost) {}
-Fleet::~Fleet() = default;
+Fleet::~Fleet() { loop_.cancel(waiting_timer_); }
+
+void Fleet::attach(core::Dispatcher& dispatcher) {
+  dispatcher_ = &dispatcher;
+  dispatcher.guard(gate(nullptr));
+}
+
+robinfold::Gate* Fleet::gate(robinfold::Gate* next) {
+  reachable_hosts_.ask_too(next);
+  return &reachable_hosts_;
+}
 
 void Fleet::members(const core::MemberList& list) {
   std::set<std::string> named;
-  const auto retire = [](Host& host, bool unsent_too) {
+  const auto retire = [this](Host& host, bool unsent_too) {
+    if (unsent_too) withdraw_waiting(host.member.entry.worker);
     for (const auto& link : std::vector<std::shared_ptr<Link>>(host.links)) link->retire(unsent_too);
   };
   for (const auto& member : list.members) {
@@ -106,33 +117,10 @@
   return nullptr;
 }
 
-Fleet::Link* Fleet::link_for(Host& host, const std::string& ref) {
-  Link* best = nullptr;
-  std::size_t usable = 0;
-  for (const auto& link : host.links) {
-    if (link->open() || link->connecting()) ++usable;
-    if (!link->takes(ref)) continue;
-    if (best == nullptr || link->load() < best->load()) best = link.get();
-  }
-  if (best != nullptr) return best;
-  if (usable >= limits_.links_a_host || links_ >= limits_.links) {
-    counters_.add("hosts.no_link");
-    return nullptr;
-  }
-  net::Socket socket = net::connect_to(host.member.address);
-  if (!socket) {
-    counters_.add("hosts.connect_failed");
-    return nullptr;
-  }
-  counters_.add("hosts.links_opened");
-  ++links_;
-  host.links.push_back(std::make_shared<Link>(*this, host.member.entry.worker, std::move(socket)));
-  return host.links.back().get();
-}
-
 void Fleet::cut(const std::string& id) {
   const auto found = hosts_.find(id);
   if (found == hosts_.end()) return;
+  withdraw_waiting(id);
   for (const auto& link : std::vector<std::shared_ptr<Link>>(found->second.links)) {
     link->withdraw();
     if (!link->connecting() && link->outbox().empty()) continue;
@@ -170,17 +158,24 @@
 void Fleet::exec(const core::Attempt& attempt, const std::string& id, const core::Call& call,
                  Millis patience) {
   Host* host = ready_host(id, &call, call.function);
-  Link* link = host == nullptr ? nullptr : link_for(*host, call.ref);
-  if (link == nullptr) return never_went(attempt);
-  attempts_[attempt] = link;
+  const LinkChoice choice = host == nullptr ? LinkChoice() : link_for(*host, call.ref);
+  if (choice.local_trouble) return wait_for_connection(attempt, id, call, loop_.now() + patience);
+  if (choice.link == nullptr) return never_went(attempt);
+  send_attempt(*choice.link, attempt, call, patience);
+}
+
+void Fleet::send_attempt(Link& link, const core::Attempt& attempt, const core::Call& call, Millis patience) {
+  attempts_[attempt] = &link;
+  Host& host = hosts_.at(link.host());
   const Millis now = loop_.now();
-  if (host->until <= now) host->lingers = false;
-  host->until = std::max(host->until, now + patience);
+  if (host.until <= now) host.lingers = false;
+  host.until = std::max(host.until, now + patience);
   probes_left_ = std::min(probes_left_ + kProbeShare, kProbesMost);
-  link->exec(attempt, call, patience);
+  link.exec(attempt, call, patience);
 }
 
 bool Fleet::drop(const core::Attempt& attempt) {
+  if (waiting_.remove(attempt)) return false;
   const auto found = attempts_.find(attempt);
   if (found == attempts_.end()) return false;
   Link* link = found->second;
@@ -191,21 +186,25 @@
 
 void Fleet::probe(const std::string& id) {
   Host* host = ready_host(id, nullptr, 0);
-  Link* link = host == nullptr ? nullptr : link_for(*host, {});
-  if (link != nullptr) return link->probe("p" + std::to_string(++last_tag_));
-  no_probe(id);
+  const LinkChoice choice = host == nullptr ? LinkChoice() : link_for(*host, {});
+  if (choice.link != nullptr) return choice.link->probe("p" + std::to_string(++last_tag_));
+  if (!choice.local_trouble) return no_probe(id);
+  wait_with(WaitingSend::Kind::probe, id, 0, 0);
 }
 
 void Fleet::ensure(const std::string& id, std::uint64_t function, int copies) {
   Host* host = ready_host(id, nullptr, copies > 0 ? function : 0);
-  Link* link = host == nullptr ? nullptr : link_for(*host, {});
-  if (link != nullptr) return link->order("t" + std::to_string(++last_tag_), function, copies);
-  no_order(id, function);
+  const LinkChoice choice = host == nullptr ? LinkChoice() : link_for(*host, {});
+  if (choice.link != nullptr) {
+    return choice.link->order("t" + std::to_string(++last_tag_), function, copies);
+  }
+  if (!choice.local_trouble) return no_order(id, function);
+  wait_with(WaitingSend::Kind::load_order, id, function, copies);
 }
 
 void Fleet::release(const std::string& id, std::uint64_t function) {
   Host* host = ready_host(id, nullptr, 0);
-  Link* link = host == nullptr ? nullptr : link_for(*host, {});
+  Link* link = host == nullptr ? nullptr : link_for(*host, {}).link;
   if (link != nullptr) link->say("release " + net::hex16(function));
 }
 
--- a/src/hosts/fleet.h
+++ b/src/hosts/fleet.h
@@ -11,6 +11,7 @@
 #include "core/counters.h"
 #include "core/dispatcher.h"
 #include "core/member.h"
+#include "hosts/connection_wait.h"
 #include "net/loop.h"
 #include "net/stream.h"
 
@@ -36,7 +37,9 @@
  public:
   Fleet(net::Loop& loop, net::BufferPool& pool, core::Counters& counters, Limits limits);
   ~Fleet() override;
-  void attach(core::Dispatcher& dispatcher) { dispatcher_ = &dispatcher; }
+  void attach(core::Dispatcher& dispatcher);
+  // Which hosts a call may go to, as far as connections tell, and as `next` says beside that, where set.
+  robinfold::Gate* gate(robinfold::Gate* next);
 
   void members(const core::MemberList& list);
   // Nothing that was decided for this host and is not with the kernel yet goes out any more.
@@ -81,7 +84,43 @@
 
   bool allows(const std::string& id, const core::Call* call, std::uint64_t function) const;
   Host* ready_host(const std::string& id, const core::Call* call, std::uint64_t function);
-  Link* link_for(Host& host, const std::string& ref);
+  struct LinkChoice {
+    Link* link = nullptr;
+    bool local_trouble = false;  // there is none for this machine's sake, and soon there may be one
+  };
+  class ReachableHosts final : public robinfold::Gate {
+   public:
+    explicit ReachableHosts(const Fleet& fleet) : fleet_(fleet) {}
+    void ask_too(robinfold::Gate* next) { next_ = next; }
+    bool open(const std::string& tenant, std::uint64_t function, const std::string& id) override;
+
+   private:
+    const Fleet& fleet_;
+    robinfold::Gate* next_ = nullptr;
+  };
+  ReachableHosts reachable_hosts_{*this};
+  ConnectBackoff backoff_;
+  WaitingSends waiting_;
+  net::Loop::TimerId waiting_timer_{};
+
+  LinkChoice link_for(Host& host, const std::string& ref);
+  LinkChoice open_link(Host& host);
+  bool in_local_trouble() const;
+  bool has_open_link(const Host& host) const;
+  bool is_reachable(const Host& host) const;
+  void send_attempt(Link& link, const core::Attempt& attempt, const core::Call& call, Millis patience);
+  void wait(WaitingSend&& send);
+  void wait_for_connection(const core::Attempt& attempt, const std::string& host, const core::Call& call,
+                           Millis until);
+  void wait_with(WaitingSend::Kind kind, const std::string& host, std::uint64_t function, int copies);
+  void arm_waiting();
+  void try_waiting();
+  bool try_again(WaitingSend& send);
+  bool may_move_on(const WaitingSend& send, Millis now) const;
+  void send_on(Link& link, const WaitingSend& send);
+  void end_waiting(const WaitingSend& send);
+  void end_unreachable(const WaitingSend& send);
+  void withdraw_waiting(const std::string& host);
   void later(std::function<void()> tell);
   // Told in the next turn: none of these went out.
   void never_went(const core::Attempt& attempt);
--- a/src/hosts/link.cpp
+++ b/src/hosts/link.cpp
@@ -16,6 +16,8 @@
 constexpr Millis kUnreadMost{1000};  // what a host told draining has not read by then is not sent any more
 constexpr double kIdleShare =
     0.8;  // idle links go before the host closes them, or an attempt could cross that
+constexpr double kIdleShareMost = 0.9;  // and at the latest, while no new one can be made
+constexpr Millis kIdlePace{50};
 
 std::string fields_of(const core::Call& call) {
   const std::string fields = "sort=" + call.class_name + ",asset=" + call.function_name;
@@ -39,9 +41,10 @@
   fleet_.loop_.cancel(again_);
 }
 
-bool Fleet::Link::takes(const std::string& ref) const {
-  return !ending() && !retired_ && !suspect_ && attempts_.size() < fleet_.limits_.attempts_a_link &&
-         attempts_.count(ref) == 0 && past_.count(ref) == 0;
+bool Fleet::Link::takes(const std::string& ref, bool suspect_too) const {
+  return !ending() && !retired_ && (suspect_too || !suspect_) &&
+         attempts_.size() < fleet_.limits_.attempts_a_link && attempts_.count(ref) == 0 &&
+         past_.count(ref) == 0;
 }
 
 void Fleet::Link::exec(const core::Attempt& attempt, const core::Call& call, Millis patience) {
@@ -73,7 +76,9 @@
   // At once: the next attempt may leave on another connection in this very turn.
   write("drop " + ref + "\r\n");
   const bool flushed = flush_now();
-  if (!flushed) end_later();  // the host reads nothing; closing gives the attempt up
+  // Short of memory, the order to drop it follows. Else the host reads nothing; closing gives the attempt up.
+  const bool follows = short_of_memory() && outbox().written() >= sent.end;
+  if (!flushed && !follows) end_later();
   rest();
   // What was not handed over whole by now never will be.
   return outbox().written() >= sent.end;
@@ -81,6 +86,7 @@
 
 void Fleet::Link::order(const std::string& tag, std::uint64_t function, int copies) {
   ask(tag, Asked::Kind::order, function, order_line(tag, function, copies), Pending::Kind::order);
+  asked_.at(tag).copies = copies;
 }
 
 void Fleet::Link::probe(const std::string& tag) {
@@ -114,7 +120,7 @@
 void Fleet::Link::ask(const std::string& tag, Asked::Kind kind, std::uint64_t function,
                       const std::string& line, Pending::Kind what) {
   const Millis now = fleet_.loop_.now();
-  asked_[tag] = {kind, function, now, 0, false};
+  asked_[tag] = {kind, function, now, 0, false, {}, 0};
   asked_[tag].timer = fleet_.loop_.at(now + fleet_.limits_.order_timeout, [this, tag] { order_late(tag); });
   stand_back({what, tag, line + "\r\n", {}, Millis(0), function, false});
   rest();
@@ -205,8 +211,18 @@
   if (connecting()) return;
   fleet_.loop_.cancel(timer_);
   if (load() > 0) return;
-  const Millis idle = retired_ || suspect_ ? Millis(0) : fleet_.limits_.idle * kIdleShare;
-  timer_ = fleet_.loop_.at(fleet_.loop_.now() + idle, [this] { end_later(); });
+  const bool kept = !retired_ && (!suspect_ || fleet_.in_local_trouble());
+  const Millis now = fleet_.loop_.now();
+  const Millis idle = kept ? fleet_.limits_.idle * kIdleShare : Millis(0);
+  idle_until_ = now + (kept ? fleet_.limits_.idle * kIdleShareMost : Millis(0));
+  timer_ = fleet_.loop_.at(now + idle, [this] { idle_over(); });
+}
+
+// While no new connection can be made, one that stands is kept for as long as its host surely keeps it.
+void Fleet::Link::idle_over() {
+  const Millis next = fleet_.loop_.now() + kIdlePace;
+  if (!fleet_.in_local_trouble() || retired_ || next > idle_until_) return end_later();
+  timer_ = fleet_.loop_.at(next, [this] { idle_over(); });
 }
 
 }  // namespace lotusyard::hosts
--- a/src/hosts/link.h
+++ b/src/hosts/link.h
@@ -28,7 +28,8 @@
   const std::string& host() const { return host_; }
   std::size_t load() const { return attempts_.size() + asked_.size(); }
   std::size_t held() const { return held_; }  // bytes of an answer that is not whole yet
-  bool takes(const std::string& ref) const;
+  // suspect_too: also where the connection may be cut off
+  bool takes(const std::string& ref, bool suspect_too) const;
   void exec(const core::Attempt& attempt, const core::Call& call, Millis patience);
   bool drop(const core::Attempt& attempt);
   void order(const std::string& tag, std::uint64_t function, int copies);
@@ -64,6 +65,7 @@
     std::uint64_t end = 0;
     bool put = false;
     net::Loop::TimerId timer{};
+    int copies = 0;  // of an order
   };
   Fleet& fleet_;
   std::string host_;
@@ -76,6 +78,7 @@
   Millis heard_{0}, sent_{0}, begun_{0}, probed_{0};
   std::size_t held_ = 0;
   int probes_unanswered_ = 0;  // asked for since the last answer of an attempt
+  Millis idle_until_{0};
   bool retired_ = false, suspect_ = false, checking_ = false;
   net::Loop::TimerId timer_{}, stuck_{}, check_{}, again_{};
 
@@ -93,6 +96,8 @@
   void connect_late();
   void rest();
   void order_late(const std::string& tag);
+  void idle_over();
+  void hand_back(const std::deque<Pending>& pending);
   void end_asked(const Asked& asked, core::Outcome outcome, int copies, core::Report report);
   bool take(Reply&& reply);
   void before_flush() override;
--- a/src/hosts/link_hears.cpp
+++ b/src/hosts/link_hears.cpp
@@ -39,6 +39,7 @@
 void Fleet::Link::connected() {
   heard_ = fleet_.loop_.now();
   fleet_.counters_.add("hosts.links_up");
+  fleet_.backoff_.succeeded();
   fleet_.loop_.flush_later(*this);
   rest();
 }
@@ -117,18 +118,43 @@
   return true;
 }
 
+// The connection was never made, for this machine's sake: what stands here waits for another one.
+void Fleet::Link::hand_back(const std::deque<Pending>& pending) {
+  fleet_.backoff_.failed(fleet_.loop_.now());
+  for (const Pending& one : pending) {
+    if (one.kind == Pending::Kind::exec) {
+      const core::Attempt attempt = attempts_.at(one.name).attempt;
+      const core::Call* call = fleet_.dispatcher_->call_of(attempt.call);
+      if (call == nullptr) continue;
+      attempts_.erase(one.name);
+      fleet_.attempts_.erase(attempt);
+      fleet_.wait_for_connection(attempt, host_, *call, one.until);
+    } else if (const auto found = asked_.find(one.name); found != asked_.end()) {
+      const Asked asked = found->second;
+      if (asked.kind == Asked::Kind::liveness) continue;
+      fleet_.loop_.cancel(asked.timer);
+      asked_.erase(found);
+      const bool order = asked.kind == Asked::Kind::order;
+      fleet_.wait_with(order ? WaitingSend::Kind::load_order : WaitingSend::Kind::probe, host_,
+                       asked.function, asked.copies);
+    }
+  }
+}
+
 void Fleet::Link::ended() {
   fleet_.loop_.cancel(timer_);
   fleet_.loop_.cancel(stuck_);
   fleet_.loop_.cancel(check_);
   fleet_.loop_.cancel(again_);
-  pending_.clear();
+  const auto pending = std::exchange(pending_, {});
+  fleet_.hold(*this, std::exchange(held_, 0), 0);
+  fleet_.link_gone(*this);  // buried: this object lives to the turn's end
+  const auto& error = connect_error();
+  if (error && error->kind == net::ConnectErrorKind::local_resource && !retired_) hand_back(pending);
   const auto attempts = std::move(attempts_);
   const auto asked = std::move(asked_);
   attempts_.clear();
   asked_.clear();
-  fleet_.hold(*this, std::exchange(held_, 0), 0);
-  fleet_.link_gone(*this);  // buried: this object lives to the turn's end
   const auto outcome = [&](bool put, std::uint64_t end) {
     return put && outbox().written() >= end ? Outcome::reset : Outcome::connect_failed;
   };
--- a/src/net/buffer.cpp
+++ b/src/net/buffer.cpp
@@ -6,6 +6,9 @@
 #include <cerrno>
 #include <cstring>
 
+#include "net/errors.h"
+#include "net/system_calls.h"
+
 namespace lotusyard::net {
 
 bool Outbox::append(std::string_view bytes) {
@@ -29,9 +32,10 @@
 Outbox::Written Outbox::write_to(int fd) {
   while (!blocks_.empty()) {
     const std::size_t end = blocks_.size() == 1 ? tail_ : BufferPool::block_size;
-    const ssize_t sent = ::send(fd, blocks_.front()->data() + head_, end - head_, MSG_NOSIGNAL);
+    const ssize_t sent = system_calls::send(fd, blocks_.front()->data() + head_, end - head_, MSG_NOSIGNAL);
     if (sent < 0) {
       if (errno == EINTR) continue;
+      if (is_transient_shortage(errno)) return Written::short_of_memory;
       return errno == EAGAIN || errno == EWOULDBLOCK ? Written::some : Written::broken;
     }
     written_ += static_cast<std::size_t>(sent);
--- a/src/net/buffer.h
+++ b/src/net/buffer.h
@@ -55,7 +55,8 @@
 
 class Outbox {
  public:
-  enum class Written { all, some, broken };
+  // short_of_memory: this machine could not take more just now; unlike `some`, poll(2) tells no end of it.
+  enum class Written { all, some, short_of_memory, broken };
   explicit Outbox(BufferPool& pool) : pool_(pool) {}
   bool append(std::string_view bytes);  // false: no buffer to be had, and the stream is spoilt
   Written write_to(int fd);
--- /dev/null
+++ b/src/net/errors.cpp
@@ -0,0 +1,61 @@
+#include "net/errors.h"
+
+#include <cerrno>
+
+namespace lotusyard::net {
+namespace {
+
+ConnectErrorKind connect_error_kind(int error_number) {
+  switch (error_number) {
+    case EMFILE:
+    case ENFILE:
+    case ENOBUFS:
+    case ENOMEM:
+    case EADDRNOTAVAIL:
+    case EADDRINUSE:  // no local port is free
+    case EAGAIN:
+    case ENETUNREACH:
+    case ENETDOWN: return ConnectErrorKind::local_resource;
+    case ECONNREFUSED:
+    case ECONNRESET: return ConnectErrorKind::refused;
+    case ETIMEDOUT: return ConnectErrorKind::timed_out;
+    default: return ConnectErrorKind::unreachable;
+  }
+}
+
+}  // namespace
+
+ConnectError connect_error(int error_number) { return {connect_error_kind(error_number), error_number}; }
+
+const char* counter_name(ConnectErrorKind kind) {
+  switch (kind) {
+    case ConnectErrorKind::local_resource: return "net.connect.local_resource";
+    case ConnectErrorKind::refused: return "net.connect.refused";
+    case ConnectErrorKind::timed_out: return "net.connect.timed_out";
+    case ConnectErrorKind::unreachable: break;
+  }
+  return "net.connect.unreachable";
+}
+
+bool is_transient_shortage(int error_number) { return error_number == ENOBUFS || error_number == ENOMEM; }
+
+// accept(2) passes on errors that wait on the new connection; they are named there.
+AcceptErrorKind accept_error(int error_number) {
+  switch (error_number) {
+    case EINTR:
+    case ECONNABORTED:
+    case EPROTO:
+    case ENOPROTOOPT:
+    case ENETDOWN:
+    case ENETUNREACH:
+    case EHOSTDOWN:
+    case EHOSTUNREACH:
+    case ENONET:
+    case EOPNOTSUPP:
+    case EPERM:
+    case ETIMEDOUT: return AcceptErrorKind::connection_lost;
+    default: return AcceptErrorKind::local_resource;
+  }
+}
+
+}  // namespace lotusyard::net
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -4,6 +4,9 @@
 #include <cerrno>
 #include <chrono>
 #include <cmath>
+#include <thread>
+
+#include "net/system_calls.h"
 
 namespace lotusyard::net {
 namespace {
@@ -12,6 +15,10 @@
 constexpr Millis kUrgentPace{
     20};  // no turn keeps an urgent handler waiting for longer, save one handler's work
 
+constexpr int kFreePollFailures = 2;  // one signal or two cost no pause
+constexpr double kFailedPollPauseMs = 1;
+constexpr double kFailedPollPauseMostMs = 10;
+
 template <typename Clock>
 double milliseconds() {
   return Millis(Clock::now().time_since_epoch()).count();
@@ -63,6 +70,21 @@
   unflushed_.clear();
 }
 
+// A poll(2) that fails tells of no descriptor. Failing time after time, it must not keep the processor busy.
+int Loop::poll(std::vector<pollfd>& polled, double wait_ms) {
+  const int found = system_calls::poll(polled.data(), polled.size(), static_cast<int>(std::ceil(wait_ms)));
+  if (found >= 0) {
+    failed_polls_ = 0;
+    return found;
+  }
+  count_error(errno == EINTR ? "net.poll.interrupted" : "net.poll.failed");
+  if (++failed_polls_ <= kFreePollFailures) return 0;
+  const double pause =
+      std::min(kFailedPollPauseMs * (failed_polls_ - kFreePollFailures), kFailedPollPauseMostMs);
+  std::this_thread::sleep_for(Millis(std::min(pause, wait_ms)));
+  return 0;
+}
+
 // Danger: a crowd of clients makes a turn as long as there are of them.
 void Loop::serve_urgent(bool at_once) {
   if (!at_once && now() - urgent_served_ < kUrgentPace) return;
@@ -70,11 +92,12 @@
   std::vector<pollfd> polled;
   std::vector<std::uint64_t> serials;
   for (std::size_t fd = 0; fd < by_fd_.size(); ++fd) {
-    if (by_fd_[fd].handler == nullptr || by_fd_[fd].rank != Rank::urgent) continue;
+    const Entry& entry = by_fd_[fd];
+    if (entry.handler == nullptr || entry.events == 0 || entry.rank != Rank::urgent) continue;
     polled.push_back({static_cast<int>(fd), by_fd_[fd].events, 0});
     serials.push_back(by_fd_[fd].serial);
   }
-  if (polled.empty() || ::poll(polled.data(), polled.size(), 0) <= 0) return;
+  if (polled.empty() || poll(polled, 0) <= 0) return;
   for (std::size_t i = 0; i < polled.size(); ++i) {
     const Entry& entry = by_fd_[static_cast<std::size_t>(polled[i].fd)];
     const bool same = entry.handler != nullptr && entry.serial == serials[i];
@@ -89,11 +112,11 @@
   polled_.clear();
   serials_.clear();
   for (std::size_t fd = 0; fd < by_fd_.size(); ++fd) {
-    if (by_fd_[fd].handler == nullptr) continue;
+    if (by_fd_[fd].handler == nullptr || by_fd_[fd].events == 0) continue;
     polled_.push_back({static_cast<int>(fd), by_fd_[fd].events, 0});
     serials_.push_back(by_fd_[fd].serial);
   }
-  const int found = ::poll(polled_.data(), polled_.size(), static_cast<int>(std::ceil(wait)));
+  const int found = poll(polled_, wait);
   turn_began_ = now();
   serve_urgent(true);
   for (std::size_t i = 0; found > 0 && i < polled_.size(); ++i) {
@@ -116,4 +139,13 @@
   graves_.clear();
 }
 
+void count_connect_error(const Loop& loop, const ConnectResult& result) {
+  if (result.error) loop.count_error(counter_name(result.error->kind));
+}
+
+void count_accept_errors(const Loop& loop, const AcceptResult& result) {
+  for (int i = 0; i < result.connections_lost; ++i) loop.count_error("net.accept.connection_lost");
+  if (result.status == AcceptStatus::out_of_resources) loop.count_error("net.accept.local_resource");
+}
+
 }  // namespace lotusyard::net
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -11,6 +11,7 @@
 #include <vector>
 
 #include "net/buffer.h"
+#include "net/socket.h"
 #include "robinfold/policy.h"
 
 namespace lotusyard::net {
@@ -42,7 +43,8 @@
   // Whoever must be heard whatever the load is watched as urgent: such are served first in a turn, and again
   // in between as often as the rest of the turn takes long.
   enum class Rank { usual, urgent };
-  void watch(int fd, Handler& handler, short events, Rank rank = Rank::usual);  // again: changes the events
+  // Again: changes the events. With no events the descriptor is not polled at all until it is watched again.
+  void watch(int fd, Handler& handler, short events, Rank rank = Rank::usual);
   void forget(int fd, Handler& handler);  // before the descriptor is closed
   void flush_later(Handler& handler);     // at the end of this turn
 
@@ -52,6 +54,13 @@
   // Keeps an ended object until no call on the stack can still be inside it.
   void bury(std::shared_ptr<void> ended) { graves_.push_back(std::move(ended)); }
 
+  // Told the counter's name of each error of a system call, where set.
+  using ErrorCounter = std::function<void(const char* name)>;
+  void count_errors(ErrorCounter counter) { error_counter_ = std::move(counter); }
+  void count_error(const char* name) const {
+    if (error_counter_) error_counter_(name);
+  }
+
   // One turn; waits for at most as long as `due` and the timers allow. `decide` runs between reads and
   // writes.
   void turn(Millis due, const std::function<void()>& decide);
@@ -73,9 +82,16 @@
   double offset_ms_ = 0;
   Millis turn_began_{0}, urgent_served_{0};
   BufferPool::Block read_buffer_;
+  ErrorCounter error_counter_;
+  int failed_polls_ = 0;  // on end
 
+  int poll(std::vector<pollfd>& polled, double wait_ms);
   void flush();
   void serve_urgent(bool at_once);
 };
 
+// Book what went wrong in a call of connect_to or accept_from.
+void count_connect_error(const Loop& loop, const ConnectResult& result);
+void count_accept_errors(const Loop& loop, const AcceptResult& result);
+
 }  // namespace lotusyard::net
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -11,9 +11,15 @@
 #include <cerrno>
 #include <memory>
 
+#include "net/system_calls.h"
+
 namespace lotusyard::net {
 namespace {
 
+constexpr int kConnectTries = 4;
+constexpr int kPollTries = 4;
+constexpr int kAcceptTries = 64;  // a listener that gives nothing but errors is left alone for a while
+
 using Addresses = std::unique_ptr<addrinfo, decltype(&freeaddrinfo)>;
 
 Addresses resolve(const std::string& address, int flags) {
@@ -34,6 +40,30 @@
   setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
 }
 
+// 0 if the connection stands or is under way, else the error. A call that a signal interrupted goes on by
+// itself; made again, it tells so.
+int start_connect(const Socket& socket, const addrinfo& at) {
+  for (int i = 0; i < kConnectTries; ++i) {
+    if (system_calls::connect(socket.fd(), at.ai_addr, at.ai_addrlen) == 0) return 0;
+    if (errno == EINPROGRESS || errno == EALREADY || errno == EISCONN) return 0;
+    if (errno != EINTR) return errno;
+  }
+  return 0;
+}
+
+// What poll(2) would have told, as far as recv(2) can: a close behind unread bytes stays unseen.
+Peer peek(const Socket& socket) {
+  char byte = 0;
+  ssize_t got = -1;
+  for (int i = 0; i < kPollTries; ++i) {
+    got = system_calls::receive(socket.fd(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+    if (got >= 0 || errno != EINTR) break;
+  }
+  if (got == 0) return Peer::gone;
+  if (got > 0 || is_transient_shortage(errno) || errno == EINTR) return Peer::spoke;
+  return errno == EAGAIN || errno == EWOULDBLOCK ? Peer::quiet : Peer::gone;
+}
+
 }  // namespace
 
 void Socket::close() {
@@ -44,7 +74,7 @@
 Socket listen_on(const std::string& address) {
   const Addresses at = resolve(address, AI_PASSIVE);
   if (!at) return Socket();
-  Socket socket(::socket(at->ai_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
+  Socket socket(system_calls::open_socket(at->ai_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC));
   const int on = 1;
   if (!socket) return Socket();
   setsockopt(socket.fd(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
@@ -68,35 +98,44 @@
   return Socket(fd);
 }
 
-Socket connect_to(const std::string& address) {
+ConnectResult connect_to(const std::string& address) {
+  const auto failed = [](int error_number) { return ConnectResult{Socket(), connect_error(error_number)}; };
   const Addresses at = resolve(address, 0);
-  if (!at) return Socket();
-  Socket socket(::socket(at->ai_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
-  if (!socket) return Socket();
+  if (!at) return failed(EINVAL);
+  Socket socket(system_calls::open_socket(at->ai_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC));
+  if (!socket) return failed(errno);
   no_delay(socket.fd());
-  if (connect(socket.fd(), at->ai_addr, at->ai_addrlen) != 0 && errno != EINPROGRESS) return Socket();
-  return socket;
+  if (const int error_number = start_connect(socket, *at); error_number != 0) return failed(error_number);
+  return {std::move(socket), std::nullopt};
 }
 
-Socket accept_from(const Socket& listener, bool* exhausted) {
-  Socket socket(accept4(listener.fd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
-  if (exhausted != nullptr) *exhausted = !socket && (errno == EMFILE || errno == ENFILE || errno == ENOBUFS);
-  if (socket) no_delay(socket.fd());
-  return socket;
+AcceptResult accept_from(const Socket& listener) {
+  AcceptResult result;
+  for (int i = 0; i < kAcceptTries; ++i) {
+    result.socket = Socket(system_calls::accept(listener.fd(), SOCK_NONBLOCK | SOCK_CLOEXEC));
+    if (result.socket) {
+      no_delay(result.socket.fd());
+      result.status = AcceptStatus::accepted;
+      return result;
+    }
+    if (errno == EAGAIN || errno == EWOULDBLOCK) return result;
+    if (accept_error(errno) == AcceptErrorKind::local_resource) break;
+    if (errno != EINTR) ++result.connections_lost;
+  }
+  result.status = AcceptStatus::out_of_resources;
+  return result;
 }
 
 Peer look_at(const Socket& socket) {
   pollfd asked{socket.fd(), POLLIN | POLLRDHUP, 0};
-  if (::poll(&asked, 1, 0) <= 0) return Peer::quiet;
+  int found = -1;
+  for (int i = 0; i < kPollTries && found < 0; ++i) found = system_calls::poll(&asked, 1, 0);
+  if (found < 0) return peek(socket);
+  if (found == 0) return Peer::quiet;
   return (asked.revents & (POLLRDHUP | POLLHUP | POLLERR | POLLNVAL)) != 0 ? Peer::gone : Peer::spoke;
 }
 
-int pending_error(const Socket& socket) {
-  int error = 0;
-  socklen_t size = sizeof error;
-  if (getsockopt(socket.fd(), SOL_SOCKET, SO_ERROR, &error, &size) != 0) return errno;
-  return error;
-}
+int pending_error(const Socket& socket) { return system_calls::pending_error(socket.fd()); }
 
 std::string bound_address(const Socket& listener) {
   sockaddr_storage at{};
--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -2,6 +2,7 @@
 // once.
 #pragma once
 
+#include <optional>
 #include <string_view>
 
 #include "net/loop.h"
@@ -26,6 +27,10 @@
   bool connecting() const { return static_cast<bool>(socket_) && connecting_; }
   bool ending() const { return ending_ || finishing_ || !socket_; }  // nothing written now would go out
   const Outbox& outbox() const { return outbox_; }
+  // Why the connection could not be made, once it has ended for that.
+  const std::optional<ConnectError>& connect_error() const { return connect_error_; }
+  // A system call on it failed for lack of this machine's memory; it is made again before long.
+  bool short_of_memory() const { return paused_; }
   Peer peer() const { return socket_ ? look_at(socket_) : Peer::gone; }  // asks the kernel
 
   void ready(short events) final;
@@ -49,9 +54,16 @@
   Outbox outbox_;
   Loop::Rank rank_;
   bool connecting_ = false, ending_ = false, finishing_ = false, told_ = false, broken_ = false;
-  Loop::TimerId linger_{};
+  std::optional<ConnectError> connect_error_;
+  bool paused_ = false;  // for a moment nothing is read or written: the last try found no memory
+  std::optional<Millis> short_since_;  // since when no call has found memory
+  Loop::TimerId linger_{}, resume_{};
 
   void watch();
+  void connect_decided(short events);
+  void pause_for_memory(const char* counter);
+  void resume();
+  void read_failed(int error_number);
   void tell_finished();
   void read();
   void read_rest();
--- a/src/resp/crowd.cpp
+++ b/src/resp/crowd.cpp
@@ -62,16 +62,16 @@
 // False if nobody waits any more.
 bool Front::accept_some() {
   for (std::size_t i = 0; i < kAcceptsATurn; ++i) {
-    bool exhausted = false;
-    net::Socket socket = net::accept_from(listener_, &exhausted);
-    if (exhausted) {
+    net::AcceptResult accepted = net::accept_from(listener_);
+    net::count_accept_errors(loop_, accepted);
+    if (accepted.status == net::AcceptStatus::out_of_resources) {
       counters_.add("resp.no_descriptor");
       pause_listening();
       return false;
     }
-    if (!socket) return false;
+    if (!accepted.socket) return false;
     counters_.add("resp.connections");
-    silent_.push_back(std::make_shared<Client>(*this, std::move(socket)));
+    silent_.push_back(std::make_shared<Client>(*this, std::move(accepted.socket)));
     silent_.back()->place = std::prev(silent_.end());
     bound_newcomers();
   }
--- a/tests/control/raw_invoker.h
+++ b/tests/control/raw_invoker.h
@@ -15,7 +15,7 @@
 
 class RawInvoker {
  public:
-  explicit RawInvoker(const std::string& address) : socket_(net::connect_to(address)) {
+  explicit RawInvoker(const std::string& address) : socket_(net::connect_to(address).socket) {
     REQUIRE(static_cast<bool>(socket_));
     // Else the kernel takes in many megabytes for a reader that does not read.
     const int size = kReceiveBuffer;
--- a/tests/control/relay.h
+++ b/tests/control/relay.h
@@ -102,7 +102,7 @@
   class Peer final : public net::Stream {
    public:
     Peer(Relay& relay, net::Loop& loop, net::BufferPool& pool, net::Socket socket)
-        : Peer(relay, loop, pool, std::move(socket), net::connect_to(relay.to_)) {}
+        : Peer(relay, loop, pool, std::move(socket), net::connect_to(relay.to_).socket) {}
     void mode_changed() {
       if (to_node_.must_end() || to_invoker_.must_end()) return close();
       to_node_.forward();
--- a/tests/lotusyard/console_test.cpp
+++ b/tests/lotusyard/console_test.cpp
@@ -91,7 +91,7 @@
 class Call final : public net::Stream {
  public:
   Call(World& world, const std::string& address, const std::string& bytes)
-      : Stream(world.loop, world.pool, net::connect_to(address), true), world_(world) {
+      : Stream(world.loop, world.pool, net::connect_to(address).socket, true), world_(world) {
     write(bytes);
   }
   int status() {
--- a/tests/lotusyard/group_relay.h
+++ b/tests/lotusyard/group_relay.h
@@ -40,7 +40,7 @@
    private:
     struct Inner final : net::Stream {
       explicit Inner(GroupRelay& relay)
-          : Stream(relay.world_.loop, relay.world_.pool, net::connect_to(relay.to_), true) {}
+          : Stream(relay.world_.loop, relay.world_.pool, net::connect_to(relay.to_).socket, true) {}
       void connected() override { loop().flush_later(*this); }
       void received(std::string_view bytes) override {
         if (back) back(bytes);
--- a/tests/lotusyard/helper.h
+++ b/tests/lotusyard/helper.h
@@ -98,7 +98,7 @@
   const std::string& address() const { return address_; }
   std::list<std::shared_ptr<Peer>> peers;
   void ready(short) override {
-    while (net::Socket socket = net::accept_from(listener_)) {
+    while (net::Socket socket = net::accept_from(listener_).socket) {
       peers.push_back(std::make_shared<Peer>(owner_, loop_, pool_, std::move(socket)));
     }
   }
@@ -196,6 +196,7 @@
         fleet(loop, pool, counters, l),
         dispatcher(
             s, [this] { return loop.now(); }, fleet, counters) {
+    loop.count_errors([this](const char* name) { counters.add(name); });
     fleet.attach(dispatcher);
     for (std::size_t i = 0; i < hosts; ++i) host.push_back(std::make_unique<StandInHost>(loop, pool));
     tell(robinfold::WorkerState::ready);
--- a/tests/lotusyard/hot_restart_test.cpp
+++ b/tests/lotusyard/hot_restart_test.cpp
@@ -77,17 +77,17 @@
   const std::string address = net::bound_address(listener);
   CHECK_FALSE(net::adopt_listener(-1));
   CHECK_FALSE(net::adopt_listener(9999));
-  const net::Socket talker = net::connect_to(address);
+  const net::Socket talker = net::connect_to(address).socket;
   CHECK_FALSE(net::adopt_listener(talker.fd()));
   {
     const net::Socket mine = net::adopt_listener(dup(listener.fd()));
     REQUIRE(static_cast<bool>(mine));
-    CHECK(static_cast<bool>(net::accept_from(mine)));
+    CHECK(static_cast<bool>(net::accept_from(mine).socket));
   }
-  const net::Socket again = net::connect_to(address);
+  const net::Socket again = net::connect_to(address).socket;
   pollfd wait{listener.fd(), POLLIN, 0};
   REQUIRE(poll(&wait, 1, 5000) == 1);
-  CHECK(static_cast<bool>(net::accept_from(listener)));
+  CHECK(static_cast<bool>(net::accept_from(listener).socket));
 }
 
 }  // namespace
--- a/tests/lotusyard/last_look_test.cpp
+++ b/tests/lotusyard/last_look_test.cpp
@@ -14,7 +14,7 @@
 // A client as bytes: what it writes and when it goes is the test's to say.
 struct Bytes {
   net::Socket socket;
-  explicit Bytes(Platform& p) : socket(net::connect_to(p.front.address())) {
+  explicit Bytes(Platform& p) : socket(net::connect_to(p.front.address()).socket) {
     const auto before = p.world.counters.value("resp.connections");
     REQUIRE(p.world.turn_until([&] { return p.world.counters.value("resp.connections") > before; }, 1000));
   }
--- /dev/null
+++ b/tests/lotusyard/listeners_test.cpp
@@ -0,0 +1,79 @@
+// Each part that listens: out of what accept takes it pauses, does not spin, and comes back by itself.
+#include "console/admin_endpoint.h"
+#include "group/links.h"
+#include "platform.h"
+#include "system_call_faults.h"
+#include "tier.h"
+
+namespace lotusyard::test {
+namespace {
+
+struct NoOperations final : console::Operations {
+  bool ready() const override { return true; }
+  console::Done disable(const std::string&) override { return console::Done::yes; }
+  console::Done enable(const std::string&) override { return console::Done::yes; }
+};
+
+// Turns for so long; the number of accepts that were tried meanwhile.
+template <typename Turn>
+int accepts_while_short(const net::Loop& loop, int error, const Turn& turn) {
+  SystemCallFaults faults;
+  faults.fail(SystemCall::accept, {error});
+  const Millis end = loop.now() + Millis(300);
+  while (loop.now() < end) turn();
+  return faults.calls(SystemCall::accept);
+}
+bool few(int accepts) { return accepts > 0 && accepts < 20; }
+
+TEST_CASE("a listener that is short of what accept takes pauses and comes back", "[system-calls]") {
+  const int error = GENERATE(EMFILE, ENFILE, ENOBUFS, ENOMEM);
+  INFO("error " << error);
+  SECTION("the platform's front") {
+    Platform p(1);
+    Client client(p.world, p.front.address());
+    client.call("1", "bin-check", "x");
+    CHECK(few(accepts_while_short(p.world.loop, error, [&] { p.world.turn(); })));
+    CHECK(client.answer("1") != nullptr);
+  }
+  SECTION("the admin endpoint") {
+    World world(0);
+    NoOperations operations;
+    console::AdminEndpoint endpoint(world.loop, world.counters, operations, 4);
+    REQUIRE(endpoint.listen("127.0.0.1:0"));
+    const net::Socket caller = net::connect_to(endpoint.address()).socket;
+    CHECK(few(accepts_while_short(world.loop, error, [&] { world.turn(); })));
+    CHECK(world.turn_until([&] { return world.counters.value("console.connections") == 1; }, 1000));
+  }
+  SECTION("the group's links") {
+    World world(0);
+    group::Links links(
+        world.loop, world.counters, {}, [](const auto&, auto&&) {}, [](const auto&) {});
+    REQUIRE(links.listen("127.0.0.1:0"));
+    const net::Socket caller = net::connect_to(links.address()).socket;
+    CHECK(few(accepts_while_short(world.loop, error, [&] { world.turn(); })));
+    REQUIRE(::send(caller.fd(), "garbage that is no frame", 24, MSG_NOSIGNAL) == 24);
+    const auto closed = [&] { return net::look_at(caller) == net::Peer::gone; };
+    CHECK(world.turn_until(closed, 1000));  // accepted, read and let go
+  }
+  SECTION("a control node's server") {
+    Tier tier;
+    auto& server = tier.add_node();
+    const net::Socket caller = net::connect_to(server.address()).socket;
+    CHECK(few(accepts_while_short(tier.loop, error, [&] { tier.turn(); })));
+    CHECK(tier.until([&] { return server.links() == 1; }, Millis(1000)));
+  }
+}
+
+TEST_CASE("lost connections keep no listener from the sound one behind them", "[system-calls]") {
+  const int error = GENERATE(ECONNABORTED, EPROTO, ENETDOWN, EHOSTUNREACH);
+  Platform p(1);
+  Client client(p.world, p.front.address());
+  SystemCallFaults faults;
+  faults.fail(SystemCall::accept, {error}, 1, 5);
+  for (int i = 0; i < 2 && p.world.counters.value("resp.connections") == 0; ++i) p.world.turn();
+  CHECK(p.world.counters.value("resp.connections") == 1);
+  CHECK(p.world.counters.value("net.accept.connection_lost") == 5);
+}
+
+}  // namespace
+}  // namespace lotusyard::test
--- a/tests/lotusyard/platform.h
+++ b/tests/lotusyard/platform.h
@@ -10,7 +10,7 @@
 class Client final : public net::Stream {
  public:
   Client(World& world, const std::string& address)
-      : Stream(world.loop, world.pool, net::connect_to(address), true), world_(world) {}
+      : Stream(world.loop, world.pool, net::connect_to(address).socket, true), world_(world) {}
   void say(const std::vector<std::string_view>& words) {
     std::string out;
     resp::write_array(out, words);
--- a/tests/lotusyard/service.h
+++ b/tests/lotusyard/service.h
@@ -76,7 +76,7 @@
 class Tablet final : public net::Stream {
  public:
   Tablet(World& world, const std::string& address)
-      : Stream(world.loop, world.pool, net::connect_to(address), true) {}
+      : Stream(world.loop, world.pool, net::connect_to(address).socket, true) {}
   void call(int number, const std::string& cls, const std::string& body, int allow = 800,
             std::uint64_t function = 0xa1) {
     const std::string tag = std::to_string(number);
@@ -187,7 +187,7 @@
     class Call final : public net::Stream {
      public:
       Call(World& world, const std::string& address)
-          : Stream(world.loop, world.pool, net::connect_to(address), true) {}
+          : Stream(world.loop, world.pool, net::connect_to(address).socket, true) {}
       std::string got;
       bool closed = false;
 
--- /dev/null
+++ b/tests/lotusyard/system_calls_test.cpp
@@ -0,0 +1,192 @@
+// What sockets, connections and the loop make of system calls that fail.
+#include <sys/socket.h>
+
+#include <catch2/catch.hpp>
+
+#include "net/loop.h"
+#include "net/stream.h"
+#include "system_call_faults.h"
+
+namespace lotusyard::test {
+namespace {
+
+using net::AcceptStatus;
+using net::ConnectErrorKind;
+using Millis = net::Millis;
+
+struct Listener {
+  net::Socket socket = net::listen_on("127.0.0.1:0");
+  std::string address = net::bound_address(socket);
+};
+
+// Keeps what it reads.
+class Reader final : public net::Stream {
+ public:
+  Reader(net::Loop& loop, net::BufferPool& pool, net::Socket socket, bool connecting)
+      : Stream(loop, pool, std::move(socket), connecting) {}
+  std::string got;
+  bool has_ended = false;
+
+ private:
+  void received(std::string_view bytes) override { got += bytes; }
+  void ended() override { has_ended = true; }
+};
+
+// Two ends of one connection, on one loop.
+struct Pair {
+  net::Loop loop;
+  net::BufferPool pool{64};
+  Listener listener;
+  Reader near{loop, pool, net::connect_to(listener.address).socket, true};
+  Reader far{loop, pool, net::accept_from(listener.socket).socket, false};
+  template <typename Until>
+  bool until(const Until& done, Millis most = Millis(4000)) {
+    const Millis end = loop.now() + most;
+    while (!done() && loop.now() < end) loop.turn(loop.now() + Millis(5), [] {});
+    return done();
+  }
+};
+
+TEST_CASE("each error of a connect has its kind: this machine's, or the peer's", "[system-calls]") {
+  const Listener listener;
+  const std::vector<std::pair<int, ConnectErrorKind>> errors = {
+      {EADDRNOTAVAIL, ConnectErrorKind::local_resource}, {EAGAIN, ConnectErrorKind::local_resource},
+      {ENETUNREACH, ConnectErrorKind::local_resource},   {ENETDOWN, ConnectErrorKind::local_resource},
+      {ENOBUFS, ConnectErrorKind::local_resource},       {ECONNREFUSED, ConnectErrorKind::refused},
+      {EHOSTUNREACH, ConnectErrorKind::unreachable},     {ETIMEDOUT, ConnectErrorKind::timed_out}};
+  for (const auto& [error, kind] : errors) {
+    SystemCallFaults faults;
+    faults.fail(SystemCall::connect, {error});
+    const net::ConnectResult result = net::connect_to(listener.address);
+    REQUIRE(result.error);
+    CHECK_FALSE(result);
+    CHECK(result.error->kind == kind);
+    CHECK(result.error->error_number == error);
+  }
+  for (const int error : {EMFILE, ENFILE, ENOBUFS, ENOMEM}) {
+    SystemCallFaults faults;
+    faults.fail(SystemCall::socket, {error});
+    const net::ConnectResult result = net::connect_to(listener.address);
+    REQUIRE(result.error);
+    CHECK(result.error->kind == ConnectErrorKind::local_resource);
+  }
+}
+
+TEST_CASE("a connect that a signal interrupts is under way", "[system-calls]") {
+  SystemCallFaults faults;
+  faults.fail(SystemCall::connect, {EINTR}, 1, 1);
+  Pair pair;
+  CHECK(faults.failures(SystemCall::connect) == 1);
+  pair.near.write("x");
+  CHECK(pair.until([&] { return pair.far.got == "x"; }));
+}
+
+TEST_CASE("a connect that fails late is typed like one that fails at once", "[system-calls]") {
+  const std::vector<std::pair<int, ConnectErrorKind>> errors = {
+      {EADDRNOTAVAIL, ConnectErrorKind::local_resource},
+      {ECONNREFUSED, ConnectErrorKind::refused},
+      {EHOSTUNREACH, ConnectErrorKind::unreachable},
+      {ETIMEDOUT, ConnectErrorKind::timed_out}};
+  for (const auto& [error, kind] : errors) {
+    SystemCallFaults faults;
+    faults.fail(SystemCall::pending_error, {error});
+    Pair pair;
+    std::string counted;
+    pair.loop.count_errors([&](const char* name) { counted += name; });
+    REQUIRE(pair.until([&] { return pair.near.has_ended; }));
+    REQUIRE(pair.near.connect_error());
+    CHECK(pair.near.connect_error()->kind == kind);
+    CHECK(counted == net::counter_name(kind));
+  }
+}
+
+TEST_CASE("a connection that was lost before accept costs the next one no turn", "[system-calls]") {
+  for (const int error : {ECONNABORTED, EPROTO, ENETDOWN, EHOSTUNREACH, EINTR, ENOPROTOOPT, ENETUNREACH}) {
+    const Listener listener;
+    const net::ConnectResult waiting = net::connect_to(listener.address);
+    SystemCallFaults faults;
+    faults.fail(SystemCall::accept, {error}, 1, 3);
+    const net::AcceptResult accepted = net::accept_from(listener.socket);
+    CHECK(accepted.status == AcceptStatus::accepted);
+    CHECK(accepted.connections_lost == (error == EINTR ? 0 : 3));
+    CHECK(net::accept_from(listener.socket).status == AcceptStatus::none_waiting);
+  }
+}
+
+TEST_CASE("a machine that lacks what accept takes is told from a queue that is empty", "[system-calls]") {
+  for (const int error : {EMFILE, ENFILE, ENOBUFS, ENOMEM}) {
+    const Listener listener;
+    SystemCallFaults faults;
+    faults.fail(SystemCall::accept, {error}, 1, 1);
+    CHECK(net::accept_from(listener.socket).status == AcceptStatus::out_of_resources);
+    CHECK(net::accept_from(listener.socket).status == AcceptStatus::none_waiting);
+  }
+  const Listener listener;  // one that gives nothing but lost connections must not hold up the loop
+  SystemCallFaults faults;
+  faults.fail(SystemCall::accept, {ECONNABORTED});
+  CHECK(net::accept_from(listener.socket).status == AcceptStatus::out_of_resources);
+  CHECK(faults.calls(SystemCall::accept) < 100);
+}
+
+TEST_CASE("a poll that fails tells of nothing, does not spin, and timers go on", "[system-calls]") {
+  for (const int error : {EINTR, ENOMEM}) {
+    Pair pair;
+    REQUIRE(pair.until([&] { return pair.near.open(); }));
+    pair.far.write("x");
+    pair.far.flush_now();
+    bool rung = false;
+    pair.loop.at(pair.loop.now() + Millis(40), [&] { rung = true; });
+    {
+      SystemCallFaults faults;
+      faults.fail(SystemCall::poll, {error});
+      const Millis end = pair.loop.now() + Millis(200);
+      while (pair.loop.now() < end) pair.loop.turn(end, [] {});
+      CHECK(rung);
+      CHECK(pair.near.got.empty());
+      CHECK(faults.calls(SystemCall::receive) == 0);
+      CHECK(faults.calls(SystemCall::poll) < 100);
+    }
+    CHECK(pair.until([&] { return pair.near.got == "x"; }));
+  }
+}
+
+TEST_CASE("whether a peer has gone is known also while poll fails", "[system-calls]") {
+  for (const int error : {EINTR, ENOMEM}) {
+    const Listener listener;
+    const net::ConnectResult near = net::connect_to(listener.address);
+    net::AcceptResult far = net::accept_from(listener.socket);
+    SystemCallFaults faults;
+    faults.fail(SystemCall::poll, {error});
+    CHECK(net::look_at(near.socket) == net::Peer::quiet);
+    REQUIRE(::send(far.socket.fd(), "x", 1, MSG_NOSIGNAL) == 1);
+    CHECK(net::look_at(near.socket) == net::Peer::spoke);
+    far.socket.close();
+    char byte = 0;
+    REQUIRE(::recv(near.socket.fd(), &byte, 1, 0) == 1);
+    CHECK(net::look_at(near.socket) == net::Peer::gone);
+  }
+}
+
+TEST_CASE("memory that is short for a while ends no connection, and the loop rests", "[system-calls]") {
+  const SystemCall call = GENERATE(SystemCall::receive, SystemCall::send);
+  const int error = GENERATE(ENOBUFS, ENOMEM);
+  Pair pair;
+  REQUIRE(pair.until([&] { return pair.near.open(); }));
+  {
+    SystemCallFaults faults;
+    faults.fail(call, {error});
+    pair.near.write("well");
+    pair.until([] { return false; }, Millis(300));
+    CHECK(faults.calls(call) < 150);
+  }
+  CHECK(pair.far.got.empty());
+  CHECK(pair.until([&] { return pair.far.got == "well"; }));
+  CHECK_FALSE((pair.near.has_ended || pair.far.has_ended));
+  SystemCallFaults faults;  // but it is not waited for without end
+  faults.fail(call, {error});
+  pair.near.write("more");
+  CHECK(pair.until([&] { return pair.near.has_ended || pair.far.has_ended; }));
+}
+
+}  // namespace
+}  // namespace lotusyard::test
--- a/tests/scale/session_reader.h
+++ b/tests/scale/session_reader.h
@@ -33,7 +33,7 @@
  private:
   struct Request final : net::Stream {
     Request(ProcessFleet& among, const std::string& address)
-        : Stream(among.world().loop, among.world().pool, net::connect_to(address), true), fleet(among) {
+        : Stream(among.world().loop, among.world().pool, net::connect_to(address).socket, true), fleet(among) {
       write(std::string("GET ") + kSessionPath + " HTTP/1.1\r\nHost: x\r\n\r\n");
     }
     ProcessFleet& fleet;
