--- a/src/resp/crowd.cpp
+++ b/src/resp/crowd.cpp
@@ -67,20 +67,20 @@
 // False if nobody waits any more.
 bool Front::accept_some() {
   for (std::size_t i = 0; i < kAcceptsATurn; ++i) {
-    bool exhausted = false;
-    net::Socket socket = net::accept_from(listener_, &exhausted);
-    if (exhausted) {
+    net::AcceptResult accepted = net::accept_from(listener_);
+    net::count_accept_errors(loop_, accepted);
+    if (accepted.status == net::AcceptStatus::out_of_resources) {
       counters_.add("resp.no_descriptor");
       pause_listening();
       return false;
     }
     const core::Millis came_since = connects_.came_since(loop_);
-    if (!socket) {
+    if (!accepted.socket) {
       connects_.all_read();
       return false;
     }
     counters_.add("resp.connections");
-    silent_.push_back(std::make_shared<Client>(*this, std::move(socket), came_since));
+    silent_.push_back(std::make_shared<Client>(*this, std::move(accepted.socket), came_since));
     silent_.back()->place = std::prev(silent_.end());
     bound_newcomers();
   }
