--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -2,7 +2,6 @@
 
 #include <algorithm>
 #include <cerrno>
-#include <chrono>
 #include <cmath>
 
 namespace lotusyard::net {
@@ -12,19 +11,23 @@
 constexpr Millis kUrgentPace{
     20};  // no turn keeps an urgent handler waiting for longer, save one handler's work
 
-template <typename Clock>
-double milliseconds() {
-  return Millis(Clock::now().time_since_epoch()).count();
-}
-
 }  // namespace
 
-Loop::Loop()
-    : offset_ms_(milliseconds<std::chrono::system_clock>() - milliseconds<std::chrono::steady_clock>()),
-      turn_began_(now()) {}
+Loop::Loop(Clocks clocks)
+    : clocks_(std::move(clocks)), wall_(clocks_.steady(), clocks_.wall()), turn_began_(now()) {}
 Loop::~Loop() = default;
 
-Millis Loop::now() const { return Millis(milliseconds<std::chrono::steady_clock>() + offset_ms_); }
+Millis Loop::now() const { return clocks_.steady() + wall_.start_offset(); }
+
+WallTime Loop::wall(Millis memory) {
+  observe_wall();
+  return wall_.read(clocks_.steady(), memory);
+}
+
+bool Loop::wall_has_stepped() {
+  observe_wall();
+  return wall_.has_stepped();
+}
 
 void Loop::watch(int fd, Handler& handler, short events, Rank rank) {
   const auto place = static_cast<std::size_t>(fd);
@@ -95,6 +98,7 @@
   }
   const int found = ::poll(polled_.data(), polled_.size(), static_cast<int>(std::ceil(wait)));
   turn_began_ = now();
+  observe_wall();
   serve_urgent(true);
   for (std::size_t i = 0; found > 0 && i < polled_.size(); ++i) {
     if (polled_[i].revents == 0) continue;
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -11,6 +11,7 @@
 #include <vector>
 
 #include "net/buffer.h"
+#include "net/wall_clock.h"
 #include "robinfold/policy.h"
 
 namespace lotusyard::net {
@@ -27,13 +28,19 @@
 class Loop {
  public:
   using TimerId = std::pair<double, std::uint64_t>;
-  Loop();
+  explicit Loop(Clocks clocks = Clocks::system());
   ~Loop();
   Loop(const Loop&) = delete;
   Loop& operator=(const Loop&) = delete;
 
   // Unix milliseconds, from the system's clock at the start and steady from there on.
   Millis now() const;
+  // What times from outside are compared with: what the system's clock reads now, and what it read by
+  // settings that were in force not longer ago than the size of their step and `memory`.
+  WallTime wall(Millis memory = Millis(0));
+  bool wall_has_stepped();
+  // An earlier process of this machine has read that.
+  void remember_wall(Millis read) { wall_.remember(clocks_.steady(), read); }
   // When this turn's poll(2) returned: what is read in the turn had come by then.
   Millis turn_began() const { return turn_began_; }
   // The one buffer that is read into; what was read is used up before the next read.
@@ -70,10 +77,12 @@
   std::map<TimerId, std::function<void()>> timers_;
   std::vector<std::shared_ptr<void>> graves_;
   std::uint64_t serial_ = 0;
-  double offset_ms_ = 0;
+  Clocks clocks_;
+  WallClock wall_;
   Millis turn_began_{0}, urgent_served_{0};
   BufferPool::Block read_buffer_;
 
+  void observe_wall() { wall_.observe(clocks_.steady(), clocks_.wall()); }
   void flush();
   void serve_urgent(bool at_once);
 };
--- a/tests/lotusyard/helper.h
+++ b/tests/lotusyard/helper.h
@@ -191,8 +191,10 @@
 // The parts of an invoker behind its fronts, and hosts for it.
 class World {
  public:
-  explicit World(std::size_t hosts, const core::Settings& s = settings(), const hosts::Limits& l = limits())
-      : pool(4096),
+  explicit World(std::size_t hosts, const core::Settings& s = settings(), const hosts::Limits& l = limits(),
+                 net::Clocks clocks = net::Clocks::system())
+      : loop(std::move(clocks)),
+        pool(4096),
         fleet(loop, pool, counters, l),
         dispatcher(
             s, [this] { return loop.now(); }, fleet, counters) {
--- a/tests/lotusyard/triggers.h
+++ b/tests/lotusyard/triggers.h
@@ -11,8 +11,9 @@
  public:
   explicit Triggers(std::size_t hosts, std::uint64_t seed = 1, amqp::Front::Limits limits = {},
                     const core::Settings& s = settings(), answers::Store* store = nullptr,
-                    std::vector<std::string> before = {}, amqp::Topology topology = {})
-      : world(hosts, s), broker(world.loop, world.pool, seed) {
+                    std::vector<std::string> before = {}, amqp::Topology topology = {},
+                    net::Clocks clocks = net::Clocks::system())
+      : world(hosts, s, World::limits(), std::move(clocks)), broker(world.loop, world.pool, seed) {
     amqp::Broker at;
     at.addresses = std::move(before);
     at.addresses.push_back(broker.server.address());
--- /dev/null
+++ b/tests/wall_clock/loop_test.cpp
@@ -0,0 +1,136 @@
+// Spans within one process: no step of the wall clock shortens or lengthens them.
+#include "net/loop.h"
+
+#include "core/keys.h"
+#include "group/lease.h"
+#include "helper.h"
+#include "stepped_clock.h"
+
+namespace lotusyard::test {
+namespace {
+
+Millis any_step() { return GENERATE(Millis(7000), Millis(-7000), kHour, -1 * kHour); }
+
+TEST_CASE("the loop's time goes on through a step of the wall clock") {
+  ManualClock clock;
+  net::Loop loop(clock.clocks());
+  const Millis began = loop.now();
+  CHECK(began == clock.wall);
+  clock.wall += any_step();
+  CHECK(loop.now() == began);
+  clock.pass(Millis(250));
+  loop.turn(loop.now(), [] {});
+  CHECK(loop.now() - began == Millis(250));
+  CHECK(loop.turn_began() == loop.now());
+}
+
+TEST_CASE("a timer rings when its span has passed, through a step of the wall clock") {
+  ManualClock clock;
+  net::Loop loop(clock.clocks());
+  bool rung = false;
+  loop.at(loop.now() + Millis(100), [&] { rung = true; });
+  clock.wall += any_step();
+  clock.pass(Millis(99));
+  loop.turn(loop.now(), [] {});
+  CHECK_FALSE(rung);
+  clock.pass(Millis(1));
+  loop.turn(loop.now(), [] {});
+  CHECK(rung);
+}
+
+TEST_CASE("a lease, the last call and a key's window keep their spans through a step of the wall clock") {
+  ManualClock clock;
+  net::Loop loop(clock.clocks());
+  const group::Terms terms;
+  group::Lease lease(terms, loop.now());
+  lease.agreed(loop.now().count());
+  core::Keys keys;
+  core::Call call;
+  call.key = "k";
+  core::KeyRule rule;
+  rule.window = Millis(3000);
+  REQUIRE(keys.begin(call, rule, loop.now()) == core::Keys::Word::taken);
+  keys.went_out(call, {}, {}, loop.now());
+  clock.wall += any_step();
+  clock.pass(Millis(1999));
+  CHECK(lease.holds(loop.now()));
+  CHECK_FALSE(lease.earlier_ended(loop.now()));
+  CHECK(keys.may_go(call, rule, {}, loop.now()));
+  clock.pass(Millis(1001));
+  CHECK_FALSE(lease.holds(loop.now()));
+  CHECK(lease.earlier_ended(loop.now()));
+  CHECK_FALSE(keys.may_go(call, rule, {}, loop.now()));
+}
+
+struct Waiting final : core::Front {
+  explicit Waiting(net::Loop& loop) : loop_(loop) {}
+  void answer(core::CallId, core::Answer&& answer) override {
+    verdict = answer.verdict;
+    answered_at = loop_.now();
+  }
+  std::optional<core::Verdict> verdict;
+  Millis answered_at{0};
+
+ private:
+  net::Loop& loop_;
+};
+
+TEST_CASE("a call is answered when its time is over, through a step of the wall clock") {
+  SteppedClock clock;
+  World world(1, settings(), World::limits(), clock.clocks());
+  world.host[0]->react = [](const std::string&) { return Reaction{Reaction::silence, ""}; };
+  Waiting front(world.loop);
+  core::Call call;
+  call.ref = "00000000000000aa";
+  call.class_name = "bin-record";
+  call.function = 0xa1;
+  call.function_name = "00000000000000a1";
+  call.arrived = world.loop.now();
+  call.allow = Millis(400);
+  const Millis arrived = call.arrived;
+  REQUIRE(world.dispatcher.take(world.dispatcher.next_id(), std::move(call), front));
+  REQUIRE(world.turn_until([&] { return world.host[0]->execs == 1; }, 20000));
+  clock.step = any_step();
+  REQUIRE(world.turn_until([&] { return front.verdict.has_value(); }, 20000));
+  CHECK(front.answered_at - arrived >= Millis(300));
+  CHECK(front.answered_at - arrived < Millis(600));
+}
+
+TEST_CASE("both settings of the wall clock count until the size of its step has passed") {
+  ManualClock clock;
+  net::Loop loop(clock.clocks());
+  const Millis step = any_step();
+  const Millis before = clock.wall;
+  clock.wall += step;
+  auto wall = loop.wall();
+  CHECK(wall.current == before + step);
+  CHECK(wall.earliest == std::min(before, before + step));
+  CHECK(wall.latest == std::max(before, before + step));
+  CHECK(loop.wall_has_stepped());
+  const Millis size = std::max(step, -1 * step);
+  clock.pass(size);
+  wall = loop.wall();
+  CHECK((wall.earliest == clock.wall && wall.latest == clock.wall));
+  CHECK(loop.wall(Millis(10)).latest - loop.wall(Millis(10)).earliest == size);
+}
+
+TEST_CASE("a clock that slews does not step, and no setting is doubted for ever") {
+  ManualClock clock;
+  net::Loop loop(clock.clocks());
+  for (int i = 0; i < 1000; ++i) {
+    clock.pass(Millis(100));
+    clock.wall += Millis(0.05);
+    loop.turn(loop.now(), [] {});
+  }
+  CHECK_FALSE(loop.wall_has_stepped());
+  CHECK(loop.wall().earliest == clock.wall);
+  clock.wall += 24 * 365 * kHour;
+  loop.remember_wall(clock.wall + 24 * 365 * kHour);
+  CHECK(loop.wall().latest - loop.wall().earliest > 24 * 700 * kHour);
+  clock.pass(net::WallClock::doubt_most);
+  CHECK(loop.wall().earliest == clock.wall);
+  CHECK(loop.wall().latest == clock.wall);
+}
+
+}  // namespace
+}  // namespace lotusyard::test
