--- a/src/answers/ledger.cpp
+++ b/src/answers/ledger.cpp
@@ -22,7 +22,9 @@
   if (!arrival.redelivered) return Decision::run;
   // Danger: not in the store may mean not yet, no more, or at another consumer. Only a call younger than
   // everything the store has forgotten, at the only consumer there is, is known not to have gone out.
-  const bool covered = arrival.published && *arrival.published - kClockSkew >= trust.complete_from;
+  // Published in the future, it shows that this clock is behind, and the mark bounded by it may be too.
+  const bool covered = arrival.published && *arrival.published - kClockSkew >= trust.complete_from &&
+                       *arrival.published - kClockSkew <= trust.now;
   return trust.sole_consumer && covered ? Decision::run : Decision::fail_may_have_run;
 }
 
@@ -38,6 +40,10 @@
   return false;
 }
 
+// Whatever goes out from now on is recorded, so that a mark at the present would do. The step is for a clock
+// that has been set back since, wrongly.
+Millis bounded_mark(Millis mark, Millis now) { return std::min(mark, now + kClockStep); }
+
 Pruning prune(const Size& size, std::size_t answered, const Bounds& bounds, Millis now) {
   Pruning out;
   out.older_than = now - bounds.longest;
--- a/src/answers/ledger.h
+++ b/src/answers/ledger.h
@@ -30,6 +30,7 @@
   bool healthy = false;        // what was asked of the store was answered
   bool sole_consumer = false;  // the operator says that no other process consumes these queues
   Millis complete_from{0};     // all calls that went out since then stand in the store
+  Millis now = Millis::max();  // by the clock that bounded this mark
 };
 
 enum class Decision {
@@ -39,8 +40,10 @@
   refuse_unrecorded   // the store cannot take what must be written first; trying again is harmless
 };
 
-// A publisher's clock may be wrong by so much before its word counts.
-constexpr Millis kClockSkew{60000};
+// A clock may be set forwards or back by so much between two processes without a call running twice.
+constexpr Millis kClockStep{3600e3};
+// A publisher's clock and this store's may differ by so much before a publisher's word counts.
+constexpr Millis kClockSkew = kClockStep + Millis(60000);
 
 Decision decide(const std::optional<Record>& known, const Arrival& arrival, const Trust& trust);
 
@@ -65,6 +68,10 @@
   std::size_t excess = 0;  // and so many of the oldest that have been answered
   bool full = false;       // what is left is too much all the same: nothing new is recorded
 };
+// From when on a store is complete that is told to be so from `mark` on. A clock that was ahead, and has been
+// set right, may have written a mark that lies years ahead: until then no call could be shown not to have
+// run.
+Millis bounded_mark(Millis mark, Millis now);
 Pruning prune(const Size& size, std::size_t answered, const Bounds& bounds, Millis now);
 
 }  // namespace lotusyard::answers
--- a/src/answers/sqlite_store.cpp
+++ b/src/answers/sqlite_store.cpp
@@ -43,7 +43,7 @@
   Query about(db_, "SELECT complete_from FROM about");
   const int found = about.step();
   if (found == SQLITE_ROW) {
-    complete_from_ = Millis(about.number(0));
+    complete_from_ = bounded_mark(Millis(about.number(0)), now);
   } else if (told(found, "about")) {
     set_complete_from(now);  // a store that is new knows nothing of what was before
   }
@@ -139,7 +139,7 @@
       "at < ?1 OR id IN (SELECT id FROM calls WHERE stage >= 3 ORDER BY at LIMIT " + excess + ")";
   Query newest(db_, ("SELECT max(at) FROM calls WHERE " + which).c_str());
   if (!told(newest.number(1, due.older_than.count()).step(), "prune")) return;
-  const Millis forgotten(newest.number(0));
+  const Millis forgotten = bounded_mark(Millis(newest.number(0)), now);
   if (forgotten.count() <= 0) return;
   if (forgotten > complete_from_ && !set_complete_from(forgotten)) return;
   Query query(db_, ("DELETE FROM calls WHERE " + which).c_str());
