--- a/src/amqp/front.cpp
+++ b/src/amqp/front.cpp
@@ -4,6 +4,7 @@
 #include <cmath>
 #include <iostream>
 
+#include "amqp/message_times.h"
 #include "net/fields.h"
 
 namespace lotusyard::amqp {
@@ -165,21 +166,20 @@
   const auto* cls = core::class_named(settings_, call.class_name);
   const bool once = cls->semantics == robinfold::Semantics::once;
   const bool keyed = cls->semantics == robinfold::Semantics::keyed;
-  const bool published = p.timestamp && *p.timestamp <= UINT32_MAX;
+  const auto age = age_at_most(p, loop_.wall(cls->key_window));
   if (out_of_time(p, call)) {
     refuse_call(id, once, Verdict::refused, "amqp.expired");
     return answer_delivery(id, tag, address, delivery.redelivered);
   }
   if (once && store_ != nullptr) {
     if (settled_by_store(id, delivery, address)) return;
-  } else if (delivery.redelivered && (once || (keyed && !published))) {
+  } else if (delivery.redelivered && (once || (keyed && !age))) {
     // Danger: another process, or this one before a restart or in a time now forgotten, may have run it; of a
     // keyed one only when it was published can show that its window is open.
     refuse_call(id, once, Verdict::failed, "amqp.may_have_run");
     return answer_delivery(id, tag, address, delivery.redelivered);
   }
-  if (keyed && delivery.redelivered)
-    call.ran_since = std::min(Millis(static_cast<double>(*p.timestamp) * 1000), call.arrived);
+  if (keyed && delivery.redelivered) call.ran_since = call.arrived - *age;
   if (running_.size() >= limits_.open_calls) {
     refuse_call(id, once, Verdict::refused, "amqp.too_many_open");
     return answer_delivery(id, tag, address, delivery.redelivered);
@@ -194,13 +194,14 @@
   answer(number, core::Answer());
 }
 
-// Danger: a call whose time ran out while it stood in the queue would run for nobody.
-bool Front::out_of_time(const Properties& p, core::Call& call) const {
-  const auto expiration = net::parse_whole(p.expiration, UINT32_MAX);
-  if (!p.timestamp || *p.timestamp > UINT32_MAX || p.expiration.empty() || !expiration) return false;
-  // A timestamp is cut to whole seconds: the doubt is the caller's.
-  const Millis until(static_cast<double>(*p.timestamp + 1) * 1000 + static_cast<double>(*expiration));
-  call.allow = std::min(call.allow, until - call.arrived);
+// Danger: a call whose time ran out while it stood in the queue would run for nobody. Judged by the clock as
+// it is set now: by its setting at the start, every call would be out of time for good once it has been set
+// back.
+bool Front::out_of_time(const Properties& p, core::Call& call) {
+  const auto left = time_left(p, loop_.wall());
+  if (!left) return false;
+  const Millis since_arrival = loop_.now() - call.arrived;
+  call.allow = std::min(call.allow, *left + since_arrival);
   return call.allow.count() <= 0;
 }
 
@@ -211,6 +212,7 @@
   trust.healthy = store_->find(id, known);
   trust.sole_consumer = limits_.sole_consumer;
   trust.complete_from = store_->complete_from();
+  trust.now = loop_.now();
   answers::Arrival arrival{delivery.redelivered, std::nullopt};
   const auto& timestamp = delivery.properties.timestamp;
   if (timestamp) arrival.published = Millis(static_cast<double>(*timestamp) * 1000);
--- a/src/amqp/front.h
+++ b/src/amqp/front.h
@@ -72,7 +72,7 @@
   void confirmed(std::uint64_t number, bool multiple, bool taken) override;
   bool read_call(const Delivery& delivery, core::Call& out) const;
   bool settled_by_store(const std::string& id, const Delivery& delivery, const Address& address);
-  bool out_of_time(const Properties& properties, core::Call& call) const;
+  bool out_of_time(const Properties& properties, core::Call& call);
   void prune_later();
   bool record(const std::string& id, answers::Stage stage, const core::Answer& answer);
   void refuse_call(const std::string& id, bool once, core::Verdict verdict, const char* why);
--- /dev/null
+++ b/tests/wall_clock/triggers_test.cpp
@@ -0,0 +1,104 @@
+// Timestamps and expirations of AMQP messages, under a wall clock that is set while the process runs.
+#include "triggers.h"
+
+#include "amqp/message_times.h"
+#include "stepped_clock.h"
+
+namespace lotusyard::test {
+namespace {
+
+using amqp::age_at_most;
+using amqp::time_left;
+
+core::Settings keyed_checks() {
+  core::Settings out = settings();
+  out.classes[0].semantics = robinfold::Semantics::keyed;
+  out.classes[0].key_window = Millis(15000);
+  return out;
+}
+
+struct Stepped {
+  SteppedClock clock;
+  Triggers triggers;
+  explicit Stepped(Millis at_start = Millis(0), const core::Settings& s = settings())
+      : clock{at_start}, triggers(1, 1, {}, s, nullptr, {}, {}, clock.clocks()) {}
+
+  // The answer to a check that was published then.
+  std::string check(const std::string& id, Millis published, const std::string& expiration,
+                    bool redelivered = false) {
+    StandInBroker::Message m;
+    m.properties.message_id = id;
+    m.properties.correlation_id = "c-" + id;
+    m.properties.reply_to = "answers";
+    m.properties.timestamp = static_cast<std::uint64_t>(published.count() / 1000);
+    m.properties.expiration = expiration;
+    m.properties.headers = {{"class", std::string("bin-check")}, {"lookup", std::string("00000000000000a1")}};
+    m.redelivered = redelivered;
+    triggers.broker.put(std::move(m));
+    REQUIRE(triggers.answered(id));
+    return word_of(triggers.broker.held["c-" + id][0]);
+  }
+};
+
+TEST_CASE("after a step of the wall clock calls that expire are taken, and old ones refused") {
+  Stepped stepped;
+  CHECK(stepped.check("before", stepped.clock.wall(), "5000") == "OK");
+  stepped.clock.step = GENERATE(Millis(7000), Millis(-7000), kHour, -1 * kHour);
+  CHECK(stepped.check("after", stepped.clock.wall(), "5000") == "OK");
+  CHECK(stepped.check("old", stepped.clock.wall() - Millis(20000), "5000") == "BUSY");
+}
+
+TEST_CASE("a clock that was wrong at the start refuses no call once it is set right") {
+  Stepped stepped(GENERATE(Millis(kHour), -1 * kHour));
+  stepped.clock.step = Millis(0);
+  CHECK(stepped.check("right", stepped.clock.wall(), "5000") == "OK");
+}
+
+TEST_CASE("a call stamped in the future waits no longer than its expiration") {
+  amqp::Properties p;
+  p.timestamp = 1000;
+  p.expiration = "5000";
+  const auto at = [](double now) { return net::WallTime{Millis(now), Millis(now), Millis(now)}; };
+  CHECK(*time_left(p, at(1000e3 - 3600e3)) == Millis(5000));
+  CHECK(*time_left(p, at(1003e3)) == Millis(3000));
+  CHECK(time_left(p, at(1000e3 + 3600e3))->count() < 0);
+}
+
+TEST_CASE("a keyed call stamped in the future does not run again: its window may be over") {
+  // The process starts under a clock that has been set back; the call is 16 s old, and the window 15 s.
+  Stepped stepped(-1 * kHour, keyed_checks());
+  const Millis published = stepped.clock.wall() + kHour - Millis(16000);
+  CHECK(stepped.check("old", published, "", true) == "FAILED");
+  CHECK(stepped.triggers.world.host[0]->execs == 0);
+}
+
+TEST_CASE("a keyed call published before its clock was set back does not run again after its window") {
+  Stepped stepped(Millis(0), keyed_checks());
+  REQUIRE(
+      stepped.triggers.world.turn_until([&] { return stepped.triggers.broker.server.peers.size() == 1; }));
+  const Millis published = stepped.clock.wall() - kHour - Millis(5000);
+  stepped.clock.step = -1 * kHour;  // by the clock it is now 5 s old
+  CHECK(stepped.check("old", published, "", true) == "FAILED");
+  CHECK(stepped.triggers.world.host[0]->execs == 0);
+}
+
+TEST_CASE("keyed calls run again once a step is older than its size and the window") {
+  constexpr Millis kWindow{15000};
+  ManualClock clock;
+  net::Loop loop(clock.clocks());
+  const auto age_of = [&](Millis published) {
+    amqp::Properties p;
+    p.timestamp = static_cast<std::uint64_t>(published.count() / 1000);
+    return age_at_most(p, loop.wall(kWindow));
+  };
+  const Millis step = GENERATE(Millis(kHour), -1 * kHour);
+  clock.wall += step;
+  const auto doubted = age_of(clock.wall);
+  CHECK((!doubted || *doubted >= kWindow));
+  clock.pass(kHour + kWindow);
+  REQUIRE(age_of(clock.wall - Millis(5000)).has_value());
+  CHECK(*age_of(clock.wall - Millis(5000)) < kWindow);
+}
+
+}  // namespace
+}  // namespace lotusyard::test
