--- a/src/app/invoker.cpp
+++ b/src/app/invoker.cpp
@@ -64,12 +64,16 @@
       dispatcher_(
           config_->settings, [this] { return loop_.now(); }, fleet_, counters_),
       out_files_(folder_),
-      membership_([this](const core::MemberList& list, core::ListKind kind) {
-        fleet_.members(list);  // first: what the module sends next needs the addresses
-        core::HostList entries{kind, {}};
-        for (const auto& member : list.members) entries.entries.push_back(member.entry);
-        dispatcher_.members(std::move(entries));
-      }),
+      membership_(
+          [this](const core::MemberList& list, core::ListKind kind) {
+            fleet_.members(list);  // first: what the module sends next needs the addresses
+            core::HostList entries{kind, {}};
+            for (const auto& member : list.members) entries.entries.push_back(member.entry);
+            dispatcher_.members(std::move(entries));
+          },
+          [this] {
+            return membership::Membership::Sight{loop_.now(), loop_.wall_has_stepped()};
+          }),
       front_(loop_, pool_, dispatcher_, counters_, front_limits()) {
   fleet_.attach(dispatcher_);
   outline_ = config::outline(std::move(outline_));
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -10,6 +10,7 @@
 
 core::Member Membership::state_of(const std::string& id, const Host& host) const {
   core::Member state = host.listed;
+  state.entry.started = host.started;
   const bool left_alone = held_ || out(id) || works_.count(id) != 0;
   if (left_alone && state.entry.state == WorkerState::ready) state.entry.state = WorkerState::draining;
   // Danger: a host that was out may have started anew, and the list, seconds late, does not say so yet.
@@ -18,12 +19,30 @@
   return state;
 }
 
+// Danger: a host that has just started, stamped by a clock that is behind, would be taken for a warm one, and
+// one stamped in the future for cold until then. What cannot be believed counts from when it was first seen.
+core::Millis Membership::start_of(const Host* before, core::Millis stamped, const Sight& sight) const {
+  if (!see_) return stamped;
+  if (before != nullptr && before->listed.entry.started == stamped) return before->started;
+  if (stamped.count() <= 0) return stamped;  // it has not started late
+  const bool ahead = stamped > sight.now;
+  const bool behind_itself = before != nullptr && stamped <= before->started;
+  const bool untold = first_list_at_ && stamped < *first_list_at_ - untold_most;
+  const bool by_another_clock = first_list_at_ && sight.wall_has_stepped;
+  return ahead || behind_itself || untold || by_another_clock ? sight.now : stamped;
+}
+
 void Membership::list(const core::MemberList& list, core::ListKind kind) {
   core::MemberList states{list.complete, {}};
+  const Sight sight = see_ ? see_() : Sight();
   std::set<std::string> named;
   for (const auto& member : list.members) {
     const std::string& id = member.entry.worker;
+    const auto before = hosts_.find(id);
+    const core::Millis started =
+        start_of(before == hosts_.end() ? nullptr : &before->second, member.entry.started, sight);
     Host& host = hosts_[id];
+    host.started = started;
     host.listed = member;
     named.insert(id);
     states.members.push_back(state_of(id, host));
@@ -36,6 +55,7 @@
     left.push_back(id);
   }
   for (const auto& id : left) forget_gone(id);
+  if (!first_list_at_) first_list_at_ = sight.now;
   told_(states, kind);
 }
 
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -17,7 +17,14 @@
  public:
   // What is told holds for calls and load orders from then on.
   using Told = std::function<void(const core::MemberList&, core::ListKind)>;
-  explicit Membership(Told told) : told_(std::move(told)) {}
+  // What the process's clock says, and whether the wall clock has been set since the process started.
+  struct Sight {
+    core::Millis now{0};
+    bool wall_has_stepped = false;
+  };
+  using See = std::function<Sight()>;
+  // Without `see`, hosts' starts are taken as the list stamps them.
+  explicit Membership(Told told, See see = nullptr) : told_(std::move(told)), see_(std::move(see)) {}
 
   void list(const core::MemberList& list, core::ListKind kind);
 
@@ -42,15 +49,21 @@
   static constexpr std::size_t gone_most = 1024;
   struct Host {
     core::Member listed;
-    core::Millis back{0};  // when the hand last put it back; it is cold from then on
+    core::Millis started{0};  // by this process's clock, and no earlier than it was
+    core::Millis back{0};     // when the hand last put it back; it is cold from then on
   };
+  // A host that comes anew with a stamp so much older than this process is stamped by another clock.
+  static constexpr core::Millis untold_most{600e3};
   Told told_;
+  See see_;
+  std::optional<core::Millis> first_list_at_;
   std::map<std::string, Host> hosts_;
   std::set<std::string> out_;  // also of hosts that no list names any more
   std::set<std::string> works_;
   bool held_ = false;
   std::deque<std::string> gone_;
 
+  core::Millis start_of(const Host* before, core::Millis stamped, const Sight& sight) const;
   core::Member state_of(const std::string& id, const Host& host) const;
   void tell(const std::string& id);
   void forget_gone(const std::string& id);
--- a/src/works/leaving.cpp
+++ b/src/works/leaving.cpp
@@ -54,7 +54,7 @@
     const auto* there = find(listed, id);
     if (h.stage == Stage::out && mine != left_.end()) {
       const bool again =
-          there != nullptr && (mine->second.vanished || there->entry.started > mine->second.started);
+          there != nullptr && (mine->second.vanished || there->entry.started != mine->second.started);
       if (again && usable(*there)) out.reborn.insert(id);
       if (there == nullptr) mine->second.vanished = true;
     }
