--- a/src/compliance/enforcer.cpp
+++ b/src/compliance/enforcer.cpp
@@ -5,7 +5,7 @@
 namespace lotusyard::compliance {
 namespace {
 
-constexpr Millis kClockError{1000};  // by so much a machine's clock may be wrong when the process starts
+constexpr Millis kClockError{1000};  // by so much a machine's clock may be wrong
 
 }  // namespace
 
@@ -25,7 +25,10 @@
   const auto listed = wiring_.membership.listed(host);
   Place place{host, {}, -1};
   if (listed) place = {host, listed->entry.zone, listed->entry.started.count()};
-  return book_.may(tenant, place, knows_(), wiring_.loop.now(), kClockError);
+  // After a step of the wall clock a certificate holds only if it does by the settings before and after it.
+  const auto wall = wiring_.loop.wall();
+  const Millis middle = (wall.earliest + wall.latest) / 2, doubt = (wall.latest - wall.earliest) / 2;
+  return book_.may(tenant, place, knows_(), middle, kClockError + doubt);
 }
 
 bool Enforcer::considers(const std::string& tenant, std::uint64_t function, const std::string& host) {
--- a/src/group/admission.cpp
+++ b/src/group/admission.cpp
@@ -80,7 +80,8 @@
     return;
   try {
     identity_ = {config_.cluster, config_.member, std::stoull(rest), 1};
-    // A life of its own kind: larger than any that an earlier store of this member counted up to.
+    // Larger than any that an earlier store of this member counted up to. If the clock was set back since,
+    // the log tells, and a larger one is taken before the member joins (Coordinator::beat).
     identity_.life = static_cast<std::uint64_t>(loop_.now().count());
     store_.begin(identity_);
     links_.is_now(identity_.id);
--- a/src/group/member.cpp
+++ b/src/group/member.cpp
@@ -76,7 +76,13 @@
                                            config_.address, config_.election);
 }
 
-std::uint64_t Member::new_life() { return identity_.life = store_.next_life(); }
+std::uint64_t Member::new_life(std::uint64_t above) {
+  identity_.life = store_.next_life();
+  if (identity_.life > above) return identity_.life;
+  identity_.life = above + 1;
+  store_.begin(identity_);
+  return identity_.life;
+}
 
 std::vector<Consensus::Server> Member::servers() const {
   return consensus_ ? consensus_->servers() : std::vector<Consensus::Server>();
--- a/src/group/member.h
+++ b/src/group/member.h
@@ -38,7 +38,8 @@
   const Config& config() const { return config_; }
   std::uint64_t id() const { return identity_.id; }
   std::uint64_t life() const { return identity_.life; }
-  std::uint64_t new_life();  // throws StoreError
+  // Larger than the present one and `above`, and kept before it is told; throws StoreError.
+  std::uint64_t new_life(std::uint64_t above = 0);
   bool in_group() const { return consensus_ != nullptr; }
   bool leads() const { return consensus_ && consensus_->leads(); }
   std::uint64_t leader() const { return consensus_ ? consensus_->leader().id : 0; }
--- a/src/works/coordinator.cpp
+++ b/src/works/coordinator.cpp
@@ -78,12 +78,14 @@
   if (failed_ || !member_->in_group() || !config_.serves) return;
   const auto mine = board_.members().find(name());
   if (mine == board_.members().end() || mine->second.life != member_->life()) {
+    pass_earlier_lives();
     Entry join;
     join.kind = Kind::join;
     join.member = name();
     join.life = member_->life();
     return tell({{"e", worded(join)}});
   }
+  has_joined_ = true;
   Beat out{name(), member_->life(), now().count(), board_.index(), {}, host_use_.see(board_)};
   const auto others = represent_ ? std::optional<Represented>(represent_()) : std::nullopt;
   if (others) {
@@ -103,6 +105,20 @@
   tell({{"b", worded_out}});
 }
 
+// A member that lost its store takes its life from the clock; set back since, that is less than the log
+// knows, and it would never be let in. Only before the first join of this process: two processes of one name
+// would outdo each other for ever.
+void Coordinator::pass_earlier_lives() {
+  const std::uint64_t last = board_.last_life(name());
+  if (has_joined_ || last < member_->life()) return;
+  try {
+    const std::uint64_t life = member_->new_life(last);
+    wiring_.counters.add("works.lives_passed");
+    note_("life=" + std::to_string(life) + " starts: an earlier one is in the log as " +
+          std::to_string(last));
+  } catch (const std::exception& fault) { failed(fault.what()); }
+}
+
 std::set<std::string> Coordinator::drained(const Represented* others) const {
   std::set<std::string> out;
   for (const auto& [id, h] : board_.hosts()) {
@@ -131,7 +147,11 @@
       // life.
       const auto mine = board_.members().find(beat.member);
       const bool holds = mine != board_.members().end() && mine->second.life == beat.life;
-      if (holds && beat.member == name() && beat.life == member_->life()) lease_.agreed(beat.stamp);
+      if (beat.member != name()) continue;
+      const bool this_life = member_ != nullptr && beat.life == member_->life();
+      if (holds && this_life) lease_.agreed(beat.stamp);
+      // The log keeps what an earlier process of this member read off the clock.
+      if (!this_life) wiring_.loop.remember_wall(Millis(beat.stamp));
     }
     if (!host_use_.leased()) return follow();
     return changed_ ? changed_() : void();
@@ -140,10 +160,12 @@
   if (entry->kind == Kind::ask || outcome.index != index) return;
   ++changes_;
   note_entry(*entry, outcome);
-  if (outcome.done && entry->kind == Kind::leave && entry->member == name()) begin_anew();
+  // Before `attach` the log of earlier lives is applied: this one is a new one in any case.
+  const bool left = outcome.done && entry->kind == Kind::leave && entry->member == name();
+  if (left && member_ != nullptr) begin_anew();
   follow();
   // One step leads to the next at once.
-  if (member_->leads()) {
+  if (member_ != nullptr && member_->leads()) {
     wiring_.loop.cancel(turns_);
     turns_ = wiring_.loop.at(now(), [this] { turn(); });
   }
--- a/src/works/coordinator.h
+++ b/src/works/coordinator.h
@@ -72,7 +72,7 @@
   std::map<std::string, Beat> heard_;  // at the one that leads: what is not in the log yet
   std::function<void()> changed_;
   net::Loop::TimerId beats_{}, turns_{}, lease_ends_{};
-  bool failed_ = false, in_flight_ = false;
+  bool failed_ = false, in_flight_ = false, has_joined_ = false;
   std::uint64_t led_term_ = 0, readying_term_ = 0;
   std::string told_view_, waits_;
   int untold_ = 0;
@@ -88,6 +88,7 @@
   void tell(const nlohmann::json& word);
   void told_beat(Beat&& beat);
   void begin_anew();
+  void pass_earlier_lives();
   void note_entry(const Entry& entry, const Board::Outcome& outcome);
 };
 
--- /dev/null
+++ b/tests/wall_clock/fleet_test.cpp
@@ -0,0 +1,172 @@
+// Members of a group under a wall clock that is set: certificates, lives and what the log tells of the clock.
+#include "compliance/enforcer.h"
+#include "group/member.h"
+#include "helper.h"
+#include "net/socket.h"
+#include "stepped_clock.h"
+#include "works/coordinator.h"
+
+namespace lotusyard::test {
+namespace {
+
+using nlohmann::json;
+
+void ignore(const std::string&) {}
+
+// The parts of an invoker that members' parts are wired to.
+struct Wired {
+  World world;
+  core::Settings s = settings();
+  membership::Membership membership{[](const core::MemberList&, core::ListKind) {}};
+  Wiring wiring{world.loop,
+                world.counters,
+                membership,
+                world.fleet,
+                [this]() -> const core::Settings& { return s; },
+                [](double) {},
+                "a"};
+  explicit Wired(net::Clocks clocks) : world(1, settings(), World::limits(), std::move(clocks)) {
+    core::Member member;
+    member.entry.worker = "h0";
+    membership.list({true, {member}}, core::ListKind::full);
+  }
+};
+
+// One host, certified for a time, and whether a regulated tenant's calls may go there.
+struct Certified {
+  SteppedClock clock;
+  Wired wired;
+  compliance::Book book;
+  compliance::Enforcer enforcer{wired.wiring, book, [] { return true; }, &ignore};
+  Certified(Millis at_start, Millis from, Millis until) : clock{at_start}, wired(clock.clocks()) {
+    say(1, {{"t", "regime"}, {"regime", {{"name", "export"}}}});
+    say(2, {{"t", "tenant"}, {"tenant", "mill"}, {"regimes", {"export"}}});
+    say(3, {{"t", "certify"},
+            {"certificate",
+             {{"name", "c"},
+              {"host", "h0"},
+              {"regime", "export"},
+              {"from_ms", std::round(from.count())},
+              {"until_ms", std::round(until.count())},
+              {"outlives_start", true}}}});
+  }
+  void say(std::uint64_t index, const json& entry) {
+    REQUIRE(book.apply(index, compliance::read_entry(entry)).done);
+  }
+  bool may() { return enforcer.may("mill", "h0").may; }
+};
+
+constexpr Millis kMinute{60e3};
+
+TEST_CASE("a certificate holds only if it does by the wall clock before and after its step") {
+  const Millis now = net::Clocks::system().wall();
+  const Millis step = GENERATE(Millis(kHour), -1 * kHour);
+  Certified expiring(Millis(0), now - 24 * kHour, now + 30 * kMinute);
+  Certified expired(Millis(0), now - 24 * kHour, now - 30 * kMinute);
+  Certified issued(Millis(0), now - 30 * kMinute, now + 24 * kHour);
+  Certified standing(Millis(0), now - 24 * kHour, now + 24 * kHour);
+  CHECK((expiring.may() && !expired.may() && issued.may() && standing.may()));
+  for (auto* c : {&expiring, &expired, &issued, &standing}) c->clock.step = step;
+  CHECK(expiring.may() == (step < Millis(0)));
+  CHECK_FALSE(expired.may());
+  CHECK(issued.may() == (step > Millis(0)));
+  CHECK(standing.may());
+}
+
+TEST_CASE("a certificate that expired for an earlier process does not stand again under a clock set back") {
+  const Millis now = net::Clocks::system().wall();
+  Certified restarted(-1 * kHour, now - 24 * kHour, now - 30 * kMinute);
+  restarted.wired.world.loop.remember_wall(now);
+  CHECK_FALSE(restarted.may());
+}
+
+// A group of one member, whose store can outlive it or be lost.
+struct LoneMember {
+  SteppedClock clock;
+  Wired wired;
+  group::Config config;
+  group::Lease lease;
+  works::Coordinator coordinator;
+  group::Member member;
+
+  static group::Config founded(const ScratchFile& file) {
+    group::Config out;
+    const net::Socket free = net::listen_on("127.0.0.1:0");
+    out.cluster = "yard";
+    out.member = "a";
+    out.store = file.path;
+    out.listen = out.address = net::bound_address(free);
+    out.members = {{"a", out.address, true}};
+    out.election = Millis(50);
+    out.terms.lease = Millis(400);
+    group::Member::found(out);
+    return out;
+  }
+  explicit LoneMember(const group::Config& c, Millis at_start = Millis(0))
+      : clock{at_start},
+        wired(clock.clocks()),
+        config(c),
+        lease(config.terms, wired.world.loop.now()),
+        coordinator(wired.wiring, config, lease, &ignore),
+        member(wired.world.loop, wired.world.counters, config, {&coordinator}, &ignore) {
+    coordinator.attach(member);
+  }
+  template <typename Until>
+  bool soon(const Until& until) {
+    const Millis end = wired.world.loop.now() + Millis(8000);
+    while (!until() && wired.world.loop.now() < end)
+      wired.world.loop.turn(wired.world.loop.now() + Millis(5), [] {});
+    return until();
+  }
+  bool leased() {
+    return soon([&] { return coordinator.leased(); });
+  }
+};
+
+TEST_CASE("a member's lease comes and goes on through steps of the wall clock, and between two processes") {
+  ScratchFile file("lease");
+  const auto config = LoneMember::founded(file);
+  const Millis step = GENERATE(Millis(kHour), -1 * kHour);
+  {
+    LoneMember first(config);
+    REQUIRE(first.leased());
+    first.clock.step = step;
+    const std::uint64_t index = first.coordinator.board().index();
+    REQUIRE(first.soon([&] { return first.coordinator.board().index() > index + 3; }));
+    CHECK(first.coordinator.leased());
+  }
+  LoneMember second(config, step);
+  CHECK_FALSE(
+      second.coordinator.leased());  // the first one's lease is not this one's, whatever its stamps say
+  CHECK(second.leased());
+}
+
+TEST_CASE("a member that lost its store under a clock set back is let in with a life past its earlier one") {
+  ScratchFile file("life");
+  LoneMember lone(LoneMember::founded(file));
+  REQUIRE(lone.soon([&] { return lone.member.leads(); }));
+  // As the log would hold it: the earlier life was taken from a clock that was ahead.
+  works::Entry join;
+  join.kind = works::Entry::Kind::join;
+  join.member = "a";
+  join.life = static_cast<std::uint64_t>((lone.clock.wall() + kHour).count());
+  REQUIRE(lone.member.propose(lone.coordinator, works::worded(join)));
+  CHECK(lone.leased());
+  CHECK(lone.member.life() > join.life);
+}
+
+TEST_CASE("the log tells a member that its clock was set back between two processes") {
+  ScratchFile file("told");
+  const auto config = LoneMember::founded(file);
+  {
+    LoneMember first(config);
+    REQUIRE(first.leased());
+  }
+  LoneMember second(config, -1 * kHour);
+  REQUIRE(second.leased());
+  const auto wall = second.wired.world.loop.wall();
+  CHECK(wall.latest - wall.current > kHour - kMinute);
+}
+
+}  // namespace
+}  // namespace lotusyard::test
