--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -2,7 +2,6 @@
 
 #include <algorithm>
 #include <cerrno>
-#include <chrono>
 #include <cmath>
 #include <thread>
 
@@ -23,20 +22,26 @@
 constexpr double kFailedPollPauseMs = 1;
 constexpr double kFailedPollPauseMostMs = 10;
 
-template <typename Clock>
-double milliseconds() {
-  return Millis(Clock::now().time_since_epoch()).count();
-}
-
 }  // namespace
 
-Loop::Loop()
-    : offset_ms_(milliseconds<std::chrono::system_clock>() - milliseconds<std::chrono::steady_clock>()),
+Loop::Loop(Clocks clocks)
+    : clocks_(std::move(clocks)),
+      wall_(clocks_.steady(), clocks_.wall()),
       turn_began_(now()),
       came_since_(turn_began_) {}
 Loop::~Loop() = default;
 
-Millis Loop::now() const { return Millis(milliseconds<std::chrono::steady_clock>() + offset_ms_); }
+Millis Loop::now() const { return clocks_.steady() + wall_.start_offset(); }
+
+WallTime Loop::wall(Millis memory) {
+  observe_wall();
+  return wall_.read(clocks_.steady(), memory);
+}
+
+bool Loop::wall_has_stepped() {
+  observe_wall();
+  return wall_.has_stepped();
+}
 
 void Loop::watch(int fd, Handler& handler, short events, Rank rank) {
   const auto place = static_cast<std::size_t>(fd);
@@ -128,6 +133,7 @@
   const bool woke_late = woke - asked > longest + kWokeLate;
   came_since_ = did_not_wait || woke_late ? turn_began_ : woke;
   turn_began_ = woke;
+  observe_wall();
   serve_urgent(true);
   for (std::size_t i = 0; found > 0 && i < polled_.size(); ++i) {
     if (polled_[i].revents == 0) continue;
