--- a/src/amqp/front.cpp
+++ b/src/amqp/front.cpp
@@ -132,7 +132,7 @@
   const std::string key = text_of(headers, "key");
   if (cls->semantics == robinfold::Semantics::keyed)
     out.key = key.empty() ? delivery.properties.message_id : key;
-  out.arrived = loop_.turn_began();
+  out.arrived = loop_.came_since();
   out.allow = allowed ? Millis(static_cast<double>(*allowed)) : cls->deadline;
   return true;
 }
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -96,9 +96,8 @@
   ErrorCounter error_counter_;
   int failed_polls_ = 0;  // on end
 
-  Clocks clocks_;
-  WallClock wall_;
-  Millis turn_began_{0}, came_since_{0}, urgent_served_{0};
+  void observe_wall() { wall_.observe(clocks_.steady(), clocks_.wall()); }
+  int poll(std::vector<pollfd>& polled, double wait_ms);
   void flush();
   void serve_urgent(bool at_once);
 };
