--- a/src/answers/sqlite_store.cpp
+++ b/src/answers/sqlite_store.cpp
@@ -1,5 +1,7 @@
 #include "answers/sqlite_store.h"
 
+#include <utility>
+
 #include "sqlite/query.h"
 
 namespace lotusyard::answers {
@@ -23,48 +25,102 @@
 }  // namespace
 
 SqliteStore::SqliteStore(const std::string& path, const Bounds& bounds, Millis now, core::Counters& counters,
-                         Log log)
-    : bounds_(bounds), counters_(counters), log_(std::move(log)) {
+                         Log log, Clock clock)
+    : path_(path),
+      created_at_(now),
+      clock_(std::move(clock)),
+      bounds_(bounds),
+      counters_(counters),
+      log_(std::move(log)) {
+  open();
+}
+
+SqliteStore::~SqliteStore() { close(); }
+
+Millis SqliteStore::steady_now() { return std::chrono::steady_clock::now().time_since_epoch(); }
+
+void SqliteStore::close() {
+  sqlite3_close(std::exchange(db_, nullptr));
+  open_ = false;
+}
+
+bool SqliteStore::is_ready() {
+  if (damaged_) return false;
+  if (open_) return true;
+  return clock_() >= next_open_ && open();
+}
+
+// SQLite opens a file for reading alone if the file system is read-only, as it is after an error of the disk;
+// that ends only with another opening.
+bool SqliteStore::is_writable() {
+  if (!is_ready()) return false;
+  if (sqlite3_db_readonly(db_, "main") != 1) return true;
+  if (clock_() >= next_open_) {
+    close();
+    if (!open()) return false;
+    next_open_ = clock_() + sqlite::Backoff::kLongest;
+  }
+  return sqlite3_db_readonly(db_, "main") != 1 || told(SQLITE_CANTOPEN, "read-only");
+}
+
+bool SqliteStore::open() {
   const int flags = SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE | SQLITE_OPEN_NOMUTEX;
-  if (!told(sqlite3_open_v2(path.c_str(), &db_, flags, nullptr), "open")) return;
-  // Danger: one process takes the file's place of another that runs; both would take a call for their own.
-  run("PRAGMA locking_mode = EXCLUSIVE");
-  run("PRAGMA journal_mode = WAL") && run("PRAGMA synchronous = FULL") &&
-      run("CREATE TABLE IF NOT EXISTS calls (id BLOB PRIMARY KEY, stage INTEGER, verdict INTEGER,"
-          " cooldown REAL, body BLOB, at REAL, address BLOB) WITHOUT ROWID") &&
-      run("CREATE INDEX IF NOT EXISTS calls_at ON calls (at)") &&
-      run("CREATE TABLE IF NOT EXISTS about (complete_from REAL)");
-  if (damaged_) return;
-  Query check(db_, "PRAGMA quick_check(1)");
-  if (check.step() != SQLITE_ROW || check.bytes(0) != "ok") {
-    told(SQLITE_CORRUPT, "check");
-    return;
+  open_ = told(sqlite3_open_v2(path_.c_str(), &db_, flags, nullptr), "open") && set_up();
+  if (open_) {
+    backoff_.reset();
+    return true;
   }
+  close();
+  next_open_ = clock_() + backoff_.next();
+  return false;
+}
+
+bool SqliteStore::set_up() {
+  // One process takes the file's place of another that runs; both would take a call for their own.
+  return run("PRAGMA locking_mode = EXCLUSIVE") && run("PRAGMA journal_mode = WAL") &&
+         run("PRAGMA synchronous = FULL") &&
+         run("CREATE TABLE IF NOT EXISTS calls (id BLOB PRIMARY KEY, stage INTEGER, verdict INTEGER,"
+             " cooldown REAL, body BLOB, at REAL, address BLOB) WITHOUT ROWID") &&
+         run("CREATE INDEX IF NOT EXISTS calls_at ON calls (at)") &&
+         run("CREATE TABLE IF NOT EXISTS about (complete_from REAL)") && check() && load_complete_from() &&
+         measure();
+}
+
+bool SqliteStore::check() {
+  Query query(db_, "PRAGMA quick_check(1)");
+  const int code = query.step();
+  if (!told(code, "check")) return false;
+  const std::string line = query.bytes(0);
+  const auto kind = sqlite::classify_check(line);
+  return kind == sqlite::ResultKind::ok || report(kind, "check: " + line);
+}
+
+bool SqliteStore::load_complete_from() {
   Query about(db_, "SELECT complete_from FROM about");
   const int found = about.step();
-  if (found == SQLITE_ROW) {
-    complete_from_ = Millis(about.number(0));
-  } else if (told(found, "about")) {
-    set_complete_from(now);  // a store that is new knows nothing of what was before
-  }
-  measure();
+  if (!told(found, "about")) return false;
+  // A new store knows nothing of what was before; until it was open nothing was recorded, so nothing went
+  // out.
+  if (found != SQLITE_ROW) return set_complete_from(created_at_);
+  complete_from_ = Millis(about.number(0));
+  return true;
 }
 
-SqliteStore::~SqliteStore() { sqlite3_close(db_); }
-
 bool SqliteStore::told(int code, const char* what) {
-  if (code == SQLITE_OK || code == SQLITE_ROW || code == SQLITE_DONE) return true;
-  const bool full = code == SQLITE_FULL || code == SQLITE_IOERR;
-  counters_.add(full ? "answers.store_full" : "answers.store_damaged");
-  // A full disk may empty itself; what cannot be understood will not mend.
-  if (!full && !damaged_) damaged_ = true;
-  if (!full || !full_) log_(std::string("answers: ") + what + ": " + sqlite3_errstr(code));
-  full_ = full;
+  const auto kind = sqlite::classify(code);
+  if (kind == sqlite::ResultKind::ok) return true;
+  return report(kind, std::string(what) + ": " + sqlite3_errstr(code));
+}
+
+bool SqliteStore::report(sqlite::ResultKind kind, const std::string& text) {
+  counters_.add(std::string("answers.store_") + sqlite::name_of(kind));
+  if (kind == sqlite::ResultKind::corrupt) damaged_ = true;
+  if (kind != std::exchange(last_failure_, kind)) log_("answers: " + text);
   return false;
 }
 
 bool SqliteStore::run(const char* sql) {
-  if (!healthy()) return false;
+  if (damaged_ || db_ == nullptr) return false;
   Query query(db_, sql);
   int code = query.step();
   while (code == SQLITE_ROW) code = query.step();
@@ -78,19 +134,20 @@
   return told(query.number(1, at.count()).step(), "about");
 }
 
-void SqliteStore::measure() {
+bool SqliteStore::measure() {
   Query query(db_,
               "SELECT count(*), coalesce(sum(length(id) + length(body)), 0), coalesce(sum(stage >= 3), 0)"
               " FROM calls");
-  if (!told(query.step(), "measure")) return;
+  if (!told(query.step(), "measure")) return false;
   size_.records = static_cast<std::size_t>(query.number(0));
   size_.bytes = static_cast<std::size_t>(query.number(1)) + kRecordBytes * size_.records;
   answered_ = static_cast<std::size_t>(query.number(2));
+  return true;
 }
 
 bool SqliteStore::find(const std::string& id, std::optional<Record>& out) {
   out.reset();
-  if (!healthy()) return false;
+  if (!is_ready()) return false;
   Query query(db_, "SELECT stage, verdict, cooldown, body, at, address FROM calls WHERE id = ?1");
   const int code = query.bytes(1, id).step();
   if (!told(code, "find")) return false;
@@ -101,7 +158,7 @@
 
 bool SqliteStore::put(const std::string& id, const Record& record) {
   std::optional<Record> before;
-  if (!find(id, before)) return false;
+  if (!is_writable() || !find(id, before)) return false;
   const auto from = before ? std::optional<Stage>(before->stage) : std::nullopt;
   if (!may_follow(from, record.stage)) {
     counters_.add("answers.guard_stage");
@@ -117,6 +174,7 @@
   query.bytes(5, record.answer.body).number(6, record.at.count()).bytes(7, record.address);
   if (!told(query.step(), "put")) return false;
   counters_.add("answers.written");
+  last_failure_ = sqlite::ResultKind::ok;
   if (!before) {
     ++size_.records;
     size_.bytes += kRecordBytes + id.size();
@@ -132,7 +190,7 @@
 // The one place where the store shrinks. Danger: what is forgotten may have run; from then on only calls that
 // are younger can be shown not to have.
 void SqliteStore::prune(Millis now) {
-  if (!healthy()) return;
+  if (!is_ready()) return;
   const Pruning due = answers::prune(size_, answered_, bounds_, now);
   const std::string excess = std::to_string(due.excess);
   const std::string which =
@@ -148,7 +206,7 @@
 }
 
 void SqliteStore::each(const std::function<void(const std::string&, const Record&)>& see) {
-  if (!healthy()) return;
+  if (!is_ready()) return;
   Query query(db_, "SELECT id, stage, verdict, cooldown, body, at, address FROM calls ORDER BY at, id");
   int code = query.step();
   for (; code == SQLITE_ROW; code = query.step()) {
--- a/src/answers/sqlite_store.h
+++ b/src/answers/sqlite_store.h
@@ -1,4 +1,5 @@
-// The store in one SQLite file: write-ahead log, synced at every change.
+// The store in one SQLite file: write-ahead log, synced at every change. Trouble that may pass (a full disk,
+// an I/O error, a lock held elsewhere) fails the one operation; only proven damage is final.
 #pragma once
 
 #include <functional>
@@ -6,6 +7,7 @@
 
 #include "answers/store.h"
 #include "core/counters.h"
+#include "sqlite/result.h"
 
 struct sqlite3;
 struct sqlite3_stmt;
@@ -15,8 +17,12 @@
 class SqliteStore final : public Store {
  public:
   using Log = std::function<void(const std::string&)>;
-  // A file that cannot be opened or is damaged is said in the log and leaves a store that takes nothing.
-  SqliteStore(const std::string& path, const Bounds& bounds, Millis now, core::Counters& counters, Log log);
+  using Clock = std::function<Millis()>;
+  // The log says of a file that cannot be opened or is damaged; the store takes nothing then. Opening is
+  // tried again, with backoff by `clock` (steady, any origin), at the operations that follow, unless it is
+  // damaged.
+  SqliteStore(const std::string& path, const Bounds& bounds, Millis now, core::Counters& counters, Log log,
+              Clock clock = steady_now);
   ~SqliteStore() override;
   SqliteStore(const SqliteStore&) = delete;
   SqliteStore& operator=(const SqliteStore&) = delete;
@@ -26,7 +32,8 @@
   Millis complete_from() const override { return complete_from_; }
   void prune(Millis now) override;
 
-  bool healthy() const { return db_ != nullptr && !damaged_; }
+  bool healthy() const { return open_ && !damaged_; }
+  bool is_damaged() const { return damaged_; }
   std::size_t size() const { return size_.records; }
   // Of every record, the one changed first first.
   void each(const std::function<void(const std::string&, const Record&)>& see);
@@ -34,7 +41,13 @@
 
  private:
   sqlite3* db_ = nullptr;
-  bool damaged_ = false, full_ = false;
+  const std::string path_;
+  const Millis created_at_;
+  const Clock clock_;
+  bool open_ = false, damaged_ = false;
+  sqlite::ResultKind last_failure_ = sqlite::ResultKind::ok;  // said in the log already
+  sqlite::Backoff backoff_;
+  Millis next_open_{0};
   Bounds bounds_;
   Size size_;
   std::size_t answered_ = 0;
@@ -42,10 +55,19 @@
   core::Counters& counters_;
   Log log_;
 
+  static Millis steady_now();
+  bool is_ready();  // opens what is not open, unless it is too early to try again
+  bool is_writable();
+  bool open();
+  bool set_up();
+  void close();
   bool run(const char* sql);
   bool told(int code, const char* what);  // false, counted and logged, unless it is well
+  bool report(sqlite::ResultKind kind, const std::string& text);
+  bool check();
+  bool load_complete_from();
   bool set_complete_from(Millis at);
-  void measure();
+  bool measure();
 };
 
 }  // namespace lotusyard::answers
--- a/src/group/admission.cpp
+++ b/src/group/admission.cpp
@@ -78,6 +78,7 @@
   if (body[0] != 'i' || consensus_ || rest.empty() || rest.size() > 20 ||
       rest.find_first_not_of("0123456789") != std::string::npos)
     return;
+  const Identity unnamed = identity_;
   try {
     identity_ = {config_.cluster, config_.member, std::stoull(rest), 1};
     // A life of its own kind: larger than any that an earlier store of this member counted up to.
@@ -87,6 +88,10 @@
     loop_.cancel(asks_);
     begin();
     note_("is in as " + rest);
+  } catch (const StoreError& fault) {
+    if (!fault.transient()) return failed(fault.what());
+    unavailable(fault.kind, fault.what());
+    identity_ = unnamed;  // it asks again, and is given its place again
   } catch (const std::exception& fault) { failed(fault.what()); }
 }
 
--- a/src/group/member.cpp
+++ b/src/group/member.cpp
@@ -44,6 +44,7 @@
       config_(config),
       parts_(std::move(parts)),
       note_(std::move(note)),
+      scheduler_(loop),
       store_(config_.store),
       identity_(store_.identity()),
       links_(
@@ -72,12 +73,21 @@
 }
 
 void Member::begin() {
-  consensus_ = std::make_unique<Consensus>(loop_, store_, static_cast<Consensus::User&>(*this), identity_.id,
-                                           config_.address, config_.election);
+  consensus_ = std::make_unique<Consensus>(scheduler_, store_, static_cast<Consensus::User&>(*this),
+                                           identity_.id, config_.address, config_.election);
 }
 
 std::uint64_t Member::new_life() { return identity_.life = store_.next_life(); }
 
+std::size_t Member::stored() const {
+  try {
+    return store_.bytes();
+  } catch (const StoreError&) {
+    counters_.add("group.store_unread");
+    return 0;
+  }
+}
+
 std::vector<Consensus::Server> Member::servers() const {
   return consensus_ ? consensus_->servers() : std::vector<Consensus::Server>();
 }
@@ -177,4 +187,15 @@
   for (Part* part : parts_) part->failed(why);
 }
 
+// The parts are not told: without a replica that takes part nothing is applied here, and leases run out.
+void Member::unavailable(sqlite::ResultKind kind, const std::string& why) {
+  counters_.add(std::string("group.store_") + sqlite::name_of(kind));
+  note_(why + ": takes no part until the store takes writes again");
+}
+
+void Member::available() {
+  counters_.add("group.store_recovered");
+  note_("the store takes writes again: takes part");
+}
+
 }  // namespace lotusyard::group
--- a/src/group/member.h
+++ b/src/group/member.h
@@ -51,7 +51,8 @@
   void observe(Observer* observer) { observer_ = observer; }  // one; null: none
   void hear_views(Heard heard) { heard_ = std::move(heard); }
   bool send_view(const std::string& address, const std::string& body);  // to whoever listens there
-  std::size_t stored() const { return store_.bytes(); }
+  bool is_available() const { return consensus_ && consensus_->is_available(); }
+  std::size_t stored() const;  // bytes of the store's file; 0: it cannot be read just now
 
  private:
   net::Loop& loop_;
@@ -61,6 +62,7 @@
   Heard heard_;
   Observer* observer_ = nullptr;
   Note note_;
+  LoopScheduler scheduler_;
   Store store_;
   Identity identity_;
   Links links_;
@@ -82,6 +84,8 @@
   bool restore(const std::string& snapshot) override;
   void send(std::uint64_t to, const std::string& address, const raft_message& message) override;
   void failed(const std::string& why) override;
+  void unavailable(sqlite::ResultKind kind, const std::string& why) override;
+  void available() override;
 };
 
 }  // namespace lotusyard::group
--- a/src/group/store.cpp
+++ b/src/group/store.cpp
@@ -16,38 +16,72 @@
 bool Store::step(Query& query) const {
   const int got = query.step();
   if (got != SQLITE_ROW && got != SQLITE_DONE)
-    throw StoreError(std::string("the group's store: ") + sqlite3_errmsg(db_));
+    throw StoreError(std::string("the group's store: ") + sqlite3_errstr(got) + ": " + sqlite3_errmsg(db_),
+                     sqlite::classify(got));
   return got == SQLITE_ROW;
 }
 
-Store::Store(const std::string& path) {
-  if (sqlite3_open_v2(path.c_str(), &db_, SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE, nullptr) != SQLITE_OK) {
-    const std::string why = sqlite3_errmsg(db_);
-    sqlite3_close(db_);
-    throw StoreError("the group's store: " + path + ": " + why);
-  }
+template <typename Body>
+void Store::whole(const Body& body) {
+  // A rollback can fail, too.
+  if (sqlite3_get_autocommit(db_) == 0) run("ROLLBACK");
+  run("BEGIN IMMEDIATE");
   try {
-    // Held for as long as this lives: two processes with one store would vote twice.
-    run("PRAGMA locking_mode=EXCLUSIVE");
-    run("PRAGMA journal_mode=WAL");
-    run("PRAGMA synchronous=FULL");
-    run("BEGIN IMMEDIATE");
-    run("CREATE TABLE IF NOT EXISTS facts (key TEXT PRIMARY KEY, value BLOB)");
-    run("CREATE TABLE IF NOT EXISTS log (idx INTEGER PRIMARY KEY, term INTEGER, type INTEGER, data BLOB)");
+    body();
     run("COMMIT");
-    if (!get("format").empty() && get_number("format") != kFormat)
-      throw StoreError("the group's store: " + path + ": of another version of the program");
-    Query check(db_, "PRAGMA quick_check(1)");
-    if (!step(check) || check.bytes(0) != "ok") throw StoreError("the group's store: " + path + ": damaged");
-    term_ = get_number("term");
-    vote_ = get_number("vote");
-    read_range();
+  } catch (const std::exception&) {
+    sqlite3_exec(db_, "ROLLBACK", nullptr, nullptr, nullptr);
+    throw;
+  }
+}
+
+Store::Store(const std::string& path) {
+  try {
+    open(path);
+    check();
+    load();
   } catch (const std::exception&) {
     sqlite3_close_v2(db_);
     throw;
   }
 }
 
+void Store::open(const std::string& path) {
+  const int code = sqlite3_open_v2(path.c_str(), &db_, SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE, nullptr);
+  if (code != SQLITE_OK)
+    throw StoreError("the group's store: " + path + ": " + sqlite3_errmsg(db_), sqlite::classify(code));
+  if (sqlite3_db_readonly(db_, "main") == 1)
+    throw StoreError("the group's store: " + path + ": read-only", sqlite::ResultKind::cannot_open);
+  // Held for as long as this lives: two processes with one store would vote twice.
+  run("PRAGMA locking_mode=EXCLUSIVE");
+  run("PRAGMA journal_mode=WAL");
+  run("PRAGMA synchronous=FULL");
+  whole([&] {
+    run("CREATE TABLE IF NOT EXISTS facts (key TEXT PRIMARY KEY, value BLOB)");
+    run("CREATE TABLE IF NOT EXISTS log (idx INTEGER PRIMARY KEY, term INTEGER, type INTEGER, data BLOB)");
+  });
+  if (!get("format").empty() && get_number("format") != kFormat)
+    throw StoreError("the group's store: " + path + ": of another version of the program");
+}
+
+void Store::check() const {
+  Query check(db_, "PRAGMA quick_check(1)");
+  const std::string line = step(check) ? check.bytes(0) : std::string();
+  const auto kind = sqlite::classify_check(line);
+  if (kind != sqlite::ResultKind::ok) throw StoreError("the group's store: damaged: " + line, kind);
+}
+
+void Store::load() {
+  term_ = get_number("term");
+  vote_ = get_number("vote");
+  read_range();
+}
+
+void Store::recover() {
+  whole([&] { set("term", std::to_string(get_number("term"))); });  // as it is, but written and synced
+  load();
+}
+
 Store::~Store() { sqlite3_close_v2(db_); }
 
 void Store::run(const char* sql) {
@@ -72,23 +106,12 @@
   return std::stoull(text);
 }
 
-template <typename Body>
-void Store::whole(const Body& body) {
-  run("BEGIN IMMEDIATE");
-  try {
-    body();
-    run("COMMIT");
-  } catch (const StoreError&) {
-    sqlite3_exec(db_, "ROLLBACK", nullptr, nullptr, nullptr);
-    throw;
-  }
-}
-
 void Store::read_range() {
   Query range(db_, "SELECT min(idx), max(idx), count(*) FROM log");
   step(range);
   const std::uint64_t count = range.whole(2);
   const std::uint64_t covered = has_snapshot() ? snapshot().index : 0;
+  covered_ = covered;
   first_ = count == 0 ? covered + 1 : range.whole(0);
   last_ = count == 0 ? covered : range.whole(1);
   if (count != last_ + 1 - first_ || first_ > covered + 1)
--- a/src/group/store.h
+++ b/src/group/store.h
@@ -8,6 +8,8 @@
 #include <string>
 #include <vector>
 
+#include "sqlite/result.h"
+
 struct sqlite3;
 namespace lotusyard::sqlite {
 class Query;
@@ -15,8 +17,13 @@
 
 namespace lotusyard::group {
 
+// Final unless `transient`: then the disk or the machine failed, nothing shows that the file is damaged, and
+// the same may succeed later.
 struct StoreError : std::runtime_error {
-  using std::runtime_error::runtime_error;
+  explicit StoreError(const std::string& what, sqlite::ResultKind result = sqlite::ResultKind::corrupt)
+      : std::runtime_error(what), kind(result) {}
+  bool transient() const { return sqlite::is_transient(kind); }
+  const sqlite::ResultKind kind;
 };
 
 struct Identity {
@@ -52,6 +59,9 @@
   Identity identity() const;
   void begin(const Identity& identity);  // of a fresh store
   std::uint64_t next_life();             // kept before it is told
+  // After a failed write: shows that the disk takes writes again, and reads anew what this object holds in
+  // memory. Throws StoreError.
+  void recover();
 
   // The writers below throw StoreError if what they were given is not durable; nothing of it is kept then.
   std::uint64_t term() const { return term_; }
@@ -65,13 +75,17 @@
   // Entries that it stands for go but for `trailing`; 0: the whole log goes.
   void put_snapshot(const StoredSnapshot& snapshot, std::uint64_t trailing);
   bool has_snapshot() const;
+  std::uint64_t snapshot_index() const { return covered_; }  // 0: none
   StoredSnapshot snapshot() const;
   std::size_t bytes() const;  // of the file
 
  private:
   sqlite3* db_ = nullptr;
-  std::uint64_t term_ = 0, vote_ = 0, first_ = 1, last_ = 0;
+  std::uint64_t term_ = 0, vote_ = 0, first_ = 1, last_ = 0, covered_ = 0;
 
+  void open(const std::string& path);
+  void check() const;
+  void load();
   bool step(sqlite::Query& query) const;  // whether it gave a row; throws
   void run(const char* sql);
   void set(const char* key, const std::string& value);
--- a/src/works/coordinator.cpp
+++ b/src/works/coordinator.cpp
@@ -28,7 +28,7 @@
       host_use_(wiring, note_) {}
 
 Coordinator::~Coordinator() {
-  for (const auto& timer : {beats_, turns_, lease_ends_}) wiring_.loop.cancel(timer);
+  for (const auto& timer : {beats_, turns_, lease_ends_, lives_}) wiring_.loop.cancel(timer);
 }
 
 void Coordinator::attach(group::Member& member) {
@@ -159,9 +159,18 @@
 
 // It was taken for gone for good, and is not.
 void Coordinator::begin_anew() {
+  lease_ = group::Lease(config_.terms, now());
+  take_new_life();
+}
+
+// A life that is not kept is not told: a store that fails for now is asked again.
+void Coordinator::take_new_life() {
   try {
-    lease_ = group::Lease(config_.terms, now());
     note_("life=" + std::to_string(member_->new_life()) + " starts: this member was said to be gone");
+  } catch (const group::StoreError& fault) {
+    if (!fault.transient()) return failed(fault.what());
+    wiring_.loop.cancel(lives_);
+    lives_ = wiring_.loop.at(now() + config_.terms.beat(), [this] { take_new_life(); });
   } catch (const std::exception& fault) { failed(fault.what()); }
 }
 
--- a/src/works/coordinator.h
+++ b/src/works/coordinator.h
@@ -71,7 +71,7 @@
   std::uint64_t changes_ = 0;
   std::map<std::string, Beat> heard_;  // at the one that leads: what is not in the log yet
   std::function<void()> changed_;
-  net::Loop::TimerId beats_{}, turns_{}, lease_ends_{};
+  net::Loop::TimerId beats_{}, turns_{}, lease_ends_{}, lives_{};
   bool failed_ = false, in_flight_ = false;
   std::uint64_t led_term_ = 0, readying_term_ = 0;
   std::string told_view_, waits_;
@@ -88,6 +88,7 @@
   void tell(const nlohmann::json& word);
   void told_beat(Beat&& beat);
   void begin_anew();
+  void take_new_life();
   void note_entry(const Entry& entry, const Board::Outcome& outcome);
 };
 
--- /dev/null
+++ b/tests/lotusyard/virtual_scheduler.h
@@ -0,0 +1,41 @@
+// Timers on a clock that moves only as the test says.
+#pragma once
+
+#include <algorithm>
+#include <functional>
+#include <map>
+
+#include "group/scheduler.h"
+
+namespace lotusyard::test {
+
+class VirtualScheduler final : public group::Scheduler {
+ public:
+  using Millis = group::Scheduler::Millis;
+  Millis now() const override { return now_; }
+  TimerId at(Millis when, std::function<void()> ring) override {
+    const TimerId id{std::max(when, now_).count(), ++serial_};
+    timers_[id] = std::move(ring);
+    return id;
+  }
+  void cancel(const TimerId& id) override { timers_.erase(id); }
+  bool run_next(Millis until) {
+    const auto next = timers_.begin();
+    if (next == timers_.end() || next->first.first > until.count()) {
+      now_ = until;
+      return false;
+    }
+    now_ = Millis(next->first.first);
+    const auto ring = std::move(next->second);
+    timers_.erase(next);
+    ring();
+    return true;
+  }
+
+ private:
+  Millis now_{1000};
+  std::uint64_t serial_ = 0;
+  std::map<TimerId, std::function<void()>> timers_;
+};
+
+}  // namespace lotusyard::test
