--- a/src/group/consensus.cpp
+++ b/src/group/consensus.cpp
@@ -39,6 +39,7 @@
 
 int Consensus::start() {
   raft_ = raft{};
+  matches_ = MatchTracker();
   if (raft_init(&raft_, &io_, &fsm_, id_, address_.c_str()) != 0)
     throw StoreError(std::string("the group's consensus: ") + raft_errmsg(&raft_),
                      sqlite::ResultKind::no_memory);
@@ -150,7 +151,9 @@
   message.server_id = from;
   message.server_address = address.c_str();
   if (recv_ == nullptr || !is_available()) return give_back(message);
+  matches_.begin(message);
   recv_(&io_, &message);
+  matches_.end();
 }
 
 Consensus::Server Consensus::leader() const {
--- a/src/group/consensus.h
+++ b/src/group/consensus.h
@@ -13,6 +13,7 @@
 #include <string>
 #include <vector>
 
+#include "group/match_tracker.h"
 #include "group/raft_c.h"
 #include "group/scheduler.h"
 #include "group/store.h"
@@ -77,6 +78,7 @@
   TimerId ticks_{}, drains_{}, restarts_{};
   std::deque<std::function<void()>> later_;
   sqlite::Backoff backoff_;
+  MatchTracker matches_;
   std::uint64_t applied_ = 0;         // by any instance: the user's state stands there
   std::vector<Server> last_servers_;  // as the instance that ended knew them
   bool failed_ = false;               // for good
--- a/src/group/consensus_io.cpp
+++ b/src/group/consensus_io.cpp
@@ -103,12 +103,14 @@
   static int send(raft_io* io, raft_io_send* req, const raft_message* message, raft_io_send_cb cb) {
     Consensus& me = of(io);
     req->cb = cb;
-    if (!me.suspended_) me.user_.send(message->server_id, message->server_address, *message);
+    if (!me.suspended_)
+      me.user_.send(message->server_id, message->server_address, me.matches_.bounded(*message));
     me.defer([req] { req->cb(req, 0); });  // lost or not: it is sent again until it is answered
     return 0;
   }
   static int append(raft_io* io, raft_io_append* req, const raft_entry entries[], unsigned n,
                     raft_io_append_cb cb) {
+    of(io).matches_.accepted();
     std::vector<StoredEntry> rows;
     for (unsigned i = 0; i < n; ++i)
       rows.push_back({entries[i].term, entries[i].type, text_of(entries[i].buf)});
@@ -122,6 +124,7 @@
   }
   static int snapshot_put(raft_io* io, unsigned trailing, raft_io_snapshot_put* req,
                           const raft_snapshot* snapshot, raft_io_snapshot_put_cb cb) {
+    of(io).matches_.accepted();
     const int status = of(io).kept([&](Store& store) { store.put_snapshot(stored(*snapshot), trailing); });
     req->cb = cb;
     of(io).defer([req, status] { req->cb(req, status); });
--- a/tests/lotusyard/log_store_faults_test.cpp
+++ b/tests/lotusyard/log_store_faults_test.cpp
@@ -217,5 +217,21 @@
   CHECK(world.checker.acknowledged().size() > 1200);
 }
 
+TEST_CASE("replicas: one whose disk fails for longer than the log reaches back is given a snapshot") {
+  ReplicaWorld world(8);
+  world.run(Millis(2000));
+  auto& out = world.replicas[2];
+  out.disk->rates.full = 1000;
+  for (int i = 0; i < 400; ++i) {
+    for (int n = 0; n < 6; ++n) world.propose();
+    world.run(Millis(20));
+  }
+  CHECK(world.checker.acknowledged().size() > 1200);
+  CHECK(out.store->snapshot_index() == 0);
+  world.end();
+  CHECK(world.checker.broken == "");
+  CHECK(out.store->snapshot_index() > 0);
+}
+
 }  // namespace
 }  // namespace lotusyard::test
--- a/tests/lotusyard/replica_restart_test.cpp
+++ b/tests/lotusyard/replica_restart_test.cpp
@@ -18,7 +18,10 @@
   void applied(std::uint64_t index, const std::string&) override { indexes.push_back(index); }
   std::string snapshot() override { return std::to_string(indexes.back()); }
   bool restore(const std::string&) override { return false; }
-  void send(std::uint64_t, const std::string&, const raft_message&) override {}
+  std::vector<raft_append_entries_result> answers;
+  void send(std::uint64_t, const std::string&, const raft_message& message) override {
+    if (message.type == RAFT_IO_APPEND_ENTRIES_RESULT) answers.push_back(message.append_entries_result);
+  }
   void failed(const std::string& why) override { failure = why; }
   void unavailable(sqlite::ResultKind, const std::string&) override { ++unavailable_times; }
   void available() override { ++available_times; }
@@ -66,5 +69,25 @@
   CHECK(user.failure == "");
 }
 
+// The library alone answers with 3, which the leader of term 3 takes for an entry of its own at that index.
+TEST_CASE("replicas: a follower does not vouch for entries that its leader never had") {
+  FaultVfs vfs;
+  VirtualScheduler scheduler;
+  group::Store store("d:log");
+  store.begin({"yard", "a", 1, 0});
+  group::Consensus::found(store, {{1, "a", RAFT_VOTER}, {kLeader, "b", RAFT_VOTER}});
+  store.set_term(2);
+  store.append({{1, RAFT_COMMAND, "agreed"}, {2, RAFT_COMMAND, "of a leader that is gone"}});
+  Follower user;
+  group::Consensus replica(scheduler, store, user, 1, "a", kElection, 1);
+  raft_message message{};
+  message.type = RAFT_IO_APPEND_ENTRIES;
+  message.append_entries = {3, 2, 1, 1, nullptr, 0};
+  replica.receive(kLeader, "b", std::move(message));
+  REQUIRE(user.answers.size() == 1);
+  CHECK(user.answers[0].rejected == 0);
+  CHECK(user.answers[0].last_log_index == 2);
+}
+
 }  // namespace
 }  // namespace lotusyard::test
