--- a/tests/golden/recording_client.h
+++ b/tests/golden/recording_client.h
@@ -18,7 +18,7 @@
 class RecordingClient final : public net::Stream {
  public:
   RecordingClient(test::World& world, const std::string& address, const std::string& bytes)
-      : Stream(world.loop, world.pool, net::connect_to(address), true) {
+      : Stream(world.loop, world.pool, net::connect_to(address).socket, true) {
     write(bytes);
   }
   void send(const std::string& bytes) { write(bytes); }
--- a/tests/lotusyard/raw_client.h
+++ b/tests/lotusyard/raw_client.h
@@ -10,7 +10,7 @@
 
 struct RawClient {
   net::Socket socket;
-  explicit RawClient(Platform& p) : socket(net::connect_to(p.front.address())) {
+  explicit RawClient(Platform& p) : socket(net::connect_to(p.front.address()).socket) {
     const auto before = p.world.counters.value("resp.connections");
     REQUIRE(p.world.turn_until([&] { return p.world.counters.value("resp.connections") > before; }, 1000));
   }
