--- a/include/robinfold/policy.h
+++ b/include/robinfold/policy.h
@@ -193,10 +193,10 @@
 
 // Rules that stand outside the module: whether a call of the tenant for the function, or a copy for it, may
 // be at the worker now. Asked wherever a worker is considered.
-class Gate {
+class HostFilter {
  public:
-  virtual ~Gate() = default;
-  virtual bool open(const std::string& tenant, std::uint64_t function, const std::string& worker) = 0;
+  virtual ~HostFilter() = default;
+  virtual bool allows(const std::string& tenant, std::uint64_t function, const std::string& worker) = 0;
 };
 
 // The decisions of one router. Begin with a Start; it needs nothing but its own events.
@@ -206,7 +206,7 @@
   ~Policy();
   Policy(Policy&&) noexcept;
   Policy& operator=(Policy&&) noexcept;
-  void guard(Gate* gate);  // outlives it; none: every worker may have everything
+  void set_host_filter(HostFilter* gate);  // outlives it; none: every worker may have everything
   void handle(Millis now, const Event& event, std::vector<Action>& out);
 
  private:
--- a/src/amqp/channel.cpp
+++ b/src/amqp/channel.cpp
@@ -18,10 +18,10 @@
 
 }  // namespace
 
-Channel::Channel(net::Loop& loop, net::BufferPool& pool, core::Counters& counters, const Broker& broker,
+Channel::Channel(net::EventLoop& loop, net::BufferPool& pool, core::Counters& counters, const Broker& broker,
                  Consumer& consumer, net::Socket socket)
-    : Stream(loop, pool, std::move(socket), true), counters_(counters), broker_(broker), consumer_(consumer) {
-  setup_ = loop.at(loop.now() + kSetupMost, [this] { lost("amqp.setup_late"); });
+    : BufferedConnection(loop, pool, std::move(socket), true), counters_(counters), broker_(broker), consumer_(consumer) {
+  setup_ = loop.schedule_at(loop.now() + kSetupMost, [this] { lost("amqp.setup_late"); });
 }
 
 Channel::~Channel() {
@@ -30,13 +30,13 @@
 
 bool Channel::lost(const char* why) {
   counters_.add(why);
-  end_later();
+  close_later();
   return false;
 }
 
-void Channel::connected() { write(kGreeting); }
+void Channel::on_connected() { write(kGreeting); }
 
-void Channel::ended() {
+void Channel::on_closed() {
   for (const auto& timer : {beat_, quiet_, setup_}) loop().cancel(timer);
   ending_.came_up = up_since_.count() > 0;
   ending_.up_for = ending_.came_up ? loop().now() - up_since_ : Millis(0);
@@ -59,7 +59,7 @@
   write(frame(FrameType::method, channel, head.bytes() + arguments.bytes()));
 }
 
-void Channel::received(std::string_view bytes) {
+void Channel::on_received(std::string_view bytes) {
   watch_quiet();
   std::vector<Frame> frames;
   const bool sound = parser_.take(bytes, frames);
@@ -206,7 +206,7 @@
     case method::connection_close:
       say(method::connection_close_ok, 0, Writer());
       return closed_by(in, "amqp.connection_closed");
-    case method::connection_close_ok: end_later(); return false;
+    case method::connection_close_ok: close_later(); return false;
     default: return lost("amqp.unknown_method");
   }
 }
@@ -298,7 +298,7 @@
 }
 
 void Channel::close() {
-  if (!up()) return end_later();
+  if (!up()) return close_later();
   state_ = State::closing;
   say(method::connection_close, 0, Writer().u16(200).short_text("goodbye").u16(0).u16(0));
 }
@@ -306,13 +306,13 @@
 void Channel::beat() {
   if (interval_.count() <= 0) return;
   write(frame(FrameType::heartbeat, 0, {}));
-  beat_ = loop().at(loop().now() + interval_ / 2, [this] { beat(); });
+  beat_ = loop().schedule_at(loop().now() + interval_ / 2, [this] { beat(); });
 }
 
 void Channel::watch_quiet() {
   loop().cancel(quiet_);
   if (interval_.count() <= 0) return;
-  quiet_ = loop().at(loop().now() + interval_ * 2, [this] { lost("amqp.quiet"); });
+  quiet_ = loop().schedule_at(loop().now() + interval_ * 2, [this] { lost("amqp.quiet"); });
 }
 
 }  // namespace lotusyard::amqp
--- a/src/amqp/channel.h
+++ b/src/amqp/channel.h
@@ -39,13 +39,13 @@
   virtual void channel_down(const Ending& ending) = 0;                          // once
 };
 
-class Channel final : public net::Stream {
+class Channel final : public net::BufferedConnection {
  public:
-  Channel(net::Loop& loop, net::BufferPool& pool, core::Counters& counters, const Broker& broker,
+  Channel(net::EventLoop& loop, net::BufferPool& pool, core::Counters& counters, const Broker& broker,
           Consumer& consumer, net::Socket socket);
   ~Channel() override;
 
-  bool up() const { return state_ == State::up && !ending(); }
+  bool up() const { return state_ == State::up && !is_closing(); }
   bool may_publish() const { return up() && flowing_ && !blocked_; }
   std::uint64_t publish(const std::string& queue, const Properties& properties, std::string_view body);
   void ack(std::uint64_t tag);
@@ -71,12 +71,12 @@
   bool header_seen_ = false;
   Delivery delivery_;
   std::uint64_t body_left_ = 0;
-  net::Loop::TimerId beat_{}, quiet_{}, setup_{};
+  net::EventLoop::TimerId beat_{}, quiet_{}, setup_{};
   net::Millis interval_{0};
 
-  void connected() override;
-  void received(std::string_view bytes) override;
-  void ended() override;
+  void on_connected() override;
+  void on_received(std::string_view bytes) override;
+  void on_closed() override;
   bool take(Frame&& frame);
   bool method(Reader& in, std::uint32_t id);
   bool content(Frame&& frame);
--- a/src/amqp/front.cpp
+++ b/src/amqp/front.cpp
@@ -34,8 +34,8 @@
 
 }  // namespace
 
-Front::Front(net::Loop& loop, net::BufferPool& pool, core::Dispatcher& dispatcher, core::Counters& counters,
-             const core::Settings& settings, Broker broker, Limits limits, answers::Store* store)
+Front::Front(net::EventLoop& loop, net::BufferPool& pool, core::Dispatcher& dispatcher, core::Counters& counters,
+             const core::Settings& settings, Broker broker, Limits limits, answers::ResultStore* store)
     : loop_(loop),
       pool_(pool),
       dispatcher_(dispatcher),
@@ -58,7 +58,7 @@
 
 void Front::prune_later() {
   store_->prune(loop_.now());
-  prune_ = loop_.at(loop_.now() + kPrunePace, [this] { prune_later(); });
+  prune_ = loop_.schedule_at(loop_.now() + kPrunePace, [this] { prune_later(); });
 }
 
 void Front::connect() {
@@ -82,7 +82,7 @@
   unconfirmed_.clear();
   unsent_.clear();
   memory_.forget_waiters();
-  if (channel_) loop_.bury(std::move(channel_));
+  if (channel_) loop_.delete_later(std::move(channel_));
   channel_.reset();
   loop_.cancel(reconnect_);
   if (draining_) return;
@@ -91,7 +91,7 @@
     counters_.add("amqp.refused");
     std::cerr << "lotusyard: amqp: " << plan.say << std::endl;
   }
-  reconnect_ = loop_.at(loop_.now() + plan.wait, [this] { connect(); });
+  reconnect_ = loop_.schedule_at(loop_.now() + plan.wait, [this] { connect(); });
 }
 
 void Front::drain() {
@@ -190,9 +190,9 @@
   call.ref = net::hex16(++last_ref_);
   call.body = std::move(delivery.body);
   memory_.begin(id, once).waiters.push_back({tag, address});
-  const core::CallId number = dispatcher_.next_id();
+  const core::CallId number = dispatcher_.allocate_call_id();
   running_[number] = {id, once, false};
-  if (dispatcher_.take(number, std::move(call), *this)) return;
+  if (dispatcher_.admit(number, std::move(call), *this)) return;
   answer(number, core::Answer());
 }
 
@@ -209,13 +209,13 @@
 
 // True if what the store tells ends this delivery, answered.
 bool Front::settled_by_store(const std::string& id, const Delivery& delivery, const Address& address) {
-  std::optional<answers::Record> known;
-  answers::Trust trust;
+  std::optional<answers::ResultRecord> known;
+  answers::StoreTrust trust;
   trust.healthy = store_->find(id, known);
   trust.sole_consumer = limits_.sole_consumer;
   trust.complete_from = store_->complete_from();
   trust.now = loop_.now();
-  answers::Arrival arrival{delivery.redelivered, std::nullopt};
+  answers::DeliveryFacts arrival{delivery.redelivered, std::nullopt};
   const auto& timestamp = delivery.properties.timestamp;
   if (timestamp) arrival.published = Millis(static_cast<double>(*timestamp) * 1000);
   switch (answers::decide(known, arrival, trust)) {
@@ -229,7 +229,7 @@
     case answers::Decision::answer:
       counters_.add("amqp.answered_from_store");
       Remembered& remembered = memory_.begin(id, true);
-      if (known->stage == answers::Stage::confirmed && known->address == address.text())
+      if (known->stage == answers::ResultStage::confirmed && known->address == address.text())
         remembered.confirmed.push_back(address);
       memory_.end(id, std::move(known->answer));
   }
@@ -237,8 +237,8 @@
   return true;
 }
 
-bool Front::record(const std::string& id, answers::Stage stage, const core::Answer& answer) {
-  answers::Record entry;
+bool Front::record(const std::string& id, answers::ResultStage stage, const core::Answer& answer) {
+  answers::ResultRecord entry;
   entry.stage = stage;
   entry.answer = answer;
   entry.at = loop_.now();
@@ -248,25 +248,25 @@
 bool Front::before_attempt(core::CallId call) {
   const auto found = running_.find(call);
   if (store_ == nullptr || found == running_.end() || !found->second.once) return true;
-  if (!record(found->second.id, answers::Stage::sent, core::Answer())) return false;
+  if (!record(found->second.id, answers::ResultStage::sent, core::Answer())) return false;
   return found->second.recorded = true;
 }
 
-void Front::never_ran(core::CallId call) {
+void Front::proved_not_run(core::CallId call) {
   const auto found = running_.find(call);
   if (store_ == nullptr || found == running_.end() || !found->second.recorded) return;
   // If this is not taken the call counts as one that may have run: the safe side.
-  record(found->second.id, answers::Stage::cleared, core::Answer());
+  record(found->second.id, answers::ResultStage::cleared, core::Answer());
 }
 
 // With its connection a delivery goes back to its queue: nothing begins for a call until it is delivered here
 // again. To another consumer it may have been meanwhile.
-core::Front::Caller Front::caller(core::CallId call, core::Millis) {
+core::Front::ClientState Front::client_state(core::CallId call, core::Millis) {
   const auto found = running_.find(call);
-  if (found == running_.end()) return Caller::gone;
-  const bool connected = channel_ && channel_->up() && channel_->peer() != net::Peer::gone;
+  if (found == running_.end()) return ClientState::disconnected;
+  const bool connected = channel_ && channel_->up() && channel_->peer_state() != net::PeerState::disconnected;
   const Remembered* known = memory_.find(found->second.id);
-  return connected && known != nullptr && !known->waiters.empty() ? Caller::waits : Caller::spoke;
+  return connected && known != nullptr && !known->waiters.empty() ? ClientState::waiting : ClientState::has_unread_input;
 }
 
 void Front::refuse_call(const std::string& id, bool once, Verdict verdict, const char* why) {
@@ -282,7 +282,7 @@
   const std::string& id = running.id;
   running_.erase(found);
   // First: once the broker has it the answer must stand here too.
-  if (running.recorded) record(id, answers::Stage::answered, answer);
+  if (running.recorded) record(id, answers::ResultStage::answered, answer);
   Remembered* known = memory_.find(id);
   if (known == nullptr) return;
   const auto waiters = std::move(known->waiters);
@@ -343,16 +343,16 @@
       counters_.add("amqp.nacked");
       unsent_.push_back(std::move(publishing));
       loop_.cancel(resend_);
-      resend_ = loop_.at(loop_.now() + kResendAfter, [this] { resend(); });
+      resend_ = loop_.schedule_at(loop_.now() + kResendAfter, [this] { resend(); });
       continue;
     }
     if (Remembered* known = memory_.find(publishing.id)) {
       if (known->confirmed.size() >= kAddressesKept) known->confirmed.erase(known->confirmed.begin());
       known->confirmed.push_back(publishing.address);
-      std::optional<answers::Record> entry;
+      std::optional<answers::ResultRecord> entry;
       if (store_ != nullptr && known->once && store_->find(publishing.id, entry) && entry &&
-          entry->stage >= answers::Stage::answered) {
-        entry->stage = answers::Stage::confirmed;
+          entry->stage >= answers::ResultStage::answered) {
+        entry->stage = answers::ResultStage::confirmed;
         entry->at = loop_.now();
         entry->address = publishing.address.text();
         store_->put(publishing.id, *entry);
--- a/src/amqp/front.h
+++ b/src/amqp/front.h
@@ -22,20 +22,20 @@
     std::size_t open_calls = 256, remembered = 10000, remembered_bytes = 16U << 20;
     bool sole_consumer = false;  // nobody else consumes these queues
   };
-  Front(net::Loop& loop, net::BufferPool& pool, core::Dispatcher& dispatcher, core::Counters& counters,
-        const core::Settings& settings, Broker broker, Limits limits, answers::Store* store = nullptr);
+  Front(net::EventLoop& loop, net::BufferPool& pool, core::Dispatcher& dispatcher, core::Counters& counters,
+        const core::Settings& settings, Broker broker, Limits limits, answers::ResultStore* store = nullptr);
   ~Front() override;
 
   void start() { connect(); }
-  void retune(const core::Settings& settings) { settings_ = settings; }
+  void apply_settings(const core::Settings& settings) { settings_ = settings; }
   void drain();       // nothing new; what was taken is answered
   bool done() const;  // all answers that can be given on this connection are confirmed
   void close();
 
   void answer(core::CallId call, core::Answer&& answer) override;
   bool before_attempt(core::CallId call) override;
-  void never_ran(core::CallId call) override;
-  Caller caller(core::CallId call, core::Millis heard_since) override;
+  void proved_not_run(core::CallId call) override;
+  ClientState client_state(core::CallId call, core::Millis heard_since) override;
 
  private:
   struct Running {
@@ -48,7 +48,7 @@
     std::shared_ptr<const core::Answer> answer;
     std::vector<std::uint64_t> tags;  // deliveries that are acknowledged once the broker has it
   };
-  net::Loop& loop_;
+  net::EventLoop& loop_;
   net::BufferPool& pool_;
   core::Dispatcher& dispatcher_;
   core::Counters& counters_;
@@ -57,11 +57,11 @@
   Limits limits_;
   Memory memory_;
   std::shared_ptr<Channel> channel_;
-  answers::Store* store_;  // of calls that must not run twice; none: this process's memory is all there is
+  answers::ResultStore* store_;  // of calls that must not run twice; none: this process's memory is all there is
   std::unordered_map<core::CallId, Running> running_;
   std::map<std::uint64_t, Publishing> unconfirmed_;
   std::deque<Publishing> unsent_;  // refused by the broker, or it has asked for a pause
-  net::Loop::TimerId reconnect_{}, resend_{}, prune_{};
+  net::EventLoop::TimerId reconnect_{}, resend_{}, prune_{};
   Recovery recovery_;
   std::uint64_t last_ref_ = 0;
   bool draining_ = false;
@@ -75,7 +75,7 @@
   bool settled_by_store(const std::string& id, const Delivery& delivery, const Address& address);
   bool out_of_time(const Properties& properties, core::Call& call);
   void prune_later();
-  bool record(const std::string& id, answers::Stage stage, const core::Answer& answer);
+  bool record(const std::string& id, answers::ResultStage stage, const core::Answer& answer);
   void refuse_call(const std::string& id, bool once, core::Verdict verdict, const char* why);
   void answer_delivery(const std::string& id, std::uint64_t tag, const Address& address, bool redelivered);
   void publish(Publishing&& publishing);
--- a/src/answers/ledger.cpp
+++ b/src/answers/ledger.cpp
@@ -4,18 +4,18 @@
 
 namespace lotusyard::answers {
 
-bool proves_not_run(const Record& record) {
-  if (record.stage == Stage::cleared) return true;
-  return record.stage != Stage::sent && record.answer.verdict == core::Verdict::refused;
+bool proves_not_run(const ResultRecord& record) {
+  if (record.stage == ResultStage::cleared) return true;
+  return record.stage != ResultStage::sent && record.answer.verdict == core::Verdict::refused;
 }
 
-Decision decide(const std::optional<Record>& known, const Arrival& arrival, const Trust& trust) {
+Decision decide(const std::optional<ResultRecord>& known, const DeliveryFacts& arrival, const StoreTrust& trust) {
   // Danger: a store that cannot be read may hold that it ran. Sent anew, the same id may be a tablet's
   // repeat.
   if (!trust.healthy) return arrival.redelivered ? Decision::fail_may_have_run : Decision::refuse_unrecorded;
   if (known) {
-    if (known->stage == Stage::sent) return Decision::fail_may_have_run;
-    if (known->stage == Stage::cleared) return Decision::run;
+    if (known->stage == ResultStage::sent) return Decision::fail_may_have_run;
+    if (known->stage == ResultStage::cleared) return Decision::run;
     // A redelivery gets the answer that stands; a message sent anew after a refusal is a further try.
     return proves_not_run(*known) && !arrival.redelivered ? Decision::run : Decision::answer;
   }
@@ -28,14 +28,14 @@
   return trust.sole_consumer && covered ? Decision::run : Decision::fail_may_have_run;
 }
 
-bool may_follow(const std::optional<Stage>& from, Stage to) {
+bool may_follow(const std::optional<ResultStage>& from, ResultStage to) {
   switch (to) {
-    case Stage::sent:
-      return !from || *from == Stage::cleared || *from == Stage::answered ||
-             *from == Stage::confirmed;  // the last two: a further try after a refusal
-    case Stage::cleared: return from && *from == Stage::sent;
-    case Stage::answered: return true;  // a refusal may come before anything was sent
-    case Stage::confirmed: return from && (*from == Stage::answered || *from == Stage::confirmed);
+    case ResultStage::sent:
+      return !from || *from == ResultStage::cleared || *from == ResultStage::answered ||
+             *from == ResultStage::confirmed;  // the last two: a further try after a refusal
+    case ResultStage::cleared: return from && *from == ResultStage::sent;
+    case ResultStage::answered: return true;  // a refusal may come before anything was sent
+    case ResultStage::confirmed: return from && (*from == ResultStage::answered || *from == ResultStage::confirmed);
   }
   return false;
 }
--- a/src/answers/ledger.h
+++ b/src/answers/ledger.h
@@ -12,21 +12,21 @@
 using core::Millis;
 
 // How far a call is known to have come. `sent` is written before its first byte can leave.
-enum class Stage { sent = 1, cleared = 2, answered = 3, confirmed = 4 };
+enum class ResultStage { sent = 1, cleared = 2, answered = 3, confirmed = 4 };
 
-struct Record {
-  Stage stage = Stage::sent;
+struct ResultRecord {
+  ResultStage stage = ResultStage::sent;
   core::Answer answer;  // from `answered` on
   Millis at{0};         // of the last change
   std::string address;  // where the broker holds the answer, from `confirmed` on
 };
 
-struct Arrival {
+struct DeliveryFacts {
   bool redelivered = false;
   std::optional<Millis> published;  // as its publisher says; absent: not said
 };
 
-struct Trust {
+struct StoreTrust {
   bool healthy = false;        // what was asked of the store was answered
   bool sole_consumer = false;  // the operator says that no other process consumes these queues
   Millis complete_from{0};     // all calls that went out since then stand in the store
@@ -45,13 +45,13 @@
 // A publisher's clock and this store's may differ by so much before a publisher's word counts.
 constexpr Millis kClockSkew = kClockStep + Millis(60000);
 
-Decision decide(const std::optional<Record>& known, const Arrival& arrival, const Trust& trust);
+Decision decide(const std::optional<ResultRecord>& known, const DeliveryFacts& arrival, const StoreTrust& trust);
 
 // Whether a change of stage keeps what the store has promised; one that does not is a fault of ours.
-bool may_follow(const std::optional<Stage>& from, Stage to);
+bool may_follow(const std::optional<ResultStage>& from, ResultStage to);
 
 // The stage that a call has come to once its answer is known: a refusal proves that nothing ran.
-bool proves_not_run(const Record& record);
+bool proves_not_run(const ResultRecord& record);
 
 // Bounds of a store, and what goes first when they are reached. What is `sent` is what the store is for: it
 // goes last, and by age only.
--- a/src/answers/sqlite_store.cpp
+++ b/src/answers/sqlite_store.cpp
@@ -13,10 +13,10 @@
 constexpr std::size_t kRecordBytes = 160;  // about what a row and its indexes take beside its texts
 
 // Of columns stage, verdict, cooldown, body, at, address. False: no record of ours, so the file is damaged.
-bool read(Query& row, int first, Record& out) {
+bool read(Query& row, int first, ResultRecord& out) {
   const int stage = static_cast<int>(row.number(first)), verdict = static_cast<int>(row.number(first + 1));
   if (stage < 1 || stage > 4 || verdict < 0 || verdict > 2) return false;
-  out.stage = static_cast<Stage>(stage);
+  out.stage = static_cast<ResultStage>(stage);
   out.answer = {static_cast<core::Verdict>(verdict), Millis(row.number(first + 2)), row.bytes(first + 3)};
   out.at = Millis(row.number(first + 4));
   out.address = row.bytes(first + 5);
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-SqliteStore::SqliteStore(const std::string& path, const Bounds& bounds, Millis now, core::Counters& counters,
+SqliteResultStore::SqliteResultStore(const std::string& path, const Bounds& bounds, Millis now, core::Counters& counters,
                          Log log, Clock clock)
     : path_(path),
       created_at_(now),
@@ -37,16 +37,16 @@
   open();
 }
 
-SqliteStore::~SqliteStore() { close(); }
+SqliteResultStore::~SqliteResultStore() { close(); }
 
-Millis SqliteStore::steady_now() { return std::chrono::steady_clock::now().time_since_epoch(); }
+Millis SqliteResultStore::steady_now() { return std::chrono::steady_clock::now().time_since_epoch(); }
 
-void SqliteStore::close() {
+void SqliteResultStore::close() {
   sqlite3_close(std::exchange(db_, nullptr));
   open_ = false;
 }
 
-bool SqliteStore::is_ready() {
+bool SqliteResultStore::is_ready() {
   if (damaged_) return false;
   if (open_) return true;
   return clock_() >= next_open_ && open();
@@ -54,7 +54,7 @@
 
 // SQLite opens a file for reading alone if the file system is read-only, as it is after an error of the disk;
 // that ends only with another opening.
-bool SqliteStore::is_writable() {
+bool SqliteResultStore::is_writable() {
   if (!is_ready()) return false;
   if (sqlite3_db_readonly(db_, "main") != 1) return true;
   if (clock_() >= next_open_) {
@@ -62,12 +62,12 @@
     if (!open()) return false;
     next_open_ = clock_() + sqlite::Backoff::kLongest;
   }
-  return sqlite3_db_readonly(db_, "main") != 1 || told(SQLITE_CANTOPEN, "read-only");
+  return sqlite3_db_readonly(db_, "main") != 1 || check_status(SQLITE_CANTOPEN, "read-only");
 }
 
-bool SqliteStore::open() {
+bool SqliteResultStore::open() {
   const int flags = SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE | SQLITE_OPEN_NOMUTEX;
-  open_ = told(sqlite3_open_v2(path_.c_str(), &db_, flags, nullptr), "open") && set_up();
+  open_ = check_status(sqlite3_open_v2(path_.c_str(), &db_, flags, nullptr), "open") && set_up();
   if (open_) {
     backoff_.reset();
     return true;
@@ -77,7 +77,7 @@
   return false;
 }
 
-bool SqliteStore::set_up() {
+bool SqliteResultStore::set_up() {
   // One process takes the file's place of another that runs; both would take a call for their own.
   return run("PRAGMA locking_mode = EXCLUSIVE") && run("PRAGMA journal_mode = WAL") &&
          run("PRAGMA synchronous = FULL") &&
@@ -88,19 +88,19 @@
          measure();
 }
 
-bool SqliteStore::check() {
+bool SqliteResultStore::check() {
   Query query(db_, "PRAGMA quick_check(1)");
   const int code = query.step();
-  if (!told(code, "check")) return false;
+  if (!check_status(code, "check")) return false;
   const std::string line = query.bytes(0);
   const auto kind = sqlite::classify_check(line);
   return kind == sqlite::ResultKind::ok || report(kind, "check: " + line);
 }
 
-bool SqliteStore::load_complete_from() {
+bool SqliteResultStore::load_complete_from() {
   Query about(db_, "SELECT complete_from FROM about");
   const int found = about.step();
-  if (!told(found, "about")) return false;
+  if (!check_status(found, "about")) return false;
   // A new store knows nothing of what was before; until it was open nothing was recorded, so nothing went
   // out.
   if (found != SQLITE_ROW) return set_complete_from(created_at_);
@@ -111,60 +111,60 @@
   return true;
 }
 
-bool SqliteStore::told(int code, const char* what) {
+bool SqliteResultStore::check_status(int code, const char* what) {
   const auto kind = sqlite::classify(code);
   if (kind == sqlite::ResultKind::ok) return true;
   return report(kind, std::string(what) + ": " + sqlite3_errstr(code));
 }
 
-bool SqliteStore::report(sqlite::ResultKind kind, const std::string& text) {
+bool SqliteResultStore::report(sqlite::ResultKind kind, const std::string& text) {
   counters_.add(std::string("answers.store_") + sqlite::name_of(kind));
   if (kind == sqlite::ResultKind::corrupt) damaged_ = true;
   if (kind != std::exchange(last_failure_, kind)) log_("answers: " + text);
   return false;
 }
 
-bool SqliteStore::run(const char* sql) {
+bool SqliteResultStore::run(const char* sql) {
   if (damaged_ || db_ == nullptr) return false;
   Query query(db_, sql);
   int code = query.step();
   while (code == SQLITE_ROW) code = query.step();
-  return told(code, sql);
+  return check_status(code, sql);
 }
 
-bool SqliteStore::set_complete_from(Millis at) {
+bool SqliteResultStore::set_complete_from(Millis at) {
   complete_from_ = at;
   if (!run("DELETE FROM about")) return false;
   Query query(db_, "INSERT INTO about VALUES (?1)");
-  return told(query.number(1, at.count()).step(), "about");
+  return check_status(query.number(1, at.count()).step(), "about");
 }
 
-bool SqliteStore::measure() {
+bool SqliteResultStore::measure() {
   Query query(db_,
               "SELECT count(*), coalesce(sum(length(id) + length(body)), 0), coalesce(sum(stage >= 3), 0)"
               " FROM calls");
-  if (!told(query.step(), "measure")) return false;
+  if (!check_status(query.step(), "measure")) return false;
   size_.records = static_cast<std::size_t>(query.number(0));
   size_.bytes = static_cast<std::size_t>(query.number(1)) + kRecordBytes * size_.records;
   answered_ = static_cast<std::size_t>(query.number(2));
   return true;
 }
 
-bool SqliteStore::find(const std::string& id, std::optional<Record>& out) {
+bool SqliteResultStore::find(const std::string& id, std::optional<ResultRecord>& out) {
   out.reset();
   if (!is_ready()) return false;
   Query query(db_, "SELECT stage, verdict, cooldown, body, at, address FROM calls WHERE id = ?1");
   const int code = query.bytes(1, id).step();
-  if (!told(code, "find")) return false;
+  if (!check_status(code, "find")) return false;
   if (code != SQLITE_ROW) return true;
   out.emplace();
-  return read(query, 0, *out) || told(SQLITE_CORRUPT, "find");
+  return read(query, 0, *out) || check_status(SQLITE_CORRUPT, "find");
 }
 
-bool SqliteStore::put(const std::string& id, const Record& record) {
-  std::optional<Record> before;
+bool SqliteResultStore::put(const std::string& id, const ResultRecord& record) {
+  std::optional<ResultRecord> before;
   if (!is_writable() || !find(id, before)) return false;
-  const auto from = before ? std::optional<Stage>(before->stage) : std::nullopt;
+  const auto from = before ? std::optional<ResultStage>(before->stage) : std::nullopt;
   if (!may_follow(from, record.stage)) {
     counters_.add("answers.guard_stage");
     return false;
@@ -177,7 +177,7 @@
   query.bytes(1, id).number(2, static_cast<int>(record.stage));
   query.number(3, static_cast<int>(record.answer.verdict)).number(4, record.answer.cooldown.count());
   query.bytes(5, record.answer.body).number(6, record.at.count()).bytes(7, record.address);
-  if (!told(query.step(), "put")) return false;
+  if (!check_status(query.step(), "put")) return false;
   counters_.add("answers.written");
   last_failure_ = sqlite::ResultKind::ok;
   if (!before) {
@@ -187,41 +187,41 @@
     size_.bytes -= before->answer.body.size();
   }
   size_.bytes += record.answer.body.size();
-  answered_ += (record.stage >= Stage::answered ? 1U : 0U);
-  answered_ -= (before && before->stage >= Stage::answered ? 1U : 0U);
+  answered_ += (record.stage >= ResultStage::answered ? 1U : 0U);
+  answered_ -= (before && before->stage >= ResultStage::answered ? 1U : 0U);
   return true;
 }
 
 // The one place where the store shrinks. Danger: what is forgotten may have run; from then on only calls that
 // are younger can be shown not to have.
-void SqliteStore::prune(Millis now) {
+void SqliteResultStore::prune(Millis now) {
   if (!is_ready()) return;
   const Pruning due = answers::prune(size_, answered_, bounds_, now);
   const std::string excess = std::to_string(due.excess);
   const std::string which =
       "at < ?1 OR id IN (SELECT id FROM calls WHERE stage >= 3 ORDER BY at LIMIT " + excess + ")";
   Query newest(db_, ("SELECT max(at) FROM calls WHERE " + which).c_str());
-  if (!told(newest.number(1, due.older_than.count()).step(), "prune")) return;
+  if (!check_status(newest.number(1, due.older_than.count()).step(), "prune")) return;
   const Millis forgotten = bounded_mark(Millis(newest.number(0)), now);
   if (forgotten.count() <= 0) return;
   if (forgotten > complete_from_ && !set_complete_from(forgotten)) return;
   Query query(db_, ("DELETE FROM calls WHERE " + which).c_str());
-  if (told(query.number(1, due.older_than.count()).step(), "prune")) counters_.add("answers.pruned");
+  if (check_status(query.number(1, due.older_than.count()).step(), "prune")) counters_.add("answers.pruned");
   measure();
 }
 
-void SqliteStore::each(const std::function<void(const std::string&, const Record&)>& see) {
+void SqliteResultStore::for_each(const std::function<void(const std::string&, const ResultRecord&)>& see) {
   if (!is_ready()) return;
   Query query(db_, "SELECT id, stage, verdict, cooldown, body, at, address FROM calls ORDER BY at, id");
   int code = query.step();
   for (; code == SQLITE_ROW; code = query.step()) {
-    Record record;
-    if (!read(query, 1, record)) return (void)told(SQLITE_CORRUPT, "list");
+    ResultRecord record;
+    if (!read(query, 1, record)) return (void)check_status(SQLITE_CORRUPT, "list");
     see(query.bytes(0), record);
   }
-  told(code, "list");
+  check_status(code, "list");
 }
 
-void SqliteStore::limit_pages(int most) { run(("PRAGMA max_page_count = " + std::to_string(most)).c_str()); }
+void SqliteResultStore::limit_pages(int most) { run(("PRAGMA max_page_count = " + std::to_string(most)).c_str()); }
 
 }  // namespace lotusyard::answers
--- a/src/answers/sqlite_store.h
+++ b/src/answers/sqlite_store.h
@@ -14,21 +14,21 @@
 
 namespace lotusyard::answers {
 
-class SqliteStore final : public Store {
+class SqliteResultStore final : public ResultStore {
  public:
   using Log = std::function<void(const std::string&)>;
   using Clock = std::function<Millis()>;
   // The log says of a file that cannot be opened or is damaged; the store takes nothing then. Opening is
   // tried again, with backoff by `clock` (steady, any origin), at the operations that follow, unless it is
   // damaged.
-  SqliteStore(const std::string& path, const Bounds& bounds, Millis now, core::Counters& counters, Log log,
+  SqliteResultStore(const std::string& path, const Bounds& bounds, Millis now, core::Counters& counters, Log log,
               Clock clock = steady_now);
-  ~SqliteStore() override;
-  SqliteStore(const SqliteStore&) = delete;
-  SqliteStore& operator=(const SqliteStore&) = delete;
+  ~SqliteResultStore() override;
+  SqliteResultStore(const SqliteResultStore&) = delete;
+  SqliteResultStore& operator=(const SqliteResultStore&) = delete;
 
-  bool find(const std::string& id, std::optional<Record>& out) override;
-  bool put(const std::string& id, const Record& record) override;
+  bool find(const std::string& id, std::optional<ResultRecord>& out) override;
+  bool put(const std::string& id, const ResultRecord& record) override;
   Millis complete_from() const override { return complete_from_; }
   void prune(Millis now) override;
 
@@ -36,7 +36,7 @@
   bool is_damaged() const { return damaged_; }
   std::size_t size() const { return size_.records; }
   // Of every record, the one changed first first.
-  void each(const std::function<void(const std::string&, const Record&)>& see);
+  void for_each(const std::function<void(const std::string&, const ResultRecord&)>& see);
   void limit_pages(int most);  // for tests: the file grows no further, as if the disk were full
 
  private:
@@ -63,7 +63,7 @@
   bool set_up();
   void close();
   bool run(const char* sql);
-  bool told(int code, const char* what);  // false, counted and logged, unless it is well
+  bool check_status(int code, const char* what);  // false, counted and logged, unless it is well
   bool report(sqlite::ResultKind kind, const std::string& text);
   bool check();
   bool load_complete_from();
--- a/src/answers/store.h
+++ b/src/answers/store.h
@@ -9,13 +9,13 @@
 
 namespace lotusyard::answers {
 
-class Store {
+class ResultStore {
  public:
-  virtual ~Store() = default;
+  virtual ~ResultStore() = default;
   // Whether the record could be looked for; `out` is empty if there is none.
-  virtual bool find(const std::string& id, std::optional<Record>& out) = 0;
+  virtual bool find(const std::string& id, std::optional<ResultRecord>& out) = 0;
   // False: it does not stand, and what it was to precede must not be done.
-  virtual bool put(const std::string& id, const Record& record) = 0;
+  virtual bool put(const std::string& id, const ResultRecord& record) = 0;
   virtual Millis complete_from() const = 0;
   virtual void prune(Millis now) = 0;
 };
--- a/src/app/app.h
+++ b/src/app/app.h
@@ -17,39 +17,39 @@
 namespace lotusyard {
 
 // How the durable answers are opened, where a program keeps any.
-using StoreMaker = std::function<std::unique_ptr<answers::Store>(const config::AmqpConfig&, core::Millis now,
+using ResultStoreFactory = std::function<std::unique_ptr<answers::ResultStore>(const config::AmqpConfig&, core::Millis now,
                                                                  core::Counters&)>;
 
 // The parts of an invoker that something more in the process may work with. All outlive it.
-struct Wiring {
-  net::Loop& loop;
+struct InvokerServices {
+  net::EventLoop& loop;
   core::Counters& counters;
-  membership::Membership& membership;
-  hosts::Fleet& fleet;
+  membership::EndpointStates& endpoint_states;
+  hosts::HostConnectionPool& host_connections;
   std::function<const core::Settings&()> settings;  // those in force
   std::function<void(double)> set_share;            // this process's part of what all may send a cold host
   std::string name;
 };
 
 // What a program adds to an invoker; the platform's adds nothing.
-class Companion {
+class InvokerExtension {
  public:
-  virtual ~Companion() = default;
+  virtual ~InvokerExtension() = default;
   virtual bool ready() const = 0;  // whether calls may come
   // The last look before anything new goes to a host: a call, a load of the function, or what names neither.
   virtual bool may_send(const std::string& host, const core::Call* call, std::uint64_t function) = 0;
   // Which hosts a call may go to at all; asked by the module for each. None: to all.
-  virtual robinfold::Gate* gate() { return nullptr; }
+  virtual robinfold::HostFilter* host_filter() { return nullptr; }
   virtual void before_writes() = 0;  // in each turn, once all is decided
   virtual void attempt_ended(const std::string& host, const core::Call& call, core::Outcome outcome) = 0;
-  virtual void refused(const core::Call&) {}  // a call that never went out
+  virtual void on_rejected(const core::Call&) {}  // a call that never went out
   virtual void drain() {}  // the process has been told to end, and answers what it has taken
-  virtual std::optional<console::Said> asked(const console::Request& request) = 0;  // at the admin endpoint
+  virtual std::optional<console::Response> handle_request(const console::Request& request) = 0;  // at the admin endpoint
 };
-using CompanionMaker = std::function<std::unique_ptr<Companion>(const Wiring&, const nlohmann::json& file)>;
+using ExtensionFactory = std::function<std::unique_ptr<InvokerExtension>(const InvokerServices&, const nlohmann::json& file)>;
 
 std::string environment(const char* name);  // empty if it is not set
 config::Environment read_environment();
-int run(const std::string& file, const StoreMaker& make_store, const CompanionMaker& make_companion = {});
+int run(const std::string& file, const ResultStoreFactory& make_store, const ExtensionFactory& make_companion = {});
 
 }  // namespace lotusyard
--- a/src/app/bounds.cpp
+++ b/src/app/bounds.cpp
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-hosts::Limits host_limits(const config::Config& config, const hot_restart::Shares& shares) {
+hosts::Limits host_limits(const config::Config& config, const hot_restart::ResourceShares& shares) {
   hosts::Limits out;
   out.connect_timeout = config.settings.connect_timeout;
   out.idle = config.connection_idle;
--- a/src/app/bounds.h
+++ b/src/app/bounds.h
@@ -8,7 +8,7 @@
 
 namespace lotusyard {
 
-hosts::Limits host_limits(const config::Config& config, const hot_restart::Shares& shares);
+hosts::Limits host_limits(const config::Config& config, const hot_restart::ResourceShares& shares);
 amqp::Broker broker_of(const config::AmqpConfig& from);
 
 }  // namespace lotusyard
--- a/src/app/invoker.cpp
+++ b/src/app/invoker.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 using core::Millis;
-using hot_restart::Standing;
+using hot_restart::ProcessRole;
 
 constexpr Millis kLookPace{200};  // what one process is told by hand holds for the other well within 1 s
 
@@ -46,40 +46,40 @@
   const std::string base = environment("TMPDIR");
   const bool needed = !config.console.empty() || config.listen_fd >= 0;
   if (!needed || base.empty()) return {};
-  return base + "/lotusyard." + membership::OutFiles::file_name(config.name);
+  return base + "/lotusyard." + membership::DisabledHostFiles::file_name(config.name);
 }
 
 }  // namespace
 
-Invoker::Invoker(std::string file, const StoreMaker& make_store, const CompanionMaker& make_companion)
+Invoker::Invoker(std::string file, const ResultStoreFactory& make_store, const ExtensionFactory& make_companion)
     : file_(std::move(file)),
       signals_(loop_),  // first: no signal may end the program while it starts
       outline_(read_file(file_)),
       config_(read(outline_)),
-      folder_(folder_of(*config_)),
-      presence_(replaces() ? folder_ : std::string()),
-      standing_(presence_.other_lives() ? Standing::beside : Standing::alone),
-      pool_(shares().unwritten / net::BufferPool::block_size),
-      fleet_(loop_, pool_, counters_, host_limits(*config_, shares())),
+      state_folder_(folder_of(*config_)),
+      presence_(replaces() ? state_folder_ : std::string()),
+      role_(presence_.other_lives() ? ProcessRole::concurrent : ProcessRole::sole),
+      pool_(resource_shares().unwritten / net::BufferPool::block_size),
+      host_connections_(loop_, pool_, counters_, host_limits(*config_, resource_shares())),
       dispatcher_(
-          config_->settings, [this] { return loop_.now(); }, fleet_, counters_),
-      out_files_(folder_),
-      membership_(
-          [this](const core::MemberList& list, core::ListKind kind) {
-            fleet_.members(list);  // first: what the module sends next needs the addresses
+          config_->settings, [this] { return loop_.now(); }, host_connections_, counters_),
+      disabled_host_files_(state_folder_),
+      endpoint_states_(
+          [this](const core::HostListUpdate& list, core::ListKind kind) {
+            host_connections_.update_endpoints(list);  // first: what the module sends next needs the addresses
             core::HostList entries{kind, {}};
-            for (const auto& member : list.members) entries.entries.push_back(member.entry);
-            dispatcher_.members(std::move(entries));
+            for (const auto& member : list.hosts) entries.entries.push_back(member.entry);
+            dispatcher_.update_endpoints(std::move(entries));
           },
           [this] {
-            return membership::Membership::Sight{loop_.now(), loop_.wall_has_stepped()};
+            return membership::EndpointStates::Sight{loop_.now(), loop_.wall_has_stepped()};
           }),
       front_(loop_, pool_, dispatcher_, counters_, front_limits()) {
   loop_.count_errors([this](const char* name) { counters_.add(name); });
-  fleet_.attach(dispatcher_);
+  host_connections_.attach(dispatcher_);
   outline_ = config::outline(std::move(outline_));
-  if (!folder_.empty()) look();    // before any host is named: none may be used that is out
-  join_companion(make_companion);  // before any host is named, too
+  if (!state_folder_.empty()) poll_shared_state();    // before any host is named: none may be used that is out
+  attach_extension(make_companion);  // before any host is named, too
   follow_list();
   listen();
   take_triggers(make_store);
@@ -87,19 +87,19 @@
 }
 
 Invoker::~Invoker() {
-  loop_.cancel(look_);
-  fleet_.ask_before({});
-  dispatcher_.watch({});
-  dispatcher_.watch_refusals({});
-  dispatcher_.guard(nullptr);
+  loop_.cancel(poll_timer_);
+  host_connections_.set_send_filter({});
+  dispatcher_.observe_attempts({});
+  dispatcher_.observe_rejections({});
+  dispatcher_.set_host_filter(nullptr);
 }
 
-hot_restart::Shares Invoker::shares() const {
-  return hot_restart::shares_of(config_->memory_mb, config_->sockets, standing_);
+hot_restart::ResourceShares Invoker::resource_shares() const {
+  return hot_restart::shares_of(config_->memory_mb, config_->sockets, role_);
 }
 
 resp::Front::Limits Invoker::front_limits() const {
-  const auto mine = shares();
+  const auto mine = resource_shares();
   resp::Front::Limits out;
   out.clients = mine.clients;
   out.newcomers = mine.newcomers;
@@ -111,13 +111,13 @@
 void Invoker::follow_list() {
   discovery::Log log;
   for (const auto& event : config_->known_events) {
-    core::MemberList list;
+    core::HostListUpdate list;
     if (log.event(event, list) != discovery::Log::Read::news) continue;
-    membership_.list(list, list.complete ? core::ListKind::cached : core::ListKind::delta);
+    endpoint_states_.apply_list(list, list.complete ? core::ListKind::cached : core::ListKind::delta);
   }
   log.skip_to(config_->known_seq);
-  const auto told_later = [this](const core::MemberList& list) {
-    membership_.list(list, list.complete ? core::ListKind::full : core::ListKind::delta);
+  const auto told_later = [this](const core::HostListUpdate& list) {
+    endpoint_states_.apply_list(list, list.complete ? core::ListKind::full : core::ListKind::delta);
   };
   if (config_->xds) {
     const auto& xds = *config_->xds;
@@ -144,28 +144,28 @@
   std::cout << "lotusyard " << config_->name << " listens on " << config_->listen << std::endl;
 }
 
-void Invoker::join_companion(const CompanionMaker& make_companion) {
+void Invoker::attach_extension(const ExtensionFactory& make_companion) {
   if (!make_companion) return;
   const auto settings = [this]() -> const core::Settings& { return dispatcher_.settings(); };
   const auto share = [this](double part) {
     core::Settings next = dispatcher_.settings();
     next.share = part;
-    dispatcher_.retune(next);
+    dispatcher_.apply_settings(next);
   };
-  companion_ = make_companion({loop_, counters_, membership_, fleet_, settings, share, config_->name},
+  extension_ = make_companion({loop_, counters_, endpoint_states_, host_connections_, settings, share, config_->name},
                               read_file(file_));
-  if (!companion_) return;
-  dispatcher_.guard(fleet_.gate(companion_->gate()));
-  dispatcher_.watch_refusals([this](const core::Call& call) { companion_->refused(call); });
-  fleet_.ask_before([this](const std::string& host, const core::Call* call, std::uint64_t function) {
-    return companion_->may_send(host, call, function);
+  if (!extension_) return;
+  dispatcher_.set_host_filter(host_connections_.gate(extension_->host_filter()));
+  dispatcher_.observe_rejections([this](const core::Call& call) { extension_->on_rejected(call); });
+  host_connections_.set_send_filter([this](const std::string& host, const core::Call* call, std::uint64_t function) {
+    return extension_->may_send(host, call, function);
   });
-  dispatcher_.watch([this](const std::string& host, const core::Call& call, core::Outcome outcome) {
-    companion_->attempt_ended(host, call, outcome);
+  dispatcher_.observe_attempts([this](const std::string& host, const core::Call& call, core::Outcome outcome) {
+    extension_->attempt_ended(host, call, outcome);
   });
 }
 
-void Invoker::take_triggers(const StoreMaker& make_store) {
+void Invoker::take_triggers(const ResultStoreFactory& make_store) {
   if (!config_->amqp) return;
   const auto& amqp = *config_->amqp;
   if (!amqp.store.empty()) {
@@ -181,29 +181,29 @@
   std::cout << "lotusyard " << config_->name << " takes triggers from " << amqp.brokers.front() << std::endl;
 }
 
-void Invoker::look() {
-  if (const auto out = out_files_.read()) {
-    membership_.follow(*out, loop_.now());
+void Invoker::poll_shared_state() {
+  if (const auto out = disabled_host_files_.read()) {
+    endpoint_states_.set_disabled(*out, loop_.now());
   } else {
     counters_.add("membership.not_read");  // what was known holds
   }
-  const Standing other = ending() ? Standing::leaving : Standing::beside;
-  if (presence_.known()) stand(presence_.other_lives() ? other : Standing::alone);
-  look_ = loop_.at(loop_.now() + kLookPace, [this] { look(); });
+  const ProcessRole other = is_shutting_down() ? ProcessRole::draining : ProcessRole::concurrent;
+  if (presence_.known()) set_role(presence_.other_lives() ? other : ProcessRole::sole);
+  poll_timer_ = loop_.schedule_at(loop_.now() + kLookPace, [this] { poll_shared_state(); });
 }
 
-void Invoker::stand(Standing standing) {
-  if (standing == standing_) return;
-  standing_ = standing;
-  const auto mine = shares();
-  pool_.bound(mine.unwritten / net::BufferPool::block_size);
-  fleet_.bound(host_limits(*config_, mine));
-  front_.bound(front_limits());
+void Invoker::set_role(ProcessRole standing) {
+  if (standing == role_) return;
+  role_ = standing;
+  const auto mine = resource_shares();
+  pool_.set_max_blocks(mine.unwritten / net::BufferPool::block_size);
+  host_connections_.set_limits(host_limits(*config_, mine));
+  front_.set_limits(front_limits());
   counters_.add("takeover.changes");
 }
 
 // The file is read whole and checked, and only then taken, whole. A fault leaves everything as it is.
-void Invoker::reread() {
+void Invoker::reload_configuration() {
   try {
     const auto file = read_file(file_);
     config::check_replacement(outline_, file);
@@ -218,10 +218,10 @@
     if (!differs.empty()) std::cerr << "lotusyard: hold from the next start: " << differs << std::endl;
     config_ = next;
     outline_ = config::outline(file);
-    fleet_.bound(host_limits(*config_, shares()));
+    host_connections_.set_limits(host_limits(*config_, resource_shares()));
     next->settings.share = dispatcher_.settings().share;
-    dispatcher_.retune(next->settings);
-    if (triggers_) triggers_->retune(next->settings);
+    dispatcher_.apply_settings(next->settings);
+    if (triggers_) triggers_->apply_settings(next->settings);
     counters_.add("config.reread");
   } catch (const std::exception& fault) {
     counters_.add("config.faulty");  // the old one goes on
--- a/src/app/invoker.h
+++ b/src/app/invoker.h
@@ -23,56 +23,56 @@
 
 namespace lotusyard {
 
-class Invoker final : private console::Operations {
+class Invoker final : private console::AdminOperations {
  public:
-  Invoker(std::string file, const StoreMaker& make_store, const CompanionMaker& make_companion);
+  Invoker(std::string file, const ResultStoreFactory& make_store, const ExtensionFactory& make_companion);
   ~Invoker() override;
   void run();  // until it has been told to end, and has
 
  private:
   const std::string file_;
-  net::Loop loop_;
+  net::EventLoop loop_;
   Signals signals_;
   nlohmann::json outline_;  // of the file that is followed
   std::shared_ptr<const config::Config> config_;
-  const std::string folder_;  // what outlives this process; empty: nothing does
+  const std::string state_folder_;  // what outlives this process; empty: nothing does
   core::Counters counters_;
   hot_restart::Presence presence_;
-  hot_restart::Standing standing_;
+  hot_restart::ProcessRole role_;
   net::BufferPool pool_;
-  hosts::Fleet fleet_;
+  hosts::HostConnectionPool host_connections_;
   core::Dispatcher dispatcher_;
-  membership::OutFiles out_files_;
-  membership::Membership membership_;
+  membership::DisabledHostFiles disabled_host_files_;
+  membership::EndpointStates endpoint_states_;
   std::optional<discovery::Discovery> discovery_;
   std::optional<xds::HostFile> host_file_;
   resp::Front front_;
-  std::unique_ptr<answers::Store> store_;
+  std::unique_ptr<answers::ResultStore> store_;
   std::optional<amqp::Front> triggers_;
-  std::unique_ptr<Companion> companion_;
+  std::unique_ptr<InvokerExtension> extension_;
   std::optional<console::AdminEndpoint> admin_endpoint_;
-  net::Loop::TimerId look_{};
-  core::Millis told_to_end_{0};
+  net::EventLoop::TimerId poll_timer_{};
+  core::Millis shutdown_started_at_{0};
 
   bool replaces() const { return config_->listen_fd >= 0; }  // processes take turns at one listener
-  bool ending() const { return told_to_end_.count() > 0; }
-  hot_restart::Shares shares() const;
+  bool is_shutting_down() const { return shutdown_started_at_.count() > 0; }
+  hot_restart::ResourceShares resource_shares() const;
   resp::Front::Limits front_limits() const;
   void follow_list();
   void listen();
-  void join_companion(const CompanionMaker& make_companion);
+  void attach_extension(const ExtensionFactory& make_companion);
   void open_admin_endpoint();
-  void take_triggers(const StoreMaker& make_store);
-  void look();  // at what another process of this invoker has done
-  void stand(hot_restart::Standing standing);
-  void reread();
-  void begin_end();
-  bool ended();
+  void take_triggers(const ResultStoreFactory& make_store);
+  void poll_shared_state();  // at what another process of this invoker has done
+  void set_role(hot_restart::ProcessRole standing);
+  void reload_configuration();
+  void begin_shutdown();
+  bool shutdown_complete();
 
   bool ready() const override;
-  console::Done disable(const std::string& host) override;
-  console::Done enable(const std::string& host) override;
-  std::optional<console::Said> other(const console::Request& request) override;
+  console::OperationResult disable(const std::string& host) override;
+  console::OperationResult enable(const std::string& host) override;
+  std::optional<console::Response> handle_request(const console::Request& request) override;
 };
 
 }  // namespace lotusyard
--- a/src/app/invoker_admin_endpoint.cpp
+++ b/src/app/invoker_admin_endpoint.cpp
@@ -7,37 +7,37 @@
 
 void Invoker::open_admin_endpoint() {
   if (config_->console.empty()) return;
-  admin_endpoint_.emplace(loop_, counters_, static_cast<console::Operations&>(*this), shares().callers);
+  admin_endpoint_.emplace(loop_, counters_, static_cast<console::AdminOperations&>(*this), resource_shares().callers);
   if (!admin_endpoint_->listen(config_->console)) {
     throw config::ConfigError("configuration: console: cannot listen on " + config_->console);
   }
   std::cout << "lotusyard " << config_->name << " is operated at " << config_->console << std::endl;
-  if (folder_.empty())
+  if (state_folder_.empty())
     std::cerr << "lotusyard: TMPDIR is not set: no host can be taken out by hand" << std::endl;
 }
 
 bool Invoker::ready() const {
-  return front_.listening() && !ending() && (!companion_ || companion_->ready());
+  return front_.listening() && !is_shutting_down() && (!extension_ || extension_->ready());
 }
 
-std::optional<console::Said> Invoker::other(const console::Request& request) {
-  return companion_ ? companion_->asked(request) : std::nullopt;
+std::optional<console::Response> Invoker::handle_request(const console::Request& request) {
+  return extension_ ? extension_->handle_request(request) : std::nullopt;
 }
 
-console::Done Invoker::disable(const std::string& host) {
-  if (!membership_.known(host)) return console::Done::unknown_host;
-  if (!out_files_.add(host)) return console::Done::not_kept;
-  membership_.disable(host);
+console::OperationResult Invoker::disable(const std::string& host) {
+  if (!endpoint_states_.is_known(host)) return console::OperationResult::unknown_host;
+  if (!disabled_host_files_.add(host)) return console::OperationResult::not_persisted;
+  endpoint_states_.disable(host);
   std::cout << "lotusyard " << config_->name << ": host " << host << " is out by hand" << std::endl;
-  return console::Done::yes;
+  return console::OperationResult::done;
 }
 
-console::Done Invoker::enable(const std::string& host) {
-  if (!membership_.known(host)) return console::Done::unknown_host;
-  if (!out_files_.remove(host)) return console::Done::not_kept;
-  membership_.enable(host, loop_.now());
+console::OperationResult Invoker::enable(const std::string& host) {
+  if (!endpoint_states_.is_known(host)) return console::OperationResult::unknown_host;
+  if (!disabled_host_files_.remove(host)) return console::OperationResult::not_persisted;
+  endpoint_states_.enable(host, loop_.now());
   std::cout << "lotusyard " << config_->name << ": host " << host << " may be used again" << std::endl;
-  return console::Done::yes;
+  return console::OperationResult::done;
 }
 
 }  // namespace lotusyard
--- a/src/app/invoker_ends.cpp
+++ b/src/app/invoker_ends.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 using core::Millis;
-using hot_restart::Standing;
+using hot_restart::ProcessRole;
 
 constexpr Millis kComingFor{800};  // after SIGTERM connections and calls keep coming for at most 0.6 s
 constexpr Millis kListenFor{500};  // new connections for at most 0.4 s of these
@@ -21,22 +21,22 @@
 
 }  // namespace
 
-void Invoker::begin_end() {
-  told_to_end_ = loop_.now();
+void Invoker::begin_shutdown() {
+  shutdown_started_at_ = loop_.now();
   if (replaces()) {
     // The other process takes clients: what comes next is for it.
     front_.stop_listening();
-    if (standing_ != Standing::alone) stand(Standing::leaving);
+    if (role_ != ProcessRole::sole) set_role(ProcessRole::draining);
   } else {
     front_.drain();
   }
   if (triggers_) triggers_->drain();
-  if (companion_) companion_->drain();
+  if (extension_) extension_->drain();
 }
 
-bool Invoker::ended() {
+bool Invoker::shutdown_complete() {
   // Danger: by the clock, a turn that took long would end what has come meanwhile and was not read.
-  const Millis since = loop_.turn_began() - told_to_end_;
+  const Millis since = loop_.iteration_started() - shutdown_started_at_;
   const Millis latest = std::min(core::longest_deadline(config_->settings), kMostKill) + kKillSlack;
   // Danger: calls that come just before their connection stops may still be out: ended with the process they
   // would be lost.
@@ -60,19 +60,19 @@
 
 void Invoker::run() {
   while (true) {
-    Millis due = dispatcher_.next_due();
-    if (ending()) due = std::min(due, loop_.now() + kTurnMost);
-    loop_.turn(due, [this] {
+    Millis due = dispatcher_.next_deadline();
+    if (is_shutting_down()) due = std::min(due, loop_.now() + kTurnMost);
+    loop_.run_once(due, [this] {
       dispatcher_.tick();
-      if (companion_) companion_->before_writes();
+      if (extension_) extension_->before_writes();
     });
-    if (signals_.print()) counters_.print(std::cout);
-    if (signals_.reread()) reread();
-    if (signals_.terminate() && !ending()) begin_end();
-    if (ending() && ended()) break;
+    if (signals_.print_requested()) counters_.print(std::cout);
+    if (signals_.reload_requested()) reload_configuration();
+    if (signals_.terminate_requested() && !is_shutting_down()) begin_shutdown();
+    if (is_shutting_down() && shutdown_complete()) break;
   }
   if (triggers_) triggers_->close();
-  loop_.turn(loop_.now(), [] {});
+  loop_.run_once(loop_.now(), [] {});
   counters_.print(std::cout);
 }
 
--- a/src/app/signals.cpp
+++ b/src/app/signals.cpp
@@ -26,13 +26,13 @@
 
 }  // namespace
 
-Signals::Signals(net::Loop& loop) : loop_(loop) {
+Signals::Signals(net::EventLoop& loop) : loop_(loop) {
   int ends[2];
   if (pipe2(ends, O_NONBLOCK | O_CLOEXEC) != 0) throw std::runtime_error("no pipe for signals");
   read_end_ = net::Socket(ends[0]);
   write_end_ = net::Socket(ends[1]);
   g_wake_fd = write_end_.fd();
-  loop_.watch(read_end_.fd(), *this, POLLIN, net::Loop::Rank::urgent);
+  loop_.register_handler(read_end_.fd(), *this, POLLIN, net::EventLoop::Priority::urgent);
   struct sigaction act {};
   act.sa_handler = on_signal;
   for (const int signal : {SIGTERM, SIGINT, SIGUSR1, SIGHUP}) sigaction(signal, &act, nullptr);
@@ -40,15 +40,15 @@
   sigaction(SIGPIPE, &act, nullptr);
 }
 
-Signals::~Signals() { loop_.forget(read_end_.fd(), *this); }
+Signals::~Signals() { loop_.unregister(read_end_.fd(), *this); }
 
 void Signals::ready(short) {
   char bytes[64];
   while (read(read_end_.fd(), bytes, sizeof bytes) > 0) {}
 }
 
-bool Signals::print() { return taken(g_print); }
-bool Signals::reread() { return taken(g_reread); }
-bool Signals::terminate() { return taken(g_terminate); }
+bool Signals::print_requested() { return taken(g_print); }
+bool Signals::reload_requested() { return taken(g_reread); }
+bool Signals::terminate_requested() { return taken(g_terminate); }
 
 }  // namespace lotusyard
--- a/src/app/signals.h
+++ b/src/app/signals.h
@@ -6,18 +6,18 @@
 
 namespace lotusyard {
 
-class Signals final : public net::Handler {
+class Signals final : public net::EventHandler {
  public:
-  explicit Signals(net::Loop& loop);
+  explicit Signals(net::EventLoop& loop);
   ~Signals() override;
   void ready(short events) override;
   // Each is told once.
-  bool print();
-  bool reread();
-  bool terminate();
+  bool print_requested();
+  bool reload_requested();
+  bool terminate_requested();
 
  private:
-  net::Loop& loop_;
+  net::EventLoop& loop_;
   net::Socket read_end_, write_end_;
 };
 
--- a/src/average.h
+++ b/src/average.h
@@ -9,7 +9,7 @@
 
 // A moving average: the plain mean at first, then with the given gain; a sample counts at most `outlier`
 // times it.
-struct Average {
+struct MovingAverage {
   double value = 0;
   int samples = 0;
   void add(double sample, double gain, double outlier) {
--- a/src/compliance/book.h
+++ b/src/compliance/book.h
@@ -20,70 +20,70 @@
   bool exclusive = false;  // its hosts serve no tenant that is not under it
 };
 struct Certificate {
-  enum class State { stands, ending, ended };  // ending: revoked, and some member may still use it
+  enum class State { valid, revoking, ended };  // ending: revoked, and some member may still use it
   std::string name, host, regime;
-  Millis from{0}, until{0};     // Unix milliseconds
-  bool outlives_start = false;  // it holds for a host that has started anew, too
-  double host_life = 0;         // when the host started for which it was issued
-  State state = State::stands;
-  std::uint64_t round = 0;  // the index at which it was revoked
+  Millis valid_from{0}, valid_until{0};     // Unix milliseconds
+  bool survives_restart = false;  // it holds for a host that has started anew, too
+  double host_incarnation = 0;         // when the host started for which it was issued
+  State state = State::valid;
+  std::uint64_t revoked_at_index = 0;  // the index at which it was revoked
 };
 
-struct Entry {
+struct LogEntry {
   enum class Kind {
-    regime,   // one is added, or changes
-    tenant,   // a tenant is under these regimes from now on; under none, if there are none
+    put_regime,   // one is added, or changes
+    put_tenant,   // a tenant is under these regimes from now on; under none, if there are none
     certify,  // a host gets a certificate
     revoke,   // a certificate ends
-    told,     // a member uses a revoked certificate no more
-    ended     // no member does, or can
+    acknowledge,     // a member uses a revoked certificate no more
+    finish_revocation     // no member does, or can
   };
-  Kind kind = Kind::regime;
+  Kind kind = Kind::put_regime;
   std::string proposal;  // an operator's, by which its outcome can be asked for
   Regime regime;
   Certificate certificate;
   std::string tenant, member, name;
   std::set<std::string> regimes;
-  std::uint64_t life = 0, round = 0;
+  std::uint64_t incarnation = 0, revoked_at_index = 0;
 };
-std::string worded(const Entry& entry);
+std::string encode_entry(const LogEntry& entry);
 // Throws std::invalid_argument naming the key.
-Entry read_entry(const nlohmann::json& from);
+LogEntry parse_entry(const nlohmann::json& from);
 
 // A host as the list has it.
-struct Place {
+struct HostLocation {
   std::string id, zone;
-  double life = 0;
+  double incarnation = 0;
 };
-struct Verdict {
-  bool may = true;
+struct FilterResult {
+  bool allowed = true;
   const char* reason = nullptr;  // a counter's last word
   std::string regime;
 };
 
-class Book {
+class CertificateState {
  public:
-  static constexpr std::size_t certificates_most = 4096, tenants_most = 4096, outcomes_most = 256;
-  struct Outcome {
+  static constexpr std::size_t max_certificates = 4096, max_tenants = 4096, max_outcomes = 256;
+  struct ProposalOutcome {
     bool done = false;
     std::string why;
     std::uint64_t index = 0;
   };
-  Outcome apply(std::uint64_t index, const Entry& entry);
+  ProposalOutcome apply(std::uint64_t index, const LogEntry& entry);
 
   // Whether a call of the tenant, or a copy for it, may be at the host now. `knows`: this member's lease
   // holds, so that what it has applied is what stands; without it nothing regulated goes anywhere. `error`:
   // by so much any clock may be wrong; what may have expired has.
-  Verdict may(const std::string& tenant, const Place& host, bool knows, Millis now, Millis error) const;
-  bool regulated(const std::string& tenant) const;
+  FilterResult check(const std::string& tenant, const HostLocation& host, bool knows, Millis now, Millis error) const;
+  bool is_regulated(const std::string& tenant) const;
   bool empty() const { return regimes_.empty(); }
 
   const std::map<std::string, Regime>& regimes() const { return regimes_; }
   const std::map<std::string, Certificate>& certificates() const { return certificates_; }
   const std::map<std::string, std::set<std::string>>& tenants() const { return tenants_; }
   // Members, and their lives, that have said that they use this certificate no more.
-  bool told(const std::string& certificate, const std::string& member, std::uint64_t life) const;
-  const Outcome* outcome(const std::string& proposal) const;
+  bool has_acknowledged(const std::string& certificate, const std::string& member, std::uint64_t life) const;
+  const ProposalOutcome* find_outcome(const std::string& proposal) const;
   std::uint64_t index() const { return index_; }
 
   nlohmann::json snapshot() const;
@@ -93,13 +93,13 @@
   std::map<std::string, Regime> regimes_;
   std::map<std::string, std::set<std::string>> tenants_;
   std::map<std::string, Certificate> certificates_;
-  std::map<std::string, std::map<std::string, std::uint64_t>> told_;  // by certificate: members and lives
-  std::map<std::string, Outcome> outcomes_;
+  std::map<std::string, std::map<std::string, std::uint64_t>> acknowledged_;  // by certificate: members and lives
+  std::map<std::string, ProposalOutcome> outcomes_;
   std::uint64_t index_ = 0;
 
-  std::string change(const Entry& entry);
-  bool certified(const std::string& regime, const Place& host, Millis now, Millis error) const;
-  void make_room();
+  std::string apply_entry(const LogEntry& entry);
+  bool has_certificate(const std::string& regime, const HostLocation& host, Millis now, Millis error) const;
+  void expire_outcomes();
 };
 
 }  // namespace lotusyard::compliance
--- a/src/compliance/enforcer.h
+++ b/src/compliance/enforcer.h
@@ -11,33 +11,33 @@
 
 namespace lotusyard::compliance {
 
-class Enforcer {
+class ComplianceFilter {
  public:
-  using Note = std::function<void(const std::string& text)>;
-  using Knows = std::function<bool()>;  // whether this process's lease holds: the book is current
+  using LogSink = std::function<void(const std::string& text)>;
+  using IsLeased = std::function<bool()>;  // whether this process's lease holds: the book is current
   // The book outlives it.
-  Enforcer(const Wiring& wiring, const Book& book, Knows knows, Note note);
+  ComplianceFilter(const InvokerServices& wiring, const CertificateState& book, IsLeased knows, LogSink note);
 
   // To be called whenever the lease may have come or gone.
   void update();
-  Verdict may(const std::string& tenant, const std::string& host) const;
+  FilterResult check(const std::string& tenant, const std::string& host) const;
   // Whether the module may consider the host for a call of this tenant. Remembers who asked for the function.
-  bool considers(const std::string& tenant, std::uint64_t function, const std::string& host);
+  bool allows_host(const std::string& tenant, std::uint64_t function, const std::string& host);
   // The last check: a call, a load of the function, or what names neither. A refusal is counted.
   bool may_send(const std::string& host, const core::Call* call, std::uint64_t function) const;
   // A call never went out: counted and noted if these rules are the reason.
-  void refused(const core::Call& call) const;
+  void on_rejected(const core::Call& call) const;
 
  private:
-  static constexpr std::size_t functions_most = 8192;
-  Wiring wiring_;
-  const Book& book_;
-  Knows knows_;
-  Note note_;
-  bool knew_ = false;
+  static constexpr std::size_t max_functions = 8192;
+  InvokerServices services_;
+  const CertificateState& state_;
+  IsLeased is_leased_;
+  LogSink log_;
+  bool was_leased_ = false;
   std::unordered_map<std::uint64_t, std::string> tenant_of_;  // by function: who asked for it last
 
-  bool last_check(const std::string& tenant, const std::string& host) const;
+  bool check_before_write(const std::string& tenant, const std::string& host) const;
 };
 
 }  // namespace lotusyard::compliance
--- a/src/compliance/entry.cpp
+++ b/src/compliance/entry.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 using nlohmann::json;
-using Kind = Entry::Kind;
+using Kind = LogEntry::Kind;
 
 constexpr std::array<const char*, 6> kKinds{"regime", "tenant", "certify", "revoke", "told", "ended"};
 constexpr std::size_t kLongestName = 128, kRegimesMost = 64;
@@ -52,23 +52,23 @@
   }
 }
 
-json worded(const Regime& r) { return {{"name", r.name}, {"zone", r.zone}, {"exclusive", r.exclusive}}; }
+json encode_entry(const Regime& r) { return {{"name", r.name}, {"zone", r.zone}, {"exclusive", r.exclusive}}; }
 Regime read_regime(const json& from) {
   if (!from.is_object()) fault("regime", "an object is needed");
   only(from, "regime.", {"name", "zone", "exclusive"});
   return {text(from, "name"), text(from, "zone", false), flag(from, "exclusive")};
 }
 
-json worded(const Certificate& c) {
+json encode_entry(const Certificate& c) {
   return {{"name", c.name},
           {"host", c.host},
           {"regime", c.regime},
-          {"from_ms", c.from.count()},
-          {"until_ms", c.until.count()},
-          {"outlives_start", c.outlives_start},
-          {"host_life", c.host_life},
+          {"from_ms", c.valid_from.count()},
+          {"until_ms", c.valid_until.count()},
+          {"outlives_start", c.survives_restart},
+          {"host_life", c.host_incarnation},
           {"state", static_cast<int>(c.state)},
-          {"round", c.round}};
+          {"round", c.revoked_at_index}};
 }
 Certificate read_certificate(const json& from) {
   if (!from.is_object()) fault("certificate", "an object is needed");
@@ -78,49 +78,49 @@
   out.name = text(from, "name");
   out.host = text(from, "host");
   out.regime = text(from, "regime");
-  out.from = Millis(number(from, "from_ms"));
-  out.until = Millis(number(from, "until_ms"));
-  if (!(out.from < out.until)) fault("until_ms", "expires before it is issued");
-  out.outlives_start = flag(from, "outlives_start");
-  if (from.contains("host_life")) out.host_life = number(from, "host_life");
+  out.valid_from = Millis(number(from, "from_ms"));
+  out.valid_until = Millis(number(from, "until_ms"));
+  if (!(out.valid_from < out.valid_until)) fault("until_ms", "expires before it is issued");
+  out.survives_restart = flag(from, "outlives_start");
+  if (from.contains("host_life")) out.host_incarnation = number(from, "host_life");
   const auto state = whole(from, "state");
   if (state > 2) fault("state", "there is no such");
   out.state = static_cast<Certificate::State>(state);
-  out.round = whole(from, "round");
+  out.revoked_at_index = whole(from, "round");
   return out;
 }
 
 }  // namespace
 
-std::string worded(const Entry& e) {
+std::string encode_entry(const LogEntry& e) {
   json out = {{"t", kKinds[static_cast<std::size_t>(e.kind)]}};
   if (!e.proposal.empty()) out["id"] = e.proposal;
-  if (e.kind == Kind::regime) out["regime"] = worded(e.regime);
-  if (e.kind == Kind::certify) out["certificate"] = worded(e.certificate);
-  if (e.kind == Kind::tenant) {
+  if (e.kind == Kind::put_regime) out["regime"] = encode_entry(e.regime);
+  if (e.kind == Kind::certify) out["certificate"] = encode_entry(e.certificate);
+  if (e.kind == Kind::put_tenant) {
     out["tenant"] = e.tenant;
     out["regimes"] = e.regimes;
   }
   if (!e.name.empty()) out["name"] = e.name;
   if (!e.member.empty()) out["member"] = e.member;
-  if (e.life > 0) out["life"] = e.life;
-  if (e.round > 0) out["round"] = e.round;
+  if (e.incarnation > 0) out["life"] = e.incarnation;
+  if (e.revoked_at_index > 0) out["round"] = e.revoked_at_index;
   return out.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-Entry read_entry(const json& from) {
+LogEntry parse_entry(const json& from) {
   if (!from.is_object()) fault("entry", "an object is needed");
   only(from, "",
        {"t", "id", "regime", "certificate", "tenant", "regimes", "name", "member", "life", "round"});
-  Entry out;
+  LogEntry out;
   const std::string kind = text(from, "t");
   const auto at = std::find(kKinds.begin(), kKinds.end(), kind);
   if (at == kKinds.end()) fault("t", "no entry is called " + kind);
   out.kind = static_cast<Kind>(at - kKinds.begin());
   out.proposal = text(from, "id", false);
-  if (out.kind == Kind::regime) out.regime = read_regime(from.value("regime", json()));
+  if (out.kind == Kind::put_regime) out.regime = read_regime(from.value("regime", json()));
   if (out.kind == Kind::certify) out.certificate = read_certificate(from.value("certificate", json()));
-  if (out.kind == Kind::tenant) {
+  if (out.kind == Kind::put_tenant) {
     out.tenant = text(from, "tenant", false);  // calls may name none
     const json regimes = from.value("regimes", json());
     if (!regimes.is_array() || regimes.size() > kRegimesMost) fault("regimes", "an array is needed");
@@ -130,27 +130,27 @@
     }
   }
   out.name = text(from, "name", out.kind >= Kind::revoke);
-  out.member = text(from, "member", out.kind == Kind::told);
-  out.life = whole(from, "life");
-  out.round = whole(from, "round");
+  out.member = text(from, "member", out.kind == Kind::acknowledge);
+  out.incarnation = whole(from, "life");
+  out.revoked_at_index = whole(from, "round");
   return out;
 }
 
-json Book::snapshot() const {
+json CertificateState::snapshot() const {
   json regimes = json::array(), certificates = json::array(), outcomes = json::array();
-  for (const auto& [name, r] : regimes_) regimes.push_back(worded(r));
-  for (const auto& [name, c] : certificates_) certificates.push_back(worded(c));
+  for (const auto& [name, r] : regimes_) regimes.push_back(encode_entry(r));
+  for (const auto& [name, c] : certificates_) certificates.push_back(encode_entry(c));
   for (const auto& [id, o] : outcomes_) outcomes.push_back({id, o.done, o.why, o.index});
   return {{"index", index_}, {"regimes", regimes},   {"tenants", tenants_},
-          {"told", told_},   {"outcomes", outcomes}, {"certificates", certificates}};
+          {"told", acknowledged_},   {"outcomes", outcomes}, {"certificates", certificates}};
 }
 
-bool Book::restore(const json& from) {
+bool CertificateState::restore(const json& from) {
   try {
-    Book out;
+    CertificateState out;
     from.at("index").get_to(out.index_);
     from.at("tenants").get_to(out.tenants_);
-    from.at("told").get_to(out.told_);
+    from.at("told").get_to(out.acknowledged_);
     for (const auto& row : from.at("regimes")) {
       const Regime r = read_regime(row);
       out.regimes_[r.name] = r;
--- a/src/compliance/officer.cpp
+++ b/src/compliance/officer.cpp
@@ -13,145 +13,145 @@
 
 }  // namespace
 
-Officer::Officer(const Wiring& wiring, const group::Config& config, works::Coordinator& coordinator,
-                 Note note)
-    : wiring_(wiring),
+ComplianceReplica::ComplianceReplica(const InvokerServices& wiring, const group::Config& config, works::MaintenanceReplica& coordinator,
+                 LogSink note)
+    : services_(wiring),
       config_(config),
-      coordinator_(coordinator),
-      note_(std::move(note)),
-      enforcer_(
-          wiring, book_, [this] { return coordinator_.leased(); }, note_) {}
+      maintenance_(coordinator),
+      log_(std::move(note)),
+      filter_(
+          wiring, state_, [this] { return maintenance_.is_leased(); }, log_) {}
 
-void Officer::attach(group::Member& member) {
-  member_ = &member;
+void ComplianceReplica::attach(group::RaftReplica& member) {
+  replica_ = &member;
   update();
-  turn();
+  run_periodic();
 }
 
-void Officer::update() { enforcer_.update(); }
+void ComplianceReplica::update() { filter_.update(); }
 
-void Officer::applied(std::uint64_t index, const std::string& text) {
-  Entry entry;
+void ComplianceReplica::apply(std::uint64_t index, const std::string& text) {
+  LogEntry entry;
   try {
-    entry = read_entry(json::parse(text));
+    entry = parse_entry(json::parse(text));
   } catch (const std::exception& fault) {
-    wiring_.counters.add("compliance.unreadable");
-    return coordinator_.failed("entry " + std::to_string(index) +
+    services_.counters.add("compliance.unreadable");
+    return maintenance_.on_store_failure("entry " + std::to_string(index) +
                                " of the log cannot be read: " + fault.what());
   }
   proposed_ = Millis(0);
-  const auto outcome = book_.apply(index, entry);
-  ++changes_;
-  if (outcome.index != index || entry.kind == Entry::Kind::told) return;
-  note_("entry=" + std::to_string(index) + ' ' + text + (outcome.done ? "" : " refused: " + outcome.why));
-  if (!outcome.done || entry.kind != Entry::Kind::revoke) return;
-  wiring_.counters.add("compliance.revoked");
-  stopped_[entry.name] = wiring_.loop.now();
-  wiring_.fleet.cut(book_.certificates().at(entry.name).host);
+  const auto outcome = state_.apply(index, entry);
+  ++version_;
+  if (outcome.index != index || entry.kind == LogEntry::Kind::acknowledge) return;
+  log_("entry=" + std::to_string(index) + ' ' + text + (outcome.done ? "" : " refused: " + outcome.why));
+  if (!outcome.done || entry.kind != LogEntry::Kind::revoke) return;
+  services_.counters.add("compliance.revoked");
+  unused_since_[entry.name] = services_.loop.now();
+  services_.host_connections.abort_unsent(state_.certificates().at(entry.name).host);
 }
 
-bool Officer::restore(const std::string& snapshot) {
+bool ComplianceReplica::restore(const std::string& snapshot) {
   if (snapshot.empty()) return true;
-  ++changes_;
-  return book_.restore(json::parse(snapshot, nullptr, false));
+  ++version_;
+  return state_.restore(json::parse(snapshot, nullptr, false));
 }
 
 // A certificate is used no more once every call that may have gone out under it has run out of time.
-void Officer::turn() {
-  const Millis now = wiring_.loop.now();
-  turns_ = wiring_.loop.at(now + config_.terms.beat() / 2, [this] { turn(); });
-  for (const auto& [name, c] : book_.certificates()) {
-    if (c.state != State::ending || book_.told(name, config_.member, member_->life())) continue;
-    const Millis since = stopped_.try_emplace(name, now).first->second;
-    if (now - since < config_.terms.last_call || !config_.serves) continue;
-    if (others_settled_ && !others_settled_(c.round)) continue;
-    Entry told;
-    told.kind = Entry::Kind::told;
+void ComplianceReplica::run_periodic() {
+  const Millis now = services_.loop.now();
+  periodic_timer_ = services_.loop.schedule_at(now + config_.terms.heartbeat_interval() / 2, [this] { run_periodic(); });
+  for (const auto& [name, c] : state_.certificates()) {
+    if (c.state != State::revoking || state_.has_acknowledged(name, config_.member, replica_->incarnation())) continue;
+    const Millis since = unused_since_.try_emplace(name, now).first->second;
+    if (now - since < config_.terms.max_attempt_time || !config_.serves) continue;
+    if (sessions_quiesced_ && !sessions_quiesced_(c.revoked_at_index)) continue;
+    LogEntry told;
+    told.kind = LogEntry::Kind::acknowledge;
     told.name = name;
     told.member = config_.member;
-    told.life = member_->life();
-    told.round = c.round;
-    member_->tell_leader(*this, worded(told));
+    told.incarnation = replica_->incarnation();
+    told.revoked_at_index = c.revoked_at_index;
+    replica_->send_to_leader(*this, encode_entry(told));
   }
-  for (auto i = stopped_.begin(); i != stopped_.end();) {
-    const auto found = book_.certificates().find(i->first);
-    const bool over = found == book_.certificates().end() || found->second.state != State::ending;
-    i = over ? stopped_.erase(i) : std::next(i);
+  for (auto i = unused_since_.begin(); i != unused_since_.end();) {
+    const auto found = state_.certificates().find(i->first);
+    const bool over = found == state_.certificates().end() || found->second.state != State::revoking;
+    i = over ? unused_since_.erase(i) : std::next(i);
   }
-  if (coordinator_.leads() && now - proposed_ >= config_.terms.beat() / 2 * kAgain) lead();
+  if (maintenance_.is_ready_leader() && now - proposed_ >= config_.terms.heartbeat_interval() / 2 * kAgain) run_leader();
 }
 
-std::string Officer::waits_for(const Certificate& c) const {
+std::string ComplianceReplica::members_not_acknowledged(const Certificate& c) const {
   std::string out;
-  for (const auto& [name, m] : coordinator_.board().members()) {
-    const bool silent = wiring_.loop.now() - m.seen >= config_.terms.silent();
-    if (m.serves && !silent && !book_.told(c.name, name, m.life)) out += (out.empty() ? "" : ", ") + name;
+  for (const auto& [name, m] : maintenance_.state().members()) {
+    const bool silent = services_.loop.now() - m.last_heartbeat_at >= config_.terms.presumed_dead_after();
+    if (m.serves && !silent && !state_.has_acknowledged(c.name, name, m.incarnation)) out += (out.empty() ? "" : ", ") + name;
   }
   return out;
 }
 
-void Officer::lead() {
-  for (const auto& [name, c] : book_.certificates()) {
-    if (c.state != State::ending || !waits_for(c).empty()) continue;
-    Entry ended;
-    ended.kind = Entry::Kind::ended;
+void ComplianceReplica::run_leader() {
+  for (const auto& [name, c] : state_.certificates()) {
+    if (c.state != State::revoking || !members_not_acknowledged(c).empty()) continue;
+    LogEntry ended;
+    ended.kind = LogEntry::Kind::finish_revocation;
     ended.name = name;
-    ended.round = c.round;
-    if (member_->propose(*this, worded(ended))) proposed_ = wiring_.loop.now();
+    ended.revoked_at_index = c.revoked_at_index;
+    if (replica_->propose(*this, encode_entry(ended))) proposed_ = services_.loop.now();
   }
 }
 
-void Officer::told(const std::string& word) {
+void ComplianceReplica::handle_message(const std::string& word) {
   try {
-    const Entry entry = read_entry(json::parse(word));
-    if (entry.kind == Entry::Kind::told && book_.told(entry.name, entry.member, entry.life)) return;
-    if (entry.kind != Entry::Kind::ended) member_->propose(*this, worded(entry));
-  } catch (const std::exception&) { wiring_.counters.add("compliance.malformed"); }
+    const LogEntry entry = parse_entry(json::parse(word));
+    if (entry.kind == LogEntry::Kind::acknowledge && state_.has_acknowledged(entry.name, entry.member, entry.incarnation)) return;
+    if (entry.kind != LogEntry::Kind::finish_revocation) replica_->propose(*this, encode_entry(entry));
+  } catch (const std::exception&) { services_.counters.add("compliance.malformed"); }
 }
 
-json Officer::shown() const {
+json ComplianceReplica::status_to_json() const {
   json certificates = json::object();
   static const char* const states[] = {"stands", "ending", "ended"};
-  for (const auto& [name, c] : book_.certificates())
+  for (const auto& [name, c] : state_.certificates())
     certificates[name] = {{"host", c.host},
                           {"regime", c.regime},
                           {"state", states[static_cast<std::size_t>(c.state)]},
-                          {"waits_for", c.state == State::ending ? waits_for(c) : ""}};
+                          {"waits_for", c.state == State::revoking ? members_not_acknowledged(c) : ""}};
   json regimes = json::array();
-  for (const auto& [name, r] : book_.regimes()) regimes.push_back(name);
-  return {{"member", config_.member}, {"index", book_.index()},       {"knows", coordinator_.leased()},
-          {"regimes", regimes},       {"certificates", certificates}, {"tenants", book_.tenants()}};
+  for (const auto& [name, r] : state_.regimes()) regimes.push_back(name);
+  return {{"member", config_.member}, {"index", state_.index()},       {"knows", maintenance_.is_leased()},
+          {"regimes", regimes},       {"certificates", certificates}, {"tenants", state_.tenants()}};
 }
 
-std::optional<console::Said> Officer::asked(const console::Request& request) {
+std::optional<console::Response> ComplianceReplica::handle_request(const console::Request& request) {
   const bool get = request.method == "GET";
   if (request.path == "/-/compliance")
-    return get ? console::Said{200, shown().dump()} : console::Said{405, "GET"};
+    return get ? console::Response{200, status_to_json().dump()} : console::Response{405, "GET"};
   if (request.path.compare(0, kPath.size(), kPath) != 0) return std::nullopt;
   const std::string rest = request.path.substr(kPath.size());
   const auto slash = rest.find('/');
   const std::string verb = rest.substr(0, slash),
                     what = slash == std::string::npos ? "" : rest.substr(slash + 1);
   if (verb == "outcome") {
-    const auto* outcome = book_.outcome(what);
-    if (outcome == nullptr) return console::Said{404, "not known here"};
-    return console::Said{200, json{{"done", outcome->done}, {"why", outcome->why}}.dump()};
+    const auto* outcome = state_.find_outcome(what);
+    if (outcome == nullptr) return console::Response{404, "not known here"};
+    return console::Response{200, json{{"done", outcome->done}, {"why", outcome->why}}.dump()};
   }
   if (verb != "propose") return std::nullopt;
-  if (get) return console::Said{405, "POST"};
+  if (get) return console::Response{405, "POST"};
   try {
-    Entry entry = read_entry(json::parse(what));
-    if (entry.kind > Entry::Kind::revoke)
-      return console::Said{400, "t: no proposal that an operator can make"};
-    if (entry.proposal.empty()) return console::Said{400, "id: 1 to 128 bytes are needed"};
-    if (entry.kind == Entry::Kind::certify) {
-      const auto listed = wiring_.membership.listed(entry.certificate.host);
-      if (!listed) return console::Said{400, "host: unknown host " + entry.certificate.host};
-      entry.certificate.host_life = listed->entry.started.count();
+    LogEntry entry = parse_entry(json::parse(what));
+    if (entry.kind > LogEntry::Kind::revoke)
+      return console::Response{400, "t: no proposal that an operator can make"};
+    if (entry.proposal.empty()) return console::Response{400, "id: 1 to 128 bytes are needed"};
+    if (entry.kind == LogEntry::Kind::certify) {
+      const auto listed = services_.endpoint_states.find_listed(entry.certificate.host);
+      if (!listed) return console::Response{400, "host: unknown host " + entry.certificate.host};
+      entry.certificate.host_incarnation = listed->entry.started.count();
     }
-    const bool went = member_->tell_leader(*this, worded(entry));
-    return went ? console::Said{202, "taken"} : console::Said{503, "nobody is known to lead"};
-  } catch (const std::exception& fault) { return console::Said{400, fault.what()}; }
+    const bool went = replica_->send_to_leader(*this, encode_entry(entry));
+    return went ? console::Response{202, "taken"} : console::Response{503, "nobody is known to lead"};
+  } catch (const std::exception& fault) { return console::Response{400, fault.what()}; }
 }
 
 }  // namespace lotusyard::compliance
--- a/src/compliance/officer.h
+++ b/src/compliance/officer.h
@@ -9,49 +9,49 @@
 
 namespace lotusyard::compliance {
 
-class Officer final : public group::Part {
+class ComplianceReplica final : public group::ReplicatedStateMachine {
  public:
-  using Note = std::function<void(const std::string& text)>;
+  using LogSink = std::function<void(const std::string& text)>;
   // The coordinator outlives it: its signs of life and its lease are what a member's knowledge goes by.
-  Officer(const Wiring& wiring, const group::Config& config, works::Coordinator& coordinator, Note note);
-  ~Officer() override { wiring_.loop.cancel(turns_); }
-  void attach(group::Member& member);
+  ComplianceReplica(const InvokerServices& wiring, const group::Config& config, works::MaintenanceReplica& coordinator, LogSink note);
+  ~ComplianceReplica() override { services_.loop.cancel(periodic_timer_); }
+  void attach(group::RaftReplica& member);
   void update();  // the lease may have come or gone
 
-  Enforcer& enforcer() { return enforcer_; }
+  ComplianceFilter& filter() { return filter_; }
   // Whether all that this member represents have settled past an index of the log; it speaks for itself alone
   // without one.
-  using OthersSettled = std::function<bool(std::uint64_t index)>;
-  void represent(OthersSettled others_settled) { others_settled_ = std::move(others_settled); }
-  std::uint64_t changes() const { return changes_; }  // grows whenever the book may have changed
-  std::optional<console::Said> asked(const console::Request& request);
-  const Book& book() const { return book_; }
-
-  const char* kind() const override { return "compliance"; }
-  void applied(std::uint64_t index, const std::string& entry) override;
-  std::string snapshot() override { return book_.snapshot().dump(); }
+  using SessionsQuiesced = std::function<bool(std::uint64_t index)>;
+  void set_sessions_quiesced(SessionsQuiesced others_settled) { sessions_quiesced_ = std::move(others_settled); }
+  std::uint64_t version() const { return version_; }  // grows whenever the book may have changed
+  std::optional<console::Response> handle_request(const console::Request& request);
+  const CertificateState& state() const { return state_; }
+
+  const char* name() const override { return "compliance"; }
+  void apply(std::uint64_t index, const std::string& entry) override;
+  std::string snapshot() override { return state_.snapshot().dump(); }
   bool restore(const std::string& snapshot) override;
-  void told(const std::string& word) override;
-  void failed(const std::string&) override { update(); }
+  void handle_message(const std::string& word) override;
+  void on_store_failure(const std::string&) override { update(); }
 
  private:
-  Wiring wiring_;
+  InvokerServices services_;
   const group::Config config_;
-  works::Coordinator& coordinator_;
-  Note note_;
-  group::Member* member_ = nullptr;
-  Book book_;
-  Enforcer enforcer_;
-  OthersSettled others_settled_;
-  std::uint64_t changes_ = 0;
-  net::Loop::TimerId turns_{};
-  std::map<std::string, Millis> stopped_;  // by revoked certificate: since when it is not used here
+  works::MaintenanceReplica& maintenance_;
+  LogSink log_;
+  group::RaftReplica* replica_ = nullptr;
+  CertificateState state_;
+  ComplianceFilter filter_;
+  SessionsQuiesced sessions_quiesced_;
+  std::uint64_t version_ = 0;
+  net::EventLoop::TimerId periodic_timer_{};
+  std::map<std::string, Millis> unused_since_;  // by revoked certificate: since when it is not used here
   Millis proposed_{0};
 
-  void turn();
-  void lead();
-  std::string waits_for(const Certificate& certificate) const;  // members; empty: for none
-  nlohmann::json shown() const;
+  void run_periodic();
+  void run_leader();
+  std::string members_not_acknowledged(const Certificate& certificate) const;  // members; empty: for none
+  nlohmann::json status_to_json() const;
 };
 
 }  // namespace lotusyard::compliance
--- a/src/console/admin_endpoint.cpp
+++ b/src/console/admin_endpoint.cpp
@@ -31,21 +31,21 @@
 
 }  // namespace
 
-class AdminEndpoint::Caller final : public net::Stream {
+class AdminEndpoint::AdminConnection final : public net::BufferedConnection {
  public:
-  Caller(AdminEndpoint& admin_endpoint, net::Socket socket)
-      : Stream(admin_endpoint.loop_, admin_endpoint.pool_, std::move(socket), false, net::Loop::Rank::urgent),
+  AdminConnection(AdminEndpoint& admin_endpoint, net::Socket socket)
+      : BufferedConnection(admin_endpoint.loop_, admin_endpoint.pool_, std::move(socket), false, net::EventLoop::Priority::urgent),
         admin_endpoint_(admin_endpoint) {
     // Danger: half a call would hold its place for good.
     whole_by_ =
-        loop().at(loop().now() + kWholeMost, [this] { turn_away(408, "the call did not come whole"); });
+        loop().schedule_at(loop().now() + kWholeMost, [this] { turn_away(408, "the call did not come whole"); });
   }
-  ~Caller() override { loop().cancel(whole_by_); }
-  std::list<std::shared_ptr<Caller>>::iterator place;
+  ~AdminConnection() override { loop().cancel(whole_by_); }
+  std::list<std::shared_ptr<AdminConnection>>::iterator place;
   bool answered() const { return answered_; }
 
   void turn_away(int status, const std::string& why) {
-    if (answered_) return end_later();
+    if (answered_) return close_later();
     admin_endpoint_.counters_.add("console.faulty." + std::to_string(status));
     answer(status, why);
   }
@@ -56,17 +56,17 @@
     write("HTTP/1.1 " + std::to_string(status) + ' ' + reason(status) + "\r\n" + more_headers +
           "Content-Type: text/plain\r\nContent-Length: " + std::to_string(body.size()) +
           "\r\nCache-Control: no-store\r\nConnection: close\r\n\r\n" + body);
-    finish_later();
+    shutdown_after_flush();
     flush_now();  // before whatever else this turn holds
   }
 
  private:
   AdminEndpoint& admin_endpoint_;
   Parser parser_;
-  net::Loop::TimerId whole_by_{};
+  net::EventLoop::TimerId whole_by_{};
   bool answered_ = false;
 
-  void received(std::string_view bytes) override {
+  void on_received(std::string_view bytes) override {
     if (answered_) return;  // one call to a connection: what comes behind it is read and left
     const auto state = parser_.take(bytes);
     if (state == Parser::State::whole) return admin_endpoint_.serve(*this, parser_.request());
@@ -75,19 +75,19 @@
     parser_.continued();
     write("HTTP/1.1 100 Continue\r\n\r\n");
   }
-  void ended() override {
+  void on_closed() override {
     loop().cancel(whole_by_);
-    admin_endpoint_.gone(*this);
+    admin_endpoint_.connection_closed(*this);
   }
 };
 
-AdminEndpoint::AdminEndpoint(net::Loop& loop, core::Counters& counters, Operations& operations,
+AdminEndpoint::AdminEndpoint(net::EventLoop& loop, core::Counters& counters, AdminOperations& operations,
                              std::size_t callers)
     : loop_(loop), counters_(counters), operations_(operations), most_(callers), pool_(callers + 1) {}
 
 AdminEndpoint::~AdminEndpoint() {
   loop_.cancel(again_);
-  if (listener_) loop_.forget(listener_.fd(), *this);
+  if (listener_) loop_.unregister(listener_.fd(), *this);
 }
 
 bool AdminEndpoint::listen(const std::string& address) {
@@ -96,7 +96,7 @@
   return static_cast<bool>(listener_);
 }
 
-void AdminEndpoint::watch() { loop_.watch(listener_.fd(), *this, POLLIN, net::Loop::Rank::urgent); }
+void AdminEndpoint::watch() { loop_.register_handler(listener_.fd(), *this, POLLIN, net::EventLoop::Priority::urgent); }
 
 void AdminEndpoint::ready(short) {
   for (std::size_t i = 0; i < kAcceptsATurn; ++i) {
@@ -105,13 +105,13 @@
     if (accepted.status == net::AcceptStatus::out_of_resources) {
       // Danger: a listener that stays readable would spin the loop.
       counters_.add("console.no_descriptor");
-      loop_.forget(listener_.fd(), *this);
-      again_ = loop_.at(loop_.now() + kNoDescriptor, [this] { watch(); });
+      loop_.unregister(listener_.fd(), *this);
+      again_ = loop_.schedule_at(loop_.now() + kNoDescriptor, [this] { watch(); });
     }
     if (!accepted.socket) return;
     counters_.add("console.connections");
-    callers_.push_back(std::make_shared<Caller>(*this, std::move(accepted.socket)));
-    const std::shared_ptr<Caller> fresh = callers_.back();
+    callers_.push_back(std::make_shared<AdminConnection>(*this, std::move(accepted.socket)));
+    const std::shared_ptr<AdminConnection> fresh = callers_.back();
     fresh->place = std::prev(callers_.end());
     fresh->ready(POLLIN);  // a whole call is mostly there already, and then needs no place to wait in
     // Danger: callers with half a call keep whole ones out. The one that came first goes, answered ones
@@ -119,14 +119,14 @@
     if (callers_.size() <= most_) continue;
     const auto done =
         std::find_if(callers_.begin(), callers_.end(), [](const auto& c) { return c->answered(); });
-    const std::shared_ptr<Caller> leaves = done != callers_.end() ? *done : callers_.front();
+    const std::shared_ptr<AdminConnection> leaves = done != callers_.end() ? *done : callers_.front();
     leaves->turn_away(408, "others wait");
-    leaves->end_later();
+    leaves->close_later();
     leaves->flush();
   }
 }
 
-void AdminEndpoint::serve(Caller& caller, const Request& request) {
+void AdminEndpoint::serve(AdminConnection& caller, const Request& request) {
   counters_.add("console.calls");
   const std::string& path = request.path;
   const auto other_method = [&](const char* allowed) {
@@ -145,7 +145,7 @@
   const std::string verb = path.substr(last + 1);
   const bool of_host = path.compare(0, kHosts.size(), kHosts) == 0 && last > kHosts.size();
   if (!of_host) {
-    if (const auto said = operations_.other(request)) return caller.answer(said->status, said->text);
+    if (const auto said = operations_.handle_request(request)) return caller.answer(said->status, said->text);
   }
   if (!of_host || (verb != "disable" && verb != "enable")) {
     counters_.add("console.faulty.404");
@@ -153,15 +153,15 @@
   }
   if (other_method("POST")) return;
   const std::string host = path.substr(kHosts.size(), last - kHosts.size());
-  const Done done = verb == "disable" ? operations_.disable(host) : operations_.enable(host);
-  counters_.add("console." + verb + (done == Done::yes ? ".yes" : ".no"));
-  if (done == Done::yes) return caller.answer(200, verb + "d");
-  if (done == Done::unknown_host) return caller.answer(404, "no such host");
+  const OperationResult done = verb == "disable" ? operations_.disable(host) : operations_.enable(host);
+  counters_.add("console." + verb + (done == OperationResult::done ? ".yes" : ".no"));
+  if (done == OperationResult::done) return caller.answer(200, verb + "d");
+  if (done == OperationResult::unknown_host) return caller.answer(404, "no such host");
   caller.answer(503, "this could not be kept, so nothing has changed");
 }
 
-void AdminEndpoint::gone(Caller& caller) {
-  loop_.bury(*caller.place);
+void AdminEndpoint::connection_closed(AdminConnection& caller) {
+  loop_.delete_later(*caller.place);
   callers_.erase(caller.place);
 }
 
--- a/src/console/admin_endpoint.h
+++ b/src/console/admin_endpoint.h
@@ -14,45 +14,45 @@
 
 namespace lotusyard::console {
 
-enum class Done { yes, unknown_host, not_kept };
+enum class OperationResult { done, unknown_host, not_persisted };
 
-struct Said {
+struct Response {
   int status = 200;
   std::string text;
 };
 
-class Operations {
+class AdminOperations {
  public:
-  virtual ~Operations() = default;
+  virtual ~AdminOperations() = default;
   virtual bool ready() const = 0;
-  virtual Done disable(const std::string& host) = 0;
-  virtual Done enable(const std::string& host) = 0;
-  virtual std::optional<Said> other(const Request&) { return std::nullopt; }  // nothing: no such call
+  virtual OperationResult disable(const std::string& host) = 0;
+  virtual OperationResult enable(const std::string& host) = 0;
+  virtual std::optional<Response> handle_request(const Request&) { return std::nullopt; }  // nothing: no such call
 };
 
-class AdminEndpoint final : private net::Handler {
+class AdminEndpoint final : private net::EventHandler {
  public:
-  AdminEndpoint(net::Loop& loop, core::Counters& counters, Operations& operations, std::size_t callers);
+  AdminEndpoint(net::EventLoop& loop, core::Counters& counters, AdminOperations& operations, std::size_t callers);
   ~AdminEndpoint() override;
   bool listen(const std::string& address);
   std::string address() const { return net::bound_address(listener_); }
   bool quiet() const { return callers_.empty(); }  // nobody waits for an answer
 
  private:
-  class Caller;
-  net::Loop& loop_;
+  class AdminConnection;
+  net::EventLoop& loop_;
   core::Counters& counters_;
-  Operations& operations_;
+  AdminOperations& operations_;
   std::size_t most_;
   net::BufferPool pool_;  // its own: what clients leave unread takes nothing from here
   net::Socket listener_;
-  net::Loop::TimerId again_{};
-  std::list<std::shared_ptr<Caller>> callers_;  // in the order in which they came
+  net::EventLoop::TimerId again_{};
+  std::list<std::shared_ptr<AdminConnection>> callers_;  // in the order in which they came
 
   void ready(short events) override;
   void watch();
-  void serve(Caller& caller, const Request& request);
-  void gone(Caller& caller);
+  void serve(AdminConnection& caller, const Request& request);
+  void connection_closed(AdminConnection& caller);
 };
 
 }  // namespace lotusyard::console
--- a/src/control/config.cpp
+++ b/src/control/config.cpp
@@ -123,17 +123,17 @@
 }
 
 Millis offline(const json& from) {
-  return Millis(number(from, "offline_ms", group::Terms().offline.count(), 0, 1e9));
+  return Millis(number(from, "offline_ms", group::LeaseTerms().max_offline.count(), 0, 1e9));
 }
 
-group::Terms read_terms(const json& from, Millis longest_deadline) {
+group::LeaseTerms read_terms(const json& from, Millis longest_deadline) {
   const double longest = longest_deadline.count();
-  group::Terms out;
+  group::LeaseTerms out;
   out.lease = Millis(number(from, "lease_ms", out.lease.count(), 200, 600000));
-  out.drift = number(from, "drift", out.drift, 0, 0.2);
+  out.clock_drift = number(from, "drift", out.clock_drift, 0, 0.2);
   // The nodes count on it that no call here outlasts it.
-  out.last_call = Millis(number(from, "last_call_ms", longest, longest, std::max(longest, 600000.0)));
-  out.offline = offline(from);
+  out.max_attempt_time = Millis(number(from, "last_call_ms", longest, longest, std::max(longest, 600000.0)));
+  out.max_offline = offline(from);
   return out;
 }
 
--- a/src/control/config.h
+++ b/src/control/config.h
@@ -18,13 +18,13 @@
   NodeAddress self;                // under the member's name; `address`: where invokers reach this node
   std::vector<NodeAddress> nodes;  // the others
   SessionTable::Limits sessions;
-  Millis offline = group::Terms().offline;
+  Millis offline = group::LeaseTerms().max_offline;
 };
 
 struct InvokerConfig {
   std::string cluster, zone, region;
   std::vector<NodeAddress> nodes;  // where to begin
-  group::Terms terms;              // must equal the nodes'
+  group::LeaseTerms terms;              // must equal the nodes'
 };
 
 // Both throw config::ConfigError naming the key; nothing: the file does not give the process that role.
--- a/src/control/control_node.cpp
+++ b/src/control/control_node.cpp
@@ -17,9 +17,9 @@
 constexpr Index kSkippedByFault = 7;  // a planted fault leaves out every seventh index
 
 bool same_duration(Millis one, Millis other) { return std::abs((one - other).count()) < kDurationUnit; }
-bool same_terms(const group::Terms& one, const group::Terms& other) {
-  return same_duration(one.lease, other.lease) && same_duration(one.last_call, other.last_call) &&
-         same_duration(one.offline, other.offline) && std::abs(one.drift - other.drift) < kDriftUnit;
+bool same_terms(const group::LeaseTerms& one, const group::LeaseTerms& other) {
+  return same_duration(one.lease, other.lease) && same_duration(one.max_attempt_time, other.max_attempt_time) &&
+         same_duration(one.max_offline, other.max_offline) && std::abs(one.clock_drift - other.clock_drift) < kDriftUnit;
 }
 
 }  // namespace
@@ -214,7 +214,7 @@
 bool ControlNode::send_delta(LinkId id, Link& link) {
   const ChangeLog::Entry* entry = changes_.next_after(link.cursor);
   if (entry == nullptr) return false;
-  const bool skips = breaks("skip-delta") && entry->index % kSkippedByFault == 0;
+  const bool skips = fault_injected("skip-delta") && entry->index % kSkippedByFault == 0;
   if (!skips) transport_.send(id, entry->frame);
   link.cursor = entry->index;
   link.sent = std::max(link.sent, entry->index);
--- a/src/control/message.cpp
+++ b/src/control/message.cpp
@@ -15,11 +15,11 @@
 void put_duration(std::string& out, Millis duration) {
   put64(out, duration.count() <= 0 ? 0 : static_cast<std::uint64_t>(duration.count() * duration_units));
 }
-void put_terms(std::string& out, const group::Terms& terms) {
+void put_terms(std::string& out, const group::LeaseTerms& terms) {
   put_duration(out, terms.lease);
-  put64(out, static_cast<std::uint64_t>(terms.drift * static_cast<double>(drift_units) + 0.5));
-  put_duration(out, terms.last_call);
-  put_duration(out, terms.offline);
+  put64(out, static_cast<std::uint64_t>(terms.clock_drift * static_cast<double>(drift_units) + 0.5));
+  put_duration(out, terms.max_attempt_time);
+  put_duration(out, terms.max_offline);
 }
 void put_share(std::string& out, const std::optional<double>& share) {
   put8(out, share ? 1 : 0);
--- a/src/control/message.h
+++ b/src/control/message.h
@@ -41,7 +41,7 @@
   std::string cluster, invoker, zone;
   std::uint64_t incarnation = 0;  // chosen anew by each process; the same on all its connections
   Index position = 0;             // what its replica holds; 0: nothing
-  group::Terms terms;             // must equal the node's
+  group::LeaseTerms terms;             // must equal the node's
 };
 
 // Node to invoker: the session is open. `nodes` are others that it may move to.
--- a/src/control/message_reader.cpp
+++ b/src/control/message_reader.cpp
@@ -27,12 +27,12 @@
     if (out > kLongestDuration) valid_ = false;
     return Millis(out);
   }
-  group::Terms terms() {
-    group::Terms out;
+  group::LeaseTerms terms() {
+    group::LeaseTerms out;
     out.lease = duration();
-    out.drift = static_cast<double>(number(8)) / static_cast<double>(drift_units);
-    out.last_call = duration();
-    out.offline = duration();
+    out.clock_drift = static_cast<double>(number(8)) / static_cast<double>(drift_units);
+    out.max_attempt_time = duration();
+    out.max_offline = duration();
     return out;
   }
   std::optional<double> share() {
--- a/src/control/node_server.cpp
+++ b/src/control/node_server.cpp
@@ -15,10 +15,10 @@
 
 }  // namespace
 
-class NodeServer::Link final : public net::Stream {
+class NodeServer::Link final : public net::BufferedConnection {
  public:
   Link(NodeServer& server, LinkId id, net::Socket socket)
-      : Stream(server.loop_, server.pool_, std::move(socket), false),
+      : BufferedConnection(server.loop_, server.pool_, std::move(socket), false),
         server_(server),
         id_(id),
         accepted_(loop().now()),
@@ -28,7 +28,7 @@
   // Answers to renewals go out without a question for room: a peer that asks on and reads nothing ends.
   void send(const std::string& frame) {
     if (unsent() + frame.size() > server_.limits_.unsent + kLargestFrame + kAnswers) {
-      if (!ending()) give_up("control.overflowed_links");
+      if (!is_closing()) give_up("control.overflowed_links");
       return;
     }
     write(frame);
@@ -40,15 +40,15 @@
     return !refill_wanted_;
   }
   void refill() {
-    if (std::exchange(refill_wanted_, false) && !ending()) server_.node_.writable(id_);
+    if (std::exchange(refill_wanted_, false) && !is_closing()) server_.node_.writable(id_);
   }
   void finish() {
     told_node_ = true;
-    finish_later();
+    shutdown_after_flush();
   }
   void check(Millis now) {
     if (stalled(now)) return give_up("control.stalled_links");
-    if (ending()) return;
+    if (is_closing()) return;
     if (!open_ && now - accepted_ > server_.limits_.open_within) return give_up("control.no_open");
     if (open_ && now - heard_ > server_.silent_after_) return give_up("control.silent_links");
   }
@@ -63,45 +63,45 @@
   bool refill_wanted_ = false;
   bool told_node_ = false;  // the node ended it itself
 
-  std::uint64_t unsent() const { return outbox().appended() - outbox().written(); }
+  std::uint64_t unsent() const { return send_queue().appended() - send_queue().written(); }
   bool room() const {
-    return !ending() && unsent() < server_.limits_.unsent && server_.pool_.left() >= kLargestFrame;
+    return !is_closing() && unsent() < server_.limits_.unsent && server_.pool_.bytes_available() >= kLargestFrame;
   }
   bool stalled(Millis now) {
-    if (outbox().empty() || outbox().written() != written_) {
-      written_ = outbox().written();
+    if (send_queue().empty() || send_queue().written() != written_) {
+      written_ = send_queue().written();
       progressed_ = now;
     }
     return now - progressed_ > server_.limits_.stalled_after;
   }
   void give_up(const char* counter) {
     server_.counters_.add(counter);
-    end_later();
+    close_later();
   }
-  void received(std::string_view bytes) override {
-    if (ending()) return;
+  void on_received(std::string_view bytes) override {
+    if (is_closing()) return;
     std::vector<Message> messages;
     const bool sound = reader_.take(bytes, messages);
     for (auto& message : messages) {
       heard_ = loop().now();
       if (std::holds_alternative<Open>(message)) open_ = true;
       server_.node_.received(id_, std::move(message), heard_);
-      if (ending()) return;
+      if (is_closing()) return;
     }
     if (!sound) server_.node_.malformed(id_);
   }
-  void before_flush() override {
+  void before_write() override {
     if (refill_wanted_) server_.refill_later(id_);
   }
-  void ended() override {
+  void on_closed() override {
     if (!told_node_) server_.node_.ended(id_);
     const auto found = server_.links_.find(id_);
-    loop().bury(found->second);
+    loop().delete_later(found->second);
     server_.links_.erase(found);
   }
 };
 
-NodeServer::NodeServer(net::Loop& loop, core::Counters& counters, ControlNode::Config config, Limits limits)
+NodeServer::NodeServer(net::EventLoop& loop, core::Counters& counters, ControlNode::Config config, Limits limits)
     : loop_(loop),
       counters_(counters),
       limits_(limits),
@@ -115,7 +115,7 @@
 
 NodeServer::~NodeServer() {
   for (const auto& timer : {accept_timer_, check_timer_, refill_timer_, tick_timer_}) loop_.cancel(timer);
-  if (listener_) loop_.forget(listener_.fd(), *this);
+  if (listener_) loop_.unregister(listener_.fd(), *this);
 }
 
 bool NodeServer::listen(const std::string& address) {
@@ -124,7 +124,7 @@
   return static_cast<bool>(listener_);
 }
 
-void NodeServer::watch_listener() { loop_.watch(listener_.fd(), *this, POLLIN); }
+void NodeServer::watch_listener() { loop_.register_handler(listener_.fd(), *this, POLLIN); }
 
 void NodeServer::ready(short) {
   net::AcceptStatus status = net::AcceptStatus::accepted;
@@ -150,25 +150,25 @@
 // The listener stays readable while its connections cannot be taken: watched on, the loop would never rest.
 void NodeServer::pause_accepting() {
   counters_.add("control.no_descriptor");
-  loop_.forget(listener_.fd(), *this);
-  accept_timer_ = loop_.at(loop_.now() + kAcceptPause, [this] { watch_listener(); });
+  loop_.unregister(listener_.fd(), *this);
+  accept_timer_ = loop_.schedule_at(loop_.now() + kAcceptPause, [this] { watch_listener(); });
 }
 
 void NodeServer::check_links() {
   const Millis now = loop_.now();
   for (const auto& [id, link] : links_) link->check(now);
-  check_timer_ = loop_.at(now + kCheckPeriod, [this] { check_links(); });
+  check_timer_ = loop_.schedule_at(now + kCheckPeriod, [this] { check_links(); });
 }
 
 void NodeServer::tick() {
   const Millis now = loop_.now();
   node_.tick(now);
-  tick_timer_ = loop_.at(now + kTickPeriod, [this] { tick(); });
+  tick_timer_ = loop_.schedule_at(now + kTickPeriod, [this] { tick(); });
 }
 
 // In the next turn: a peer that reads as fast as this node writes must not keep the others waiting.
 void NodeServer::refill_later(LinkId link) {
-  if (refills_.empty()) refill_timer_ = loop_.at(loop_.now(), [this] { refill(); });
+  if (refills_.empty()) refill_timer_ = loop_.schedule_at(loop_.now(), [this] { refill(); });
   refills_.push_back(link);
 }
 
--- a/src/control/node_server.h
+++ b/src/control/node_server.h
@@ -14,7 +14,7 @@
 
 namespace lotusyard::control {
 
-class NodeServer final : public ControlNode::Transport, private net::Handler {
+class NodeServer final : public ControlNode::Transport, private net::EventHandler {
  public:
   using LinkId = ControlNode::LinkId;
   struct Limits {
@@ -26,9 +26,9 @@
     double silent_leases = 2;         // without any message
   };
 
-  NodeServer(net::Loop& loop, core::Counters& counters, ControlNode::Config config)
+  NodeServer(net::EventLoop& loop, core::Counters& counters, ControlNode::Config config)
       : NodeServer(loop, counters, std::move(config), Limits()) {}
-  NodeServer(net::Loop& loop, core::Counters& counters, ControlNode::Config config, Limits limits);
+  NodeServer(net::EventLoop& loop, core::Counters& counters, ControlNode::Config config, Limits limits);
   ~NodeServer() override;  // never from inside a call of the node
   NodeServer(const NodeServer&) = delete;
   NodeServer& operator=(const NodeServer&) = delete;
@@ -38,7 +38,7 @@
   ControlNode& node() { return node_; }
   const ControlNode& node() const { return node_; }
   std::size_t links() const { return links_.size(); }
-  std::size_t pooled() const { return pool_.out() * net::BufferPool::block_size; }  // bytes held by all links
+  std::size_t pooled() const { return pool_.blocks_in_use() * net::BufferPool::block_size; }  // bytes held by all links
 
   // For the node.
   void send(LinkId link, const std::string& frame) override;
@@ -47,7 +47,7 @@
 
  private:
   class Link;
-  net::Loop& loop_;
+  net::EventLoop& loop_;
   core::Counters& counters_;
   Limits limits_;
   std::size_t most_links_;
@@ -57,7 +57,7 @@
   std::map<LinkId, std::shared_ptr<Link>> links_;
   LinkId last_id_ = 0;
   std::vector<LinkId> refills_;  // links that are empty and for which the node has more
-  net::Loop::TimerId accept_timer_{}, check_timer_{}, refill_timer_{}, tick_timer_{};
+  net::EventLoop::TimerId accept_timer_{}, check_timer_{}, refill_timer_{}, tick_timer_{};
   ControlNode node_;
 
   void ready(short events) override;
--- a/src/control/replica.cpp
+++ b/src/control/replica.cpp
@@ -40,8 +40,8 @@
 Replica::Outcome Replica::take(const Delta& delta) {
   if (delta.after >= delta.index) return Outcome::malformed;
   if (!complete()) return Outcome::gap;
-  if (delta.index <= position_ && !breaks("apply-twice")) return Outcome::duplicate;
-  if (delta.after > position_ && !breaks("accept-gap")) return Outcome::gap;
+  if (delta.index <= position_ && !fault_injected("apply-twice")) return Outcome::duplicate;
+  if (delta.after > position_ && !fault_injected("accept-gap")) return Outcome::gap;
   const auto change = decode_change(delta.change);
   if (!change) return Outcome::malformed;
   apply(records_, *change);
--- a/src/control/session_client.cpp
+++ b/src/control/session_client.cpp
@@ -11,20 +11,20 @@
 
 }  // namespace
 
-class SessionClient::Connection final : public net::Stream {
+class SessionClient::Connection final : public net::BufferedConnection {
  public:
   // Urgent: a lease must be renewed whatever the load of calls is.
   Connection(SessionClient& client, net::Socket socket)
-      : Stream(client.loop_, client.pool_, std::move(socket), true, net::Loop::Rank::urgent),
+      : BufferedConnection(client.loop_, client.pool_, std::move(socket), true, net::EventLoop::Priority::urgent),
         client_(client) {}
 
   // The session is done with it, perhaps while it is inside `received`.
   void let_go() {
     flush_now();
-    if (outbox().empty()) {
-      finish_later();
+    if (send_queue().empty()) {
+      shutdown_after_flush();
     } else {
-      end_later();
+      close_later();
     }
   }
 
@@ -33,12 +33,12 @@
   MessageReader reader_{longest_to_invoker};
 
   bool current() const { return client_.connection_.get() == this; }
-  void connected() override {
+  void on_connected() override {
     if (!current()) return;
     client_.session_.connected(loop().now());
     client_.arm_timer();
   }
-  void received(std::string_view bytes) override {
+  void on_received(std::string_view bytes) override {
     if (!current()) return;
     std::vector<Message> messages;
     const bool sound = reader_.take(bytes, messages);
@@ -49,10 +49,10 @@
     if (!sound && current()) client_.session_.malformed(loop().now());
     client_.arm_timer();
   }
-  void ended() override { client_.connection_ended(*this); }
+  void on_closed() override { client_.connection_ended(*this); }
 };
 
-SessionClient::SessionClient(net::Loop& loop, core::Counters& counters, Session::Config config,
+SessionClient::SessionClient(net::EventLoop& loop, core::Counters& counters, Session::Config config,
                              std::uint64_t seed)
     : loop_(loop), pool_(kBlocks), session_(std::move(config), *this, replica_, counters, seed, loop.now()) {
   arm_timer();
@@ -65,7 +65,7 @@
 
 void SessionClient::arm_timer() {
   loop_.cancel(session_timer_);
-  session_timer_ = loop_.at(session_.due(), [this] { tick(); });
+  session_timer_ = loop_.schedule_at(session_.due(), [this] { tick(); });
 }
 
 void SessionClient::tick() {
@@ -80,7 +80,7 @@
   if (connection) {
     connection_ = std::make_shared<Connection>(*this, std::move(connection.socket));
   } else {
-    failure_timer_ = loop_.at(loop_.now(), [this] { connection_failed(); });
+    failure_timer_ = loop_.schedule_at(loop_.now(), [this] { connection_failed(); });
   }
 }
 
@@ -102,14 +102,14 @@
 
 void SessionClient::connection_ended(Connection& connection) {
   if (connection_.get() == &connection) {
-    loop_.bury(std::exchange(connection_, nullptr));
+    loop_.delete_later(std::exchange(connection_, nullptr));
     session_.disconnected(loop_.now());
     return arm_timer();
   }
   const auto same = [&](const auto& other) { return other.get() == &connection; };
   const auto found = std::find_if(closing_.begin(), closing_.end(), same);
   if (found == closing_.end()) return;
-  loop_.bury(*found);
+  loop_.delete_later(*found);
   closing_.erase(found);
 }
 
--- a/src/control/session_client.h
+++ b/src/control/session_client.h
@@ -14,7 +14,7 @@
 
 class SessionClient final : public Session::Transport {
  public:
-  SessionClient(net::Loop& loop, core::Counters& counters, Session::Config config, std::uint64_t seed);
+  SessionClient(net::EventLoop& loop, core::Counters& counters, Session::Config config, std::uint64_t seed);
   ~SessionClient() override;  // never from inside a call of the session or the replica
   SessionClient(const SessionClient&) = delete;
   SessionClient& operator=(const SessionClient&) = delete;
@@ -32,11 +32,11 @@
 
  private:
   class Connection;
-  net::Loop& loop_;
+  net::EventLoop& loop_;
   net::BufferPool pool_;
   std::shared_ptr<Connection> connection_;
   std::vector<std::shared_ptr<Connection>> closing_;  // the session is done with them; they end by themselves
-  net::Loop::TimerId session_timer_{}, failure_timer_{};
+  net::EventLoop::TimerId session_timer_{}, failure_timer_{};
   Replica replica_;
   Session session_;
 
--- a/src/control/session_table.cpp
+++ b/src/control/session_table.cpp
@@ -13,12 +13,12 @@
 
 }  // namespace
 
-SessionTable::SessionTable(const group::Terms& terms, Limits limits, const ChangeLog& log, Millis started)
+SessionTable::SessionTable(const group::LeaseTerms& terms, Limits limits, const ChangeLog& log, Millis started)
     : terms_(terms),
       limits_(limits),
       log_(log),
       started_(started),
-      offline_floor_(terms, started + terms.silent()),
+      offline_floor_(terms, started + terms.presumed_dead_after()),
       tokens_(limits.opens_at_once),
       filled_at_(started) {}
 
@@ -27,13 +27,13 @@
   const auto refused = [](RefusalReason reason, Millis retry_after) {
     return Admission{0, false, reason, retry_after};
   };
-  if (position > log_.applied()) return refused(RefusalReason::node_behind, terms_.beat());
+  if (position > log_.applied()) return refused(RefusalReason::node_behind, terms_.heartbeat_interval());
   const auto key = std::make_pair(invoker, incarnation);
   const auto known = by_invoker_.find(key);
   const bool is_new = known == by_invoker_.end();
   if (!is_new && position < sessions_.at(known->second).applied) return {0, true, {}, Millis(0)};
   if (is_new && sessions_.size() >= limits_.sessions) expire(now);
-  if (is_new && sessions_.size() >= limits_.sessions) return refused(RefusalReason::full, terms_.silent());
+  if (is_new && sessions_.size() >= limits_.sessions) return refused(RefusalReason::full, terms_.presumed_dead_after());
   const Millis wait = take_token(now);
   if (wait.count() > 0) return refused(RefusalReason::busy, wait);
 
@@ -67,13 +67,13 @@
   Session& session = found->second;
   const bool holds_nothing = session.applied == 0;
   const bool is_behind = log_.covered(session.applied) < reported_;
-  if ((holds_nothing || is_behind) && !breaks("grant-behind")) return Millis(0);
+  if ((holds_nothing || is_behind) && !fault_injected("grant-behind")) return Millis(0);
 
-  const bool ignores_node = breaks("session-outlasts-node");
-  const Millis left = (node_lease_until - now) / (1 + terms_.drift);
+  const bool ignores_node = fault_injected("session-outlasts-node");
+  const Millis left = (node_lease_until - now) / (1 + terms_.clock_drift);
   const Millis duration = ignores_node ? terms_.lease : std::min(terms_.lease, left);
   if (duration < kShortestLease) return Millis(0);
-  Millis until = now + duration * (1 + terms_.drift);
+  Millis until = now + duration * (1 + terms_.clock_drift);
   if (!ignores_node) until = std::min(until, node_lease_until);  // rounding must not pass it either
   session.lease_until = std::max(session.lease_until.value_or(until), until);
   return duration;
@@ -81,7 +81,7 @@
 
 // No session holds a lease when the node's own had lapsed, so that any index may be taken for reported.
 void SessionTable::require_present(Millis node_lease_until, Millis now) {
-  if (node_lease_until <= now || breaks("group-went-on")) return;
+  if (node_lease_until <= now || fault_injected("group-went-on")) return;
   if (now >= granted_under_) reported_ = std::max(reported_, log_.applied());
   granted_under_ = std::max(granted_under_, node_lease_until);
 }
@@ -128,7 +128,7 @@
   // What was reported stays true, also where the log has lost the changes that showed it.
   reported_ = std::max(reported_, applied);
   // An earlier process of this node may have granted leases until shortly before this one started.
-  const bool may_have_earlier = now < started_ + terms_.silent() && !breaks("early-report");
+  const bool may_have_earlier = now < started_ + terms_.presumed_dead_after() && !fault_injected("early-report");
   if (may_have_earlier) return {0, 0, 0, connected_};
   offline_floor_.reported(reported_, now);
   const Index followed = std::min(reported_, offline_floor_.followed(known_floor(), now));
@@ -150,13 +150,13 @@
 }
 
 bool SessionTable::counts_for_applied(const Session& session, Millis now) const {
-  if (!session.connected && breaks("forget-disconnected")) return false;
+  if (!session.connected && fault_injected("forget-disconnected")) return false;
   return session.lease_until && now < *session.lease_until;
 }
 
 bool SessionTable::counts_for_settled(const Session& session, Millis now) const {
-  if (!session.connected && breaks("forget-disconnected")) return false;
-  const Millis calls = breaks("forget-calls") ? Millis(0) : last_call();
+  if (!session.connected && fault_injected("forget-disconnected")) return false;
+  const Millis calls = fault_injected("forget-calls") ? Millis(0) : last_call();
   return session.lease_until && now < *session.lease_until + calls;
 }
 
--- a/src/control/session_table.h
+++ b/src/control/session_table.h
@@ -44,7 +44,7 @@
 
   // `started`: when this process did. Sessions of an earlier process of this node may hold leases until
   // (lease + last call) later, so that nothing is reported before.
-  SessionTable(const group::Terms& terms, Limits limits, const ChangeLog& log, Millis started);
+  SessionTable(const group::LeaseTerms& terms, Limits limits, const ChangeLog& log, Millis started);
 
   // A connection asks for a session. The same incarnation of an invoker continues its earlier one; if that
   // has a connection still, the caller ends it without a call of `disconnected`.
@@ -79,7 +79,7 @@
     Index applied = 0, settled = 0;
     std::optional<Millis> lease_until;  // nothing: it never had one
   };
-  group::Terms terms_;
+  group::LeaseTerms terms_;
   Limits limits_;
   const ChangeLog& log_;
   Millis started_;
@@ -99,7 +99,7 @@
   Millis take_token(Millis now);  // 0: one was to be had; else when to try again
   void forget(std::map<SessionId, Session>::iterator session);
   void require_present(Millis node_lease_until, Millis now);
-  Millis last_call() const { return terms_.last_call * (1 + terms_.drift); }  // by any member's clock
+  Millis last_call() const { return terms_.max_attempt_time * (1 + terms_.clock_drift); }  // by any member's clock
 };
 
 }  // namespace lotusyard::control
--- a/src/control/session_takes.cpp
+++ b/src/control/session_takes.cpp
@@ -51,7 +51,7 @@
 void Session::granted(const Renewal& renewal, const Grant& grant, Millis now) {
   if (grant.duration.count() > 0) {
     counters_.add("control.session.grants");
-    const Millis from = breaks("grant-from-receipt") ? now : renewal.sent;
+    const Millis from = fault_injected("grant-from-receipt") ? now : renewal.sent;
     lease_until_ = std::max(lease_until_, from + grant.duration);
     share_ = grant.share;
     refused_since_.reset();
--- a/src/core/breaks.h
+++ b/src/core/breaks.h
@@ -5,7 +5,7 @@
 namespace lotusyard {
 
 #ifdef LOTUSYARD_BREAKABLE
-bool breaks(const char* rule);  // defined by the tests
+bool fault_injected(const char* rule);  // defined by the tests
 #else
 constexpr bool breaks(const char*) { return false; }
 #endif
--- a/src/core/dispatcher.cpp
+++ b/src/core/dispatcher.cpp
@@ -12,106 +12,106 @@
 
 }  // namespace
 
-Dispatcher::Dispatcher(const Settings& settings, Clock clock, Hosts& hosts, Counters& counters)
+Dispatcher::Dispatcher(const Settings& settings, Clock clock, HostTransport& hosts, Counters& counters)
     : settings_(std::make_shared<const Settings>(settings)),
       clock_(std::move(clock)),
       hosts_(hosts),
       counters_(counters),
       module_(settings, clock_()) {}
 
-Dispatcher::Open* Dispatcher::find(CallId id) {
+Dispatcher::OpenCall* Dispatcher::find_open_call(CallId id) {
   const auto found = calls_.find(id);
   return found == calls_.end() ? nullptr : &found->second;
 }
 
-void Dispatcher::end_keyed(const Open& open) {
+void Dispatcher::end_key_use(const OpenCall& open) {
   if (open.keyed()) keys_.end(open.call, key_rule(*open.cls), clock_());
 }
 
-void Dispatcher::leave(CallId id) {
-  if (find(id) == nullptr) return;
+void Dispatcher::client_disconnected(CallId id) {
+  if (find_open_call(id) == nullptr) return;
   counters_.add("calls.left");
   // The module hears of it before the attempts end: it must not try again what nobody waits for.
-  run(module_.report(clock_(), CallLeft{id}));
-  if (Open* open = find(id)) drop_all(id, *open);
+  run(module_.report(clock_(), ClientDisconnected{id}));
+  if (OpenCall* open = find_open_call(id)) cancel_attempts(id, *open);
   const auto found = calls_.find(id);
   if (found == calls_.end()) return;
-  end_keyed(found->second);
+  end_key_use(found->second);
   remember_ref(found->second.call.ref);
   calls_.erase(found);
 }
 
-std::optional<Dispatcher::Out> Dispatcher::take_out(CallId id, Open& open, int number, Outcome outcome) {
-  const auto same = [number](const Out& o) { return o.attempt.number == number; };
-  const auto found = std::find_if(open.out.begin(), open.out.end(), same);
-  if (found == open.out.end()) return std::nullopt;
-  Out out = std::move(*found);
-  open.out.erase(found);
+std::optional<Dispatcher::InFlightAttempt> Dispatcher::remove_attempt(CallId id, OpenCall& open, int number, Outcome outcome) {
+  const auto same = [number](const InFlightAttempt& o) { return o.attempt.number == number; };
+  const auto found = std::find_if(open.in_flight.begin(), open.in_flight.end(), same);
+  if (found == open.in_flight.end()) return std::nullopt;
+  InFlightAttempt out = std::move(*found);
+  open.in_flight.erase(found);
   if (!robinfold::proves_never_ran(outcome)) {
     open.may_have_run = true;
   } else {
-    if (open.keyed()) keys_.never_ran(open.call, out.attempt);
-    if (!open.may_have_run && open.out.empty()) open.front->never_ran(id);
+    if (open.keyed()) keys_.record_not_run(open.call, out.attempt);
+    if (!open.may_have_run && open.in_flight.empty()) open.front->proved_not_run(id);
   }
   return out;
 }
 
-void Dispatcher::tell_end(Out&& out, Outcome outcome, bool over) {
+void Dispatcher::notify_attempt_ended(InFlightAttempt&& out, Outcome outcome, bool over) {
   const Millis now = clock_();
   run(module_.report(now, AttemptOutcome{out.attempt, out.host, outcome, over, 0, now - out.sent, {}}));
 }
 
 // Gives up what is out for a call that is over. The call may end meanwhile.
-void Dispatcher::drop_all(CallId id, Open& open) {
-  std::vector<std::pair<Out, Outcome>> dropped;
-  while (!open.out.empty()) {
-    const core::Attempt attempt = open.out.front().attempt;
-    const Outcome outcome = hosts_.drop(attempt) ? Outcome::cancelled : Outcome::moot;
-    dropped.emplace_back(*take_out(id, open, attempt.number, outcome), outcome);
+void Dispatcher::cancel_attempts(CallId id, OpenCall& open) {
+  std::vector<std::pair<InFlightAttempt, Outcome>> dropped;
+  while (!open.in_flight.empty()) {
+    const core::Attempt attempt = open.in_flight.front().attempt;
+    const Outcome outcome = hosts_.cancel_attempt(attempt) ? Outcome::cancelled : Outcome::moot;
+    dropped.emplace_back(*remove_attempt(id, open, attempt.number, outcome), outcome);
   }
-  for (auto& [out, outcome] : dropped) tell_end(std::move(out), outcome, true);
+  for (auto& [out, outcome] : dropped) notify_attempt_ended(std::move(out), outcome, true);
 }
 
 void Dispatcher::attempt_ended(const Attempt& attempt, AttemptEnd&& end) {
-  Open* open = find(attempt.call);
-  auto out = open == nullptr ? std::nullopt : take_out(attempt.call, *open, attempt.number, end.outcome);
+  OpenCall* open = find_open_call(attempt.call);
+  auto out = open == nullptr ? std::nullopt : remove_attempt(attempt.call, *open, attempt.number, end.outcome);
   if (!out) return;
   const Millis now = clock_();
   const bool served = end.outcome == Outcome::ok;
   AttemptOutcome told{attempt,   out->host,       end.outcome,          served,
                       end.crowd, now - out->sent, std::move(end.report)};
-  if (witness_) witness_(out->host, open->call, end.outcome);
+  if (attempt_observer_) attempt_observer_(out->host, open->call, end.outcome);
   // The answer goes first: the module's turn may be long.
-  if (served) finish(attempt.call, {Verdict::served, Millis(0), std::move(end.body)});
+  if (served) finish_call(attempt.call, {Verdict::served, Millis(0), std::move(end.body)});
   run(module_.report(now, told));
 }
 
-const Call* Dispatcher::call_of(CallId id) const {
+const Call* Dispatcher::find_call(CallId id) const {
   const auto found = calls_.find(id);
   return found == calls_.end() ? nullptr : &found->second.call;
 }
 
-Dispatcher::Begin Dispatcher::may_begin(const Attempt& attempt, Millis decided) {
-  Open* open = find(attempt.call);
-  if (open == nullptr) return Begin::now;  // whoever sent it without a call answers for it
+Dispatcher::WriteCheck Dispatcher::check_before_write(const Attempt& attempt, Millis decided) {
+  OpenCall* open = find_open_call(attempt.call);
+  if (open == nullptr) return WriteCheck::allowed;  // whoever sent it without a call answers for it
   const Millis now = clock_();
-  if (now >= open->call.arrived + open->call.allow) return Begin::over;
-  switch (open->front->caller(attempt.call, std::max(decided, now - kUnreadMost))) {
-    case Front::Caller::waits: return Begin::now;
-    case Front::Caller::spoke: return Begin::once_read;
-    case Front::Caller::gone: break;
+  if (now >= open->call.arrived + open->call.allow) return WriteCheck::call_over;
+  switch (open->front->client_state(attempt.call, std::max(decided, now - kUnreadMost))) {
+    case Front::ClientState::waiting: return WriteCheck::allowed;
+    case Front::ClientState::has_unread_input: return WriteCheck::after_client_read;
+    case Front::ClientState::disconnected: break;
   }
   counters_.add("attempts.caller_gone");
-  return Begin::over;
+  return WriteCheck::call_over;
 }
 
 void Dispatcher::read_caller(const Attempt& attempt) {
-  if (Open* open = find(attempt.call)) open->front->read_caller(attempt.call);
+  if (OpenCall* open = find_open_call(attempt.call)) open->front->read_caller(attempt.call);
 }
 
 void Dispatcher::load_ended(LoadOutcome&& end) { run(module_.report(clock_(), end)); }
 void Dispatcher::probe_ended(ProbeOutcome&& end) { run(module_.report(clock_(), end)); }
-void Dispatcher::members(HostList&& list) {
+void Dispatcher::update_endpoints(HostList&& list) {
   if (list.kind != ListKind::delta) places_.clear();
   for (const auto& entry : list.entries) {
     if (entry.state == robinfold::WorkerState::gone) {
@@ -123,9 +123,9 @@
   run(module_.report(clock_(), list));
 }
 
-void Dispatcher::give_up(Which kind, const std::function<bool(CallId)>& which) {
-  const auto meant = [&](const Open& open) {
-    return kind == Which::all || (open.out.empty() && !open.may_have_run);
+void Dispatcher::abort_calls(CallSelection kind, const std::function<bool(CallId)>& which) {
+  const auto meant = [&](const OpenCall& open) {
+    return kind == CallSelection::all || (open.in_flight.empty() && !open.may_have_run);
   };
   std::vector<CallId> named;
   for (const auto& [id, open] : calls_) {
@@ -133,14 +133,14 @@
   }
   std::sort(named.begin(), named.end());  // the order of a hash table tells nothing
   for (const CallId id : named) {
-    const Open* open = find(id);
+    const OpenCall* open = find_open_call(id);
     if (open == nullptr || !meant(*open)) continue;  // by what became of the others
-    run(module_.report(clock_(), CallLeft{id}));     // it must not try again what gets its answer now
-    carry_out(RefuseStep{id, Millis(0)});
+    run(module_.report(clock_(), ClientDisconnected{id}));     // it must not try again what gets its answer now
+    execute(RefuseStep{id, Millis(0)});
   }
 }
 
-void Dispatcher::retune(const Settings& settings) {
+void Dispatcher::apply_settings(const Settings& settings) {
   settings_ = std::make_shared<const Settings>(settings);
   run(module_.report(clock_(), NewSettings{settings}));
 }
@@ -148,33 +148,33 @@
 void Dispatcher::tick() {
   const Millis now = clock_();
   run(module_.tick(now));
-  while (!due_.empty() && due_.top().at <= now) {
-    const Due due = due_.top();
-    due_.pop();
-    Open* open = find(due.call);
+  while (!deadlines_.empty() && deadlines_.top().at <= now) {
+    const Deadline due = deadlines_.top();
+    deadlines_.pop();
+    OpenCall* open = find_open_call(due.call);
     if (open == nullptr) continue;
     if (due.attempt >= 0) {
-      const auto same = [&](const Out& o) { return o.attempt.number == due.attempt; };
-      const auto found = std::find_if(open->out.begin(), open->out.end(), same);
-      if (found == open->out.end()) continue;
+      const auto same = [&](const InFlightAttempt& o) { return o.attempt.number == due.attempt; };
+      const auto found = std::find_if(open->in_flight.begin(), open->in_flight.end(), same);
+      if (found == open->in_flight.end()) continue;
       counters_.add("attempts.timed_out");
       // Danger: what was held for its caller's sake says nothing of the host.
-      const bool held = may_begin(found->attempt, found->sent) == Begin::once_read;
+      const bool held = check_before_write(found->attempt, found->sent) == WriteCheck::after_client_read;
       const Outcome never_went = held ? Outcome::moot : Outcome::connect_failed;
-      const Outcome outcome = hosts_.drop(found->attempt) ? Outcome::timeout : never_went;
-      tell_end(*take_out(due.call, *open, due.attempt, outcome), outcome, false);
+      const Outcome outcome = hosts_.cancel_attempt(found->attempt) ? Outcome::timeout : never_went;
+      notify_attempt_ended(*remove_attempt(due.call, *open, due.attempt, outcome), outcome, false);
     } else {
       // Danger: a call that the module forgot would never be answered.
       counters_.add("calls.overdue");
-      run(module_.report(now, CallLeft{due.call}));
-      if (find(due.call) != nullptr) finish(due.call, Answer{});
+      run(module_.report(now, ClientDisconnected{due.call}));
+      if (find_open_call(due.call) != nullptr) finish_call(due.call, Answer{});
     }
   }
 }
 
-Millis Dispatcher::next_due() const {
+Millis Dispatcher::next_deadline() const {
   const Millis module = module_.next_tick();
-  return due_.empty() ? module : std::min(module, due_.top().at);
+  return deadlines_.empty() ? module : std::min(module, deadlines_.top().at);
 }
 
 void Dispatcher::run(Steps&& steps) {
@@ -184,21 +184,21 @@
   while (!steps_.empty()) {
     const Step step = std::move(steps_.front());
     steps_.pop_front();
-    std::visit([this](const auto& s) { carry_out(s); }, step);
+    std::visit([this](const auto& s) { execute(s); }, step);
   }
   running_ = false;
 }
 
-void Dispatcher::finish(CallId id, Answer&& answer) {
+void Dispatcher::finish_call(CallId id, Answer&& answer) {
   const auto found = calls_.find(id);
   if (found == calls_.end()) return;
-  Open open = std::move(found->second);
+  OpenCall open = std::move(found->second);
   calls_.erase(found);  // first: whatever follows finds the call ended
   static const char* const names[] = {"calls.served", "calls.refused", "calls.failed"};
   counters_.add(names[static_cast<std::size_t>(answer.verdict)]);
   open.front->answer(id, std::move(answer));
-  drop_all(id, open);
-  end_keyed(open);
+  cancel_attempts(id, open);
+  end_key_use(open);
   remember_ref(open.call.ref);
 }
 
--- a/src/core/dispatcher.h
+++ b/src/core/dispatcher.h
@@ -20,106 +20,106 @@
 class Dispatcher {
  public:
   using Clock = std::function<Millis()>;
-  Dispatcher(const Settings& settings, Clock clock, Hosts& hosts, Counters& counters);
+  Dispatcher(const Settings& settings, Clock clock, HostTransport& hosts, Counters& counters);
 
   // The id is made beforehand, so that a front can file the call before an answer comes.
-  CallId next_id() { return ++last_id_; }
+  CallId allocate_call_id() { return ++last_id_; }
   // False if it is not taken: no host could use it, or its ref is not its own. It is owed a failure.
-  bool take(CallId id, Call&& call, Front& front);
-  void leave(CallId id);  // the client is gone: no answer is owed
+  bool admit(CallId id, Call&& call, Front& front);
+  void client_disconnected(CallId id);  // the client is gone: no answer is owed
 
   // The caller's side of the last look, right before an attempt's first byte goes to the kernel.
   // once_read: when what the caller has sent was read. over: whoever ends the call takes the attempt back.
-  enum class Begin { now, once_read, over };
-  Begin may_begin(const Attempt& attempt, Millis decided);
+  enum class WriteCheck { allowed, after_client_read, call_over };
+  WriteCheck check_before_write(const Attempt& attempt, Millis decided);
   // Reads what the caller has sent, so that the next look finds it read.
   void read_caller(const Attempt& attempt);
-  const Call* call_of(CallId id) const;
+  const Call* find_call(CallId id) const;
 
   void attempt_ended(const Attempt& attempt, AttemptEnd&& end);
   void load_ended(LoadOutcome&& end);
   void probe_ended(ProbeOutcome&& end);
-  void members(HostList&& list);
-  void retune(const Settings& settings);  // open calls keep the rules under which they were taken
+  void update_endpoints(HostList&& list);
+  void apply_settings(const Settings& settings);  // open calls keep the rules under which they were taken
 
   // Answers at once those that `which` names: what never ran is refused, what may have run is failed.
-  enum class Which { held, all };  // held: only those that never went out
-  void give_up(Which kind, const std::function<bool(CallId)>& which);
+  enum class CallSelection { never_sent, all };  // held: only those that never went out
+  void abort_calls(CallSelection kind, const std::function<bool(CallId)>& which);
 
   // Told of each attempt's end, before the call's, where set.
-  using Witness = std::function<void(const std::string& host, const Call& call, Outcome outcome)>;
-  void watch(Witness witness) { witness_ = std::move(witness); }
+  using AttemptObserver = std::function<void(const std::string& host, const Call& call, Outcome outcome)>;
+  void observe_attempts(AttemptObserver witness) { attempt_observer_ = std::move(witness); }
   // Told of each call that is refused and never went out, where set.
-  using Refused = std::function<void(const Call& call)>;
-  void watch_refusals(Refused refused) { refused_ = std::move(refused); }
-  void guard(robinfold::Gate* gate) { module_.guard(gate); }  // which hosts a call may go to at all
+  using RejectionObserver = std::function<void(const Call& call)>;
+  void observe_rejections(RejectionObserver refused) { rejection_observer_ = std::move(refused); }
+  void set_host_filter(robinfold::HostFilter* gate) { module_.set_host_filter(gate); }  // which hosts a call may go to at all
   const Settings& settings() const { return *settings_; }
 
   void tick();
-  Millis next_due() const;
-  std::size_t open() const { return calls_.size(); }
+  Millis next_deadline() const;
+  std::size_t open_calls() const { return calls_.size(); }
 
  private:
-  struct Out {
+  struct InFlightAttempt {
     Attempt attempt;
     std::string host;
     Millis sent{0};
   };
-  struct Open {
+  struct OpenCall {
     Call call;
     Front* front = nullptr;
     std::shared_ptr<const Settings> rules;
     const robinfold::ClassSettings* cls = nullptr;  // in `rules`
     bool may_have_run = false;                      // one of those that have ended
     int attempts = 0;
-    std::vector<Out> out;
+    std::vector<InFlightAttempt> in_flight;
     bool keyed() const { return cls->semantics == robinfold::Semantics::keyed; }
   };
-  struct Due {
+  struct Deadline {
     Millis at{0};
     CallId call = 0;
     int attempt = -1;  // -1: the call's own deadline
-    bool operator>(const Due& o) const {
+    bool operator>(const Deadline& o) const {
       return std::tie(at, call, attempt) > std::tie(o.at, o.call, o.attempt);
     }
   };
 
   std::shared_ptr<const Settings> settings_;
   Clock clock_;
-  Hosts& hosts_;
+  HostTransport& hosts_;
   Counters& counters_;
-  Module module_;
+  PolicyDriver module_;
   CallId last_id_ = 0;
-  std::unordered_map<CallId, Open> calls_;
+  std::unordered_map<CallId, OpenCall> calls_;
   std::unordered_set<std::string> refs_;  // of open calls, and of those that ended a short while ago
   std::deque<std::pair<Millis, std::string>> ended_refs_;
-  Keys keys_;
-  std::unordered_map<std::string, Place> places_;  // of the hosts on the list
-  std::priority_queue<Due, std::vector<Due>, std::greater<>> due_;
+  IdempotencyKeys keys_;
+  std::unordered_map<std::string, HostLocation> places_;  // of the hosts on the list
+  std::priority_queue<Deadline, std::vector<Deadline>, std::greater<>> deadlines_;
   std::deque<Step> steps_;
   bool running_ = false;
-  Witness witness_;
-  Refused refused_;
+  AttemptObserver attempt_observer_;
+  RejectionObserver rejection_observer_;
 
   void run(Steps&& steps);
-  void carry_out(const SendStep& step);
-  void carry_out(const RefuseStep& step);
-  void carry_out(const FailStep& step);
-  void carry_out(const CancelStep& step);
-  void carry_out(const ProbeStep& step) { hosts_.probe(step.host); }
-  void carry_out(const LoadStep& step);
-  void carry_out(const UnloadStep& step) { hosts_.release(step.host, step.function); }
+  void execute(const SendStep& step);
+  void execute(const RefuseStep& step);
+  void execute(const FailStep& step);
+  void execute(const CancelStep& step);
+  void execute(const ProbeStep& step) { hosts_.probe(step.host); }
+  void execute(const LoadStep& step);
+  void execute(const UnloadStep& step) { hosts_.unload(step.host, step.function); }
   // Takes the attempt from those that are out and books how it ended; none if it is not out.
-  std::optional<Out> take_out(CallId id, Open& open, int number, Outcome outcome);
-  void tell_end(Out&& out, Outcome outcome, bool over);
-  void drop_all(CallId id, Open& open);
-  bool may_go(const Open& open, const std::string& host) const;
-  void end_keyed(const Open& open);
-  void finish(CallId id, Answer&& answer);
-  const char* fault_of(const Call& call) const;
+  std::optional<InFlightAttempt> remove_attempt(CallId id, OpenCall& open, int number, Outcome outcome);
+  void notify_attempt_ended(InFlightAttempt&& out, Outcome outcome, bool over);
+  void cancel_attempts(CallId id, OpenCall& open);
+  bool may_send_to(const OpenCall& open, const std::string& host) const;
+  void end_key_use(const OpenCall& open);
+  void finish_call(CallId id, Answer&& answer);
+  const char* rejection_reason(const Call& call) const;
   void remember_ref(const std::string& ref);
-  void forget_refs();
-  Open* find(CallId id);
+  void expire_refs();
+  OpenCall* find_open_call(CallId id);
 };
 
 }  // namespace lotusyard::core
--- a/src/core/dispatcher_sends.cpp
+++ b/src/core/dispatcher_sends.cpp
@@ -14,76 +14,76 @@
 
 // Whether a further attempt keeps the rules: a few out, a second copy elsewhere, nothing twice that may have
 // run where that is not allowed.
-bool Dispatcher::may_go(const Open& open, const std::string& host) const {
-  if (open.out.size() >= most_out(*open.rules)) return false;
-  const auto there = [&](const Out& o) { return o.host == host; };
-  if (std::any_of(open.out.begin(), open.out.end(), there)) return false;
+bool Dispatcher::may_send_to(const OpenCall& open, const std::string& host) const {
+  if (open.in_flight.size() >= most_out(*open.rules)) return false;
+  const auto there = [&](const InFlightAttempt& o) { return o.host == host; };
+  if (std::any_of(open.in_flight.begin(), open.in_flight.end(), there)) return false;
   if (open.attempts >= open.rules->max_attempts) return false;
   switch (open.cls->semantics) {
     case robinfold::Semantics::repeatable: return true;
-    case robinfold::Semantics::once: return !open.may_have_run && open.out.empty();
+    case robinfold::Semantics::once: return !open.may_have_run && open.in_flight.empty();
     case robinfold::Semantics::keyed: break;
   }
   const auto place = places_.find(host);
-  return place != places_.end() && keys_.may_go(open.call, key_rule(*open.cls), place->second, clock_());
+  return place != places_.end() && keys_.may_send_to(open.call, key_rule(*open.cls), place->second, clock_());
 }
 
-void Dispatcher::carry_out(const SendStep& step) {
-  Open* open = find(step.call);
+void Dispatcher::execute(const SendStep& step) {
+  OpenCall* open = find_open_call(step.call);
   if (open == nullptr) return;
   const Millis now = clock_(), left = open->call.arrived + open->call.allow - now;
   const Millis patience = step.patience.count() > 0 ? std::min(step.patience, left) : left;
   // Guards the rules whatever the module says.
-  const bool fits = may_go(*open, step.host) && patience.count() >= 1;
+  const bool fits = may_send_to(*open, step.host) && patience.count() >= 1;
   const Attempt attempt{step.call, open->attempts++};
   if (!fits) {
     counters_.add("guard.send_stopped");
-    const bool other_out = !open->out.empty();
-    if (!other_out) finish(step.call, Answer{});
+    const bool other_out = !open->in_flight.empty();
+    if (!other_out) finish_call(step.call, Answer{});
     run(module_.report(now, AttemptOutcome{attempt, step.host, Outcome::moot, !other_out, 0, {}, {}}));
     return;
   }
   if (!open->front->before_attempt(step.call)) {
     counters_.add("attempts.withheld");
     const bool harmless = !open->may_have_run;
-    finish(step.call, {harmless ? Verdict::refused : Verdict::failed, Millis(0), {}});
+    finish_call(step.call, {harmless ? Verdict::refused : Verdict::failed, Millis(0), {}});
     run(module_.report(now, AttemptOutcome{attempt, step.host, Outcome::moot, true, 0, {}, {}}));
     return;
   }
-  counters_.add(open->out.empty() ? "attempts.sent" : "attempts.second");
-  if (open->keyed()) keys_.went_out(open->call, attempt, places_.at(step.host), now);
-  open->out.push_back(Out{attempt, step.host, now});
-  due_.push({now + patience, step.call, attempt.number});
+  counters_.add(open->in_flight.empty() ? "attempts.sent" : "attempts.second");
+  if (open->keyed()) keys_.record_send(open->call, attempt, places_.at(step.host), now);
+  open->in_flight.push_back(InFlightAttempt{attempt, step.host, now});
+  deadlines_.push({now + patience, step.call, attempt.number});
   // Danger: the record of the attempt may have waited for a disk.
-  hosts_.exec(attempt, step.host, open->call, std::min(patience, now + patience - clock_()));
+  hosts_.send_attempt(attempt, step.host, open->call, std::min(patience, now + patience - clock_()));
 }
 
-void Dispatcher::carry_out(const RefuseStep& step) {
-  Open* open = find(step.call);
+void Dispatcher::execute(const RefuseStep& step) {
+  OpenCall* open = find_open_call(step.call);
   if (open == nullptr) return;
-  if (refused_ && open->attempts == 0) refused_(open->call);
-  drop_all(step.call, *open);
-  if ((open = find(step.call)) == nullptr) return;
+  if (rejection_observer_ && open->attempts == 0) rejection_observer_(open->call);
+  cancel_attempts(step.call, *open);
+  if ((open = find_open_call(step.call)) == nullptr) return;
   // A refusal says that trying again is harmless; what may have run is failed, with the same advice.
   const bool harmless = !open->may_have_run;
-  finish(step.call, {harmless ? Verdict::refused : Verdict::failed, step.cooldown, {}});
+  finish_call(step.call, {harmless ? Verdict::refused : Verdict::failed, step.cooldown, {}});
 }
 
-void Dispatcher::carry_out(const FailStep& step) { finish(step.call, Answer{}); }
+void Dispatcher::execute(const FailStep& step) { finish_call(step.call, Answer{}); }
 
-void Dispatcher::carry_out(const CancelStep& step) {
-  Open* open = find(step.attempt.call);
+void Dispatcher::execute(const CancelStep& step) {
+  OpenCall* open = find_open_call(step.attempt.call);
   if (open == nullptr) return;
-  const auto same = [&](const Out& o) { return o.attempt == step.attempt; };
-  if (std::none_of(open->out.begin(), open->out.end(), same)) return;
+  const auto same = [&](const InFlightAttempt& o) { return o.attempt == step.attempt; };
+  if (std::none_of(open->in_flight.begin(), open->in_flight.end(), same)) return;
   counters_.add("attempts.cancelled");
-  const Outcome outcome = hosts_.drop(step.attempt) ? Outcome::cancelled : Outcome::moot;
-  tell_end(*take_out(step.attempt.call, *open, step.attempt.number, outcome), outcome, false);
+  const Outcome outcome = hosts_.cancel_attempt(step.attempt) ? Outcome::cancelled : Outcome::moot;
+  notify_attempt_ended(*remove_attempt(step.attempt.call, *open, step.attempt.number, outcome), outcome, false);
 }
 
-void Dispatcher::carry_out(const LoadStep& step) {
+void Dispatcher::execute(const LoadStep& step) {
   counters_.add("orders.sent");
-  hosts_.ensure(step.host, step.function, step.copies);
+  hosts_.load_copies(step.host, step.function, step.copies);
 }
 
 }  // namespace lotusyard::core
--- a/src/core/dispatcher_takes.cpp
+++ b/src/core/dispatcher_takes.cpp
@@ -18,14 +18,14 @@
 
 // What no host can use costs hosts and the ration of loads all the same, and may close a connection on which
 // others wait: it ends here, whichever front it came through. Nothing if all is well.
-const char* Dispatcher::fault_of(const Call& call) const {
+const char* Dispatcher::rejection_reason(const Call& call) const {
   const auto named = [](const std::string& name) {
     return [&name](const auto& entry) { return entry.name == name; };
   };
   const auto* cls = class_named(*settings_, call.class_name);
   if (cls == nullptr) return "calls.unknown_class";
   if (cls->semantics == robinfold::Semantics::keyed && call.key.empty()) return "calls.no_key";
-  if (!call.key.empty() && !Keys::sound(call.key)) return "calls.bad_key";
+  if (!call.key.empty() && !IdempotencyKeys::is_valid(call.key)) return "calls.bad_key";
   const auto& tenants = settings_->tenants;
   if (!call.tenant.empty() && !tenants.empty() &&
       std::none_of(tenants.begin(), tenants.end(), named(call.tenant))) {
@@ -42,12 +42,12 @@
 
 void Dispatcher::remember_ref(const std::string& ref) {
   ended_refs_.emplace_back(clock_(), ref);
-  forget_refs();
+  expire_refs();
 }
 
 // Bounds the memory of refs; the one place where it shrinks. Danger: asked only as calls end, a repeat long
 // after would be taken or not by what else ended meanwhile.
-void Dispatcher::forget_refs() {
+void Dispatcher::expire_refs() {
   const Millis now = clock_(), kept = std::max(kRefKept, longest_deadline(*settings_));
   while (!ended_refs_.empty() && (now - ended_refs_.front().first > kept || ended_refs_.size() > kRefsKept)) {
     refs_.erase(ended_refs_.front().second);
@@ -55,12 +55,12 @@
   }
 }
 
-bool Dispatcher::take(CallId id, Call&& call, Front& front) {
-  if (const char* fault = fault_of(call)) {
+bool Dispatcher::admit(CallId id, Call&& call, Front& front) {
+  if (const char* fault = rejection_reason(call)) {
     counters_.add(fault);
     return false;
   }
-  forget_refs();
+  expire_refs();
   // Danger: hosts know a call by its ref; two under one would get each other's answers.
   if (refs_.count(call.ref) != 0) {
     counters_.add("calls.ref_repeated");
@@ -77,12 +77,12 @@
   }
   refs_.insert(call.ref);
   counters_.add("calls.taken");
-  Open& open = calls_[id];
+  OpenCall& open = calls_[id];
   open.call = std::move(call);
   open.front = &front;
   open.rules = settings_;
   open.cls = cls;
-  due_.push({open.call.arrived + open.call.allow + kOverdue, id, -1});
+  deadlines_.push({open.call.arrived + open.call.allow + kOverdue, id, -1});
   run(module_.pick(clock_(), id, open.call));
   return true;
 }
--- a/src/core/keys.cpp
+++ b/src/core/keys.cpp
@@ -6,19 +6,19 @@
 
 namespace lotusyard::core {
 
-bool Keys::sound(const std::string& key) {
+bool IdempotencyKeys::is_valid(const std::string& key) {
   const auto plain = [](char c) { return c > ' ' && c <= '~' && c != ',' && c != '='; };
-  return !key.empty() && key.size() <= longest && std::all_of(key.begin(), key.end(), plain);
+  return !key.empty() && key.size() <= max_key_bytes && std::all_of(key.begin(), key.end(), plain);
 }
 
-std::optional<Millis> Keys::first(const Record& record) {
+std::optional<Millis> IdempotencyKeys::first_send(const Record& record) {
   std::optional<Millis> out = record.before;
   for (const auto& sent : record.sent) out = out ? std::min(*out, sent.when) : sent.when;
   return out;
 }
 
 // Bounds the memory of keys; the one place where it shrinks.
-void Keys::forget(Millis now) {
+void IdempotencyKeys::expire(Millis now) {
   while (!ends_.empty() && ends_.front().first <= now) {
     const auto found = records_.find(ends_.front().second);
     if (found != records_.end() && found->second.open == 0 && found->second.kept_until <= now)
@@ -27,39 +27,39 @@
   }
 }
 
-Keys::Word Keys::begin(const Call& call, const KeyRule& rule, Millis now) {
-  forget(now);
+IdempotencyKeys::KeyDecision IdempotencyKeys::begin(const Call& call, const KeyRule& rule, Millis now) {
+  expire(now);
   const std::uint64_t body = std::hash<std::string>()(call.body);
   const std::string name = name_of(call);
   const auto found = records_.find(name);
   if (found == records_.end()) {
-    if (records_.size() >= most) return Word::full;
+    if (records_.size() >= max_keys) return KeyDecision::full;
     // Danger: after a restart, or with another invoker, the first try is not known here. A client waits for
     // all of its tries together no longer than the class's limit, and this one ends it.
     std::optional<Millis> before = call.ran_since;
     if (!before && call.retry) before = now + std::min(call.allow - rule.hard_limit, Millis(0));
-    if (before && now - *before >= rule.window) return Word::window_over;
+    if (before && now - *before >= rule.window) return KeyDecision::window_over;
     Record& fresh = records_[name];
     fresh.function = call.function;
     fresh.body = body;
     fresh.open = 1;
     fresh.before = before;
-    return Word::taken;
+    return KeyDecision::accepted;
   }
   Record& record = found->second;
-  if (record.function != call.function || record.body != body) return Word::other_request;
-  const auto since = first(record);
-  if (since && now - *since >= rule.window) return Word::window_over;
+  if (record.function != call.function || record.body != body) return KeyDecision::other_request;
+  const auto since = first_send(record);
+  if (since && now - *since >= rule.window) return KeyDecision::window_over;
   ++record.open;
-  return Word::taken;
+  return KeyDecision::accepted;
 }
 
-bool Keys::may_go(const Call& call, const KeyRule& rule, const Place& to, Millis now) const {
+bool IdempotencyKeys::may_send_to(const Call& call, const KeyRule& rule, const HostLocation& to, Millis now) const {
   const auto found = records_.find(name_of(call));
   if (found == records_.end()) return false;
-  const auto since = first(found->second);
+  const auto since = first_send(found->second);
   if (!since) return true;
-  if (now - *since >= rule.window || found->second.sent.size() >= most_sends) return false;
+  if (now - *since >= rule.window || found->second.sent.size() >= max_sends_per_key) return false;
   if (rule.scope == robinfold::KeyScope::all) return true;
   if (found->second.before) return false;  // nobody knows where that was
   return std::all_of(found->second.sent.begin(), found->second.sent.end(), [&](const Sent& sent) {
@@ -67,12 +67,12 @@
   });
 }
 
-void Keys::went_out(const Call& call, const Attempt& attempt, const Place& to, Millis now) {
+void IdempotencyKeys::record_send(const Call& call, const Attempt& attempt, const HostLocation& to, Millis now) {
   const auto found = records_.find(name_of(call));
   if (found != records_.end()) found->second.sent.push_back({attempt, to, now});
 }
 
-void Keys::never_ran(const Call& call, const Attempt& attempt) {
+void IdempotencyKeys::record_not_run(const Call& call, const Attempt& attempt) {
   const auto found = records_.find(name_of(call));
   if (found == records_.end()) return;
   auto& sent = found->second.sent;
@@ -80,7 +80,7 @@
   sent.erase(std::remove_if(sent.begin(), sent.end(), same), sent.end());
 }
 
-void Keys::end(const Call& call, const KeyRule& rule, Millis now) {
+void IdempotencyKeys::end(const Call& call, const KeyRule& rule, Millis now) {
   const auto found = records_.find(name_of(call));
   if (found == records_.end()) return;
   Record& record = found->second;
@@ -90,7 +90,7 @@
   Millis last = record.before.value_or(Millis(0));
   for (const auto& sent : record.sent) last = std::max(last, sent.when);
   const Millis until = last + rule.window * 2;
-  if (!first(record) || until <= now) {
+  if (!first_send(record) || until <= now) {
     records_.erase(found);
   } else if (std::exchange(record.kept_until, until) != until) {
     ends_.emplace_back(until, found->first);
--- a/src/core/keys.h
+++ b/src/core/keys.h
@@ -14,7 +14,7 @@
 
 namespace lotusyard::core {
 
-struct Place {  // of a host, as far as it says who drops a repeat
+struct HostLocation {  // of a host, as far as it says who drops a repeat
   std::string zone;
   int cell = 0;
 };
@@ -27,29 +27,29 @@
 
 inline KeyRule key_rule(const robinfold::ClassSettings& c) { return {c.scope, c.key_window, c.deadline}; }
 
-class Keys {
+class IdempotencyKeys {
  public:
-  static constexpr std::size_t most = 8192;      // remembered at once; more are not taken
-  static constexpr std::size_t longest = 128;    // bytes of a key
-  static constexpr std::size_t most_sends = 16;  // under one key that may have run; no more go out
-  static bool sound(const std::string& key);     // can stand in a host's line, unchanged
+  static constexpr std::size_t max_keys = 8192;      // remembered at once; more are not taken
+  static constexpr std::size_t max_key_bytes = 128;    // bytes of a key
+  static constexpr std::size_t max_sends_per_key = 16;  // under one key that may have run; no more go out
+  static bool is_valid(const std::string& key);     // can stand in a host's line, unchanged
 
-  enum class Word { taken, other_request, window_over, full };
+  enum class KeyDecision { accepted, other_request, window_over, full };
   // A call comes. It is joined to no other: each has an attempt of its own, and hosts drop what repeats.
   // `other_request`: the key stands for another function or body; a host would drop this call for that one.
   // `window_over`: something under the key may have run too long ago for a host to know.
-  Word begin(const Call& call, const KeyRule& rule, Millis now);
+  KeyDecision begin(const Call& call, const KeyRule& rule, Millis now);
   // Whether an attempt may go out to a host there.
-  bool may_go(const Call& call, const KeyRule& rule, const Place& to, Millis now) const;
-  void went_out(const Call& call, const Attempt& attempt, const Place& to, Millis now);
-  void never_ran(const Call& call, const Attempt& attempt);  // shown by how it ended
+  bool may_send_to(const Call& call, const KeyRule& rule, const HostLocation& to, Millis now) const;
+  void record_send(const Call& call, const Attempt& attempt, const HostLocation& to, Millis now);
+  void record_not_run(const Call& call, const Attempt& attempt);  // shown by how it ended
   void end(const Call& call, const KeyRule& rule, Millis now);
   std::size_t size() const { return records_.size(); }
 
  private:
   struct Sent {
     Attempt attempt;
-    Place at;
+    HostLocation at;
     Millis when{0};
   };
   struct Record {
@@ -63,8 +63,8 @@
   std::deque<std::pair<Millis, std::string>> ends_;  // when each may be forgotten, in about that order
 
   static std::string name_of(const Call& call) { return call.class_name + '\n' + call.key; }
-  static std::optional<Millis> first(const Record& record);
-  void forget(Millis now);
+  static std::optional<Millis> first_send(const Record& record);
+  void expire(Millis now);
 };
 
 }  // namespace lotusyard::core
--- a/src/core/member.h
+++ b/src/core/member.h
@@ -8,14 +8,14 @@
 
 namespace lotusyard::core {
 
-struct Member {
+struct ListedHost {
   WorkerEntry entry;
   std::string address;
 };
 
-struct MemberList {
+struct HostListUpdate {
   bool complete = false;  // else only what has changed
-  std::vector<Member> members;
+  std::vector<ListedHost> hosts;
 };
 
 }  // namespace lotusyard::core
--- a/src/core/module.cpp
+++ b/src/core/module.cpp
@@ -26,7 +26,7 @@
 robinfold::Event event_of(const ProbeOutcome& o) {
   return event::Probed{o.host, o.outcome, o.elapsed, o.report};
 }
-robinfold::Event event_of(const CallLeft& o) { return event::Left{std::to_string(o.call)}; }
+robinfold::Event event_of(const ClientDisconnected& o) { return event::Left{std::to_string(o.call)}; }
 robinfold::Event event_of(const NewSettings& o) { return event::Retune{o.settings}; }
 robinfold::Event event_of(const HostList& o) { return event::List{o.kind, o.entries}; }
 
@@ -34,9 +34,9 @@
 
 }  // namespace
 
-Module::Module(const Settings& settings, Millis now) { handle(now, event::Start{settings}); }
+PolicyDriver::PolicyDriver(const Settings& settings, Millis now) { handle(now, event::Start{settings}); }
 
-Steps Module::pick(Millis now, CallId id, const Call& call) {
+Steps PolicyDriver::pick(Millis now, CallId id, const Call& call) {
   event::Request e;
   e.id = std::to_string(id);
   e.class_name = call.class_name;
@@ -50,11 +50,11 @@
   return handle(now, e);
 }
 
-Steps Module::report(Millis now, const Reported& what) {
+Steps PolicyDriver::report(Millis now, const PolicyInput& what) {
   return handle(now, std::visit([](const auto& o) { return event_of(o); }, what));
 }
 
-Steps Module::tick(Millis now) {
+Steps PolicyDriver::tick(Millis now) {
   Steps all;
   // A timer set while others ring is not rung again in this turn, or one of length zero would never end.
   const std::uint64_t known = timers_set_;
@@ -66,11 +66,11 @@
   return all;
 }
 
-Millis Module::next_tick() const {
+Millis PolicyDriver::next_tick() const {
   return due_.empty() ? Millis(std::numeric_limits<double>::infinity()) : due_.top().at;
 }
 
-Steps Module::handle(Millis now, const robinfold::Event& event) {
+Steps PolicyDriver::handle(Millis now, const robinfold::Event& event) {
   std::vector<robinfold::Action> actions;
   policy_.handle(now, event, actions);
   Steps steps;
--- a/src/core/module.h
+++ b/src/core/module.h
@@ -64,7 +64,7 @@
   Millis elapsed{0};
   Report report;
 };
-struct CallLeft {
+struct ClientDisconnected {
   CallId call = 0;
 };
 struct HostList {
@@ -74,26 +74,26 @@
 struct NewSettings {  // calls that are open keep their rules
   Settings settings;
 };
-using Reported = std::variant<AttemptOutcome, LoadOutcome, ProbeOutcome, CallLeft, HostList, NewSettings>;
+using PolicyInput = std::variant<AttemptOutcome, LoadOutcome, ProbeOutcome, ClientDisconnected, HostList, NewSettings>;
 
-class Module {
+class PolicyDriver {
  public:
-  Module(const Settings& settings, Millis now);
+  PolicyDriver(const Settings& settings, Millis now);
 
   Steps pick(Millis now, CallId id, const Call& call);
-  Steps report(Millis now, const Reported& what);
+  Steps report(Millis now, const PolicyInput& what);
   Steps tick(Millis now);  // everything that is due
   Millis next_tick() const;
-  void guard(robinfold::Gate* gate) { policy_.guard(gate); }
+  void set_host_filter(robinfold::HostFilter* gate) { policy_.set_host_filter(gate); }
 
  private:
-  struct Due {
+  struct TimerDeadline {
     Millis at{0};
     std::uint64_t order = 0, token = 0;
-    bool operator>(const Due& o) const { return std::tie(at, order) > std::tie(o.at, o.order); }
+    bool operator>(const TimerDeadline& o) const { return std::tie(at, order) > std::tie(o.at, o.order); }
   };
   robinfold::Policy policy_;
-  std::priority_queue<Due, std::vector<Due>, std::greater<>> due_;
+  std::priority_queue<TimerDeadline, std::vector<TimerDeadline>, std::greater<>> due_;
   std::uint64_t timers_set_ = 0;
 
   Steps handle(Millis now, const robinfold::Event& event);
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -84,24 +84,24 @@
   // Who called, right now. waits: all that they had sent by `heard_since` has been read, and they are there.
   // spoke: something they sent may be older than that and was not read yet; it may be a CANCEL. Or it is not
   // known whether they will ask for the answer: nothing begins until it is.
-  enum class Caller { waits, spoke, gone };
-  virtual Caller caller(CallId, Millis /*heard_since*/) { return Caller::waits; }
+  enum class ClientState { waiting, has_unread_input, disconnected };
+  virtual ClientState client_state(CallId, Millis /*heard_since*/) { return ClientState::waiting; }
   // Reads what they have sent by now. Not to be called while a step of the dispatcher is carried out.
   virtual void read_caller(CallId) {}
   // The last attempt is shown not to have run, and none before it may have.
-  virtual void never_ran(CallId) {}
+  virtual void proved_not_run(CallId) {}
 };
 
 // Where attempts go. Ends are told to the Dispatcher, never from inside these calls.
-class Hosts {
+class HostTransport {
  public:
-  virtual ~Hosts() = default;
-  virtual void exec(const Attempt& attempt, const std::string& host, const Call& call, Millis patience) = 0;
+  virtual ~HostTransport() = default;
+  virtual void send_attempt(const Attempt& attempt, const std::string& host, const Call& call, Millis patience) = 0;
   // Ends the attempt; true if it may have run. No end is told for it afterwards.
-  virtual bool drop(const Attempt& attempt) = 0;
+  virtual bool cancel_attempt(const Attempt& attempt) = 0;
   virtual void probe(const std::string& host) = 0;
-  virtual void ensure(const std::string& host, std::uint64_t function, int copies) = 0;
-  virtual void release(const std::string& host, std::uint64_t function) = 0;
+  virtual void load_copies(const std::string& host, std::uint64_t function, int copies) = 0;
+  virtual void unload(const std::string& host, std::uint64_t function) = 0;
 };
 
 }  // namespace lotusyard::core
--- a/src/discovery/discovery.cpp
+++ b/src/discovery/discovery.cpp
@@ -17,8 +17,8 @@
 constexpr Millis kQuietMost{1600};  // a line comes every second: a log quiet for longer has stopped
 constexpr Millis kPauseFirst{50}, kPauseMost{500};  // events count as told after 7 s whether they came or not
 
-core::Member read_member(const nlohmann::json& row) {
-  core::Member read;
+core::ListedHost read_member(const nlohmann::json& row) {
+  core::ListedHost read;
   read.entry.worker = text(key(row, "id"));
   read.address = text(key(row, "host_port"));
   read.entry.zone = text(key(row, "locality"));
@@ -50,13 +50,13 @@
   return true;
 }
 
-Log::Read Log::line(const std::string& line, core::MemberList& out) {
+Log::Read Log::line(const std::string& line, core::HostListUpdate& out) {
   const auto read = nlohmann::json::parse(line, nullptr, false);
   if (read.is_number_unsigned()) return read.get<std::uint64_t>() > last_ ? Read::gap : Read::nothing;
   return event(read, out);
 }
 
-Log::Read Log::event(const nlohmann::json& event, core::MemberList& out) {
+Log::Read Log::event(const nlohmann::json& event, core::HostListUpdate& out) {
   if (!key(event, "seq").is_number_unsigned()) return Read::malformed;
   const std::uint64_t seq = config::large(key(event, "seq"));
   if (seq <= last_) return Read::nothing;
@@ -65,18 +65,18 @@
   last_ = seq;
   if (!list.is_object()) return Read::nothing;  // a kind of event that is none of ours
   out.complete = config::flag(key(list, "complete"));
-  out.members.clear();
+  out.hosts.clear();
   for (const auto& row : key(list, "members")) {
     auto member = read_member(row);
-    if (!member.entry.worker.empty()) out.members.push_back(std::move(member));
+    if (!member.entry.worker.empty()) out.hosts.push_back(std::move(member));
   }
   return Read::news;
 }
 
-class Discovery::Connection final : public net::Stream {
+class Discovery::Connection final : public net::BufferedConnection {
  public:
   Connection(Discovery& discovery, net::Socket socket)
-      : Stream(discovery.loop_, discovery.pool_, std::move(socket), true), discovery_(discovery) {
+      : BufferedConnection(discovery.loop_, discovery.pool_, std::move(socket), true), discovery_(discovery) {
     expect(kConnectMost);
   }
   ~Connection() override { discovery_.loop_.cancel(quiet_); }
@@ -84,28 +84,28 @@
  private:
   Discovery& discovery_;
   LineCutter cutter_;
-  net::Loop::TimerId quiet_{};
+  net::EventLoop::TimerId quiet_{};
 
   void expect(Millis within) {
     discovery_.loop_.cancel(quiet_);
-    quiet_ = discovery_.loop_.at(discovery_.loop_.now() + within, [this] {
+    quiet_ = discovery_.loop_.schedule_at(discovery_.loop_.now() + within, [this] {
       discovery_.counters_.add("feed.quiet");
-      end_later();
+      close_later();
     });
   }
-  void connected() override {
+  void on_connected() override {
     discovery_.counters_.add("feed.connections");
     write("since " + std::to_string(discovery_.log_.last()) + "\n");
     expect(kQuietMost);
   }
-  void received(std::string_view bytes) override {
+  void on_received(std::string_view bytes) override {
     if (!current()) return;
     std::vector<std::string> lines;
     bool sound = cutter_.take(bytes, lines);
     // Danger: a log that stops half-way through an event, or trickles, is as silent as one that says nothing.
     if (!lines.empty()) expect(kQuietMost);
     for (const auto& line : lines) {
-      core::MemberList list;
+      core::HostListUpdate list;
       const auto read = discovery_.log_.line(line, list);
       if (read == Log::Read::news || read == Log::Read::nothing) discovery_.pause_ = Millis(0);
       if (read == Log::Read::news) {
@@ -118,16 +118,16 @@
     }
     if (sound) return;
     discovery_.counters_.add("feed.malformed_or_gap");
-    end_later();
+    close_later();
   }
-  void ended() override {
+  void on_closed() override {
     discovery_.loop_.cancel(quiet_);
     if (current()) discovery_.again();
   }
   bool current() const { return discovery_.connection_.get() == this; }  // false: the log has moved on
 };
 
-Discovery::Discovery(net::Loop& loop, net::BufferPool& pool, core::Counters& counters, std::string address,
+Discovery::Discovery(net::EventLoop& loop, net::BufferPool& pool, core::Counters& counters, std::string address,
                      Log log, Told told)
     : loop_(loop),
       pool_(pool),
@@ -154,8 +154,8 @@
   const std::shared_ptr<Connection> old = std::move(connection_);
   connection_.reset();
   if (old) {
-    old->end_later();
-    loop_.bury(old);
+    old->close_later();
+    loop_.delete_later(old);
   }
   loop_.cancel(timer_);
   pause_ = Millis(0);
@@ -163,10 +163,10 @@
 }
 
 void Discovery::again() {
-  if (connection_) loop_.bury(std::move(connection_));
+  if (connection_) loop_.delete_later(std::move(connection_));
   connection_.reset();
   loop_.cancel(timer_);
-  timer_ = loop_.at(loop_.now() + std::max(pause_, kPauseFirst), [this] { connect(); });
+  timer_ = loop_.schedule_at(loop_.now() + std::max(pause_, kPauseFirst), [this] { connect(); });
   pause_ = std::min(std::max(pause_ * 2, kPauseFirst), kPauseMost);
 }
 
--- a/src/discovery/discovery.h
+++ b/src/discovery/discovery.h
@@ -30,8 +30,8 @@
  public:
   enum class Read { news, nothing, gap, malformed };
   explicit Log(std::uint64_t last = 0) : last_(last) {}
-  Read line(const std::string& line, core::MemberList& out);
-  Read event(const nlohmann::json& event, core::MemberList& out);
+  Read line(const std::string& line, core::HostListUpdate& out);
+  Read event(const nlohmann::json& event, core::HostListUpdate& out);
   std::uint64_t last() const { return last_; }
   void skip_to(std::uint64_t seq) { last_ = std::max(last_, seq); }
 
@@ -41,8 +41,8 @@
 
 class Discovery {
  public:
-  using Told = std::function<void(const core::MemberList&)>;
-  Discovery(net::Loop& loop, net::BufferPool& pool, core::Counters& counters, std::string address, Log log,
+  using Told = std::function<void(const core::HostListUpdate&)>;
+  Discovery(net::EventLoop& loop, net::BufferPool& pool, core::Counters& counters, std::string address, Log log,
             Told told);
   ~Discovery();
   void start() { connect(); }
@@ -51,14 +51,14 @@
 
  private:
   class Connection;
-  net::Loop& loop_;
+  net::EventLoop& loop_;
   net::BufferPool& pool_;
   core::Counters& counters_;
   std::string address_;
   Log log_;
   Told told_;
   std::shared_ptr<Connection> connection_;
-  net::Loop::TimerId timer_{};
+  net::EventLoop::TimerId timer_{};
   core::Millis pause_{0};
 
   void connect();
--- a/src/full/main.cpp
+++ b/src/full/main.cpp
@@ -21,10 +21,10 @@
   return bounds;
 }
 
-std::unique_ptr<answers::SqliteStore> open_store(const config::AmqpConfig& from, core::Millis now,
+std::unique_ptr<answers::SqliteResultStore> open_store(const config::AmqpConfig& from, core::Millis now,
                                                  core::Counters& counters) {
   const auto log = [](const std::string& line) { std::cerr << "lotusyard: " << line << std::endl; };
-  return std::make_unique<answers::SqliteStore>(from.store, bounds_of(from), now, counters, log);
+  return std::make_unique<answers::SqliteResultStore>(from.store, bounds_of(from), now, counters, log);
 }
 
 config::Config read(const std::string& file) {
@@ -34,7 +34,7 @@
 // What the process would be to a group, by the parts `group` and `control`. Throws config::ConfigError.
 std::string role_in_group(const nlohmann::json& file, const config::Config& config) {
   const auto longest_deadline = core::longest_deadline(config.settings);
-  if (const auto group = group::read_config(file, config.name, longest_deadline)) {
+  if (const auto group = group::parse_config(file, config.name, longest_deadline)) {
     const auto node = control::read_node_config(file, *group);
     const std::string member = "member " + group->member + " of group " + group->cluster;
     return node ? member + ", a control node at " + node->self.address : member;
@@ -63,8 +63,8 @@
   const auto store = open_store(*config.amqp, core::Millis(0), counters);
   static const char* const stages[] = {"", "may_have_run", "not_run", "answered", "confirmed"};
   static const char* const words[] = {"OK", "BUSY", "FAILED"};
-  store->each([&](const std::string& id, const answers::Record& record) {
-    const bool answered = record.stage >= answers::Stage::answered;
+  store->for_each([&](const std::string& id, const answers::ResultRecord& record) {
+    const bool answered = record.stage >= answers::ResultStage::answered;
     std::cout << static_cast<std::int64_t>(record.at.count()) << ' ' << stages[static_cast<int>(record.stage)]
               << ' ' << (answered ? words[static_cast<std::size_t>(record.answer.verdict)] : "-") << ' '
               << record.answer.body.size() << ' ' << id << '\n';
@@ -95,7 +95,7 @@
     if (check_command->parsed()) return check(checked);
     if (answers_command->parsed()) return list_answers(listed);
     if (operating) return operating();
-    return run(file.empty() ? environment("BALANCER_CONFIG") : file, open_store, node::make_node);
+    return run(file.empty() ? environment("BALANCER_CONFIG") : file, open_store, node::make_extension);
   } catch (const std::exception& fault) {
     std::cerr << "lotusyard: " << fault.what() << std::endl;
     return 1;
--- a/src/group/config.cpp
+++ b/src/group/config.cpp
@@ -59,7 +59,7 @@
 
 }  // namespace
 
-std::optional<Config> read_config(const json& file, const std::string& name, robinfold::Millis last_call) {
+std::optional<Config> parse_config(const json& file, const std::string& name, robinfold::Millis last_call) {
   const json& from = config::key(file, "group");
   if (from.is_null()) return std::nullopt;
   if (!from.is_object()) throw config::ConfigError("configuration: group: an object is needed");
@@ -80,7 +80,7 @@
   std::string mine = out.listen;
   for (std::size_t i = 0; i < members.size(); ++i) {
     const std::string path = "members[" + std::to_string(i) + "]";
-    Peer peer;
+    PeerAddress peer;
     peer.name = member_name(members[i], "name", path + ".name", nullptr);
     peer.address = address(members[i], "address", path + ".address", nullptr);
     peer.votes = flag(members[i], "votes", path + ".votes", true);
@@ -96,8 +96,8 @@
   if (votes > 7) fault("members", "at most 7 may vote");
   out.address = address(from, "address", "address", &mine);
   out.terms.lease = robinfold::Millis(number(from, "lease_ms", 3000, 200, 600000));
-  out.terms.drift = number(from, "drift", out.terms.drift, 0, 0.2);
-  out.terms.last_call = last_call;
+  out.terms.clock_drift = number(from, "drift", out.terms.clock_drift, 0, 0.2);
+  out.terms.max_attempt_time = last_call;
   out.election = robinfold::Millis(number(from, "election_ms", 1000, 50, 60000));
   if (out.election > out.terms.lease)
     fault("election_ms", "longer than lease_ms: no lease would outlive a leader");
--- a/src/group/config.h
+++ b/src/group/config.h
@@ -10,23 +10,23 @@
 
 namespace lotusyard::group {
 
-struct Peer {
+struct PeerAddress {
   std::string name, address;
   bool votes = true;
 };
 
 struct Config {
   std::string cluster, member, store, listen, address;  // address: where others reach this member
-  std::vector<Peer> members;  // with whom the group is founded; whoever joins later asks these
+  std::vector<PeerAddress> members;  // with whom the group is founded; whoever joins later asks these
   bool serves = true;         // takes calls; else it only votes and learns
-  Terms terms;
+  LeaseTerms terms;
   robinfold::Millis election{1000};
   std::optional<robinfold::Millis> view;  // the period of the fleet's view; nothing: none is kept
 };
 
 // Throws config::ConfigError naming the key; nothing: the file has no such part. `last_call`: the longest
 // limit of a call.
-std::optional<Config> read_config(const nlohmann::json& file, const std::string& name,
+std::optional<Config> parse_config(const nlohmann::json& file, const std::string& name,
                                   robinfold::Millis last_call);
 
 }  // namespace lotusyard::group
--- a/src/group/consensus.cpp
+++ b/src/group/consensus.cpp
@@ -14,16 +14,16 @@
 
 }  // namespace
 
-struct Consensus::Change {
+struct RaftCore::MembershipChange {
   raft_change request{};
   std::function<void(bool)> done;
 };
 
-Consensus::Consensus(Scheduler& scheduler, Store& store, User& user, std::uint64_t id,
+RaftCore::RaftCore(Scheduler& scheduler, LogStore& store, Delegate& user, std::uint64_t id,
                      const std::string& address, Millis election, std::uint64_t seed)
     : scheduler_(scheduler),
       store_(store),
-      user_(user),
+      delegate_(user),
       id_(id),
       address_(address),
       election_(election),
@@ -32,16 +32,16 @@
   if (start() == 0 || (suspended_ && !failed_)) return;
   const std::string why = raft_errmsg(&raft_);
   close();
-  throw StoreError("the group's consensus: " + why);
+  throw LogStoreError("the group's consensus: " + why);
 }
 
-Consensus::~Consensus() { close(); }
+RaftCore::~RaftCore() { close(); }
 
-int Consensus::start() {
+int RaftCore::start() {
   raft_ = raft{};
   matches_ = MatchTracker();
   if (raft_init(&raft_, &io_, &fsm_, id_, address_.c_str()) != 0)
-    throw StoreError(std::string("the group's consensus: ") + raft_errmsg(&raft_),
+    throw LogStoreError(std::string("the group's consensus: ") + raft_errmsg(&raft_),
                      sqlite::ResultKind::no_memory);
   running_ = true;
   raft_.data = this;
@@ -54,43 +54,43 @@
 }
 
 // What was deferred is called here, and nothing of this object stays with the scheduler.
-void Consensus::close() {
+void RaftCore::close() {
   halt();
-  while (!later_.empty()) drain();
-  scheduler_.cancel(drains_);
-  scheduler_.cancel(ticks_);
+  while (!deferred_.empty()) run_deferred();
+  scheduler_.cancel(deferred_timer_);
+  scheduler_.cancel(tick_timer_);
   scheduler_.cancel(restarts_);
 }
 
 // Never within a call of the library's. What was deferred before is called before the instance has ended.
-void Consensus::halt() {
+void RaftCore::halt() {
   if (!running_ || closing_) return;
   last_servers_ = servers();
   closing_ = true;
-  raft_close(&raft_, [](raft* r) { static_cast<Consensus*>(r->data)->halted(); });
+  raft_close(&raft_, [](raft* r) { static_cast<RaftCore*>(r->data)->halted(); });
 }
 
-void Consensus::halted() {
+void RaftCore::halted() {
   running_ = closing_ = false;
   if (suspended_ && !failed_) restart_later();
 }
 
-void Consensus::restart_later() {
+void RaftCore::restart_later() {
   const Millis due = scheduler_.now() + backoff_.next();
   scheduler_.cancel(restarts_);
   restarts_ = scheduler_.at(due, [this] { restart(); });
 }
 
-void Consensus::restart() {
+void RaftCore::restart() {
   int status = RAFT_NOMEM;
   try {
     store_.recover();
     suspended_ = false;
     status = start();
-  } catch (const StoreError& fault) { store_failed(fault); }
+  } catch (const LogStoreError& fault) { store_failed(fault); }
   if (status == 0 && is_available()) {
     backoff_.reset();
-    return user_.available();
+    return delegate_.available();
   }
   if (failed_ || (running_ && suspended_)) return;  // for good, or it ends and comes back by itself
   if (status != RAFT_NOMEM) return fail(std::string("the group's consensus: ") + raft_errmsg(&raft_));
@@ -101,7 +101,7 @@
     restart_later();
 }
 
-void Consensus::found(Store& store, const std::vector<Server>& servers) {
+void RaftCore::bootstrap(LogStore& store, const std::vector<Server>& servers) {
   raft_configuration conf;
   raft_configuration_init(&conf);
   bool sound = true;
@@ -110,44 +110,44 @@
   raft_buffer buffer{};
   sound = sound && raft_configuration_encode(&conf, &buffer) == 0;
   raft_configuration_close(&conf);
-  if (!sound) throw StoreError("the group's consensus: two members of one id or address");
+  if (!sound) throw LogStoreError("the group's consensus: two members of one id or address");
   store.set_term(1);
   store.append({{1, RAFT_CHANGE, text_of(buffer)}});
   raft_free(buffer.base);
 }
 
-int Consensus::store_failed(const StoreError& fault) {
+int RaftCore::store_failed(const LogStoreError& fault) {
   const bool first = !std::exchange(suspended_, true);
   if (!fault.transient()) {
     fail(fault.what());
   } else if (first) {
-    user_.unavailable(fault.kind, fault.what());
+    delegate_.unavailable(fault.kind, fault.what());
   }
   if (first && running_) defer([this] { halt(); });
   return RAFT_IOERR;
 }
 
-void Consensus::fail(const std::string& why) {
+void RaftCore::fail(const std::string& why) {
   if (std::exchange(failed_, true)) return;
-  user_.failed(why);
+  delegate_.on_store_failure(why);
 }
 
-void Consensus::defer(std::function<void()> call) {
-  if (later_.empty()) drains_ = scheduler_.at(scheduler_.now(), [this] { drain(); });
-  later_.push_back(std::move(call));
+void RaftCore::defer(std::function<void()> call) {
+  if (deferred_.empty()) deferred_timer_ = scheduler_.at(scheduler_.now(), [this] { run_deferred(); });
+  deferred_.push_back(std::move(call));
 }
 
-void Consensus::drain() {
-  auto now = std::exchange(later_, {});
+void RaftCore::run_deferred() {
+  auto now = std::exchange(deferred_, {});
   for (auto& call : now) call();
 }
 
-void Consensus::tick() {
-  ticks_ = scheduler_.at(scheduler_.now() + pace_, [this] { tick(); });
+void RaftCore::tick() {
+  tick_timer_ = scheduler_.at(scheduler_.now() + tick_interval_, [this] { tick(); });
   if (tick_ != nullptr && is_available()) tick_(&io_);
 }
 
-void Consensus::receive(std::uint64_t from, const std::string& address, raft_message&& message) {
+void RaftCore::receive(std::uint64_t from, const std::string& address, raft_message&& message) {
   message.server_id = from;
   message.server_address = address.c_str();
   if (recv_ == nullptr || !is_available()) return give_back(message);
@@ -156,7 +156,7 @@
   matches_.end();
 }
 
-Consensus::Server Consensus::leader() const {
+RaftCore::Server RaftCore::leader() const {
   if (!is_available()) return {};
   raft_id id = 0;
   const char* address = nullptr;
@@ -164,7 +164,7 @@
   return {id, address == nullptr ? std::string() : std::string(address), RAFT_VOTER};
 }
 
-std::vector<Consensus::Server> Consensus::servers() const {
+std::vector<RaftCore::Server> RaftCore::servers() const {
   if (!running_ || closing_) return last_servers_;
   std::vector<Server> out;
   for (unsigned i = 0; i < raft_.configuration.n; ++i) {
@@ -174,8 +174,8 @@
   return out;
 }
 
-bool Consensus::propose(const std::string& entry, std::function<void(bool)> done) {
-  if (!leads()) return false;
+bool RaftCore::propose(const std::string& entry, std::function<void(bool)> done) {
+  if (!is_leader()) return false;
   struct Apply {
     struct raft_apply request {};
     std::function<void(bool)> done;
@@ -195,9 +195,9 @@
   return false;
 }
 
-bool Consensus::change(const std::function<int(raft_change*)>& start, std::function<void(bool)> done) {
-  if (!leads()) return false;
-  auto* asked = new Change;
+bool RaftCore::change(const std::function<int(raft_change*)>& start, std::function<void(bool)> done) {
+  if (!is_leader()) return false;
+  auto* asked = new MembershipChange;
   asked->request.data = asked;
   asked->done = std::move(done);
   if (start(&asked->request) == 0) return true;
@@ -213,19 +213,19 @@
 }
 }  // namespace
 
-bool Consensus::add(const Server& server, std::function<void(bool)> done) {
+bool RaftCore::add(const Server& server, std::function<void(bool)> done) {
   return change(
       [&](raft_change* r) {
-        return raft_add(&raft_, r, server.id, server.address.c_str(), &changed<Change>);
+        return raft_add(&raft_, r, server.id, server.address.c_str(), &changed<MembershipChange>);
       },
       std::move(done));
 }
-bool Consensus::assign(std::uint64_t id, int role, std::function<void(bool)> done) {
-  return change([&](raft_change* r) { return raft_assign(&raft_, r, id, role, &changed<Change>); },
+bool RaftCore::assign(std::uint64_t id, int role, std::function<void(bool)> done) {
+  return change([&](raft_change* r) { return raft_assign(&raft_, r, id, role, &changed<MembershipChange>); },
                 std::move(done));
 }
-bool Consensus::remove(std::uint64_t id, std::function<void(bool)> done) {
-  return change([&](raft_change* r) { return raft_remove(&raft_, r, id, &changed<Change>); },
+bool RaftCore::remove(std::uint64_t id, std::function<void(bool)> done) {
+  return change([&](raft_change* r) { return raft_remove(&raft_, r, id, &changed<MembershipChange>); },
                 std::move(done));
 }
 
--- a/src/group/consensus.h
+++ b/src/group/consensus.h
@@ -23,17 +23,17 @@
 
 using robinfold::Millis;
 
-class Consensus {
+class RaftCore {
  public:
-  class User {
+  class Delegate {
    public:
-    virtual ~User() = default;
-    virtual void applied(std::uint64_t index, const std::string& entry) = 0;
+    virtual ~Delegate() = default;
+    virtual void apply(std::uint64_t index, const std::string& entry) = 0;
     virtual std::string snapshot() = 0;
     virtual bool restore(const std::string& snapshot) = 0;
     virtual void send(std::uint64_t to, const std::string& address, const raft_message& message) = 0;
     // Nothing more can be promised: its store is damaged, or holds what this program cannot read.
-    virtual void failed(const std::string& why) = 0;
+    virtual void on_store_failure(const std::string& why) = 0;
     // The store fails for now: this replica does not vote, lead or acknowledge until it is `available` again.
     virtual void unavailable(sqlite::ResultKind kind, const std::string& why) = 0;
     virtual void available() = 0;
@@ -41,14 +41,14 @@
   using Server = StoredServer;  // role: the library's
 
   // Throws StoreError if the store is damaged; one that fails for now is tried again.
-  Consensus(Scheduler& scheduler, Store& store, User& user, std::uint64_t id, const std::string& address,
+  RaftCore(Scheduler& scheduler, LogStore& store, Delegate& user, std::uint64_t id, const std::string& address,
             Millis election, std::uint64_t seed = std::random_device{}());
-  ~Consensus();
-  static void found(Store& store,
+  ~RaftCore();
+  static void bootstrap(LogStore& store,
                     const std::vector<Server>& servers);  // the first entry of a new group's log
 
   void receive(std::uint64_t from, const std::string& address, raft_message&& message);
-  bool leads() const { return is_available() && raft_state(const_cast<raft*>(&raft_)) == RAFT_LEADER; }
+  bool is_leader() const { return is_available() && raft_state(const_cast<raft*>(&raft_)) == RAFT_LEADER; }
   Server leader() const;  // id 0: not known
   std::uint64_t term() const { return store_.term(); }
   std::vector<Server> servers() const;
@@ -63,8 +63,8 @@
  private:
   using TimerId = Scheduler::TimerId;
   Scheduler& scheduler_;
-  Store& store_;
-  User& user_;
+  LogStore& store_;
+  Delegate& delegate_;
   const std::uint64_t id_;
   const std::string address_;
   const Millis election_;
@@ -74,9 +74,9 @@
   std::mt19937_64 random_;
   raft_io_tick_cb tick_ = nullptr;
   raft_io_recv_cb recv_ = nullptr;
-  Millis pace_{100};
-  TimerId ticks_{}, drains_{}, restarts_{};
-  std::deque<std::function<void()>> later_;
+  Millis tick_interval_{100};
+  TimerId tick_timer_{}, deferred_timer_{}, restarts_{};
+  std::deque<std::function<void()>> deferred_;
   sqlite::Backoff backoff_;
   MatchTracker matches_;
   std::uint64_t applied_ = 0;         // by any instance: the user's state stands there
@@ -86,12 +86,12 @@
   bool running_ = false;              // between raft_init and the end of raft_close
   bool closing_ = false;              // raft_close was called, and has not ended
 
-  struct Calls;
-  struct Change;
+  struct LibraftCallbacks;
+  struct MembershipChange;
   void set_callbacks();
   template <typename Write>
-  int kept(const Write& write);  // a code of the library's
-  int store_failed(const StoreError& fault);
+  int persist(const Write& write);  // a code of the library's
+  int store_failed(const LogStoreError& fault);
   void fail(const std::string& why);
   int start();  // a code of the library's
   void halt();
@@ -99,7 +99,7 @@
   void restart();
   void restart_later();
   void defer(std::function<void()> call);
-  void drain();
+  void run_deferred();
   void tick();
   void close();
   bool change(const std::function<int(raft_change*)>& start, std::function<void(bool)> done);
--- a/src/group/links.h
+++ b/src/group/links.h
@@ -17,44 +17,44 @@
 
 namespace lotusyard::group {
 
-class Links final : private net::Handler {
+class PeerTransport final : private net::EventHandler {
  public:
   // A whole frame of a member that was let in.
   using Receive = std::function<void(const Hello& from, Frame&& frame)>;
-  using Note = std::function<void(const std::string& line)>;
-  Links(net::Loop& loop, core::Counters& counters, Hello mine, Receive receive, Note note);
-  ~Links() override;
+  using LogSink = std::function<void(const std::string& line)>;
+  PeerTransport(net::EventLoop& loop, core::Counters& counters, Hello mine, Receive receive, LogSink note);
+  ~PeerTransport() override;
 
   bool listen(const std::string& address);
   std::string address() const { return net::bound_address(listener_); }
   // False: nothing went out. `to` 0: whoever listens there.
   bool send(std::uint64_t to, const std::string& address, Frame::Kind kind, const std::string& body);
-  void is_now(std::uint64_t id);  // this member's own id became known
+  void set_own_id(std::uint64_t id);  // this member's own id became known
   void close();
 
  private:
-  class Out;
-  class In;
-  static constexpr std::size_t incoming_most = 512;
-  static constexpr std::size_t unsent_most = 2U << 20;  // bytes that wait on one link
-  net::Loop& loop_;
+  class OutgoingConnection;
+  class IncomingConnection;
+  static constexpr std::size_t max_incoming = 512;
+  static constexpr std::size_t max_unsent_bytes = 2U << 20;  // bytes that wait on one link
+  net::EventLoop& loop_;
   core::Counters& counters_;
-  Hello mine_;
+  Hello own_hello_;
   Receive receive_;
-  Note note_;
+  LogSink log_;
   net::BufferPool pool_;
   net::Socket listener_;
-  std::map<std::string, std::shared_ptr<Out>> out_;      // by address and id
-  std::map<std::string, robinfold::Millis> not_before_;  // likewise, since the last link there ended
-  std::list<std::shared_ptr<In>> in_;
-  std::set<std::string> noted_;
-  net::Loop::TimerId accept_timer_{};
+  std::map<std::string, std::shared_ptr<OutgoingConnection>> outgoing_;      // by address and id
+  std::map<std::string, robinfold::Millis> reconnect_not_before_;  // likewise, since the last link there ended
+  std::list<std::shared_ptr<IncomingConnection>> incoming_;
+  std::set<std::string> logged_;
+  net::EventLoop::TimerId accept_timer_{};
 
   void ready(short events) override;
   void watch_listener();
   void pause_accepting();
-  const char* fault_of(const Hello& hello) const;
-  void note_once(const std::string& line);
+  const char* rejection_reason(const Hello& hello) const;
+  void log_once(const std::string& line);
 };
 
 }  // namespace lotusyard::group
--- a/src/group/part.cpp
+++ b/src/group/part.cpp
@@ -10,19 +10,19 @@
 
 }  // namespace
 
-std::string tagged(const std::string& kind, const std::string& text) { return kind + kMark + text; }
+std::string tag_entry(const std::string& kind, const std::string& text) { return kind + kMark + text; }
 
-std::pair<std::string, std::string> untagged(const std::string& from) {
+std::pair<std::string, std::string> untag_entry(const std::string& from) {
   const auto mark = from.find(kMark);
   if (mark == std::string::npos) return {kFirst, from};
   return {from.substr(0, mark), from.substr(mark + 1)};
 }
 
-std::string worded_parts(const std::map<std::string, std::string>& snapshots) {
+std::string encode_snapshots(const std::map<std::string, std::string>& snapshots) {
   return nlohmann::json{{"parts", snapshots}}.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
-std::optional<std::map<std::string, std::string>> read_parts(const std::string& snapshot) {
+std::optional<std::map<std::string, std::string>> decode_snapshots(const std::string& snapshot) {
   const auto read = nlohmann::json::parse(snapshot, nullptr, false);
   if (!read.is_object()) return std::nullopt;
   std::map<std::string, std::string> out;
--- a/src/group/raft_wire.cpp
+++ b/src/group/raft_wire.cpp
@@ -103,7 +103,7 @@
 
 }  // namespace
 
-std::string worded(const raft_message& m) {
+std::string encode_hello(const raft_message& m) {
   std::string out;
   put8(out, m.type);
   for (const auto* number : numbers_of(m)) put64(out, *number);
@@ -134,7 +134,7 @@
   return out;
 }
 
-std::optional<raft_message> read_message(const std::string& body) {
+std::optional<raft_message> decode_message(const std::string& body) {
   Reader in(body);
   raft_message m{};
   m.type = static_cast<unsigned short>(in.number(1));
--- a/src/group/scheduler.h
+++ b/src/group/scheduler.h
@@ -10,7 +10,7 @@
 class Scheduler {
  public:
   using Millis = net::Millis;
-  using TimerId = net::Loop::TimerId;
+  using TimerId = net::EventLoop::TimerId;
   virtual ~Scheduler() = default;
   virtual Millis now() const = 0;
   virtual TimerId at(Millis when, std::function<void()> ring) = 0;
@@ -19,13 +19,13 @@
 
 class LoopScheduler final : public Scheduler {
  public:
-  explicit LoopScheduler(net::Loop& loop) : loop_(loop) {}
+  explicit LoopScheduler(net::EventLoop& loop) : loop_(loop) {}
   Millis now() const override { return loop_.now(); }
-  TimerId at(Millis when, std::function<void()> ring) override { return loop_.at(when, std::move(ring)); }
+  TimerId at(Millis when, std::function<void()> ring) override { return loop_.schedule_at(when, std::move(ring)); }
   void cancel(const TimerId& id) override { loop_.cancel(id); }
 
  private:
-  net::Loop& loop_;
+  net::EventLoop& loop_;
 };
 
 }  // namespace lotusyard::group
