--- a/src/group/store.h
+++ b/src/group/store.h
@@ -19,8 +19,8 @@
 
 // Final unless `transient`: then the disk or the machine failed, nothing shows that the file is damaged, and
 // the same may succeed later.
-struct StoreError : std::runtime_error {
-  explicit StoreError(const std::string& what, sqlite::ResultKind result = sqlite::ResultKind::corrupt)
+struct LogStoreError : std::runtime_error {
+  explicit LogStoreError(const std::string& what, sqlite::ResultKind result = sqlite::ResultKind::corrupt)
       : std::runtime_error(what), kind(result) {}
   bool transient() const { return sqlite::is_transient(kind); }
   const sqlite::ResultKind kind;
@@ -29,7 +29,7 @@
 struct Identity {
   std::string cluster, member;
   std::uint64_t id = 0;    // in the group; another one for each store that a member begins
-  std::uint64_t life = 0;  // grows with each start
+  std::uint64_t incarnation = 0;  // grows with each start
 };
 struct StoredEntry {
   std::uint64_t term = 0;
@@ -47,18 +47,18 @@
   std::string data;
 };
 
-class Store {
+class LogStore {
  public:
   // Throws StoreError: it cannot be opened, another process holds it, or it is damaged.
-  explicit Store(const std::string& path);
-  ~Store();
-  Store(const Store&) = delete;
-  Store& operator=(const Store&) = delete;
+  explicit LogStore(const std::string& path);
+  ~LogStore();
+  LogStore(const LogStore&) = delete;
+  LogStore& operator=(const LogStore&) = delete;
 
-  bool fresh() const;  // it holds no identity yet
+  bool is_empty() const;  // it holds no identity yet
   Identity identity() const;
-  void begin(const Identity& identity);  // of a fresh store
-  std::uint64_t next_life();             // kept before it is told
+  void initialize(const Identity& identity);  // of a fresh store
+  std::uint64_t begin_next_incarnation();             // kept before it is told
   // After a failed write: shows that the disk takes writes again, and reads anew what this object holds in
   // memory. Throws StoreError.
   void recover();
@@ -77,7 +77,7 @@
   bool has_snapshot() const;
   std::uint64_t snapshot_index() const { return covered_; }  // 0: none
   StoredSnapshot snapshot() const;
-  std::size_t bytes() const;  // of the file
+  std::size_t size_bytes() const;  // of the file
 
  private:
   sqlite3* db_ = nullptr;
@@ -92,8 +92,8 @@
   std::string get(const char* key) const;
   std::uint64_t get_number(const char* key) const;
   template <typename Body>
-  void whole(const Body& body);  // all of it or nothing
-  void read_range();
+  void in_transaction(const Body& body);  // all of it or nothing
+  void load_index_range();
 };
 
 }  // namespace lotusyard::group
--- a/src/group/wire.cpp
+++ b/src/group/wire.cpp
@@ -8,11 +8,11 @@
 namespace {
 
 constexpr std::size_t kHead = 5;
-constexpr auto last_kind = static_cast<std::uint64_t>(Frame::Kind::view);
+constexpr auto last_kind = static_cast<std::uint64_t>(Frame::Kind::gossip);
 
 }  // namespace
 
-std::string framed(Frame::Kind kind, std::string_view body) {
+std::string encode_frame(Frame::Kind kind, std::string_view body) {
   std::string out;
   put32(out, static_cast<std::uint32_t>(body.size()));
   put8(out, static_cast<unsigned>(kind));
@@ -20,7 +20,7 @@
   return out;
 }
 
-bool FrameParser::take(std::string_view bytes, std::vector<Frame>& out) {
+bool FrameParser::feed(std::string_view bytes, std::vector<Frame>& out) {
   held_ += bytes;
   std::size_t at = 0;
   bool sound = true;
@@ -28,7 +28,7 @@
     Reader head(std::string_view(held_).substr(at, kHead));
     const std::size_t size = head.number(4);
     const auto kind = head.number(1);
-    sound = size <= longest_frame && kind >= 1 && kind <= last_kind;
+    sound = size <= max_frame_bytes && kind >= 1 && kind <= last_kind;
     if (!sound || held_.size() - at - kHead < size) break;
     out.push_back({static_cast<Frame::Kind>(kind), held_.substr(at + kHead, size)});
     at += kHead + size;
@@ -37,14 +37,14 @@
   return sound;
 }
 
-std::string worded(const Hello& h) {
+std::string encode_hello(const Hello& h) {
   return nlohmann::json{
       {"version", h.version}, {"cluster", h.cluster}, {"member", h.member}, {"from", h.from},
       {"to", h.to},           {"lease", h.lease},     {"drift", h.drift},   {"last_call", h.last_call}}
       .dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
-std::optional<Hello> read_hello(const std::string& body) {
+std::optional<Hello> decode_hello(const std::string& body) {
   const auto from = nlohmann::json::parse(body, nullptr, false);
   if (!from.is_object()) return std::nullopt;
   try {
--- a/src/group/wire.h
+++ b/src/group/wire.h
@@ -12,19 +12,19 @@
 namespace lotusyard::group {
 
 constexpr std::uint32_t protocol_version = 2;
-constexpr std::size_t longest_frame = 4U << 20;
+constexpr std::size_t max_frame_bytes = 4U << 20;
 
 struct Frame {
-  enum class Kind : std::uint8_t { hello = 1, consensus = 2, word = 3, refusal = 4, heard = 5, view = 6 };
+  enum class Kind : std::uint8_t { hello = 1, consensus = 2, message = 3, refusal = 4, received = 5, gossip = 6 };
   Kind kind = Kind::hello;
   std::string body;
 };
-std::string framed(Frame::Kind kind, std::string_view body);
+std::string encode_frame(Frame::Kind kind, std::string_view body);
 
 class FrameParser {
  public:
   // Appends what is whole. False: malformed, and so is all that follows.
-  bool take(std::string_view bytes, std::vector<Frame>& out);
+  bool feed(std::string_view bytes, std::vector<Frame>& out);
 
  private:
   std::string held_;
@@ -37,7 +37,7 @@
   std::uint64_t from = 0, to = 0;  // ids; 0: not known yet
   double lease = 0, drift = 0, last_call = 0;
 };
-std::string worded(const Hello& hello);
-std::optional<Hello> read_hello(const std::string& body);
+std::string encode_hello(const Hello& hello);
+std::optional<Hello> decode_hello(const std::string& body);
 
 }  // namespace lotusyard::group
--- a/src/hosts/fleet.cpp
+++ b/src/hosts/fleet.cpp
@@ -23,40 +23,40 @@
 
 }  // namespace
 
-Millis Fleet::quiet_most() const {
+Millis HostConnectionPool::max_silence() const {
   return std::min(std::max(usual_answer_ * kQuietRuns, kQuietLeast), std::max(limits_.quiet, kQuietLeast));
 }
-void Fleet::note_answer(Millis took) { usual_answer_ += kUsualGain * (took - usual_answer_); }
+void HostConnectionPool::record_answer_time(Millis took) { usual_answer_ += kUsualGain * (took - usual_answer_); }
 // Danger: each liveness probe is cheap, but calls that wait for a load are silent as well. Asked for whatever
 // is late, a hundred invokers' probes are more than their calls.
-bool Fleet::take_liveness_probe() {
+bool HostConnectionPool::take_liveness_probe() {
   if (probes_left_ < 1) return false;
   probes_left_ -= 1;
   counters_.add("hosts.liveness_probes");
   return true;
 }
 
-Fleet::Fleet(net::Loop& loop, net::BufferPool& pool, core::Counters& counters, Limits limits)
+HostConnectionPool::HostConnectionPool(net::EventLoop& loop, net::BufferPool& pool, core::Counters& counters, Limits limits)
     : loop_(loop), pool_(pool), counters_(counters), limits_(std::move(limits)), probes_left_(kProbesMost) {}
-Fleet::~Fleet() { loop_.cancel(waiting_timer_); }
+HostConnectionPool::~HostConnectionPool() { loop_.cancel(waiting_timer_); }
 
-void Fleet::attach(core::Dispatcher& dispatcher) {
+void HostConnectionPool::attach(core::Dispatcher& dispatcher) {
   dispatcher_ = &dispatcher;
-  dispatcher.guard(gate(nullptr));
+  dispatcher.set_host_filter(gate(nullptr));
 }
 
-robinfold::Gate* Fleet::gate(robinfold::Gate* next) {
+robinfold::HostFilter* HostConnectionPool::gate(robinfold::HostFilter* next) {
   reachable_hosts_.ask_too(next);
   return &reachable_hosts_;
 }
 
-void Fleet::members(const core::MemberList& list) {
+void HostConnectionPool::update_endpoints(const core::HostListUpdate& list) {
   std::set<std::string> named;
   const auto retire = [this](Host& host, bool unsent_too) {
     if (unsent_too) withdraw_waiting(host.member.entry.worker);
-    for (const auto& link : std::vector<std::shared_ptr<Link>>(host.links)) link->retire(unsent_too);
+    for (const auto& link : std::vector<std::shared_ptr<HostConnection>>(host.connections)) link->retire(unsent_too);
   };
-  for (const auto& member : list.members) {
+  for (const auto& member : list.hosts) {
     const std::string& id = member.entry.worker;
     named.insert(id);
     Host& host = hosts_[id];
@@ -80,135 +80,135 @@
       retire(host, true);
     }
     // Hosts that are gone are forgotten with their last connection, or every deploy would leave some behind.
-    const bool forgotten = host.member.entry.state == WorkerState::gone && host.links.empty() &&
-                           !host.holds_given_up(loop_.now());
+    const bool forgotten = host.member.entry.state == WorkerState::gone && host.connections.empty() &&
+                           !host.may_run_cancelled_calls(loop_.now());
     i = forgotten ? hosts_.erase(i) : std::next(i);
   }
 }
 
 // Danger: a share of the memory for each connection is too little for one long answer, where there is little;
 // what counts is what has come in over all. The one that holds most goes.
-void Fleet::hold(Link& link, std::size_t before, std::size_t now) {
+void HostConnectionPool::account_incoming(HostConnection& link, std::size_t before, std::size_t now) {
   incoming_ = incoming_ + now - before;
   if (now <= before || incoming_ <= limits_.incoming) return;
-  Link* most = &link;
+  HostConnection* most = &link;
   std::size_t least = now;
   for (auto& [id, host] : hosts_) {
-    for (const auto& other : host.links) {
-      if (other->ending() || other->held() <= least) continue;
+    for (const auto& other : host.connections) {
+      if (other->is_closing() || other->buffered_bytes() <= least) continue;
       most = other.get();
-      least = other->held();
+      least = other->buffered_bytes();
     }
   }
   counters_.add("hosts.no_memory");
-  most->end_later();
+  most->close_later();
 }
 
 // The host's side of the last look: it may have this now, whatever was decided before.
-bool Fleet::allows(const std::string& id, const core::Call* call, std::uint64_t function) const {
+bool HostConnectionPool::allows(const std::string& id, const core::Call* call, std::uint64_t function) const {
   const auto found = hosts_.find(id);
   const bool ready = found != hosts_.end() && found->second.member.entry.state == WorkerState::ready;
-  return ready && (!may_send_ || may_send_(id, call, function));
+  return ready && (!send_filter_ || send_filter_(id, call, function));
 }
 
-Fleet::Host* Fleet::ready_host(const std::string& id, const core::Call* call, std::uint64_t function) {
+HostConnectionPool::Host* HostConnectionPool::ready_host(const std::string& id, const core::Call* call, std::uint64_t function) {
   if (allows(id, call, function)) return &hosts_.at(id);
   counters_.add("guard.host_not_ready");
   return nullptr;
 }
 
-void Fleet::cut(const std::string& id) {
+void HostConnectionPool::abort_unsent(const std::string& id) {
   const auto found = hosts_.find(id);
   if (found == hosts_.end()) return;
   withdraw_waiting(id);
-  for (const auto& link : std::vector<std::shared_ptr<Link>>(found->second.links)) {
-    link->withdraw();
-    if (!link->connecting() && link->outbox().empty()) continue;
+  for (const auto& link : std::vector<std::shared_ptr<HostConnection>>(found->second.connections)) {
+    link->abort_pending_writes();
+    if (!link->is_connecting() && link->send_queue().empty()) continue;
     counters_.add("hosts.cut_links");
-    link->end_later();
+    link->close_later();
   }
 }
 
-bool Fleet::free_of_calls(const std::string& id) const {
+bool HostConnectionPool::has_no_calls(const std::string& id) const {
   const auto there = [&](const auto& entry) { return entry.second->host() == id; };
   if (std::any_of(attempts_.begin(), attempts_.end(), there)) return false;
   const auto host = hosts_.find(id);
-  return host == hosts_.end() || !host->second.holds_given_up(loop_.now());
+  return host == hosts_.end() || !host->second.may_run_cancelled_calls(loop_.now());
 }
 
-void Fleet::later(std::function<void()> tell) { loop_.at(loop_.now(), std::move(tell)); }
+void HostConnectionPool::notify_later(std::function<void()> tell) { loop_.schedule_at(loop_.now(), std::move(tell)); }
 
-void Fleet::never_went(const core::Attempt& attempt) {
+void HostConnectionPool::attempt_not_sent(const core::Attempt& attempt) {
   attempts_.erase(attempt);
-  later([this, attempt] {
+  notify_later([this, attempt] {
     dispatcher_->attempt_ended(attempt, {Outcome::connect_failed, 0, std::nullopt, {}});
   });
 }
 
-void Fleet::no_probe(const std::string& id) {
-  later([this, id] { dispatcher_->probe_ended({id, Outcome::connect_failed, Millis(0), std::nullopt}); });
+void HostConnectionPool::probe_not_sent(const std::string& id) {
+  notify_later([this, id] { dispatcher_->probe_ended({id, Outcome::connect_failed, Millis(0), std::nullopt}); });
 }
 
-void Fleet::no_order(const std::string& id, std::uint64_t function) {
-  later([this, id, function] {
+void HostConnectionPool::load_not_sent(const std::string& id, std::uint64_t function) {
+  notify_later([this, id, function] {
     dispatcher_->load_ended({id, function, Outcome::connect_failed, Millis(0), 0});
   });
 }
 
-void Fleet::exec(const core::Attempt& attempt, const std::string& id, const core::Call& call,
+void HostConnectionPool::send_attempt(const core::Attempt& attempt, const std::string& id, const core::Call& call,
                  Millis patience) {
   Host* host = ready_host(id, &call, call.function);
-  const LinkChoice choice = host == nullptr ? LinkChoice() : link_for(*host, call.ref);
+  const LinkChoice choice = host == nullptr ? LinkChoice() : connection_for(*host, call.ref);
   if (choice.local_trouble) return wait_for_connection(attempt, id, call, loop_.now() + patience);
-  if (choice.link == nullptr) return never_went(attempt);
+  if (choice.link == nullptr) return attempt_not_sent(attempt);
   send_attempt(*choice.link, attempt, call, patience);
 }
 
-void Fleet::send_attempt(Link& link, const core::Attempt& attempt, const core::Call& call, Millis patience) {
+void HostConnectionPool::send_attempt(HostConnection& link, const core::Attempt& attempt, const core::Call& call, Millis patience) {
   attempts_[attempt] = &link;
   Host& host = hosts_.at(link.host());
   const Millis now = loop_.now();
-  if (host.until <= now) host.lingers = false;
-  host.until = std::max(host.until, now + patience);
+  if (host.calls_expire_at <= now) host.has_cancelled_calls = false;
+  host.calls_expire_at = std::max(host.calls_expire_at, now + patience);
   probes_left_ = std::min(probes_left_ + kProbeShare, kProbesMost);
-  link.exec(attempt, call, patience);
+  link.send_attempt(attempt, call, patience);
 }
 
-bool Fleet::drop(const core::Attempt& attempt) {
+bool HostConnectionPool::cancel_attempt(const core::Attempt& attempt) {
   if (waiting_.remove(attempt)) return false;
   const auto found = attempts_.find(attempt);
   if (found == attempts_.end()) return false;
-  Link* link = found->second;
+  HostConnection* link = found->second;
   attempts_.erase(found);
-  hosts_.at(link->host()).lingers = true;
-  return link->drop(attempt);
+  hosts_.at(link->host()).has_cancelled_calls = true;
+  return link->cancel_attempt(attempt);
 }
 
-void Fleet::probe(const std::string& id) {
+void HostConnectionPool::probe(const std::string& id) {
   Host* host = ready_host(id, nullptr, 0);
-  const LinkChoice choice = host == nullptr ? LinkChoice() : link_for(*host, {});
+  const LinkChoice choice = host == nullptr ? LinkChoice() : connection_for(*host, {});
   if (choice.link != nullptr) return choice.link->probe("p" + std::to_string(++last_tag_));
-  if (!choice.local_trouble) return no_probe(id);
+  if (!choice.local_trouble) return probe_not_sent(id);
   wait_with(WaitingSend::Kind::probe, id, 0, 0);
 }
 
-void Fleet::ensure(const std::string& id, std::uint64_t function, int copies) {
+void HostConnectionPool::load_copies(const std::string& id, std::uint64_t function, int copies) {
   Host* host = ready_host(id, nullptr, copies > 0 ? function : 0);
-  const LinkChoice choice = host == nullptr ? LinkChoice() : link_for(*host, {});
+  const LinkChoice choice = host == nullptr ? LinkChoice() : connection_for(*host, {});
   if (choice.link != nullptr) {
-    return choice.link->order("t" + std::to_string(++last_tag_), function, copies);
+    return choice.link->load_copies("t" + std::to_string(++last_tag_), function, copies);
   }
-  if (!choice.local_trouble) return no_order(id, function);
+  if (!choice.local_trouble) return load_not_sent(id, function);
   wait_with(WaitingSend::Kind::load_order, id, function, copies);
 }
 
-void Fleet::release(const std::string& id, std::uint64_t function) {
+void HostConnectionPool::unload(const std::string& id, std::uint64_t function) {
   Host* host = ready_host(id, nullptr, 0);
-  Link* link = host == nullptr ? nullptr : link_for(*host, {}).link;
-  if (link != nullptr) link->say("release " + net::hex16(function));
+  HostConnection* link = host == nullptr ? nullptr : connection_for(*host, {}).link;
+  if (link != nullptr) link->send_line("release " + net::hex16(function));
 }
 
-core::Report Fleet::read_report(const std::string& text) const {
+core::Report HostConnectionPool::parse_report(const std::string& text) const {
   const auto fields = net::parse_fields(text, ';', ':');
   if (text.empty() || !fields) return std::nullopt;
   std::vector<double> values;
@@ -220,13 +220,13 @@
   return values;
 }
 
-void Fleet::link_gone(Link& link) {
-  --links_;
+void HostConnectionPool::connection_closed(HostConnection& link) {
+  --connections_;
   counters_.add("hosts.links_ended");
-  auto& links = hosts_.at(link.host()).links;
+  auto& links = hosts_.at(link.host()).connections;
   const auto found =
       std::find_if(links.begin(), links.end(), [&](const auto& l) { return l.get() == &link; });
-  loop_.bury(*found);
+  loop_.delete_later(*found);
   links.erase(found);
 }
 
--- a/src/hosts/fleet.h
+++ b/src/hosts/fleet.h
@@ -33,51 +33,51 @@
   std::vector<std::string> report_fields;  // in the order in which the module wants them
 };
 
-class Fleet final : public core::Hosts {
+class HostConnectionPool final : public core::HostTransport {
  public:
-  Fleet(net::Loop& loop, net::BufferPool& pool, core::Counters& counters, Limits limits);
-  ~Fleet() override;
+  HostConnectionPool(net::EventLoop& loop, net::BufferPool& pool, core::Counters& counters, Limits limits);
+  ~HostConnectionPool() override;
   void attach(core::Dispatcher& dispatcher);
   // Which hosts a call may go to, as far as connections tell, and as `next` says beside that, where set.
-  robinfold::Gate* gate(robinfold::Gate* next);
+  robinfold::HostFilter* gate(robinfold::HostFilter* next);
 
-  void members(const core::MemberList& list);
+  void update_endpoints(const core::HostListUpdate& list);
   // Nothing that was decided for this host and is not with the kernel yet goes out any more.
-  void cut(const std::string& host);
+  void abort_unsent(const std::string& host);
   // No call of this process is at the host: none is out, and what was given up has run out of time.
-  bool free_of_calls(const std::string& host) const;
+  bool has_no_calls(const std::string& host) const;
   // Asked before anything new goes to a host, where set: a call, a load of the function, or what names
   // neither.
-  using MaySend =
+  using SendFilter =
       std::function<bool(const std::string& host, const core::Call* call, std::uint64_t function)>;
-  void ask_before(MaySend may_send) { may_send_ = std::move(may_send); }
-  void bound(const Limits& limits) { limits_ = limits; }  // open connections keep to them from now on
+  void set_send_filter(SendFilter may_send) { send_filter_ = std::move(may_send); }
+  void set_limits(const Limits& limits) { limits_ = limits; }  // open connections keep to them from now on
 
-  void exec(const core::Attempt& attempt, const std::string& host, const core::Call& call,
+  void send_attempt(const core::Attempt& attempt, const std::string& host, const core::Call& call,
             Millis patience) override;
-  bool drop(const core::Attempt& attempt) override;
+  bool cancel_attempt(const core::Attempt& attempt) override;
   void probe(const std::string& host) override;
-  void ensure(const std::string& host, std::uint64_t function, int copies) override;
-  void release(const std::string& host, std::uint64_t function) override;
+  void load_copies(const std::string& host, std::uint64_t function, int copies) override;
+  void unload(const std::string& host, std::uint64_t function) override;
 
  private:
-  class Link;
+  class HostConnection;
   struct Host {
-    core::Member member;
-    std::vector<std::shared_ptr<Link>> links;
-    Millis until{0};       // when the last call that went there has run out of time
-    bool lingers = false;  // one was given up, and may run there till then
-    bool holds_given_up(Millis now) const { return lingers && until > now; }
+    core::ListedHost member;
+    std::vector<std::shared_ptr<HostConnection>> connections;
+    Millis calls_expire_at{0};       // when the last call that went there has run out of time
+    bool has_cancelled_calls = false;  // one was given up, and may run there till then
+    bool may_run_cancelled_calls(Millis now) const { return has_cancelled_calls && calls_expire_at > now; }
   };
-  net::Loop& loop_;
+  net::EventLoop& loop_;
   net::BufferPool& pool_;
   core::Counters& counters_;
   Limits limits_;
   core::Dispatcher* dispatcher_ = nullptr;
   std::map<std::string, Host> hosts_;
-  std::map<core::Attempt, Link*> attempts_;
-  MaySend may_send_;
-  std::size_t links_ = 0, incoming_ = 0;
+  std::map<core::Attempt, HostConnection*> attempts_;
+  SendFilter send_filter_;
+  std::size_t connections_ = 0, incoming_ = 0;
   std::uint64_t last_tag_ = 0;
   Millis usual_answer_{0};  // moving average over all hosts
   double probes_left_ = 0;  // a token bucket, filled by what is sent
@@ -85,30 +85,30 @@
   bool allows(const std::string& id, const core::Call* call, std::uint64_t function) const;
   Host* ready_host(const std::string& id, const core::Call* call, std::uint64_t function);
   struct LinkChoice {
-    Link* link = nullptr;
+    HostConnection* link = nullptr;
     bool local_trouble = false;  // there is none for this machine's sake, and soon there may be one
   };
-  class ReachableHosts final : public robinfold::Gate {
+  class ReachableHosts final : public robinfold::HostFilter {
    public:
-    explicit ReachableHosts(const Fleet& fleet) : fleet_(fleet) {}
-    void ask_too(robinfold::Gate* next) { next_ = next; }
-    bool open(const std::string& tenant, std::uint64_t function, const std::string& id) override;
+    explicit ReachableHosts(const HostConnectionPool& fleet) : fleet_(fleet) {}
+    void ask_too(robinfold::HostFilter* next) { next_ = next; }
+    bool allows(const std::string& tenant, std::uint64_t function, const std::string& id) override;
 
    private:
-    const Fleet& fleet_;
-    robinfold::Gate* next_ = nullptr;
+    const HostConnectionPool& fleet_;
+    robinfold::HostFilter* next_ = nullptr;
   };
   ReachableHosts reachable_hosts_{*this};
   ConnectBackoff backoff_;
   WaitingSends waiting_;
-  net::Loop::TimerId waiting_timer_{};
+  net::EventLoop::TimerId waiting_timer_{};
 
-  LinkChoice link_for(Host& host, const std::string& ref);
+  LinkChoice connection_for(Host& host, const std::string& ref);
   LinkChoice open_link(Host& host);
   bool in_local_trouble() const;
   bool has_open_link(const Host& host) const;
   bool is_reachable(const Host& host) const;
-  void send_attempt(Link& link, const core::Attempt& attempt, const core::Call& call, Millis patience);
+  void send_attempt(HostConnection& link, const core::Attempt& attempt, const core::Call& call, Millis patience);
   void wait(WaitingSend&& send);
   void wait_for_connection(const core::Attempt& attempt, const std::string& host, const core::Call& call,
                            Millis until);
@@ -117,20 +117,20 @@
   void try_waiting();
   bool try_again(WaitingSend& send);
   bool may_move_on(const WaitingSend& send, Millis now) const;
-  void send_on(Link& link, const WaitingSend& send);
+  void send_on(HostConnection& link, const WaitingSend& send);
   void end_waiting(const WaitingSend& send);
   void end_unreachable(const WaitingSend& send);
   void withdraw_waiting(const std::string& host);
-  void later(std::function<void()> tell);
+  void notify_later(std::function<void()> tell);
   // Told in the next turn: none of these went out.
-  void never_went(const core::Attempt& attempt);
-  void no_probe(const std::string& id);
-  void no_order(const std::string& id, std::uint64_t function);
-  core::Report read_report(const std::string& text) const;
-  void link_gone(Link& link);
-  void hold(Link& link, std::size_t before, std::size_t now);
-  Millis quiet_most() const;
-  void note_answer(Millis took);
+  void attempt_not_sent(const core::Attempt& attempt);
+  void probe_not_sent(const std::string& id);
+  void load_not_sent(const std::string& id, std::uint64_t function);
+  core::Report parse_report(const std::string& text) const;
+  void connection_closed(HostConnection& link);
+  void account_incoming(HostConnection& link, std::size_t before, std::size_t now);
+  Millis max_silence() const;
+  void record_answer_time(Millis took);
   bool take_liveness_probe();
 };
 
--- a/src/hosts/fleet_connects.cpp
+++ b/src/hosts/fleet_connects.cpp
@@ -15,18 +15,18 @@
 
 }  // namespace
 
-Fleet::LinkChoice Fleet::link_for(Host& host, const std::string& ref) {
-  Link* best = nullptr;
-  Link* suspect = nullptr;
+HostConnectionPool::LinkChoice HostConnectionPool::connection_for(Host& host, const std::string& ref) {
+  HostConnection* best = nullptr;
+  HostConnection* suspect = nullptr;
   std::size_t usable = 0;
-  for (const auto& link : host.links) {
-    if (link->open() || link->connecting()) ++usable;
-    if (link->takes(ref, true)) suspect = link.get();
-    if (!link->takes(ref, false)) continue;
+  for (const auto& link : host.connections) {
+    if (link->is_open() || link->is_connecting()) ++usable;
+    if (link->has_capacity(ref, true)) suspect = link.get();
+    if (!link->has_capacity(ref, false)) continue;
     if (best == nullptr || link->load() < best->load()) best = link.get();
   }
   if (best != nullptr) return {best, false};
-  if (usable >= limits_.links_a_host || links_ >= limits_.links) {
+  if (usable >= limits_.links_a_host || connections_ >= limits_.links) {
     counters_.add("hosts.no_link");
     return {nullptr, false};
   }
@@ -35,7 +35,7 @@
   return fresh.local_trouble && suspect != nullptr ? LinkChoice{suspect, false} : fresh;
 }
 
-Fleet::LinkChoice Fleet::open_link(Host& host) {
+HostConnectionPool::LinkChoice HostConnectionPool::open_link(Host& host) {
   if (!backoff_.may_try(loop_.now())) return {nullptr, true};
   net::ConnectResult connection = net::connect_to(host.member.address);
   net::count_connect_error(loop_, connection);
@@ -48,23 +48,23 @@
     return {nullptr, false};
   }
   counters_.add("hosts.links_opened");
-  ++links_;
-  host.links.push_back(std::make_shared<Link>(*this, host.member.entry.worker, std::move(connection.socket)));
-  return {host.links.back().get(), false};
+  ++connections_;
+  host.connections.push_back(std::make_shared<HostConnection>(*this, host.member.entry.worker, std::move(connection.socket)));
+  return {host.connections.back().get(), false};
 }
 
 // Asked for each host that may have a call: without trouble it costs no look at the clock.
-bool Fleet::in_local_trouble() const { return !backoff_.calm() && backoff_.in_trouble(loop_.now()); }
+bool HostConnectionPool::in_local_trouble() const { return !backoff_.calm() && backoff_.in_trouble(loop_.now()); }
 
-bool Fleet::has_open_link(const Host& host) const {
-  return std::any_of(host.links.begin(), host.links.end(),
+bool HostConnectionPool::has_open_link(const Host& host) const {
+  return std::any_of(host.connections.begin(), host.connections.end(),
                      [](const auto& link) { return link->open() && link->takes({}, true); });
 }
 
 // What can be reached right now goes ahead of what cannot, for whoever may have the call at all.
-bool Fleet::ReachableHosts::open(const std::string& tenant, std::uint64_t function, const std::string& id) {
+bool HostConnectionPool::ReachableHosts::allows(const std::string& tenant, std::uint64_t function, const std::string& id) {
   const auto allowed = [&](const std::string& host) {
-    return next_ == nullptr || next_->open(tenant, function, host);
+    return next_ == nullptr || next_->allows(tenant, function, host);
   };
   if (!allowed(id)) return false;
   if (!fleet_.in_local_trouble()) return true;
@@ -75,25 +75,25 @@
   });
 }
 
-bool Fleet::is_reachable(const Host& host) const {
+bool HostConnectionPool::is_reachable(const Host& host) const {
   return host.member.entry.state == WorkerState::ready && has_open_link(host);
 }
 
-void Fleet::wait(WaitingSend&& send) {
+void HostConnectionPool::wait(WaitingSend&& send) {
   counters_.add("hosts.waits_for_connection");
   waiting_.add(std::move(send));
   arm_waiting();
 }
 
-void Fleet::arm_waiting() {
+void HostConnectionPool::arm_waiting() {
   if (waiting_.empty()) return;
   loop_.cancel(waiting_timer_);
   const Millis next = std::max(backoff_.next_try(), loop_.now());
-  waiting_timer_ = loop_.at(next, [this] { try_waiting(); });
+  waiting_timer_ = loop_.schedule_at(next, [this] { try_waiting(); });
 }
 
 // The attempt keeps its place at the host for a part of the call's time; then the module may choose anew.
-void Fleet::wait_for_connection(const core::Attempt& attempt, const std::string& host, const core::Call& call,
+void HostConnectionPool::wait_for_connection(const core::Attempt& attempt, const std::string& host, const core::Call& call,
                                 Millis until) {
   const Millis now = loop_.now();
   const int attempts_left = std::max(1, dispatcher_->settings().max_attempts - attempt.number);
@@ -107,7 +107,7 @@
   wait(std::move(send));
 }
 
-void Fleet::wait_with(WaitingSend::Kind kind, const std::string& host, std::uint64_t function, int copies) {
+void HostConnectionPool::wait_with(WaitingSend::Kind kind, const std::string& host, std::uint64_t function, int copies) {
   WaitingSend send;
   send.kind = kind;
   send.host = host;
@@ -118,7 +118,7 @@
   wait(std::move(send));
 }
 
-void Fleet::try_waiting() {
+void HostConnectionPool::try_waiting() {
   for (auto& send : waiting_.take_all()) {
     if (!try_again(send)) waiting_.add(std::move(send));
   }
@@ -126,21 +126,21 @@
 }
 
 // True if it needs to wait no longer.
-bool Fleet::try_again(WaitingSend& send) {
+bool HostConnectionPool::try_again(WaitingSend& send) {
   const Millis now = loop_.now();
   const bool attempt = send.kind == WaitingSend::Kind::attempt;
   const bool loads = send.kind == WaitingSend::Kind::load_order && send.copies > 0;
   const std::uint64_t function = attempt ? send.call.function : loads ? send.function : 0;
   Host* host = ready_host(send.host, attempt ? &send.call : nullptr, function);
   if (host == nullptr || now >= send.until) return end_waiting(send), true;
-  const LinkChoice choice = link_for(*host, attempt ? send.call.ref : std::string());
+  const LinkChoice choice = connection_for(*host, attempt ? send.call.ref : std::string());
   if (choice.link != nullptr) return send_on(*choice.link, send), true;
   if (!choice.local_trouble) return end_unreachable(send), true;
   if (attempt && may_move_on(send, now)) return end_waiting(send), true;
   return false;
 }
 
-bool Fleet::may_move_on(const WaitingSend& send, Millis now) const {
+bool HostConnectionPool::may_move_on(const WaitingSend& send, Millis now) const {
   if (send.attempt.number + 1 >= dispatcher_->settings().max_attempts) return false;
   if (now >= send.move_on_at) return true;
   const bool elsewhere = std::any_of(hosts_.begin(), hosts_.end(), [&](const auto& entry) {
@@ -149,20 +149,20 @@
   return elsewhere && now >= send.since + kMoveOn;
 }
 
-void Fleet::send_on(Link& link, const WaitingSend& send) {
+void HostConnectionPool::send_on(HostConnection& link, const WaitingSend& send) {
   switch (send.kind) {
     case WaitingSend::Kind::attempt:
       return send_attempt(link, send.attempt, send.call, send.until + kLeastLeft - loop_.now());
     case WaitingSend::Kind::probe: return link.probe("p" + std::to_string(++last_tag_));
     case WaitingSend::Kind::load_order:
-      return link.order("t" + std::to_string(++last_tag_), send.function, send.copies);
+      return link.load_copies("t" + std::to_string(++last_tag_), send.function, send.copies);
   }
 }
 
 // Nothing of it went out, and nothing is known of the host.
-void Fleet::end_waiting(const WaitingSend& send) {
+void HostConnectionPool::end_waiting(const WaitingSend& send) {
   counters_.add("hosts.waits_ended");
-  later([this, kind = send.kind, host = send.host, attempt = send.attempt, function = send.function] {
+  notify_later([this, kind = send.kind, host = send.host, attempt = send.attempt, function = send.function] {
     switch (kind) {
       case WaitingSend::Kind::attempt:
         return dispatcher_->attempt_ended(attempt, {Outcome::moot, 0, std::nullopt, {}});
@@ -174,15 +174,15 @@
   });
 }
 
-void Fleet::end_unreachable(const WaitingSend& send) {
+void HostConnectionPool::end_unreachable(const WaitingSend& send) {
   switch (send.kind) {
-    case WaitingSend::Kind::attempt: return never_went(send.attempt);
-    case WaitingSend::Kind::probe: return no_probe(send.host);
-    case WaitingSend::Kind::load_order: return no_order(send.host, send.function);
+    case WaitingSend::Kind::attempt: return attempt_not_sent(send.attempt);
+    case WaitingSend::Kind::probe: return probe_not_sent(send.host);
+    case WaitingSend::Kind::load_order: return load_not_sent(send.host, send.function);
   }
 }
 
-void Fleet::withdraw_waiting(const std::string& host) {
+void HostConnectionPool::withdraw_waiting(const std::string& host) {
   for (const auto& send : waiting_.take_host(host)) end_waiting(send);
 }
 
--- a/src/hosts/link.cpp
+++ b/src/hosts/link.cpp
@@ -29,15 +29,15 @@
 
 }  // namespace
 
-Fleet::Link::Link(Fleet& fleet, std::string host, net::Socket socket)
-    : Stream(fleet.loop_, fleet.pool_, std::move(socket), true),
+HostConnectionPool::HostConnection::HostConnection(HostConnectionPool& fleet, std::string host, net::Socket socket)
+    : BufferedConnection(fleet.loop_, fleet.pool_, std::move(socket), true),
       fleet_(fleet),
       host_(std::move(host)),
       parser_(fleet.limits_.longest_answer) {
-  timer_ = fleet_.loop_.at(fleet_.loop_.now() + fleet_.limits_.connect_timeout, [this] { connect_late(); });
+  timer_ = fleet_.loop_.schedule_at(fleet_.loop_.now() + fleet_.limits_.connect_timeout, [this] { connect_timed_out(); });
 }
 
-Fleet::Link::~Link() {
+HostConnectionPool::HostConnection::~HostConnection() {
   fleet_.loop_.cancel(timer_);
   fleet_.loop_.cancel(stuck_);
   fleet_.loop_.cancel(check_);
@@ -45,180 +45,180 @@
   fleet_.loop_.cancel(stuck_exec_);
 }
 
-bool Fleet::Link::takes(const std::string& ref, bool suspect_too) const {
-  return !ending() && !retired_ && (suspect_too || !suspect_) &&
+bool HostConnectionPool::HostConnection::has_capacity(const std::string& ref, bool suspect_too) const {
+  return !is_closing() && !retired_ && (suspect_too || !suspect_) &&
          attempts_.size() < fleet_.limits_.attempts_a_link && attempts_.count(ref) == 0 &&
          past_.count(ref) == 0;
 }
 
-void Fleet::Link::exec(const core::Attempt& attempt, const core::Call& call, Millis patience) {
+void HostConnectionPool::HostConnection::send_attempt(const core::Attempt& attempt, const core::Call& call, Millis patience) {
   const Millis now = fleet_.loop_.now();
-  attempts_.emplace(call.ref, Sent{attempt, now, 0, false, call.function});
-  stand_back({Pending::Kind::exec, call.ref, fields_of(call), call.body, now + patience, call.function});
-  rest();
-  expect();
+  attempts_.emplace(call.ref, SentAttempt{attempt, now, 0, false, call.function});
+  enqueue_write({PendingWrite::Kind::attempt, call.ref, fields_of(call), call.body, now + patience, call.function});
+  arm_idle_timer();
+  arm_silence_timer();
 }
 
-bool Fleet::Link::drop(const core::Attempt& attempt) {
+bool HostConnectionPool::HostConnection::cancel_attempt(const core::Attempt& attempt) {
   const auto found = std::find_if(attempts_.begin(), attempts_.end(),
                                   [&](const auto& entry) { return entry.second.attempt == attempt; });
   if (found == attempts_.end()) return false;
   const std::string ref = found->first;
-  const Sent sent = found->second;
+  const SentAttempt sent = found->second;
   attempts_.erase(found);
-  if (!sent.put) {
-    const auto same = [&](const Pending& p) { return p.kind == Pending::Kind::exec && p.name == ref; };
-    pending_.erase(std::remove_if(pending_.begin(), pending_.end(), same), pending_.end());
-    rest();
+  if (!sent.written) {
+    const auto same = [&](const PendingWrite& p) { return p.kind == PendingWrite::Kind::attempt && p.name == ref; };
+    pending_writes_.erase(std::remove_if(pending_writes_.begin(), pending_writes_.end(), same), pending_writes_.end());
+    arm_idle_timer();
     return false;
   }
   const Millis now = fleet_.loop_.now();
-  past(ref, false);
+  remember_ended(ref, false);
   // A host that is cut off says nothing for ever. What comes next tries a new connection: it proves more.
   if (now - std::max(heard_, sent.at) > kSilent) suspect_ = true;
   // At once: the next attempt may leave on another connection in this very turn.
   write("drop " + ref + "\r\n");
   const bool flushed = flush_now();
   // Short of memory, the order to drop it follows. Else the host reads nothing; closing gives the attempt up.
-  const bool follows = short_of_memory() && outbox().written() >= sent.end;
-  if (!flushed && !follows) end_later();
-  rest();
+  const bool follows = short_of_memory() && send_queue().written() >= sent.end_offset;
+  if (!flushed && !follows) close_later();
+  arm_idle_timer();
   // What was not handed over whole by now never will be.
-  return outbox().written() >= sent.end;
+  return send_queue().written() >= sent.end_offset;
 }
 
-void Fleet::Link::order(const std::string& tag, std::uint64_t function, int copies) {
-  ask(tag, Asked::Kind::order, function, order_line(tag, function, copies), Pending::Kind::order);
-  asked_.at(tag).copies = copies;
+void HostConnectionPool::HostConnection::load_copies(const std::string& tag, std::uint64_t function, int copies) {
+  send_query(tag, Query::Kind::load, function, order_line(tag, function, copies), PendingWrite::Kind::load);
+  queries_.at(tag).copies = copies;
 }
 
-void Fleet::Link::probe(const std::string& tag) {
-  ask(tag, Asked::Kind::probe, 0, "load " + tag, Pending::Kind::word);
+void HostConnectionPool::HostConnection::probe(const std::string& tag) {
+  send_query(tag, Query::Kind::probe, 0, "load " + tag, PendingWrite::Kind::line);
 }
 
-void Fleet::Link::say(const std::string& line) {
-  stand_back({Pending::Kind::word, {}, line + "\r\n", {}, Millis(0), 0});
-  rest();
+void HostConnectionPool::HostConnection::send_line(const std::string& line) {
+  enqueue_write({PendingWrite::Kind::line, {}, line + "\r\n", {}, Millis(0), 0});
+  arm_idle_timer();
 }
 
-void Fleet::Link::stand_back(Pending&& pending) {
-  pending_.push_back(std::move(pending));
-  if (!connecting()) fleet_.loop_.flush_later(*this);
+void HostConnectionPool::HostConnection::enqueue_write(PendingWrite&& pending) {
+  pending_writes_.push_back(std::move(pending));
+  if (!is_connecting()) fleet_.loop_.flush_later(*this);
 }
 
-void Fleet::Link::retire(bool unsent_too) {
+void HostConnectionPool::HostConnection::retire(bool unsent_too) {
   retired_ = true;
-  if (unsent_too && connecting()) return end_later();
-  if (unsent_too) withdraw();
+  if (unsent_too && is_connecting()) return close_later();
+  if (unsent_too) abort_pending_writes();
   // Danger: bytes that a host does not read could leave long after it was told draining.
-  if (unsent_too && !outbox().empty()) {
+  if (unsent_too && !send_queue().empty()) {
     fleet_.loop_.cancel(stuck_);
-    stuck_ = fleet_.loop_.at(fleet_.loop_.now() + kUnreadMost, [this] {
-      if (!outbox().empty()) end_later();
+    stuck_ = fleet_.loop_.schedule_at(fleet_.loop_.now() + kUnreadMost, [this] {
+      if (!send_queue().empty()) close_later();
     });
   }
-  rest();
+  arm_idle_timer();
 }
 
-void Fleet::Link::ask(const std::string& tag, Asked::Kind kind, std::uint64_t function,
-                      const std::string& line, Pending::Kind what) {
+void HostConnectionPool::HostConnection::send_query(const std::string& tag, Query::Kind kind, std::uint64_t function,
+                      const std::string& line, PendingWrite::Kind what) {
   const Millis now = fleet_.loop_.now();
-  asked_[tag] = {kind, function, now, 0, false, {}, 0};
-  asked_[tag].timer = fleet_.loop_.at(now + fleet_.limits_.order_timeout, [this, tag] { order_late(tag); });
-  stand_back({what, tag, line + "\r\n", {}, Millis(0), function});
-  rest();
-  expect();
+  queries_[tag] = {kind, function, now, 0, false, {}, 0};
+  queries_[tag].timer = fleet_.loop_.schedule_at(now + fleet_.limits_.order_timeout, [this, tag] { query_timed_out(tag); });
+  enqueue_write({what, tag, line + "\r\n", {}, Millis(0), function});
+  arm_idle_timer();
+  arm_silence_timer();
 }
 
 // Wait: till the next turn, in which it is taken back if its call is over.
-Fleet::Link::Look Fleet::Link::look_at(Pending& pending) {
-  if (pending.kind == Pending::Kind::word) return Look::put;
-  const bool exec = pending.kind == Pending::Kind::exec;
-  const Sent sent = exec ? attempts_.at(pending.name) : Sent{};
-  const core::Call* call = exec ? fleet_.dispatcher_->call_of(sent.attempt.call) : nullptr;
-  if (!fleet_.allows(host_, call, pending.function)) return Look::never;
-  if (!exec) return Look::put;
-  if (pending.until - fleet_.loop_.now() < kLeastPatience) return Look::wait;
-  const auto begin = fleet_.dispatcher_->may_begin(sent.attempt, sent.at);
-  return begin == core::Dispatcher::Begin::now ? Look::put : Look::wait;
+HostConnectionPool::HostConnection::WriteDecision HostConnectionPool::HostConnection::check_before_write(PendingWrite& pending) {
+  if (pending.kind == PendingWrite::Kind::line) return WriteDecision::write;
+  const bool exec = pending.kind == PendingWrite::Kind::attempt;
+  const SentAttempt sent = exec ? attempts_.at(pending.name) : SentAttempt{};
+  const core::Call* call = exec ? fleet_.dispatcher_->find_call(sent.attempt.call) : nullptr;
+  if (!fleet_.allows(host_, call, pending.function)) return WriteDecision::discard;
+  if (!exec) return WriteDecision::write;
+  if (pending.until - fleet_.loop_.now() < kLeastPatience) return WriteDecision::wait;
+  const auto begin = fleet_.dispatcher_->check_before_write(sent.attempt, sent.at);
+  return begin == core::Dispatcher::WriteCheck::allowed ? WriteDecision::write : WriteDecision::wait;
 }
 
 // The one place from which calls and orders go out.
-void Fleet::Link::before_flush() {
+void HostConnectionPool::HostConnection::before_write() {
   // A host that has closed is read first: what stands here goes elsewhere, and provably never ran here.
-  if (pending_.empty() || peer() == net::Peer::gone) return;
-  auto decided = std::move(pending_);
-  pending_.clear();
+  if (pending_writes_.empty() || peer_state() == net::PeerState::disconnected) return;
+  auto decided = std::move(pending_writes_);
+  pending_writes_.clear();
   bool kernel_full = false;
   for (auto& one : decided) {
-    const Look look = kernel_full ? Look::wait : look_at(one);
-    if (look == Look::put) {
-      put(one);
+    const WriteDecision look = kernel_full ? WriteDecision::wait : check_before_write(one);
+    if (look == WriteDecision::write) {
+      write_out(one);
       // Danger: behind bytes that the kernel has no room for it would stand with the patience of now, and go
       // out for a caller who has cancelled. Only one call is ever cut in two.
       kernel_full = !flush_now();
-      if (kernel_full && one.kind == Pending::Kind::exec) limit_stuck_exec();
+      if (kernel_full && one.kind == PendingWrite::Kind::attempt) limit_stuck_exec();
     }
-    if (look == Look::never) never_goes(one);
-    if (look == Look::wait) pending_.push_back(std::move(one));
+    if (look == WriteDecision::discard) discard_write(one);
+    if (look == WriteDecision::wait) pending_writes_.push_back(std::move(one));
   }
-  if (pending_.empty() || kernel_full) return;  // looked at again once the kernel has room
+  if (pending_writes_.empty() || kernel_full) return;  // looked at again once the kernel has room
   fleet_.loop_.cancel(again_);
-  again_ = fleet_.loop_.at(fleet_.loop_.now() + kLookPace, [this] {
+  again_ = fleet_.loop_.schedule_at(fleet_.loop_.now() + kLookPace, [this] {
     read_callers();
     fleet_.loop_.flush_later(*this);
   });
 }
 
 // Danger: a CANCEL may stand behind more bytes than a turn reads.
-void Fleet::Link::read_callers() {
+void HostConnectionPool::HostConnection::read_callers() {
   std::vector<core::Attempt> waiting;
-  for (const auto& one : pending_) {
-    if (one.kind == Pending::Kind::exec) waiting.push_back(attempts_.at(one.name).attempt);
+  for (const auto& one : pending_writes_) {
+    if (one.kind == PendingWrite::Kind::attempt) waiting.push_back(attempts_.at(one.name).attempt);
   }
   for (const auto& attempt : waiting) fleet_.dispatcher_->read_caller(attempt);  // may take some back
 }
 
-void Fleet::Link::limit_stuck_exec() {
+void HostConnectionPool::HostConnection::limit_stuck_exec() {
   fleet_.loop_.cancel(stuck_exec_);
-  stuck_exec_ = fleet_.loop_.at(fleet_.loop_.now() + kStuckExecMost, [this, end = outbox().appended()] {
-    if (ending() || outbox().written() >= end) return;
+  stuck_exec_ = fleet_.loop_.schedule_at(fleet_.loop_.now() + kStuckExecMost, [this, end = send_queue().appended()] {
+    if (is_closing() || send_queue().written() >= end) return;
     fleet_.counters_.add("hosts.stuck_calls");
-    end_later();
+    close_later();
   });
 }
 
-void Fleet::Link::withdraw() {
-  const auto decided = std::move(pending_);
-  pending_.clear();
-  for (const auto& one : decided) never_goes(one);
+void HostConnectionPool::HostConnection::abort_pending_writes() {
+  const auto decided = std::move(pending_writes_);
+  pending_writes_.clear();
+  for (const auto& one : decided) discard_write(one);
 }
 
-void Fleet::Link::never_goes(const Pending& pending) {
+void HostConnectionPool::HostConnection::discard_write(const PendingWrite& pending) {
   fleet_.counters_.add("hosts.withdrawn");
-  if (pending.kind == Pending::Kind::exec) {
+  if (pending.kind == PendingWrite::Kind::attempt) {
     const auto found = attempts_.find(pending.name);
     const core::Attempt attempt = found->second.attempt;
     attempts_.erase(found);
-    fleet_.never_went(attempt);
-  } else if (const auto found = asked_.find(pending.name); found != asked_.end()) {
-    const Asked asked = found->second;
+    fleet_.attempt_not_sent(attempt);
+  } else if (const auto found = queries_.find(pending.name); found != queries_.end()) {
+    const Query asked = found->second;
     fleet_.loop_.cancel(asked.timer);
-    asked_.erase(found);
-    if (asked.kind == Asked::Kind::order) fleet_.no_order(host_, asked.function);
-    if (asked.kind == Asked::Kind::probe) fleet_.no_probe(host_);
-    if (asked.kind == Asked::Kind::liveness) probed_ = Millis(0);
+    queries_.erase(found);
+    if (asked.kind == Query::Kind::load) fleet_.load_not_sent(host_, asked.function);
+    if (asked.kind == Query::Kind::probe) fleet_.probe_not_sent(host_);
+    if (asked.kind == Query::Kind::liveness) probed_ = Millis(0);
   }
-  rest();
+  arm_idle_timer();
 }
 
-void Fleet::Link::put(const Pending& pending) {
-  if (pending.kind != Pending::Kind::exec) {
+void HostConnectionPool::HostConnection::write_out(const PendingWrite& pending) {
+  if (pending.kind != PendingWrite::Kind::attempt) {
     write(pending.text);
-    const auto found = asked_.find(pending.name);
-    if (found == asked_.end()) return;
-    found->second.put = true;
-    found->second.end = outbox().appended();
+    const auto found = queries_.find(pending.name);
+    if (found == queries_.end()) return;
+    found->second.written = true;
+    found->second.end_offset = send_queue().appended();
     return;
   }
   const auto patience = static_cast<std::int64_t>(std::floor((pending.until - fleet_.loop_.now()).count()));
@@ -228,28 +228,28 @@
   message += pending.body;
   message += "\r\n";
   write(message);
-  Sent& sent = attempts_.at(pending.name);
-  sent.put = true;
-  sent.end = outbox().appended();
+  SentAttempt& sent = attempts_.at(pending.name);
+  sent.written = true;
+  sent.end_offset = send_queue().appended();
 }
 
 // Idle from now on, until something goes out again.
-void Fleet::Link::rest() {
-  if (connecting()) return;
+void HostConnectionPool::HostConnection::arm_idle_timer() {
+  if (is_connecting()) return;
   fleet_.loop_.cancel(timer_);
   if (load() > 0) return;
   const bool kept = !retired_ && (!suspect_ || fleet_.in_local_trouble());
   const Millis now = fleet_.loop_.now();
   const Millis idle = kept ? fleet_.limits_.idle * kIdleShare : Millis(0);
   idle_until_ = now + (kept ? fleet_.limits_.idle * kIdleShareMost : Millis(0));
-  timer_ = fleet_.loop_.at(now + idle, [this] { idle_over(); });
+  timer_ = fleet_.loop_.schedule_at(now + idle, [this] { idle_over(); });
 }
 
 // While no new connection can be made, one that stands is kept for as long as its host surely keeps it.
-void Fleet::Link::idle_over() {
+void HostConnectionPool::HostConnection::idle_over() {
   const Millis next = fleet_.loop_.now() + kIdlePace;
-  if (!fleet_.in_local_trouble() || retired_ || next > idle_until_) return end_later();
-  timer_ = fleet_.loop_.at(next, [this] { idle_over(); });
+  if (!fleet_.in_local_trouble() || retired_ || next > idle_until_) return close_later();
+  timer_ = fleet_.loop_.schedule_at(next, [this] { idle_over(); });
 }
 
 }  // namespace lotusyard::hosts
--- a/src/hosts/link_checks.cpp
+++ b/src/hosts/link_checks.cpp
@@ -16,13 +16,13 @@
 
 }  // namespace
 
-void Fleet::Link::expect() {
+void HostConnectionPool::HostConnection::arm_silence_timer() {
   sent_ = fleet_.loop_.now();
   if (std::exchange(checking_, true)) return;  // one timer a link
-  check_ = fleet_.loop_.at(sent_ + kCheckPace, [this] { check(); });
+  check_ = fleet_.loop_.schedule_at(sent_ + kCheckPace, [this] { check_silence(); });
 }
 
-void Fleet::Link::ask_whether_alive() {
+void HostConnectionPool::HostConnection::send_liveness_probe() {
   // Danger: a probe that the settings forbid breaks a rule. An order for no copy is allowed, and tells as
   // much; its function is one that a client has called. An order must not go to a host that drains.
   const bool order = fleet_.limits_.liveness == LivenessProbe::order;
@@ -32,42 +32,42 @@
   probed_ = fleet_.loop_.now();
   ++probes_unanswered_;
   const std::string tag = "s" + std::to_string(++fleet_.last_tag_);
-  ask(tag, Asked::Kind::liveness, function, order ? order_line(tag, function, 0) : "health " + tag,
-      order ? Pending::Kind::order : Pending::Kind::word);
+  send_query(tag, Query::Kind::liveness, function, order ? order_line(tag, function, 0) : "health " + tag,
+      order ? PendingWrite::Kind::load : PendingWrite::Kind::line);
 }
 
 // Danger: a link over which nothing comes any more, or never the rest of an answer, holds whatever is out
 // on it to the deadline, though its host serves others well. One liveness probe tells it from a busy host.
-void Fleet::Link::check() {
+void HostConnectionPool::HostConnection::check_silence() {
   checking_ = false;
-  if (load() == 0 || ending()) return;
+  if (load() == 0 || is_closing()) return;
   const Millis now = fleet_.loop_.now();
   // Danger: a long answer, or one that comes in small pieces, takes long though nothing is wrong.
   const bool torn = begun_.count() > 0 && (now - heard_ > kPieceMost || now - begun_ > kWholeMost);
   const bool unanswered = probed_ > heard_ && now - probed_ > kProbeMost;
-  if (open() && (torn || unanswered)) {
+  if (is_open() && (torn || unanswered)) {
     fleet_.counters_.add(torn ? "hosts.cut_answers" : "hosts.silent_links");
-    return end_later();
+    return close_later();
   }
-  const Millis quiet = fleet_.quiet_most() * (1 << std::min(probes_unanswered_, kProbeDoublings));
-  const bool waits = open() && !attempts_.empty() && probed_ <= heard_;
-  if (waits && now - std::max(heard_, sent_) > quiet) ask_whether_alive();
+  const Millis quiet = fleet_.max_silence() * (1 << std::min(probes_unanswered_, kProbeDoublings));
+  const bool waits = is_open() && !attempts_.empty() && probed_ <= heard_;
+  if (waits && now - std::max(heard_, sent_) > quiet) send_liveness_probe();
   if (std::exchange(checking_, true)) return;
-  check_ = fleet_.loop_.at(now + kCheckPace, [this] { check(); });
+  check_ = fleet_.loop_.schedule_at(now + kCheckPace, [this] { check_silence(); });
 }
 
-void Fleet::Link::connect_late() {
+void HostConnectionPool::HostConnection::connect_timed_out() {
   fleet_.counters_.add("hosts.connect_timeouts");
-  end_later();
+  close_later();
 }
 
-void Fleet::Link::order_late(const std::string& tag) {
-  const auto found = asked_.find(tag);
-  if (found == asked_.end()) return;
-  const Asked asked = found->second;
-  asked_.erase(found);
-  rest();
-  end_asked(asked, Outcome::timeout, 0, std::nullopt);
+void HostConnectionPool::HostConnection::query_timed_out(const std::string& tag) {
+  const auto found = queries_.find(tag);
+  if (found == queries_.end()) return;
+  const Query asked = found->second;
+  queries_.erase(found);
+  arm_idle_timer();
+  finish_query(asked, Outcome::timeout, 0, std::nullopt);
 }
 
 }  // namespace lotusyard::hosts
--- a/src/hosts/link_hears.cpp
+++ b/src/hosts/link_hears.cpp
@@ -26,7 +26,7 @@
 }  // namespace
 
 // Danger: a late or second answer would end a further attempt under the same ref: that goes elsewhere.
-void Fleet::Link::past(const std::string& ref, bool answered) {
+void HostConnectionPool::HostConnection::remember_ended(const std::string& ref, bool answered) {
   const Millis now = fleet_.loop_.now();
   while (!past_order_.empty() &&
          (now - past_order_.front().first > fleet_.limits_.past_kept || past_order_.size() > kPastMost)) {
@@ -36,30 +36,30 @@
   if (past_.emplace(ref, answered).second) past_order_.emplace_back(now, ref);
 }
 
-void Fleet::Link::connected() {
+void HostConnectionPool::HostConnection::on_connected() {
   heard_ = fleet_.loop_.now();
   fleet_.counters_.add("hosts.links_up");
   fleet_.backoff_.succeeded();
   fleet_.loop_.flush_later(*this);
-  rest();
+  arm_idle_timer();
 }
 
-void Fleet::Link::end_asked(const Asked& asked, Outcome outcome, int copies, core::Report report) {
+void HostConnectionPool::HostConnection::finish_query(const Query& asked, Outcome outcome, int copies, core::Report report) {
   const Millis elapsed = fleet_.loop_.now() - asked.at;
-  if (asked.kind == Asked::Kind::order) {
+  if (asked.kind == Query::Kind::load) {
     fleet_.dispatcher_->load_ended({host_, asked.function, outcome, elapsed, copies});
-  } else if (asked.kind == Asked::Kind::probe) {
+  } else if (asked.kind == Query::Kind::probe) {
     fleet_.dispatcher_->probe_ended({host_, outcome, elapsed, std::move(report)});
   }
 }
 
-void Fleet::Link::received(std::string_view bytes) {
+void HostConnectionPool::HostConnection::on_received(std::string_view bytes) {
   heard_ = fleet_.loop_.now();
   suspect_ = false;
   std::vector<Reply> replies;
   bool sound = parser_.take(bytes, replies);
   for (auto& reply : replies) {
-    if (take(std::move(reply))) continue;  // also when the connection ends meanwhile: it came whole
+    if (handle_reply(std::move(reply))) continue;  // also when the connection ends meanwhile: it came whole
     sound = false;                         // what follows it proves no more than it does
     break;
   }
@@ -68,45 +68,45 @@
   } else if (begun_.count() == 0 || !replies.empty()) {
     begun_ = heard_;
   }
-  fleet_.hold(*this, held_, parser_.held());
+  fleet_.account_incoming(*this, held_, parser_.held());
   held_ = parser_.held();
   if (!sound) {
     fleet_.counters_.add("hosts.malformed");
-    end_later();
+    close_later();
   }
-  rest();
+  arm_idle_timer();
 }
 
 // False if it is spoilt: whatever is out on the link then ends as what it is, something that may have run.
-bool Fleet::Link::take(Reply&& reply) {
+bool HostConnectionPool::HostConnection::handle_reply(Reply&& reply) {
   const auto fields = net::parse_fields(reply.fields);
   const bool plain = std::all_of(reply.id.begin(), reply.id.end(),
                                  [](char c) { return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'z'); });
   const bool sign = reply.word == "well" || reply.word == "ill";
   if (!fields || !plain || !(known_word(reply.word) || sign)) return false;
   const net::Fields& read = *fields;
-  if (const auto found = attempts_.find(reply.id); found != attempts_.end() && found->second.put) {
+  if (const auto found = attempts_.find(reply.id); found != attempts_.end() && found->second.written) {
     if (sign) return false;
     const core::Attempt attempt = found->second.attempt;
-    fleet_.note_answer(fleet_.loop_.now() - found->second.at);
+    fleet_.record_answer_time(fleet_.loop_.now() - found->second.at);
     probes_unanswered_ = 0;
     attempts_.erase(found);
     fleet_.attempts_.erase(attempt);
-    past(reply.id, true);
+    remember_ended(reply.id, true);
     const Outcome outcome = outcomes().at(reply.word);
     fleet_.counters_.add("hosts.answers." + reply.word);
     const int crowd = static_cast<int>(net::parse_whole(field(read, "crowd"), 1000000).value_or(0));
     fleet_.dispatcher_->attempt_ended(
-        attempt, {outcome, std::min(crowd, 30), fleet_.read_report(field(read, "l")), std::move(reply.body)});
-  } else if (const auto answered = asked_.find(reply.id); answered != asked_.end() && answered->second.put) {
-    const Asked asked = answered->second;
+        attempt, {outcome, std::min(crowd, 30), fleet_.parse_report(field(read, "l")), std::move(reply.body)});
+  } else if (const auto answered = queries_.find(reply.id); answered != queries_.end() && answered->second.written) {
+    const Query asked = answered->second;
     fleet_.loop_.cancel(asked.timer);
-    asked_.erase(answered);
+    queries_.erase(answered);
     const Outcome outcome = reply.word == "well"  ? Outcome::ok
                             : reply.word == "ill" ? Outcome::error
                                                   : outcomes().at(reply.word);
     const int copies = static_cast<int>(net::parse_whole(field(read, "count"), 1000).value_or(0));
-    end_asked(asked, outcome, copies, fleet_.read_report(field(read, "l")));
+    finish_query(asked, outcome, copies, fleet_.parse_report(field(read, "l")));
   } else if (const auto ended = past_.find(reply.id); ended != past_.end() && !ended->second) {
     ended->second = true;
     fleet_.counters_.add("hosts.late_answers");  // to an attempt dropped meanwhile
@@ -119,54 +119,54 @@
 }
 
 // The connection was never made, for this machine's sake: what stands here waits for another one.
-void Fleet::Link::hand_back(const std::deque<Pending>& pending) {
+void HostConnectionPool::HostConnection::hand_back(const std::deque<PendingWrite>& pending) {
   fleet_.backoff_.failed(fleet_.loop_.now());
-  for (const Pending& one : pending) {
-    if (one.kind == Pending::Kind::exec) {
+  for (const PendingWrite& one : pending) {
+    if (one.kind == PendingWrite::Kind::attempt) {
       const core::Attempt attempt = attempts_.at(one.name).attempt;
-      const core::Call* call = fleet_.dispatcher_->call_of(attempt.call);
+      const core::Call* call = fleet_.dispatcher_->find_call(attempt.call);
       if (call == nullptr) continue;
       attempts_.erase(one.name);
       fleet_.attempts_.erase(attempt);
       fleet_.wait_for_connection(attempt, host_, *call, one.until);
-    } else if (const auto found = asked_.find(one.name); found != asked_.end()) {
-      const Asked asked = found->second;
-      if (asked.kind == Asked::Kind::liveness) continue;
+    } else if (const auto found = queries_.find(one.name); found != queries_.end()) {
+      const Query asked = found->second;
+      if (asked.kind == Query::Kind::liveness) continue;
       fleet_.loop_.cancel(asked.timer);
-      asked_.erase(found);
-      const bool order = asked.kind == Asked::Kind::order;
+      queries_.erase(found);
+      const bool order = asked.kind == Query::Kind::load;
       fleet_.wait_with(order ? WaitingSend::Kind::load_order : WaitingSend::Kind::probe, host_,
                        asked.function, asked.copies);
     }
   }
 }
 
-void Fleet::Link::ended() {
+void HostConnectionPool::HostConnection::on_closed() {
   fleet_.loop_.cancel(timer_);
   fleet_.loop_.cancel(stuck_);
   fleet_.loop_.cancel(check_);
   fleet_.loop_.cancel(again_);
   fleet_.loop_.cancel(stuck_exec_);
-  const auto pending = std::exchange(pending_, {});
-  fleet_.hold(*this, std::exchange(held_, 0), 0);
-  fleet_.link_gone(*this);  // buried: this object lives to the turn's end
+  const auto pending = std::exchange(pending_writes_, {});
+  fleet_.account_incoming(*this, std::exchange(held_, 0), 0);
+  fleet_.connection_closed(*this);  // buried: this object lives to the turn's end
   const auto& error = connect_error();
   if (error && error->kind == net::ConnectErrorKind::local_resource && !retired_) hand_back(pending);
   const auto attempts = std::move(attempts_);
-  const auto asked = std::move(asked_);
+  const auto asked = std::move(queries_);
   attempts_.clear();
-  asked_.clear();
+  queries_.clear();
   const auto outcome = [&](bool put, std::uint64_t end) {
-    return put && outbox().written() >= end ? Outcome::reset : Outcome::connect_failed;
+    return put && send_queue().written() >= end ? Outcome::reset : Outcome::connect_failed;
   };
   for (const auto& [ref, sent] : attempts) fleet_.attempts_.erase(sent.attempt);
-  if (!attempts.empty()) fleet_.hosts_.at(host_).lingers = true;
+  if (!attempts.empty()) fleet_.hosts_.at(host_).has_cancelled_calls = true;
   for (const auto& [ref, sent] : attempts) {
-    fleet_.dispatcher_->attempt_ended(sent.attempt, {outcome(sent.put, sent.end), 0, std::nullopt, {}});
+    fleet_.dispatcher_->attempt_ended(sent.attempt, {outcome(sent.written, sent.end_offset), 0, std::nullopt, {}});
   }
   for (const auto& [tag, a] : asked) {
     fleet_.loop_.cancel(a.timer);
-    end_asked(a, outcome(a.put, a.end), 0, std::nullopt);
+    finish_query(a, outcome(a.written, a.end_offset), 0, std::nullopt);
   }
 }
 
--- a/src/hot_restart/shares.cpp
+++ b/src/hot_restart/shares.cpp
@@ -13,12 +13,12 @@
 
 }  // namespace
 
-std::size_t Shares::descriptors() const { return kOwnDescriptors + clients + newcomers + links + callers; }
+std::size_t ResourceShares::descriptors() const { return kOwnDescriptors + clients + newcomers + links + callers; }
 
-Shares shares_of(std::size_t memory_mb, std::size_t sockets, Standing standing) {
-  const std::size_t processes = standing == Standing::alone ? 1 : 2;
+ResourceShares shares_of(std::size_t memory_mb, std::size_t sockets, ProcessRole standing) {
+  const std::size_t processes = standing == ProcessRole::sole ? 1 : 2;
   const std::size_t bytes = (memory_mb << 20) / processes, mine = sockets / processes;
-  Shares out;
+  ResourceShares out;
   // A quarter of what is left may wait unwritten, a quarter be bodies of open calls, a quarter answers that
   // are not whole yet: a length is only what a host says, a spoilt one says anything.
   const std::size_t part = std::max((bytes - std::min(bytes, kOwnBytes)) / 4, kLeastPart);
--- a/src/hot_restart/shares.h
+++ b/src/hot_restart/shares.h
@@ -6,13 +6,13 @@
 
 namespace lotusyard::hot_restart {
 
-enum class Standing {
-  alone,    // no other process of this invoker lives
-  beside,   // another one lives, and both take clients
-  leaving,  // another one has taken over; what is open here is brought to its end
+enum class ProcessRole {
+  sole,    // no other process of this invoker lives
+  concurrent,   // another one lives, and both take clients
+  draining,  // another one has taken over; what is open here is brought to its end
 };
 
-struct Shares {
+struct ResourceShares {
   std::size_t clients = 0, newcomers = 0;  // connections that have asked something, and not yet
   std::size_t links = 0;                   // connections to hosts
   std::size_t callers = 0;                 // of the admin endpoint
@@ -25,6 +25,6 @@
 
 constexpr std::size_t least_memory_mb = 12, least_sockets = 96;
 
-Shares shares_of(std::size_t memory_mb, std::size_t sockets, Standing standing);
+ResourceShares shares_of(std::size_t memory_mb, std::size_t sockets, ProcessRole standing);
 
 }  // namespace lotusyard::hot_restart
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -8,20 +8,20 @@
 
 using core::WorkerState;
 
-core::Member Membership::state_of(const std::string& id, const Host& host) const {
-  core::Member state = host.listed;
+core::ListedHost EndpointStates::state_of(const std::string& id, const Host& host) const {
+  core::ListedHost state = host.listed;
   state.entry.started = host.started;
-  const bool left_alone = held_ || out(id) || works_.count(id) != 0;
+  const bool left_alone = suspended_ || disabled(id) || in_maintenance_.count(id) != 0;
   if (left_alone && state.entry.state == WorkerState::ready) state.entry.state = WorkerState::draining;
   // Danger: a host that was out may have started anew, and the list, seconds late, does not say so yet.
-  state.entry.put_back = host.back > state.entry.started;
-  if (state.entry.put_back) state.entry.started = host.back;
+  state.entry.put_back = host.enabled_at > state.entry.started;
+  if (state.entry.put_back) state.entry.started = host.enabled_at;
   return state;
 }
 
 // Danger: a host that has just started, stamped by a clock that is behind, would be taken for a warm one, and
 // one stamped in the future for cold until then. What cannot be believed counts from when it was first seen.
-core::Millis Membership::start_of(const Host* before, core::Millis stamped, const Sight& sight) const {
+core::Millis EndpointStates::start_of(const Host* before, core::Millis stamped, const Sight& sight) const {
   if (!see_) return stamped;
   if (before != nullptr && before->listed.entry.started == stamped) return before->started;
   if (stamped.count() <= 0) return stamped;  // it has not started late
@@ -32,11 +32,11 @@
   return ahead || behind_itself || untold || by_another_clock ? sight.now : stamped;
 }
 
-void Membership::list(const core::MemberList& list, core::ListKind kind) {
-  core::MemberList states{list.complete, {}};
+void EndpointStates::apply_list(const core::HostListUpdate& list, core::ListKind kind) {
+  core::HostListUpdate states{list.complete, {}};
   const Sight sight = see_ ? see_() : Sight();
   std::set<std::string> named;
-  for (const auto& member : list.members) {
+  for (const auto& member : list.hosts) {
     const std::string& id = member.entry.worker;
     const auto before = hosts_.find(id);
     const core::Millis started =
@@ -45,8 +45,8 @@
     host.started = started;
     host.listed = member;
     named.insert(id);
-    states.members.push_back(state_of(id, host));
-    if (member.entry.state == WorkerState::gone) forget_gone(id);
+    states.hosts.push_back(state_of(id, host));
+    if (member.entry.state == WorkerState::gone) forget_removed(id);
   }
   std::vector<std::string> left;
   for (auto& [id, host] : hosts_) {
@@ -54,76 +54,76 @@
     host.listed.entry.state = WorkerState::gone;
     left.push_back(id);
   }
-  for (const auto& id : left) forget_gone(id);
+  for (const auto& id : left) forget_removed(id);
   if (!first_list_at_) first_list_at_ = sight.now;
-  told_(states, kind);
+  update_handler_(states, kind);
 }
 
 // Bounds the table of hosts; the one place where it shrinks.
-void Membership::forget_gone(const std::string& id) {
-  gone_.push_back(id);
-  while (gone_.size() > gone_most) {
-    const auto oldest = hosts_.find(gone_.front());
+void EndpointStates::forget_removed(const std::string& id) {
+  removed_.push_back(id);
+  while (removed_.size() > max_removed_hosts) {
+    const auto oldest = hosts_.find(removed_.front());
     const bool gone = oldest != hosts_.end() && oldest->second.listed.entry.state == WorkerState::gone;
-    const bool again = std::count(gone_.begin(), gone_.end(), gone_.front()) > 1;
+    const bool again = std::count(removed_.begin(), removed_.end(), removed_.front()) > 1;
     if (gone && !again) hosts_.erase(oldest);
-    gone_.pop_front();
+    removed_.pop_front();
   }
 }
 
-void Membership::tell(const std::string& id) {
+void EndpointStates::notify(const std::string& id) {
   const auto found = hosts_.find(id);
   if (found == hosts_.end() || found->second.listed.entry.state == WorkerState::gone) return;
-  told_({false, {state_of(id, found->second)}}, core::ListKind::delta);
+  update_handler_({false, {state_of(id, found->second)}}, core::ListKind::delta);
 }
 
-void Membership::disable(const std::string& host) {
-  if (out_.insert(host).second) tell(host);
+void EndpointStates::disable(const std::string& host) {
+  if (disabled_.insert(host).second) notify(host);
 }
 
-void Membership::enable(const std::string& host, core::Millis now) {
-  if (out_.erase(host) == 0) return;  // it was not out: it may be as warm as it likes
+void EndpointStates::enable(const std::string& host, core::Millis now) {
+  if (disabled_.erase(host) == 0) return;  // it was not out: it may be as warm as it likes
   const auto found = hosts_.find(host);
   if (found == hosts_.end()) return;
-  found->second.back = now;
-  tell(host);
+  found->second.enabled_at = now;
+  notify(host);
 }
 
-void Membership::works(const std::set<std::string>& out, const std::set<std::string>& anew,
+void EndpointStates::set_in_maintenance(const std::set<std::string>& out, const std::set<std::string>& anew,
                        core::Millis now) {
-  const std::set<std::string> before = std::exchange(works_, out);
+  const std::set<std::string> before = std::exchange(in_maintenance_, out);
   for (const auto& id : out) {
-    if (before.count(id) == 0) tell(id);
+    if (before.count(id) == 0) notify(id);
   }
   for (const auto& id : before) {
     if (out.count(id) != 0) continue;
     const auto found = hosts_.find(id);
-    if (found != hosts_.end() && anew.count(id) != 0) found->second.back = now;
-    tell(id);
+    if (found != hosts_.end() && anew.count(id) != 0) found->second.enabled_at = now;
+    notify(id);
   }
 }
 
-void Membership::hold_all(bool held) {
-  if (std::exchange(held_, held) == held) return;
-  for (const auto& [id, host] : hosts_) tell(id);
+void EndpointStates::suspend_all(bool held) {
+  if (std::exchange(suspended_, held) == held) return;
+  for (const auto& [id, host] : hosts_) notify(id);
 }
 
-std::optional<core::Member> Membership::listed(const std::string& host) const {
+std::optional<core::ListedHost> EndpointStates::find_listed(const std::string& host) const {
   const auto found = hosts_.find(host);
   if (found == hosts_.end() || found->second.listed.entry.state == WorkerState::gone) return std::nullopt;
   return found->second.listed;
 }
 
-std::map<std::string, core::Member> Membership::hosts() const {
-  std::map<std::string, core::Member> out;
+std::map<std::string, core::ListedHost> EndpointStates::listed_hosts() const {
+  std::map<std::string, core::ListedHost> out;
   for (const auto& [id, host] : hosts_) {
     if (host.listed.entry.state != WorkerState::gone) out.emplace(id, host.listed);
   }
   return out;
 }
 
-void Membership::follow(const std::set<std::string>& out, core::Millis now) {
-  const std::set<std::string> before = out_;
+void EndpointStates::set_disabled(const std::set<std::string>& out, core::Millis now) {
+  const std::set<std::string> before = disabled_;
   for (const auto& host : out) disable(host);
   for (const auto& host : before) {
     if (out.count(host) == 0) enable(host, now);
--- a/src/membership/out_files.cpp
+++ b/src/membership/out_files.cpp
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-std::string OutFiles::file_name(const std::string& host) {
+std::string DisabledHostFiles::file_name(const std::string& host) {
   static constexpr const char* digits = "0123456789ABCDEF";
   std::string out;
   for (const char c : host) {
@@ -38,7 +38,7 @@
   return out.size() > kLongestName ? std::string() : out;
 }
 
-std::optional<std::string> OutFiles::host_name(const std::string& file) {
+std::optional<std::string> DisabledHostFiles::host_name(const std::string& file) {
   std::string out;
   for (std::size_t i = 0; i < file.size(); ++i) {
     if (file[i] != '%') {
@@ -55,7 +55,7 @@
   return !out.empty() && file_name(out) == file ? std::optional<std::string>(out) : std::nullopt;
 }
 
-bool OutFiles::add(const std::string& host) {
+bool DisabledHostFiles::add(const std::string& host) {
   const std::string name = file_name(host);
   if (folder_.empty() || name.empty()) return false;
   if (mkdir(folder_.c_str(), 0700) != 0 && errno != EEXIST) return false;
@@ -64,13 +64,13 @@
   return static_cast<bool>(file);
 }
 
-bool OutFiles::remove(const std::string& host) {
+bool DisabledHostFiles::remove(const std::string& host) {
   const std::string name = file_name(host);
   if (folder_.empty() || name.empty()) return false;
   return unlink((folder_ + '/' + kPrefix + name).c_str()) == 0 || errno == ENOENT;
 }
 
-std::optional<std::set<std::string>> OutFiles::read() const {
+std::optional<std::set<std::string>> DisabledHostFiles::read() const {
   std::set<std::string> out;
   if (folder_.empty()) return std::nullopt;
   const std::unique_ptr<DIR, int (*)(DIR*)> folder(opendir(folder_.c_str()), &closedir);
--- a/src/membership/out_files.h
+++ b/src/membership/out_files.h
@@ -8,9 +8,9 @@
 namespace lotusyard::membership {
 
 // Each change is one system call, so that neither a kill nor another process finds half of one.
-class OutFiles {
+class DisabledHostFiles {
  public:
-  explicit OutFiles(std::string folder) : folder_(std::move(folder)) {}  // empty: there is no such place
+  explicit DisabledHostFiles(std::string folder) : folder_(std::move(folder)) {}  // empty: there is no such place
   bool add(const std::string& host);                                     // false: it is not kept
   bool remove(const std::string& host);                                  // false: it is still kept
   std::optional<std::set<std::string>> read() const;                     // nothing: the folder cannot be read
--- a/src/net/buffer.cpp
+++ b/src/net/buffer.cpp
@@ -11,10 +11,10 @@
 
 namespace lotusyard::net {
 
-bool Outbox::append(std::string_view bytes) {
+bool SendQueue::append(std::string_view bytes) {
   while (!bytes.empty()) {
     if (blocks_.empty() || tail_ == BufferPool::block_size) {
-      auto lease = pool_.take();
+      auto lease = pool_.acquire();
       if (!lease) return false;
       if (blocks_.empty()) head_ = 0;
       blocks_.push_back(std::move(lease));
@@ -29,14 +29,14 @@
   return true;
 }
 
-Outbox::Written Outbox::write_to(int fd) {
+SendQueue::WriteStatus SendQueue::write_to(int fd) {
   while (!blocks_.empty()) {
     const std::size_t end = blocks_.size() == 1 ? tail_ : BufferPool::block_size;
     const ssize_t sent = system_calls::send(fd, blocks_.front()->data() + head_, end - head_, MSG_NOSIGNAL);
     if (sent < 0) {
       if (errno == EINTR) continue;
-      if (is_transient_shortage(errno)) return Written::short_of_memory;
-      return errno == EAGAIN || errno == EWOULDBLOCK ? Written::some : Written::broken;
+      if (is_transient_shortage(errno)) return WriteStatus::short_of_memory;
+      return errno == EAGAIN || errno == EWOULDBLOCK ? WriteStatus::partial : WriteStatus::broken;
     }
     written_ += static_cast<std::size_t>(sent);
     head_ += static_cast<std::size_t>(sent);
@@ -44,7 +44,7 @@
     blocks_.pop_front();
     head_ = 0;
   }
-  return Written::all;
+  return WriteStatus::all;
 }
 
 }  // namespace lotusyard::net
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -24,64 +24,64 @@
 
 }  // namespace
 
-Loop::Loop(Clocks clocks)
+EventLoop::EventLoop(Clocks clocks)
     : clocks_(std::move(clocks)),
       wall_(clocks_.steady(), clocks_.wall()),
-      turn_began_(now()),
-      came_since_(turn_began_) {}
-Loop::~Loop() = default;
+      iteration_started_(now()),
+      came_since_(iteration_started_) {}
+EventLoop::~EventLoop() = default;
 
-Millis Loop::now() const { return clocks_.steady() + wall_.start_offset(); }
+Millis EventLoop::now() const { return clocks_.steady() + wall_.start_offset(); }
 
-WallTime Loop::wall(Millis memory) {
+WallTime EventLoop::wall(Millis memory) {
   observe_wall();
   return wall_.read(clocks_.steady(), memory);
 }
 
-bool Loop::wall_has_stepped() {
+bool EventLoop::wall_has_stepped() {
   observe_wall();
   return wall_.has_stepped();
 }
 
-void Loop::watch(int fd, Handler& handler, short events, Rank rank) {
+void EventLoop::register_handler(int fd, EventHandler& handler, short events, Priority rank) {
   const auto place = static_cast<std::size_t>(fd);
   if (place >= by_fd_.size()) by_fd_.resize(place + 1);
-  Entry& entry = by_fd_[place];
+  Registration& entry = by_fd_[place];
   if (entry.handler != &handler) entry.serial = ++serial_;
   entry.handler = &handler;
   entry.events = events;
-  entry.rank = rank;
+  entry.priority = rank;
 }
 
-void Loop::forget(int fd, Handler& handler) {
+void EventLoop::unregister(int fd, EventHandler& handler) {
   const auto place = static_cast<std::size_t>(fd);
-  if (fd >= 0 && place < by_fd_.size() && by_fd_[place].handler == &handler) by_fd_[place] = Entry();
-  std::replace(unflushed_.begin(), unflushed_.end(), &handler, static_cast<Handler*>(nullptr));
+  if (fd >= 0 && place < by_fd_.size() && by_fd_[place].handler == &handler) by_fd_[place] = Registration();
+  std::replace(unflushed_.begin(), unflushed_.end(), &handler, static_cast<EventHandler*>(nullptr));
 }
 
-void Loop::flush_later(Handler& handler) {
+void EventLoop::flush_later(EventHandler& handler) {
   if (std::find(unflushed_.begin(), unflushed_.end(), &handler) == unflushed_.end()) {
     unflushed_.push_back(&handler);
   }
 }
 
-Loop::TimerId Loop::at(Millis when, std::function<void()> ring) {
+EventLoop::TimerId EventLoop::schedule_at(Millis when, std::function<void()> ring) {
   const TimerId id{when.count(), ++serial_};
   timers_.emplace(id, std::move(ring));
   return id;
 }
 
-void Loop::flush() {
+void EventLoop::flush() {
   // By index: a flush may queue more, and an ended handler leaves a gap.
   for (std::size_t i = 0; i < unflushed_.size(); ++i) {
-    Handler* handler = std::exchange(unflushed_[i], nullptr);
+    EventHandler* handler = std::exchange(unflushed_[i], nullptr);
     if (handler != nullptr) handler->flush();
   }
   unflushed_.clear();
 }
 
 // A poll(2) that fails tells of no descriptor. Failing time after time, it must not keep the processor busy.
-int Loop::poll(std::vector<pollfd>& polled, double wait_ms) {
+int EventLoop::poll(std::vector<pollfd>& polled, double wait_ms) {
   const int found = system_calls::poll(polled.data(), polled.size(), static_cast<int>(std::ceil(wait_ms)));
   if (found >= 0) {
     failed_polls_ = 0;
@@ -96,26 +96,26 @@
 }
 
 // Danger: a crowd of clients makes a turn as long as there are of them.
-void Loop::serve_urgent(bool at_once) {
+void EventLoop::serve_urgent(bool at_once) {
   if (!at_once && now() - urgent_served_ < kUrgentPace) return;
   urgent_served_ = now();
   std::vector<pollfd> polled;
   std::vector<std::uint64_t> serials;
   for (std::size_t fd = 0; fd < by_fd_.size(); ++fd) {
-    const Entry& entry = by_fd_[fd];
-    if (entry.handler == nullptr || entry.events == 0 || entry.rank != Rank::urgent) continue;
+    const Registration& entry = by_fd_[fd];
+    if (entry.handler == nullptr || entry.events == 0 || entry.priority != Priority::urgent) continue;
     polled.push_back({static_cast<int>(fd), by_fd_[fd].events, 0});
     serials.push_back(by_fd_[fd].serial);
   }
   if (polled.empty() || poll(polled, 0) <= 0) return;
   for (std::size_t i = 0; i < polled.size(); ++i) {
-    const Entry& entry = by_fd_[static_cast<std::size_t>(polled[i].fd)];
+    const Registration& entry = by_fd_[static_cast<std::size_t>(polled[i].fd)];
     const bool same = entry.handler != nullptr && entry.serial == serials[i];
     if (polled[i].revents != 0 && same) entry.handler->ready(polled[i].revents);
   }
 }
 
-void Loop::turn(Millis due, const std::function<void()>& decide) {
+void EventLoop::run_once(Millis due, const std::function<void()>& decide) {
   double until = due.count();
   if (!timers_.empty()) until = std::min(until, timers_.begin()->first.first);
   const double wait = std::min(std::max(until - now().count(), 0.0), kLongestWait);
@@ -131,14 +131,14 @@
   const Millis woke = now();
   const bool did_not_wait = longest.count() <= 0 || woke - asked < kNoWait;
   const bool woke_late = woke - asked > longest + kWokeLate;
-  came_since_ = did_not_wait || woke_late ? turn_began_ : woke;
-  turn_began_ = woke;
+  came_since_ = did_not_wait || woke_late ? iteration_started_ : woke;
+  iteration_started_ = woke;
   observe_wall();
   serve_urgent(true);
   for (std::size_t i = 0; found > 0 && i < polled_.size(); ++i) {
     if (polled_[i].revents == 0) continue;
-    const Entry& entry = by_fd_[static_cast<std::size_t>(polled_[i].fd)];
-    if (entry.rank == Rank::urgent) continue;  // has had its turn
+    const Registration& entry = by_fd_[static_cast<std::size_t>(polled_[i].fd)];
+    if (entry.priority == Priority::urgent) continue;  // has had its turn
     if (entry.handler != nullptr && entry.serial == serials_[i]) entry.handler->ready(polled_[i].revents);
     serve_urgent(false);
   }
@@ -152,14 +152,14 @@
   decide();
   serve_urgent(false);
   flush();
-  graves_.clear();
+  deferred_deletions_.clear();
 }
 
-void count_connect_error(const Loop& loop, const ConnectResult& result) {
+void count_connect_error(const EventLoop& loop, const ConnectResult& result) {
   if (result.error) loop.count_error(counter_name(result.error->kind));
 }
 
-void count_accept_errors(const Loop& loop, const AcceptResult& result) {
+void count_accept_errors(const EventLoop& loop, const AcceptResult& result) {
   for (int i = 0; i < result.connections_lost; ++i) loop.count_error("net.accept.connection_lost");
   if (result.status == AcceptStatus::out_of_resources) loop.count_error("net.accept.local_resource");
 }
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -19,20 +19,20 @@
 
 using robinfold::Millis;
 
-class Handler {
+class EventHandler {
  public:
-  virtual ~Handler() = default;
+  virtual ~EventHandler() = default;
   virtual void ready(short events) = 0;
   virtual void flush() {}
 };
 
-class Loop {
+class EventLoop {
  public:
   using TimerId = std::pair<double, std::uint64_t>;
-  explicit Loop(Clocks clocks = Clocks::system());
-  ~Loop();
-  Loop(const Loop&) = delete;
-  Loop& operator=(const Loop&) = delete;
+  explicit EventLoop(Clocks clocks = Clocks::system());
+  ~EventLoop();
+  EventLoop(const EventLoop&) = delete;
+  EventLoop& operator=(const EventLoop&) = delete;
 
   // Unix milliseconds, from the system's clock at the start and steady from there on.
   Millis now() const;
@@ -43,7 +43,7 @@
   // An earlier process of this machine has read that.
   void remember_wall(Millis read) { wall_.remember(clocks_.steady(), read); }
   // When this turn's poll(2) returned: what is read in the turn had come by then.
-  Millis turn_began() const { return turn_began_; }
+  Millis iteration_started() const { return iteration_started_; }
   // No later than what is read in this turn came, if all that had come was read in the turn before: it may
   // have stood there through that turn, or while the process was stopped.
   Millis came_since() const { return came_since_; }
@@ -52,17 +52,17 @@
 
   // Whoever must be heard whatever the load is watched as urgent: such are served first in a turn, and again
   // in between as often as the rest of the turn takes long.
-  enum class Rank { usual, urgent };
+  enum class Priority { normal, urgent };
   // Again: changes the events. With no events the descriptor is not polled at all until it is watched again.
-  void watch(int fd, Handler& handler, short events, Rank rank = Rank::usual);
-  void forget(int fd, Handler& handler);  // before the descriptor is closed
-  void flush_later(Handler& handler);     // at the end of this turn
+  void register_handler(int fd, EventHandler& handler, short events, Priority rank = Priority::normal);
+  void unregister(int fd, EventHandler& handler);  // before the descriptor is closed
+  void flush_later(EventHandler& handler);     // at the end of this turn
 
-  TimerId at(Millis when, std::function<void()> ring);
+  TimerId schedule_at(Millis when, std::function<void()> ring);
   void cancel(const TimerId& id) { timers_.erase(id); }
 
   // Keeps an ended object until no call on the stack can still be inside it.
-  void bury(std::shared_ptr<void> ended) { graves_.push_back(std::move(ended)); }
+  void delete_later(std::shared_ptr<void> ended) { deferred_deletions_.push_back(std::move(ended)); }
 
   // Told the counter's name of each error of a system call, where set.
   using ErrorCounter = std::function<void(const char* name)>;
@@ -73,25 +73,25 @@
 
   // One turn; waits for at most as long as `due` and the timers allow. `decide` runs between reads and
   // writes.
-  void turn(Millis due, const std::function<void()>& decide);
+  void run_once(Millis due, const std::function<void()>& decide);
 
  private:
-  struct Entry {
-    Handler* handler = nullptr;
+  struct Registration {
+    EventHandler* handler = nullptr;
     short events = 0;
-    Rank rank = Rank::usual;
+    Priority priority = Priority::normal;
     std::uint64_t serial = 0;  // tells a descriptor's user from the next one's
   };
-  std::vector<Entry> by_fd_;
+  std::vector<Registration> by_fd_;
   std::vector<pollfd> polled_;
   std::vector<std::uint64_t> serials_;
-  std::vector<Handler*> unflushed_;
+  std::vector<EventHandler*> unflushed_;
   std::map<TimerId, std::function<void()>> timers_;
-  std::vector<std::shared_ptr<void>> graves_;
+  std::vector<std::shared_ptr<void>> deferred_deletions_;
   std::uint64_t serial_ = 0;
   Clocks clocks_;
   WallClock wall_;
-  Millis turn_began_{0}, came_since_{0}, urgent_served_{0};
+  Millis iteration_started_{0}, came_since_{0}, urgent_served_{0};
   BufferPool::Block read_buffer_;
   ErrorCounter error_counter_;
   int failed_polls_ = 0;  // on end
@@ -103,7 +103,7 @@
 };
 
 // Book what went wrong in a call of connect_to or accept_from.
-void count_connect_error(const Loop& loop, const ConnectResult& result);
-void count_accept_errors(const Loop& loop, const AcceptResult& result);
+void count_connect_error(const EventLoop& loop, const ConnectResult& result);
+void count_accept_errors(const EventLoop& loop, const AcceptResult& result);
 
 }  // namespace lotusyard::net
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -52,16 +52,16 @@
 }
 
 // What poll(2) would have told, as far as recv(2) can: a close behind unread bytes stays unseen.
-Peer peek(const Socket& socket) {
+PeerState peek(const Socket& socket) {
   char byte = 0;
   ssize_t got = -1;
   for (int i = 0; i < kPollTries; ++i) {
     got = system_calls::receive(socket.fd(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
     if (got >= 0 || errno != EINTR) break;
   }
-  if (got == 0) return Peer::gone;
-  if (got > 0 || is_transient_shortage(errno) || errno == EINTR) return Peer::spoke;
-  return errno == EAGAIN || errno == EWOULDBLOCK ? Peer::quiet : Peer::gone;
+  if (got == 0) return PeerState::disconnected;
+  if (got > 0 || is_transient_shortage(errno) || errno == EINTR) return PeerState::readable;
+  return errno == EAGAIN || errno == EWOULDBLOCK ? PeerState::idle : PeerState::disconnected;
 }
 
 }  // namespace
@@ -126,13 +126,13 @@
   return result;
 }
 
-Peer look_at(const Socket& socket) {
+PeerState peek_peer(const Socket& socket) {
   pollfd asked{socket.fd(), POLLIN | POLLRDHUP, 0};
   int found = -1;
   for (int i = 0; i < kPollTries && found < 0; ++i) found = system_calls::poll(&asked, 1, 0);
   if (found < 0) return peek(socket);
-  if (found == 0) return Peer::quiet;
-  return (asked.revents & (POLLRDHUP | POLLHUP | POLLERR | POLLNVAL)) != 0 ? Peer::gone : Peer::spoke;
+  if (found == 0) return PeerState::idle;
+  return (asked.revents & (POLLRDHUP | POLLHUP | POLLERR | POLLNVAL)) != 0 ? PeerState::disconnected : PeerState::readable;
 }
 
 int pending_error(const Socket& socket) { return system_calls::pending_error(socket.fd()); }
--- a/src/net/socket.h
+++ b/src/net/socket.h
@@ -58,8 +58,8 @@
 AcceptResult accept_from(const Socket& listener);
 // What a connection's peer has done that was not read yet, right now. Whoever sends no more, has closed or
 // was reset is `gone`: one that only half-closes cannot be told from one that has closed.
-enum class Peer { quiet, spoke, gone };
-Peer look_at(const Socket& socket);
+enum class PeerState { idle, readable, disconnected };
+PeerState peek_peer(const Socket& socket);
 int pending_error(const Socket& socket);  // of a connect that was decided
 std::string bound_address(const Socket& listener);
 bool valid_address(const std::string& address);
--- a/src/node/control_role.cpp
+++ b/src/node/control_role.cpp
@@ -19,58 +19,58 @@
   out.self = config.self;
   out.life = life;
   out.terms = group.terms;
-  out.terms.offline = config.offline;
+  out.terms.max_offline = config.offline;
   out.sessions = config.sessions;
   return out;
 }
 
 }  // namespace
 
-ControlRole::ControlRole(const Wiring& wiring, const group::Config& group, const control::NodeConfig& config,
-                         group::Member& member, works::Coordinator& coordinator, compliance::Officer& officer,
-                         const group::Lease& lease, Note note)
-    : wiring_(wiring),
-      coordinator_(coordinator),
-      officer_(officer),
+ControlRole::ControlRole(const InvokerServices& wiring, const group::Config& group, const control::NodeConfig& config,
+                         group::RaftReplica& member, works::MaintenanceReplica& coordinator, compliance::ComplianceReplica& officer,
+                         const group::Lease& lease, LogSink note)
+    : services_(wiring),
+      maintenance_(coordinator),
+      compliance_(officer),
       lease_(lease),
-      note_(std::move(note)),
-      server_(wiring.loop, wiring.counters, node_config(group, config, member.life())) {
+      log_(std::move(note)),
+      server_(wiring.loop, wiring.counters, node_config(group, config, member.incarnation())) {
   control::ControlNode& node = server_.node();
   node.set_nodes(config.nodes);
-  node.when_forwarded([this](auto session, const control::Forward& word) { forwarded(session, word); });
+  node.when_forwarded([this](auto session, const control::Forward& word) { handle_forward(session, word); });
   node.divide_by([this](auto session, works::Millis until) { return share_of(session, until); });
   if (!server_.listen(config.listen))
     throw config::ConfigError("configuration: control.listen: cannot listen on " + config.listen);
-  member.observe(this);
-  coordinator_.represent([this] { return represented(); },
-                         [this](works::View own) { return views_.merged(std::move(own)); });
-  officer_.represent([this](std::uint64_t index) { return floors_.settled >= index; });
-  note_("sessions are taken on " + server_.address());
+  member.set_observer(this);
+  maintenance_.set_aggregate_source([this] { return aggregate_sessions(); },
+                         [this](works::HostObservations own) { return views_.merged(std::move(own)); });
+  compliance_.set_sessions_quiesced([this](std::uint64_t index) { return floors_.settled >= index; });
+  log_("sessions are taken on " + server_.address());
 }
 
 ControlRole::~ControlRole() {
-  coordinator_.represent({}, {});
-  officer_.represent({});
+  maintenance_.set_aggregate_source({}, {});
+  compliance_.set_sessions_quiesced({});
 }
 
 // Danger: a change that is passed on under an index below its own would count as applied too early.
 void ControlRole::log_applied(std::uint64_t index) {
   control::ControlNode& node = server_.node();
-  if (!renewed_ && version() == records_version_) return node.applied(index, {});
-  control::Records records = records_of(coordinator_.board(), officer_.book());
-  if (renewed_) {
+  if (!rebuild_records_ && version() == records_version_) return node.applied(index, {});
+  control::Records records = records_of(maintenance_.state(), compliance_.state());
+  if (rebuild_records_) {
     node.reset(index, records);
   } else {
     node.applied(index, control::difference(records_, records));
   }
-  renewed_ = false;
+  rebuild_records_ = false;
   records_version_ = version();
   records_ = std::move(records);
 }
 
-void ControlRole::follow() {
-  const bool holds = !coordinator_.has_failed() && lease_.holds(now());
-  server_.node().set_lease(holds ? lease_.until() : works::Millis(0));
+void ControlRole::update_lease() {
+  const bool holds = !maintenance_.has_failed() && lease_.is_held(now());
+  server_.node().set_lease(holds ? lease_.expires_at() : works::Millis(0));
 }
 
 // Danger: a smaller part holds from the entry on that is being applied now, which is not counted as applied
@@ -86,19 +86,19 @@
   return allotment_.grant(session, server_.node().sessions().connected(), lease_until, now());
 }
 
-works::Coordinator::Represented ControlRole::represented() {
-  const auto known = [this](SessionViews::SessionId id) { return server_.node().sessions().known(id); };
+works::MaintenanceReplica::SessionAggregate ControlRole::aggregate_sessions() {
+  const auto known = [this](SessionObservations::SessionId id) { return server_.node().sessions().known(id); };
   views_.retain(known);
   floors_ = server_.node().floors(now());
   return {allotment_.respected(floors_.applied, now()), floors_.followed, floors_.settled};
 }
 
-void ControlRole::forwarded(control::SessionTable::SessionId session, const control::Forward& forward) {
-  const bool taken = forward.part == kViews && views_.take(session, forward.word);
-  if (!taken) wiring_.counters.add("control.malformed_words");
+void ControlRole::handle_forward(control::SessionTable::SessionId session, const control::Forward& forward) {
+  const bool taken = forward.part == kViews && views_.update(session, forward.word);
+  if (!taken) services_.counters.add("control.malformed_words");
 }
 
-json ControlRole::shown() const {
+json ControlRole::status_to_json() const {
   const auto& sessions = server_.node().sessions();
   return {{"sessions", sessions.connected()},
           {"counted", sessions.size()},
--- a/src/node/control_role.h
+++ b/src/node/control_role.h
@@ -17,43 +17,43 @@
 
 namespace lotusyard::node {
 
-class ControlRole final : public group::Member::Observer {
+class ControlRole final : public group::RaftReplica::Observer {
  public:
-  using Note = std::function<void(const std::string& text)>;
+  using LogSink = std::function<void(const std::string& text)>;
   // All that it is given outlives it. Throws config::ConfigError if it cannot listen.
-  ControlRole(const Wiring& wiring, const group::Config& group, const control::NodeConfig& config,
-              group::Member& member, works::Coordinator& coordinator, compliance::Officer& officer,
-              const group::Lease& lease, Note note);
+  ControlRole(const InvokerServices& wiring, const group::Config& group, const control::NodeConfig& config,
+              group::RaftReplica& member, works::MaintenanceReplica& coordinator, compliance::ComplianceReplica& officer,
+              const group::Lease& lease, LogSink note);
   ~ControlRole() override;
 
   // From the member: an entry of the log has been applied, or the whole state was replaced.
   void log_applied(std::uint64_t index) override;
-  void log_restored() override { renewed_ = true; }
+  void log_restored() override { rebuild_records_ = true; }
 
-  void follow();                            // the lease may have come or gone
+  void update_lease();                            // the lease may have come or gone
   void set_share(double share);             // this node's part of a cold host's budget
-  void leave() { server_.node().leave(); }  // the process ends
-  nlohmann::json shown() const;
+  void shut_down() { server_.node().leave(); }  // the process ends
+  nlohmann::json status_to_json() const;
 
  private:
-  Wiring wiring_;
-  works::Coordinator& coordinator_;
-  compliance::Officer& officer_;
+  InvokerServices services_;
+  works::MaintenanceReplica& maintenance_;
+  compliance::ComplianceReplica& compliance_;
   const group::Lease& lease_;
-  Note note_;
+  LogSink log_;
   control::NodeServer server_;
-  SessionViews views_;
+  SessionObservations views_;
   control::Allotment allotment_;
   control::Records records_;
   std::uint64_t records_version_ = 0;
-  bool renewed_ = true;  // the records are to be given anew, in whole
+  bool rebuild_records_ = true;  // the records are to be given anew, in whole
   bool shares_told_ = false;
   control::Floors floors_;
 
-  works::Millis now() const { return wiring_.loop.now(); }
-  std::uint64_t version() const { return coordinator_.changes() + officer_.changes(); }
-  works::Coordinator::Represented represented();
-  void forwarded(control::SessionTable::SessionId session, const control::Forward& forward);
+  works::Millis now() const { return services_.loop.now(); }
+  std::uint64_t version() const { return maintenance_.version() + compliance_.version(); }
+  works::MaintenanceReplica::SessionAggregate aggregate_sessions();
+  void handle_forward(control::SessionTable::SessionId session, const control::Forward& forward);
   std::optional<double> share_of(control::SessionTable::SessionId session, works::Millis lease_until);
 };
 
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -16,129 +16,129 @@
 
 }  // namespace
 
-Node::Node(const Wiring& wiring, const group::Config& config,
+ClusterMember::ClusterMember(const InvokerServices& wiring, const group::Config& config,
            const std::optional<control::NodeConfig>& control)
-    : wiring_(wiring),
+    : services_(wiring),
       config_(config),
       lease_(config.terms, wiring.loop.now()),
-      coordinator_(wiring, config_, lease_, [this](const std::string& text) { note("works", text); }),
-      sharing_(sharing_wiring(), config_, coordinator_,
-               [this](const std::string& text) { note("shares", text); }),
-      officer_(wiring, config_, coordinator_, [this](const std::string& text) { note("compliance", text); }),
-      member_(wiring.loop, wiring.counters, config_, {&coordinator_, &sharing_, &officer_},
-              [this](const std::string& text) { note("works", text); }) {
-  built_ = true;
-  coordinator_.attach(member_);
-  officer_.attach(member_);
-  coordinator_.when_changed([this] { follow(); });
+      maintenance_(wiring, config_, lease_, [this](const std::string& text) { log_event("works", text); }),
+      quota_(quota_services(), config_, maintenance_,
+               [this](const std::string& text) { log_event("shares", text); }),
+      compliance_(wiring, config_, maintenance_, [this](const std::string& text) { log_event("compliance", text); }),
+      replica_(wiring.loop, wiring.counters, config_, {&maintenance_, &quota_, &compliance_},
+              [this](const std::string& text) { log_event("works", text); }) {
+  constructed_ = true;
+  maintenance_.attach(replica_);
+  compliance_.attach(replica_);
+  maintenance_.set_change_handler([this] { update_lease(); });
   if (control) {
-    control_.emplace(wiring, config_, *control, member_, coordinator_, officer_, lease_,
-                     [this](const std::string& text) { note("control", text); });
-    follow();
+    control_role_.emplace(wiring, config_, *control, replica_, maintenance_, compliance_, lease_,
+                     [this](const std::string& text) { log_event("control", text); });
+    update_lease();
   }
   if (config_.view) {
-    viewer_.emplace(
-        wiring, config_, member_, [this](const std::string& host) { return coordinator_.sees_down(host); },
-        [this](const std::string& text) { note("view", text); });
-    sharing_.attach(member_);
-    viewer_->when_changed([this] { follow(); });
+    gossip_.emplace(
+        wiring, config_, replica_, [this](const std::string& host) { return maintenance_.sees_down(host); },
+        [this](const std::string& text) { log_event("view", text); });
+    quota_.attach(replica_);
+    gossip_->set_change_handler([this] { update_lease(); });
   }
-  note("works",
-       "life=" + std::to_string(member_.life()) + " starts" + (config.serves ? "" : ", serves no calls"));
+  log_event("works",
+       "life=" + std::to_string(replica_.incarnation()) + " starts" + (config.serves ? "" : ", serves no calls"));
 }
 
-void Node::note(const std::string& part, const std::string& text) const {
-  write_line(part, wiring_.loop.now(), config_.member,
-             "term=" + std::to_string(built_ ? member_.term() : 0) +
-                 " index=" + std::to_string(coordinator_.board().index()) + ' ' + text);
+void ClusterMember::log_event(const std::string& part, const std::string& text) const {
+  write_event(part, services_.loop.now(), config_.member,
+             "term=" + std::to_string(constructed_ ? replica_.term() : 0) +
+                 " index=" + std::to_string(maintenance_.state().index()) + ' ' + text);
 }
 
 // Parts and standing hang on the lease, on the log and on the view.
-void Node::follow() {
-  officer_.update();
-  if (control_) control_->follow();
-  if (!viewer_) return;
-  if (coordinator_.ready() && config_.serves) viewer_->serve();
-  sharing_.update(viewer_->seen());
+void ClusterMember::update_lease() {
+  compliance_.update();
+  if (control_role_) control_role_->update_lease();
+  if (!gossip_) return;
+  if (maintenance_.ready() && config_.serves) gossip_->serve();
+  quota_.update(gossip_->present_members());
 }
 
 // The member's part of what all may send a cold host goes to its sessions where it has any.
-Wiring Node::sharing_wiring() {
-  Wiring out = wiring_;
+InvokerServices ClusterMember::quota_services() {
+  InvokerServices out = services_;
   out.set_share = [this](double share) {
-    if (control_) return control_->set_share(share);
-    wiring_.set_share(share);
+    if (control_role_) return control_role_->set_share(share);
+    services_.set_share(share);
   };
   return out;
 }
 
-void Node::drain() {
-  if (viewer_) viewer_->leave();
-  if (control_) control_->leave();
+void ClusterMember::drain() {
+  if (gossip_) gossip_->leave();
+  if (control_role_) control_role_->shut_down();
 }
 
 // Asked by the module for each host that it considers. List, hand and works have had their say before: what
 // they leave out is no host to the module.
-bool Node::open(const std::string& tenant, std::uint64_t function, const std::string& host) {
-  return officer_.enforcer().considers(tenant, function, host);
+bool ClusterMember::allows(const std::string& tenant, std::uint64_t function, const std::string& host) {
+  return compliance_.filter().allows_host(tenant, function, host);
 }
 
-bool Node::may_send(const std::string& host, const core::Call* call, std::uint64_t function) {
-  return coordinator_.may_send(host) && officer_.enforcer().may_send(host, call, function);
+bool ClusterMember::may_send(const std::string& host, const core::Call* call, std::uint64_t function) {
+  return maintenance_.may_send(host) && compliance_.filter().may_send(host, call, function);
 }
 
-void Node::attempt_ended(const std::string& host, const core::Call& call, core::Outcome outcome) {
-  coordinator_.attempt_ended(host, call, outcome);
+void ClusterMember::attempt_ended(const std::string& host, const core::Call& call, core::Outcome outcome) {
+  maintenance_.attempt_ended(host, call, outcome);
 }
 
-std::optional<console::Said> Node::asked(const console::Request& request) {
+std::optional<console::Response> ClusterMember::handle_request(const console::Request& request) {
   if (request.path == "/-/group")
-    return request.method == "GET" ? console::Said{200, show_group().dump()} : console::Said{405, "GET"};
-  if (request.path == "/-/view" && viewer_) {
-    if (request.method != "GET") return console::Said{405, "GET"};
-    nlohmann::json shown = viewer_->shown();
-    shown["part"] = sharing_.part();
-    shown["sharers"] = sharing_.epochs().now();
-    return console::Said{200, shown.dump()};
+    return request.method == "GET" ? console::Response{200, group_to_json().dump()} : console::Response{405, "GET"};
+  if (request.path == "/-/view" && gossip_) {
+    if (request.method != "GET") return console::Response{405, "GET"};
+    nlohmann::json shown = gossip_->status_to_json();
+    shown["part"] = quota_.share();
+    shown["sharers"] = quota_.epochs().current_holders();
+    return console::Response{200, shown.dump()};
   }
-  if (auto said = officer_.asked(request)) return said;
-  return coordinator_.asked(request);
+  if (auto said = compliance_.handle_request(request)) return said;
+  return maintenance_.handle_request(request);
 }
 
-json Node::show_group() const {
-  const auto& board = coordinator_.board();
+json ClusterMember::group_to_json() const {
+  const auto& board = maintenance_.state();
   json members = json::object(), servers = json::array();
   for (const auto& [id, m] : board.members()) {
-    members[id] = {{"life", m.life},
-                   {"follows", m.has},
-                   {"silent_ms", std::round((wiring_.loop.now() - m.seen).count())},
-                   {"listed", m.view.listed},
-                   {"down", m.view.down}};
+    members[id] = {{"life", m.incarnation},
+                   {"follows", m.applied_index},
+                   {"silent_ms", std::round((services_.loop.now() - m.last_heartbeat_at).count())},
+                   {"listed", m.observations.listed_hosts},
+                   {"down", m.observations.down}};
   }
-  for (const auto& s : member_.servers())
+  for (const auto& s : replica_.servers())
     servers.push_back({{"id", s.id}, {"address", s.address}, {"role", role_name(s.role)}});
   json out = {{"member", config_.member},
-              {"id", member_.id()},
-              {"life", member_.life()},
-              {"term", member_.term()},
-              {"leader", member_.leader()},
-              {"leads", member_.leads()},
+              {"id", replica_.id()},
+              {"life", replica_.incarnation()},
+              {"term", replica_.term()},
+              {"leader", replica_.leader()},
+              {"leads", replica_.is_leader()},
               {"index", board.index()},
-              {"lease_ms", std::max(0.0, std::round((lease_.until() - wiring_.loop.now()).count()))},
-              {"failed", coordinator_.has_failed()},
-              {"store_bytes", member_.stored()},
+              {"lease_ms", std::max(0.0, std::round((lease_.expires_at() - services_.loop.now()).count()))},
+              {"failed", maintenance_.has_failed()},
+              {"store_bytes", replica_.stored_bytes()},
               {"servers", servers},
               {"members", members}};
-  if (control_) out["control"] = control_->shown();
+  if (control_role_) out["control"] = control_role_->status_to_json();
   return out;
 }
 
-std::unique_ptr<Companion> make_node(const Wiring& wiring, const json& file) {
+std::unique_ptr<InvokerExtension> make_extension(const InvokerServices& wiring, const json& file) {
   const auto longest_deadline = core::longest_deadline(wiring.settings());
-  if (const auto config = group::read_config(file, wiring.name, longest_deadline))
-    return std::make_unique<Node>(wiring, *config, control::read_node_config(file, *config));
+  if (const auto config = group::parse_config(file, wiring.name, longest_deadline))
+    return std::make_unique<ClusterMember>(wiring, *config, control::read_node_config(file, *config));
   if (const auto config = control::read_invoker_config(file, longest_deadline))
-    return std::make_unique<SessionMember>(wiring, *config);
+    return std::make_unique<SessionInvoker>(wiring, *config);
   return nullptr;
 }
 
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -15,42 +15,42 @@
 
 namespace lotusyard::node {
 
-class Node final : public Companion, private robinfold::Gate {
+class ClusterMember final : public InvokerExtension, private robinfold::HostFilter {
  public:
   // `control`: this member is a control node, too.
-  Node(const Wiring& wiring, const group::Config& config, const std::optional<control::NodeConfig>& control);
+  ClusterMember(const InvokerServices& wiring, const group::Config& config, const std::optional<control::NodeConfig>& control);
 
-  bool ready() const override { return coordinator_.ready(); }
+  bool ready() const override { return maintenance_.ready(); }
   bool may_send(const std::string& host, const core::Call* call, std::uint64_t function) override;
-  robinfold::Gate* gate() override { return this; }
-  bool open(const std::string& tenant, std::uint64_t function, const std::string& host) override;
-  void refused(const core::Call& call) override { officer_.enforcer().refused(call); }
+  robinfold::HostFilter* host_filter() override { return this; }
+  bool allows(const std::string& tenant, std::uint64_t function, const std::string& host) override;
+  void on_rejected(const core::Call& call) override { compliance_.filter().on_rejected(call); }
   void drain() override;
-  void before_writes() override { coordinator_.before_writes(); }
+  void before_writes() override { maintenance_.before_writes(); }
   void attempt_ended(const std::string& host, const core::Call& call, core::Outcome outcome) override;
-  std::optional<console::Said> asked(const console::Request& request) override;
+  std::optional<console::Response> handle_request(const console::Request& request) override;
 
  private:
-  Wiring wiring_;
+  InvokerServices services_;
   const group::Config config_;
   group::Lease lease_;
-  bool built_ = false;
-  works::Coordinator coordinator_;
-  shares::Sharing sharing_;
-  compliance::Officer officer_;
-  group::Member member_;  // it calls the parts from its construction on
-  std::optional<view::Viewer> viewer_;
-  std::optional<ControlRole> control_;
-
-  void follow();
-  Wiring sharing_wiring();
-
-  void note(const std::string& part, const std::string& text) const;
-  nlohmann::json show_group() const;
+  bool constructed_ = false;
+  works::MaintenanceReplica maintenance_;
+  shares::QuotaReplica quota_;
+  compliance::ComplianceReplica compliance_;
+  group::RaftReplica replica_;  // it calls the parts from its construction on
+  std::optional<view::GossipService> gossip_;
+  std::optional<ControlRole> control_role_;
+
+  void update_lease();
+  InvokerServices quota_services();
+
+  void log_event(const std::string& part, const std::string& text) const;
+  nlohmann::json group_to_json() const;
 };
 
 // For lotusyard_full: a member where the file has a part `group`, an invoker with a session where it has only
 // a part `control`, else nothing.
-std::unique_ptr<Companion> make_node(const Wiring& wiring, const nlohmann::json& file);
+std::unique_ptr<InvokerExtension> make_extension(const InvokerServices& wiring, const nlohmann::json& file);
 
 }  // namespace lotusyard::node
--- a/src/node/records.cpp
+++ b/src/node/records.cpp
@@ -37,7 +37,7 @@
 
 }  // namespace
 
-control::Records records_of(const works::Board& board, const compliance::Book& book) {
+control::Records records_of(const works::MaintenanceState& board, const compliance::CertificateState& book) {
   control::Records out;
   const json agreed = board.snapshot();
   add_rows(out, kHosts, agreed.at("hosts"), "id");
@@ -49,19 +49,19 @@
   return out;
 }
 
-std::optional<works::Board> board_of(const control::Records& records, control::Index index,
+std::optional<works::MaintenanceState> maintenance_state_from(const control::Records& records, control::Index index,
                                      works::Millis now) {
   try {
     const json snapshot = {
         {"index", index},           {"hosts", rows_of(records, kHosts)}, {"works", rows_of(records, kWorks)},
         {"members", json::array()}, {"lives", json::object()},           {"outcomes", json::array()}};
-    works::Board out;
+    works::MaintenanceState out;
     if (!out.restore(snapshot, now)) return std::nullopt;
     return out;
   } catch (const json::exception&) { return std::nullopt; }
 }
 
-std::optional<compliance::Book> book_of(const control::Records& records, control::Index index) {
+std::optional<compliance::CertificateState> certificate_state_from(const control::Records& records, control::Index index) {
   try {
     json tenants = json::object();
     each_of(records, kTenants,
@@ -72,7 +72,7 @@
                            {"tenants", tenants},
                            {"told", json::object()},
                            {"outcomes", json::array()}};
-    compliance::Book out;
+    compliance::CertificateState out;
     if (!out.restore(snapshot)) return std::nullopt;
     return out;
   } catch (const json::exception&) { return std::nullopt; }
--- a/src/node/records.h
+++ b/src/node/records.h
@@ -11,11 +11,11 @@
 
 namespace lotusyard::node {
 
-control::Records records_of(const works::Board& board, const compliance::Book& book);
+control::Records records_of(const works::MaintenanceState& board, const compliance::CertificateState& book);
 
 // Nothing: the records are of another version of the program.
-std::optional<works::Board> board_of(const control::Records& records, control::Index index,
+std::optional<works::MaintenanceState> maintenance_state_from(const control::Records& records, control::Index index,
                                      works::Millis now);
-std::optional<compliance::Book> book_of(const control::Records& records, control::Index index);
+std::optional<compliance::CertificateState> certificate_state_from(const control::Records& records, control::Index index);
 
 }  // namespace lotusyard::node
--- a/src/node/session_member.cpp
+++ b/src/node/session_member.cpp
@@ -22,7 +22,7 @@
   return static_cast<std::uint64_t>(source()) << 32 | source();
 }
 
-control::Session::Config session_config(const Wiring& wiring, const control::InvokerConfig& from) {
+control::Session::Config session_config(const InvokerServices& wiring, const control::InvokerConfig& from) {
   control::Session::Config out;
   out.cluster = from.cluster;
   out.invoker = wiring.name;
@@ -36,142 +36,142 @@
 
 }  // namespace
 
-SessionMember::SessionMember(const Wiring& wiring, const control::InvokerConfig& config)
-    : wiring_(wiring),
+SessionInvoker::SessionInvoker(const InvokerServices& wiring, const control::InvokerConfig& config)
+    : services_(wiring),
       config_(config),
-      host_use_(wiring, [this](const std::string& text) { note("works", text); }),
-      enforcer_(
-          wiring, book_, [this] { return leased(); },
-          [this](const std::string& text) { note("compliance", text); }),
-      settled_(config.terms.last_call),
+      host_access_(wiring, [this](const std::string& text) { log_event("works", text); }),
+      compliance_filter_(
+          wiring, certificates_, [this] { return is_leased(); },
+          [this](const std::string& text) { log_event("compliance", text); }),
+      quiescence_(config.terms.max_attempt_time),
       client_(wiring.loop, wiring.counters, session_config(wiring, config), random_number()) {
   client_.replica().when_moved([this](const control::Change*) { replicate(); });
-  follow();
-  report();
+  update_host_access();
+  send_report();
 }
 
-SessionMember::~SessionMember() {
-  for (const auto& timer : {reports_, lease_ends_}) wiring_.loop.cancel(timer);
+SessionInvoker::~SessionInvoker() {
+  for (const auto& timer : {report_timer_, lease_timer_}) services_.loop.cancel(timer);
   client_.replica().when_moved({});
   client_.session().close(now());
 }
 
-void SessionMember::note(const std::string& part, const std::string& text) const {
-  write_line(part, now(), wiring_.name, "index=" + std::to_string(client_.replica().position()) + ' ' + text);
+void SessionInvoker::log_event(const std::string& part, const std::string& text) const {
+  write_event(part, now(), services_.name, "index=" + std::to_string(client_.replica().position()) + ' ' + text);
 }
 
 // What the replica holds becomes what this process goes by.
-void SessionMember::replicate() {
+void SessionInvoker::replicate() {
   const auto& replica = client_.replica();
-  auto board = board_of(replica.records(), replica.position(), now());
-  auto book = book_of(replica.records(), replica.position());
+  auto board = maintenance_state_from(replica.records(), replica.position(), now());
+  auto book = certificate_state_from(replica.records(), replica.position());
   if (!board || !book) return fail("the group's records are of another version of the program");
-  board_ = std::move(*board);
-  book_ = std::move(*book);
-  wiring_.counters.add("control.replicated");
-  follow();
+  maintenance_ = std::move(*board);
+  certificates_ = std::move(*book);
+  services_.counters.add("control.replicated");
+  update_host_access();
 }
 
 // Danger: to go on by records that cannot be read is to go on by older ones.
-void SessionMember::fail(const std::string& why) {
+void SessionInvoker::fail(const std::string& why) {
   if (std::exchange(failed_, true)) return;
-  wiring_.counters.add("control.unreadable");
+  services_.counters.add("control.unreadable");
   std::cerr << "lotusyard: " << why << std::endl;
-  follow();
+  update_host_access();
 }
 
-works::Knowledge SessionMember::knowledge() const {
+works::StateFreshness SessionInvoker::freshness() const {
   const control::Session& session = client_.session();
-  works::Knowledge out;
-  out.leased = leased() || (breaks("lease") && session.ever_held());
-  const bool too_old = now() >= session.lease_until() + config_.terms.offline;
-  out.held_back = failed_ || !session.ever_held() || too_old;
+  works::StateFreshness out;
+  out.is_leased = is_leased() || (fault_injected("lease") && session.ever_held());
+  const bool too_old = now() >= session.lease_until() + config_.terms.max_offline;
+  out.must_suspend = failed_ || !session.ever_held() || too_old;
   return out;
 }
 
-void SessionMember::follow() {
-  const works::Knowledge known = knowledge();
-  if (known.held_back != held_back_ && known.held_back)
-    note("works", "without a lease for too long: no host is used");
-  held_back_ = known.held_back;
-  host_use_.follow(board_, known);
-  enforcer_.update();
+void SessionInvoker::update_host_access() {
+  const works::StateFreshness known = freshness();
+  if (known.must_suspend != suspended_ && known.must_suspend)
+    log_event("works", "without a lease for too long: no host is used");
+  suspended_ = known.must_suspend;
+  host_access_.update(maintenance_, known);
+  compliance_filter_.update();
 }
 
 // Danger: a process that was stopped for longer than its lease goes on where it was, with calls decided and
 // not yet written.
-void SessionMember::before_writes() {
-  if (knowledge().leased != host_use_.leased()) follow();
-  take_share();
+void SessionInvoker::before_writes() {
+  if (freshness().is_leased != host_access_.leased()) update_host_access();
+  apply_share();
   const works::Millis until = client_.session().lease_until();
   if (until == armed_for_) return;
   armed_for_ = until;
-  wiring_.loop.cancel(lease_ends_);
-  lease_ends_ = wiring_.loop.at(until, [this] { before_writes(); });
+  services_.loop.cancel(lease_timer_);
+  lease_timer_ = services_.loop.schedule_at(until, [this] { before_writes(); });
 }
 
-bool SessionMember::may_send(const std::string& host, const core::Call* call, std::uint64_t function) {
-  if (knowledge().leased != host_use_.leased()) follow();
-  return !held_back_ && !host_use_.left(host) && enforcer_.may_send(host, call, function);
+bool SessionInvoker::may_send(const std::string& host, const core::Call* call, std::uint64_t function) {
+  if (freshness().is_leased != host_access_.leased()) update_host_access();
+  return !suspended_ && !host_access_.is_avoided(host) && compliance_filter_.may_send(host, call, function);
 }
 
-bool SessionMember::open(const std::string& tenant, std::uint64_t function, const std::string& host) {
-  return enforcer_.considers(tenant, function, host);
+bool SessionInvoker::allows(const std::string& tenant, std::uint64_t function, const std::string& host) {
+  return compliance_filter_.allows_host(tenant, function, host);
 }
 
-void SessionMember::attempt_ended(const std::string& host, const core::Call& call, core::Outcome outcome) {
-  host_use_.attempt_ended(host, call, outcome);
+void SessionInvoker::attempt_ended(const std::string& host, const core::Call& call, core::Outcome outcome) {
+  host_access_.attempt_ended(host, call, outcome);
 }
 
 // This process's part of what all may send a cold host, where its node divides one.
-void SessionMember::take_share() {
+void SessionInvoker::apply_share() {
   std::optional<double> share = client_.session().share();
   if (!share) return;
-  if (!leased()) share = 0;
-  if (share == told_share_) return;
-  told_share_ = share;
-  wiring_.set_share(std::max(*share, kNoShare));
+  if (!is_leased()) share = 0;
+  if (share == applied_share_) return;
+  applied_share_ = share;
+  services_.set_share(std::max(*share, kNoShare));
 }
 
-void SessionMember::report() {
-  reports_ = wiring_.loop.at(now() + config_.terms.beat(), [this] { report(); });
-  if (knowledge().held_back != held_back_) follow();
+void SessionInvoker::send_report() {
+  report_timer_ = services_.loop.schedule_at(now() + config_.terms.heartbeat_interval(), [this] { send_report(); });
+  if (freshness().must_suspend != suspended_) update_host_access();
   const auto free = [this](const std::string& host) {
-    return breaks("drain") || (host_use_.left(host) && wiring_.fleet.free_of_calls(host));
+    return fault_injected("drain") || (host_access_.is_avoided(host) && services_.host_connections.has_no_calls(host));
   };
   const control::Index position = client_.replica().position();
-  client_.session().set_settled(settled_.settled(board_, book_, position, free, now()));
-  report_view();
+  client_.session().set_settled(quiescence_.quiesced_index(maintenance_, certificates_, position, free, now()));
+  send_observations();
 }
 
 // Only what has changed goes out, and only while there is something to report on.
-void SessionMember::report_view() {
-  if (board_.hosts().empty() && told_view_.empty()) return;
-  std::string view = SessionViews::encode(wiring_.name, host_use_.see(board_));
-  if (view == told_view_) return;
-  if (client_.session().forward("works", view)) told_view_ = std::move(view);
+void SessionInvoker::send_observations() {
+  if (maintenance_.hosts().empty() && last_sent_observations_.empty()) return;
+  std::string view = SessionObservations::encode(services_.name, host_access_.observe(maintenance_));
+  if (view == last_sent_observations_) return;
+  if (client_.session().forward("works", view)) last_sent_observations_ = std::move(view);
 }
 
-std::optional<console::Said> SessionMember::asked(const console::Request& request) {
+std::optional<console::Response> SessionInvoker::handle_request(const console::Request& request) {
   if (request.path != "/-/session") return std::nullopt;
-  if (request.method != "GET") return console::Said{405, "GET"};
-  return console::Said{200, shown().dump()};
+  if (request.method != "GET") return console::Response{405, "GET"};
+  return console::Response{200, status_to_json().dump()};
 }
 
-json SessionMember::shown() const {
+json SessionInvoker::status_to_json() const {
   const control::Session& session = client_.session();
   json left = json::array();
-  for (const auto& [host, agreed] : board_.hosts()) {
-    if (host_use_.left(host)) left.push_back(host);
+  for (const auto& [host, agreed] : maintenance_.hosts()) {
+    if (host_access_.is_avoided(host)) left.push_back(host);
   }
-  return {{"invoker", wiring_.name},
+  return {{"invoker", services_.name},
           {"node", session.node().name},
           {"open", session.open()},
           {"lease_ms", std::max(0.0, std::round((session.lease_until() - now()).count()))},
           {"index", client_.replica().position()},
           {"records", client_.replica().records().size()},
           {"left_alone", left},
-          {"share", told_share_ ? json(*told_share_) : json()},
+          {"share", applied_share_ ? json(*applied_share_) : json()},
           {"failed", failed_}};
 }
 
--- a/src/node/session_member.h
+++ b/src/node/session_member.h
@@ -14,46 +14,46 @@
 
 namespace lotusyard::node {
 
-class SessionMember final : public Companion, private robinfold::Gate {
+class SessionInvoker final : public InvokerExtension, private robinfold::HostFilter {
  public:
-  SessionMember(const Wiring& wiring, const control::InvokerConfig& config);
-  ~SessionMember() override;
+  SessionInvoker(const InvokerServices& wiring, const control::InvokerConfig& config);
+  ~SessionInvoker() override;
 
   bool ready() const override { return client_.session().ever_held() && !failed_; }
   bool may_send(const std::string& host, const core::Call* call, std::uint64_t function) override;
-  robinfold::Gate* gate() override { return this; }
-  bool open(const std::string& tenant, std::uint64_t function, const std::string& host) override;
-  void refused(const core::Call& call) override { enforcer_.refused(call); }
+  robinfold::HostFilter* host_filter() override { return this; }
+  bool allows(const std::string& tenant, std::uint64_t function, const std::string& host) override;
+  void on_rejected(const core::Call& call) override { compliance_filter_.on_rejected(call); }
   void before_writes() override;
   void attempt_ended(const std::string& host, const core::Call& call, core::Outcome outcome) override;
-  std::optional<console::Said> asked(const console::Request& request) override;
+  std::optional<console::Response> handle_request(const console::Request& request) override;
 
  private:
-  Wiring wiring_;
+  InvokerServices services_;
   const control::InvokerConfig config_;
-  works::Board board_;
-  compliance::Book book_;
-  works::HostUse host_use_;
-  compliance::Enforcer enforcer_;
-  SettledTracker settled_;
+  works::MaintenanceState maintenance_;
+  compliance::CertificateState certificates_;
+  works::HostAccess host_access_;
+  compliance::ComplianceFilter compliance_filter_;
+  QuiescenceTracker quiescence_;
   control::SessionClient client_;
-  net::Loop::TimerId reports_{}, lease_ends_{};
+  net::EventLoop::TimerId report_timer_{}, lease_timer_{};
   works::Millis armed_for_{0};  // the end of the lease at which `lease_ends_` rings
-  std::string told_view_;
-  std::optional<double> told_share_;
-  bool failed_ = false, held_back_ = true;
+  std::string last_sent_observations_;
+  std::optional<double> applied_share_;
+  bool failed_ = false, suspended_ = true;
 
-  works::Millis now() const { return wiring_.loop.now(); }
-  bool leased() const { return !failed_ && client_.session().holds(now()); }
-  works::Knowledge knowledge() const;
+  works::Millis now() const { return services_.loop.now(); }
+  bool is_leased() const { return !failed_ && client_.session().holds(now()); }
+  works::StateFreshness freshness() const;
   void replicate();
-  void follow();
-  void report();
-  void report_view();
-  void take_share();
+  void update_host_access();
+  void send_report();
+  void send_observations();
+  void apply_share();
   void fail(const std::string& why);
-  void note(const std::string& part, const std::string& text) const;
-  nlohmann::json shown() const;
+  void log_event(const std::string& part, const std::string& text) const;
+  nlohmann::json status_to_json() const;
 };
 
 }  // namespace lotusyard::node
--- a/src/node/session_views.cpp
+++ b/src/node/session_views.cpp
@@ -8,44 +8,44 @@
 
 using nlohmann::json;
 
-void merge(works::View& into, const works::View& view) {
-  for (const auto& [host, cost] : view.cost) into.cost[host] += cost;
+void merge(works::HostObservations& into, const works::HostObservations& view) {
+  for (const auto& [host, cost] : view.serving_value) into.serving_value[host] += cost;
   into.down.insert(view.down.begin(), view.down.end());
-  into.reborn.insert(view.reborn.begin(), view.reborn.end());
+  into.restarted.insert(view.restarted.begin(), view.restarted.end());
   into.served.insert(view.served.begin(), view.served.end());
-  into.asked += view.asked;
-  into.lost += view.lost;
+  into.calls_per_second += view.calls_per_second;
+  into.failed_per_second += view.failed_per_second;
   // The bounds on how many hosts may be out go by whoever sees fewest.
-  if (view.listed > 0) into.listed = into.listed > 0 ? std::min(into.listed, view.listed) : view.listed;
+  if (view.listed_hosts > 0) into.listed_hosts = into.listed_hosts > 0 ? std::min(into.listed_hosts, view.listed_hosts) : view.listed_hosts;
 }
 
 }  // namespace
 
-std::string SessionViews::encode(const std::string& invoker, const works::View& view) {
-  const works::Beat beat{invoker, 0, 0, 0, {}, view};
-  return works::worded_beat(beat).dump(-1, ' ', false, json::error_handler_t::replace);
+std::string SessionObservations::encode(const std::string& invoker, const works::HostObservations& view) {
+  const works::Heartbeat beat{invoker, 0, 0, 0, {}, view};
+  return works::heartbeat_to_json(beat).dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-bool SessionViews::take(SessionId session, const std::string& word) {
+bool SessionObservations::update(SessionId session, const std::string& word) {
   const json read = json::parse(word, nullptr, false);
   if (!read.is_object()) return false;
-  auto beat = works::read_beat(read);
-  if (!beat || !beat->view) return false;
-  const works::View& view = *beat->view;
+  auto beat = works::parse_heartbeat(read);
+  if (!beat || !beat->observations) return false;
+  const works::HostObservations& view = *beat->observations;
   const std::size_t largest =
-      std::max({view.cost.size(), view.down.size(), view.reborn.size(), view.served.size()});
-  if (largest > hosts_most) return false;
-  views_[session] = std::move(*beat->view);
+      std::max({view.serving_value.size(), view.down.size(), view.restarted.size(), view.served.size()});
+  if (largest > max_hosts) return false;
+  views_[session] = std::move(*beat->observations);
   return true;
 }
 
-void SessionViews::retain(const std::function<bool(SessionId)>& known) {
+void SessionObservations::retain(const std::function<bool(SessionId)>& known) {
   for (auto view = views_.begin(); view != views_.end();) {
     view = known(view->first) ? std::next(view) : views_.erase(view);
   }
 }
 
-works::View SessionViews::merged(works::View own) const {
+works::HostObservations SessionObservations::merged(works::HostObservations own) const {
   for (const auto& [session, view] : views_) merge(own, view);
   return own;
 }
--- a/src/node/session_views.h
+++ b/src/node/session_views.h
@@ -10,25 +10,25 @@
 
 namespace lotusyard::node {
 
-class SessionViews {
+class SessionObservations {
  public:
   using SessionId = std::uint64_t;
-  static constexpr std::size_t hosts_most = 4096;  // named in one session's view
+  static constexpr std::size_t max_hosts = 4096;  // named in one session's view
 
   // The wording in which an invoker sends its view, and back.
-  static std::string encode(const std::string& invoker, const works::View& view);
+  static std::string encode(const std::string& invoker, const works::HostObservations& view);
   // False: the word is malformed or too large; the session's earlier view stays.
-  bool take(SessionId session, const std::string& word);
+  bool update(SessionId session, const std::string& word);
   // Forgets the sessions that are over.
   void retain(const std::function<bool(SessionId)>& known);
 
   // With the node's own view of the list. A host is down, has started anew or has served if any session says
   // so; costs and calls are added up.
-  works::View merged(works::View own) const;
+  works::HostObservations merged(works::HostObservations own) const;
   std::size_t size() const { return views_.size(); }
 
  private:
-  std::map<SessionId, works::View> views_;
+  std::map<SessionId, works::HostObservations> views_;
 };
 
 }  // namespace lotusyard::node
--- a/src/node/settled.cpp
+++ b/src/node/settled.cpp
@@ -8,11 +8,11 @@
 
 constexpr control::Index kAll = std::numeric_limits<control::Index>::max();
 
-control::Index before_used_hosts(const works::Board& board, const SettledTracker::HostIsFree& free) {
+control::Index before_used_hosts(const works::MaintenanceState& board, const QuiescenceTracker::HostIsFree& free) {
   control::Index out = kAll;
   for (const auto& [id, host] : board.hosts()) {
-    const bool forbidden = host.stage == works::Stage::leaving || host.stage == works::Stage::out;
-    if (forbidden && !free(id)) out = std::min(out, host.round - 1);
+    const bool forbidden = host.stage == works::HostStage::draining || host.stage == works::HostStage::out_of_service;
+    if (forbidden && !free(id)) out = std::min(out, host.selected_at_index - 1);
   }
   return out;
 }
@@ -20,22 +20,22 @@
 }  // namespace
 
 // A revoked certificate is used no more once every call that may have gone out under it has run out of time.
-control::Index SettledTracker::before_revocations(const compliance::Book& book, works::Millis now) {
+control::Index QuiescenceTracker::before_revocations(const compliance::CertificateState& book, works::Millis now) {
   control::Index out = kAll;
   std::map<Revocation, works::Millis> ending;
   for (const auto& [name, certificate] : book.certificates()) {
-    if (certificate.state != compliance::Certificate::State::ending) continue;
-    const Revocation revocation{name, certificate.round};
+    if (certificate.state != compliance::Certificate::State::revoking) continue;
+    const Revocation revocation{name, certificate.revoked_at_index};
     const auto known = revoked_since_.find(revocation);
     const works::Millis since = known == revoked_since_.end() ? now : known->second;
     ending[revocation] = since;
-    if (now - since < last_call_) out = std::min(out, certificate.round - 1);
+    if (now - since < max_attempt_time_) out = std::min(out, certificate.revoked_at_index - 1);
   }
   revoked_since_ = std::move(ending);
   return out;
 }
 
-control::Index SettledTracker::settled(const works::Board& board, const compliance::Book& book,
+control::Index QuiescenceTracker::quiesced_index(const works::MaintenanceState& board, const compliance::CertificateState& book,
                                        control::Index position, const HostIsFree& free, works::Millis now) {
   return std::min({position, before_used_hosts(board, free), before_revocations(book, now)});
 }
--- a/src/node/settled.h
+++ b/src/node/settled.h
@@ -13,22 +13,22 @@
 
 namespace lotusyard::node {
 
-class SettledTracker {
+class QuiescenceTracker {
  public:
   using HostIsFree = std::function<bool(const std::string& host)>;  // no call of this process is there
   // `last_call`: no call stays at a host for longer after it went out.
-  explicit SettledTracker(works::Millis last_call) : last_call_(last_call) {}
+  explicit QuiescenceTracker(works::Millis last_call) : max_attempt_time_(last_call) {}
 
   // `position`: what board and book are as of.
-  control::Index settled(const works::Board& board, const compliance::Book& book, control::Index position,
+  control::Index quiesced_index(const works::MaintenanceState& board, const compliance::CertificateState& book, control::Index position,
                          const HostIsFree& free, works::Millis now);
 
  private:
   using Revocation = std::pair<std::string, control::Index>;  // a certificate, and when it was revoked
-  works::Millis last_call_;
+  works::Millis max_attempt_time_;
   std::map<Revocation, works::Millis> revoked_since_;  // that this process knows of each
 
-  control::Index before_revocations(const compliance::Book& book, works::Millis now);
+  control::Index before_revocations(const compliance::CertificateState& book, works::Millis now);
 };
 
 }  // namespace lotusyard::node
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -245,7 +245,7 @@
 Policy::~Policy() = default;
 Policy::Policy(Policy&&) noexcept = default;
 Policy& Policy::operator=(Policy&&) noexcept = default;
-void Policy::guard(Gate* gate) { state_->gate_ = gate; }
+void Policy::set_host_filter(HostFilter* gate) { state_->gate_ = gate; }
 void Policy::handle(Millis now, const Event& e, std::vector<Action>& out) { state_->handle(now, e, out); }
 
 }  // namespace robinfold
--- a/src/policy/records.h
+++ b/src/policy/records.h
@@ -31,7 +31,7 @@
   std::uint64_t id = 0;
   std::string tenant;  // whose call came last
   int cls = -1, lanes = 1;
-  Average run, load;
+  MovingAverage run, load;
   double base = 0, load_hint = 0, arrivals = 0, crowd = 0;  // unloaded R; own calls, decaying; others met
   std::deque<std::uint64_t> queue;
   std::vector<Copy> copies;
@@ -58,7 +58,7 @@
   std::vector<Health> classes;
 };
 struct ClassRecord {
-  Average run;
+  MovingAverage run;
   double base = 0, errors = 0;  // unloaded R; share that failed of late, whoever served
   Millis first_try{0};          // what a first try is given: most calls are one
   int first_tries = 0;          // how many more were given that than something else, of late
@@ -86,7 +86,7 @@
 struct Records {
   Settings s_;
   std::vector<Action>* out_ = nullptr;
-  Gate* gate_ = nullptr;
+  HostFilter* gate_ = nullptr;
   bool live_ = false, reports_queue_ = false;
   std::mt19937_64 random_;
   std::vector<Worker> workers_;
@@ -98,7 +98,7 @@
   std::unordered_map<std::string, std::uint64_t> request_index_;
   std::vector<ClassRecord> classes_;  // by slot
   std::map<std::string, int> class_index_;  // of the classes that new requests may name
-  Average any_run_, any_load_;
+  MovingAverage any_run_, any_load_;
   double held_ = 0, busy_ = 0;  // EWMAs of one gain: calls that workers told of, and their weight then busy
   std::uint64_t next_serial_ = 1;
   std::deque<Millis> taken_, ordered_;  // for the load ration
@@ -124,7 +124,7 @@
   bool shared() const { return s_.routers >= kShared; }
   double my_part() const { return s_.share > 0 ? s_.share : 1.0 / s_.routers; }
   bool eligible(const std::string& tenant, const Function& f, const Worker& w) const {
-    return gate_ == nullptr || gate_->open(tenant, f.id, w.worker);
+    return gate_ == nullptr || gate_->allows(tenant, f.id, w.worker);
   }
   bool nowhere(const Request& r) const {  // held for nothing: no worker may have it
     for (const auto& w : workers_) { if (eligible(r.tenant, *r.function, w)) return false; }
--- a/src/resp/arrival_clock.h
+++ b/src/resp/arrival_clock.h
@@ -12,7 +12,7 @@
   ArrivalClock(net::Millis opened_since, net::Millis now) : came_since_(opened_since), read_at_(now) {}
 
   // To be asked at each read: what is read now has come no sooner than this.
-  net::Millis came_since(const net::Loop& loop) {
+  net::Millis came_since(const net::EventLoop& loop) {
     if (!unwatched_ && loop.came_since() > read_at_) {
       came_since_ = loop.came_since();  // a poll(2) after the last read found nothing
     } else if (all_read_) {
--- a/src/resp/client.h
+++ b/src/resp/client.h
@@ -19,15 +19,15 @@
 // sends none is owed an end within 3 s.
 inline constexpr core::Millis kWholeMost{2800};
 
-class Front::Client final : public net::Stream {
+class Front::ClientConnection final : public net::BufferedConnection {
  public:
-  Client(Front& front, net::Socket socket, core::Millis connected_since)
-      : Stream(front.loop_, front.pool_, std::move(socket), false),
+  ClientConnection(Front& front, net::Socket socket, core::Millis connected_since)
+      : BufferedConnection(front.loop_, front.pool_, std::move(socket), false),
         front_(front),
         arrivals_(connected_since, front.loop_.now()) {
     expect_whole();
   }
-  ~Client() override { loop().cancel(whole_by_); }
+  ~ClientConnection() override { loop().cancel(whole_by_); }
   std::unordered_map<std::string, core::CallId> open_calls;
   Clients::iterator place;
   bool asked = false;    // stands among the clients, else among the newcomers
@@ -36,18 +36,18 @@
   bool no_place = false, parting = false;
   std::size_t faults = 0, pieces = 0;  // pieces: that came before its first request was whole
 
-  std::uint64_t unread() const { return ending() ? 0 : outbox().appended() - outbox().written(); }
-  bool idle() const { return open_calls.empty() && outbox().empty(); }
-  bool at_rest() const { return asked && idle() && !parser_.begun() && !ending(); }
+  std::uint64_t unread() const { return is_closing() ? 0 : send_queue().appended() - send_queue().written(); }
+  bool idle() const { return open_calls.empty() && send_queue().empty(); }
+  bool at_rest() const { return asked && idle() && !parser_.begun() && !is_closing(); }
   // The time no later than which what was read last can have come.
   core::Millis came_since() const { return came_since_; }
   // All that had been sent by then has been read.
   core::Millis heard_at() const { return heard_at_; }
   // To the last byte that has come, within bounds.
   void read_what_came() {
-    for (int i = 0; i < kReadsAtOnce && !ending(); ++i) {
+    for (int i = 0; i < kReadsAtOnce && !is_closing(); ++i) {
       const core::Millis now = loop().now();
-      if (peer() == net::Peer::quiet) {
+      if (peer_state() == net::PeerState::idle) {
         heard_at_ = now;
         return;
       }
@@ -60,15 +60,15 @@
   Parser parser_;
   ArrivalClock arrivals_;
   core::Millis came_since_{0}, heard_at_{0};
-  net::Loop::TimerId whole_by_{};
+  net::EventLoop::TimerId whole_by_{};
   bool begun_ = true;  // a newcomer owes its first request from the start
 
   // Danger: half a request, or none, would hold a descriptor for good.
   void expect_whole() {
-    whole_by_ = loop().at(loop().now() + kWholeMost,
+    whole_by_ = loop().schedule_at(loop().now() + kWholeMost,
                           [this] { front_.spoil(*this, asked ? "resp.half_request" : "resp.no_request"); });
   }
-  void received(std::string_view bytes) override {
+  void on_received(std::string_view bytes) override {
     came_since_ = arrivals_.came_since(loop());
     if (bytes.size() < net::BufferPool::block_size) arrivals_.all_read();
     if (spoilt) return;
@@ -82,7 +82,7 @@
     begun_ = parser_.begun() || !asked;
     leave_out_taken_back(commands);
     for (auto& words : commands) {
-      if (ending()) return;
+      if (is_closing()) return;
       front_.take(*this, std::move(words));
     }
     if (!sound) return front_.spoil(*this, "resp.malformed");
@@ -101,7 +101,7 @@
     front_.counters_.add("resp.taken_back", static_cast<std::uint64_t>(commands.rend() - kept));
     commands.erase(commands.begin(), kept.base());
   }
-  void ended() override {
+  void on_closed() override {
     loop().cancel(whole_by_);
     front_.gone(*this);
   }
--- a/src/resp/crowd.cpp
+++ b/src/resp/crowd.cpp
@@ -11,22 +11,22 @@
 
 }  // namespace
 
-void Front::shed(const std::shared_ptr<Client>& client, const char* why) {
-  const std::shared_ptr<Client> kept = client;
+void Front::shed(const std::shared_ptr<ClientConnection>& client, const char* why) {
+  const std::shared_ptr<ClientConnection> kept = client;
   counters_.add(why);
-  kept->end_later();
+  kept->close_later();
   kept->flush();
 }
 
 // A whole request has come: the connection takes a place among the clients, of the one longest unheard with
 // no call open if need be. False if there is none: then it ends, with nothing sent on for it.
-bool Front::promote(Client& client) {
+bool Front::promote(ClientConnection& client) {
   clients_.splice(clients_.end(), list_of(client), client.place);
   const bool had_place = std::exchange(client.asked, true);
   if (clients_.size() <= limits_.clients) return true;
   const auto self = std::prev(clients_.end());
   // Danger: a request that has come and was not read yet would be lost with its connection.
-  const auto idle = [](const auto& c) { return c->idle() && c->peer() != net::Peer::spoke; };
+  const auto idle = [](const auto& c) { return c->idle() && c->peer() != net::PeerState::readable; };
   const auto at_rest = [&](const auto& c) { return c->at_rest() && idle(c); };  // not half-way through one
   auto spared = std::find_if(clients_.begin(), self, at_rest);
   if (spared == self) spared = std::find_if(clients_.begin(), self, idle);
@@ -41,11 +41,11 @@
   return false;
 }
 
-Front::Clients& Front::list_of(const Client& client) {
+Front::Clients& Front::list_of(const ClientConnection& client) {
   return client.asked ? clients_ : client.pieces > 0 ? begun_ : silent_;
 }
 
-void Front::heard(Client& client) {
+void Front::heard(ClientConnection& client) {
   begun_.splice(begun_.end(), list_of(client), client.place);
   ++client.pieces;
 }
@@ -57,9 +57,9 @@
   if (silent_.size() + begun_.size() <= limits_.newcomers) return;
   Clients& crowd = silent_.size() >= begun_.size() ? silent_ : begun_;
   const auto stopped = std::find_if(crowd.begin(), crowd.end(), [](const auto& c) { return c->pieces < 2; });
-  const std::shared_ptr<Client> oldest = stopped != crowd.end() ? *stopped : crowd.front();
+  const std::shared_ptr<ClientConnection> oldest = stopped != crowd.end() ? *stopped : crowd.front();
   oldest->ready(POLLIN);
-  if (!oldest->asked && !oldest->ending()) shed(oldest, "resp.silent_closed");
+  if (!oldest->asked && !oldest->is_closing()) shed(oldest, "resp.silent_closed");
 }
 
 void Front::ready(short) { accept_some(); }
@@ -80,7 +80,7 @@
       return false;
     }
     counters_.add("resp.connections");
-    silent_.push_back(std::make_shared<Client>(*this, std::move(accepted.socket), came_since));
+    silent_.push_back(std::make_shared<ClientConnection>(*this, std::move(accepted.socket), came_since));
     silent_.back()->place = std::prev(silent_.end());
     bound_newcomers();
   }
@@ -92,14 +92,14 @@
 void Front::pause_listening() {
   paused_ = true;
   connects_.unwatched();
-  loop_.forget(listener_.fd(), *this);
+  loop_.unregister(listener_.fd(), *this);
   loop_.cancel(resume_);
-  resume_ = loop_.at(loop_.now() + kPause, [this] { resume_listening(); });
+  resume_ = loop_.schedule_at(loop_.now() + kPause, [this] { resume_listening(); });
 }
 
 void Front::resume_listening() {
   loop_.cancel(resume_);
-  if (std::exchange(paused_, false) && listener_) loop_.watch(listener_.fd(), *this, POLLIN);
+  if (std::exchange(paused_, false) && listener_) loop_.register_handler(listener_.fd(), *this, POLLIN);
 }
 
 }  // namespace lotusyard::resp
--- a/src/resp/front.h
+++ b/src/resp/front.h
@@ -16,7 +16,7 @@
 
 namespace lotusyard::resp {
 
-class Front final : public core::Front, private net::Handler {
+class Front final : public core::Front, private net::EventHandler {
  public:
   struct Limits {
     std::size_t clients = 256, newcomers = 64;  // connections that have asked something, and not yet
@@ -24,7 +24,7 @@
     std::size_t body_bytes = 48U << 20;   // of all open calls
     std::size_t unread_bytes = 8U << 20;  // answers that one client has not read
   };
-  Front(net::Loop& loop, net::BufferPool& pool, core::Dispatcher& dispatcher, core::Counters& counters,
+  Front(net::EventLoop& loop, net::BufferPool& pool, core::Dispatcher& dispatcher, core::Counters& counters,
         Limits limits);
   ~Front() override;
 
@@ -43,57 +43,57 @@
   void answer_all();
   // True if clients have sent something that has not been read; it is read now.
   bool read_what_came();
-  void bound(const Limits& limits) { limits_ = limits; }
+  void set_limits(const Limits& limits) { limits_ = limits; }
   std::size_t open_calls() const { return by_call_.size(); }
   bool written() const;  // nothing waits to be written
 
   void answer(core::CallId call, core::Answer&& answer) override;
-  Caller caller(core::CallId call, core::Millis heard_since) override;
+  ClientState client_state(core::CallId call, core::Millis heard_since) override;
   void read_caller(core::CallId call) override;
 
  private:
-  class Client;
-  struct Filed {
-    Client* client;
+  class ClientConnection;
+  struct OpenTag {
+    ClientConnection* client;
     std::string tag;
     std::size_t body_bytes;
   };
-  net::Loop& loop_;
+  net::EventLoop& loop_;
   net::BufferPool& pool_;
   core::Dispatcher& dispatcher_;
   core::Counters& counters_;
   Limits limits_;
   net::Socket listener_;
   ArrivalClock connects_{core::Millis(0), core::Millis(0)};
-  using Clients = std::list<std::shared_ptr<Client>>;
+  using Clients = std::list<std::shared_ptr<ClientConnection>>;
   Clients clients_, silent_, begun_;  // those that asked, or sent nothing, or a part; longest unheard first
-  std::unordered_map<core::CallId, Filed> by_call_;
+  std::unordered_map<core::CallId, OpenTag> by_call_;
   std::size_t bodies_ = 0;
-  net::Loop::TimerId resume_{};
+  net::EventLoop::TimerId resume_{};
   bool draining_ = false, paused_ = false, takes_ = true, inherited_ = false;
 
   void ready(short events) override;
   bool accept_some();
-  void give_up(core::Dispatcher::Which which);
+  void give_up(core::Dispatcher::CallSelection which);
   void close_listener();
-  bool promote(Client& client);
-  Clients& list_of(const Client& client);
-  void heard(Client& client);
+  bool promote(ClientConnection& client);
+  Clients& list_of(const ClientConnection& client);
+  void heard(ClientConnection& client);
   void bound_newcomers();
-  void spoil(Client& client, const char* why);
-  void shed(const std::shared_ptr<Client>& client, const char* why);
+  void spoil(ClientConnection& client, const char* why);
+  void shed(const std::shared_ptr<ClientConnection>& client, const char* why);
   void pause_listening();
   void resume_listening();
-  void take(Client& client, Words&& words);
-  void call(Client& client, Words&& words);
-  void reject(Client& client, const std::string& tag, const char* why,
+  void take(ClientConnection& client, Words&& words);
+  void call(ClientConnection& client, Words&& words);
+  void reject(ClientConnection& client, const std::string& tag, const char* why,
               core::Verdict verdict = core::Verdict::failed);
-  void say(Client& client, const std::string& tag, core::Verdict verdict, core::Millis cooldown,
+  void say(ClientConnection& client, const std::string& tag, core::Verdict verdict, core::Millis cooldown,
            std::string_view body);
   void unfile(core::CallId call);
-  void end_if_spent(Client& client);
+  void end_if_spent(ClientConnection& client);
   void make_room(std::size_t bytes);
-  void gone(Client& client);
+  void gone(ClientConnection& client);
 };
 
 }  // namespace lotusyard::resp
--- a/src/resp/front_reads.cpp
+++ b/src/resp/front_reads.cpp
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-void Front::call(Client& client, Words&& words) {
+void Front::call(ClientConnection& client, Words&& words) {
   const std::string tag = words[1];
   if (client.open_calls.count(tag) != 0) {
     counters_.add("resp.tag_repeated");  // two answers under one tag could not be told apart
@@ -67,11 +67,11 @@
   call.allow = core::Millis(static_cast<double>(*allow));
   if (size > 0) call.body = std::move(words[4]);
 
-  const core::CallId id = dispatcher_.next_id();
+  const core::CallId id = dispatcher_.allocate_call_id();
   by_call_[id] = {&client, tag, size};
   client.open_calls[tag] = id;
   bodies_ += size;
-  if (!dispatcher_.take(id, std::move(call), *this)) {
+  if (!dispatcher_.admit(id, std::move(call), *this)) {
     unfile(id);
     reject(client, tag, "resp.not_taken");
   }
--- a/src/shares/epochs.h
+++ b/src/shares/epochs.h
@@ -15,52 +15,52 @@
 namespace lotusyard::shares {
 
 using group::Millis;
-using Sharers = std::map<std::string, std::uint64_t>;  // members and their lives
+using QuotaHolders = std::map<std::string, std::uint64_t>;  // members and their lives
 
-struct Entry {
+struct LogEntry {
   enum class Kind {
-    part,  // these share from now on; until it is opened nobody's part is larger than before or after
-    open   // all who shared before know that, or have no lease: each takes its whole part
+    begin_epoch,  // these share from now on; until it is opened nobody's part is larger than before or after
+    open_epoch   // all who shared before know that, or have no lease: each takes its whole part
   };
-  Kind kind = Kind::part;
-  Sharers sharers;
-  std::uint64_t round = 0;  // of `open`: the index of the parting that it opens
+  Kind kind = Kind::begin_epoch;
+  QuotaHolders holders;
+  std::uint64_t epoch_index = 0;  // of `open`: the index of the parting that it opens
 };
-std::string worded(const Entry& entry);
-std::optional<Entry> read_entry(const std::string& text);
+std::string encode_entry(const LogEntry& entry);
+std::optional<LogEntry> parse_entry(const std::string& text);
 
-class Epochs {
+class QuotaEpochs {
  public:
-  static constexpr std::size_t sharers_most = 1024;
+  static constexpr std::size_t max_holders = 1024;
   // False: it does not fit what holds, and changes nothing.
-  bool apply(std::uint64_t index, const Entry& entry);
+  bool apply(std::uint64_t index, const LogEntry& entry);
   // The part of a member of this life that holds its lease; without its lease it has none. `seen`: how many
   // members it sees in the fleet itself: more than agreed makes the part smaller at once, fewer changes
   // nothing.
-  double part_of(const std::string& member, std::uint64_t life, bool leased, std::size_t seen) const;
+  double share_of(const std::string& member, std::uint64_t life, bool leased, std::size_t seen) const;
 
-  const Sharers& before() const { return before_; }
-  const Sharers& now() const { return now_; }
-  bool opened() const { return opened_; }
-  std::uint64_t round() const { return round_; }
+  const QuotaHolders& previous_holders() const { return previous_holders_; }
+  const QuotaHolders& current_holders() const { return current_holders_; }
+  bool is_open() const { return is_open_; }
+  std::uint64_t epoch_index() const { return epoch_index_; }
 
   nlohmann::json snapshot() const;
   bool restore(const nlohmann::json& from);
 
  private:
-  Sharers before_, now_;
-  bool opened_ = true;
-  std::uint64_t round_ = 0;
+  QuotaHolders previous_holders_, current_holders_;
+  bool is_open_ = true;
+  std::uint64_t epoch_index_ = 0;
 };
 
 // What a member is known to have done, by its signs of life in the agreed log.
-struct Sign {
-  std::uint64_t life = 0, has = 0;  // has: it follows the log to there
-  Millis seen{0};                   // by the clock of the one that leads
+struct HolderProgress {
+  std::uint64_t incarnation = 0, applied_index = 0;  // has: it follows the log to there
+  Millis last_heartbeat_at{0};                   // by the clock of the one that leads
 };
 // What the one that leads is to propose; nothing: all is as it should be, or waits. `parted`: since when it
 // knows of the parting that is not open yet, by its own clock.
-std::optional<Entry> next(const Epochs& epochs, const std::map<std::string, Sign>& signs,
-                          const group::Terms& terms, Millis parted, Millis now);
+std::optional<LogEntry> next_entry(const QuotaEpochs& epochs, const std::map<std::string, HolderProgress>& signs,
+                          const group::LeaseTerms& terms, Millis parted, Millis now);
 
 }  // namespace lotusyard::shares
--- a/src/shares/sharing.cpp
+++ b/src/shares/sharing.cpp
@@ -10,61 +10,61 @@
 
 }  // namespace
 
-Sharing::Sharing(const Wiring& wiring, const group::Config& config, works::Coordinator& coordinator,
-                 Note note)
-    : wiring_(wiring),
+QuotaReplica::QuotaReplica(const InvokerServices& wiring, const group::Config& config, works::MaintenanceReplica& coordinator,
+                 LogSink note)
+    : services_(wiring),
       config_(config),
-      coordinator_(coordinator),
-      note_(std::move(note)),
-      parted_(wiring.loop.now()) {}
+      maintenance_(coordinator),
+      log_(std::move(note)),
+      epoch_began_at_(wiring.loop.now()) {}
 
-void Sharing::attach(group::Member& member) {
-  member_ = &member;
+void QuotaReplica::attach(group::RaftReplica& member) {
+  replica_ = &member;
   update(0);
-  turn();
+  run_leader();
 }
 
-void Sharing::turn() {
-  const Millis now = wiring_.loop.now(), pace = config_.terms.beat() / 2;
-  turns_ = wiring_.loop.at(now + pace, [this] { turn(); });
-  if (!coordinator_.leads() || now - proposed_ < pace * kAgain) return;
-  std::map<std::string, Sign> signs;
-  for (const auto& [name, m] : coordinator_.board().members()) {
-    if (m.serves) signs[name] = {m.life, m.has, m.seen};
+void QuotaReplica::run_leader() {
+  const Millis now = services_.loop.now(), pace = config_.terms.heartbeat_interval() / 2;
+  leader_timer_ = services_.loop.schedule_at(now + pace, [this] { run_leader(); });
+  if (!maintenance_.is_ready_leader() || now - proposed_ < pace * kAgain) return;
+  std::map<std::string, HolderProgress> signs;
+  for (const auto& [name, m] : maintenance_.state().members()) {
+    if (m.serves) signs[name] = {m.incarnation, m.applied_index, m.last_heartbeat_at};
   }
-  if (const auto entry = next(epochs_, signs, config_.terms, parted_, now)) {
-    if (member_->propose(*this, worded(*entry))) proposed_ = now;
+  if (const auto entry = next_entry(epochs_, signs, config_.terms, epoch_began_at_, now)) {
+    if (replica_->propose(*this, encode_entry(*entry))) proposed_ = now;
   }
 }
 
-void Sharing::applied(std::uint64_t index, const std::string& text) {
-  const auto entry = read_entry(text);
+void QuotaReplica::apply(std::uint64_t index, const std::string& text) {
+  const auto entry = parse_entry(text);
   if (!entry) {
-    wiring_.counters.add("shares.unreadable");
-    return coordinator_.failed("entry " + std::to_string(index) +
+    services_.counters.add("shares.unreadable");
+    return maintenance_.on_store_failure("entry " + std::to_string(index) +
                                " of the log is of another version of the program");
   }
   proposed_ = Millis(0);
   if (!epochs_.apply(index, *entry)) return;
-  wiring_.counters.add(entry->kind == Entry::Kind::part ? "shares.parted" : "shares.opened");
-  if (entry->kind == Entry::Kind::part) parted_ = wiring_.loop.now();
-  update(seen_);
+  services_.counters.add(entry->kind == LogEntry::Kind::begin_epoch ? "shares.parted" : "shares.opened");
+  if (entry->kind == LogEntry::Kind::begin_epoch) epoch_began_at_ = services_.loop.now();
+  update(members_seen_);
 }
 
-bool Sharing::restore(const std::string& snapshot) {
+bool QuotaReplica::restore(const std::string& snapshot) {
   if (snapshot.empty()) return true;
   return epochs_.restore(nlohmann::json::parse(snapshot, nullptr, false));
 }
 
-void Sharing::update(std::size_t seen) {
-  seen_ = seen;
-  if (member_ == nullptr) return;
-  const double part = epochs_.part_of(config_.member, member_->life(), coordinator_.leased(), seen);
-  if (part == part_) return;
-  part_ = part;
-  note_("part=" + std::to_string(part) + " round=" + std::to_string(epochs_.round()) +
-        " sharers=" + std::to_string(epochs_.now().size()) + " seen=" + std::to_string(seen));
-  wiring_.set_share(std::max(part, kNothing));
+void QuotaReplica::update(std::size_t seen) {
+  members_seen_ = seen;
+  if (replica_ == nullptr) return;
+  const double part = epochs_.share_of(config_.member, replica_->incarnation(), maintenance_.is_leased(), seen);
+  if (part == share_) return;
+  share_ = part;
+  log_("part=" + std::to_string(part) + " round=" + std::to_string(epochs_.epoch_index()) +
+        " sharers=" + std::to_string(epochs_.current_holders().size()) + " seen=" + std::to_string(seen));
+  services_.set_share(std::max(part, kNothing));
 }
 
 }  // namespace lotusyard::shares
--- a/src/shares/sharing.h
+++ b/src/shares/sharing.h
@@ -9,40 +9,40 @@
 
 namespace lotusyard::shares {
 
-class Sharing final : public group::Part {
+class QuotaReplica final : public group::ReplicatedStateMachine {
  public:
-  using Note = std::function<void(const std::string& text)>;
+  using LogSink = std::function<void(const std::string& text)>;
   // The coordinator outlives it: its signs of life and its lease are what parts go by.
-  Sharing(const Wiring& wiring, const group::Config& config, works::Coordinator& coordinator, Note note);
-  ~Sharing() override { wiring_.loop.cancel(turns_); }
-  void attach(group::Member& member);
+  QuotaReplica(const InvokerServices& wiring, const group::Config& config, works::MaintenanceReplica& coordinator, LogSink note);
+  ~QuotaReplica() override { services_.loop.cancel(leader_timer_); }
+  void attach(group::RaftReplica& member);
   void update(
       std::size_t seen);  // whatever a part hangs on may have changed; `seen`: members that the view holds
-  double part() const { return part_; }
-  const Epochs& epochs() const { return epochs_; }
+  double share() const { return share_; }
+  const QuotaEpochs& epochs() const { return epochs_; }
 
-  const char* kind() const override { return "shares"; }
-  void applied(std::uint64_t index, const std::string& entry) override;
+  const char* name() const override { return "shares"; }
+  void apply(std::uint64_t index, const std::string& entry) override;
   std::string snapshot() override { return epochs_.snapshot().dump(); }
   bool restore(const std::string& snapshot) override;
-  void told(const std::string&) override {
-    wiring_.counters.add("shares.malformed");
+  void handle_message(const std::string&) override {
+    services_.counters.add("shares.malformed");
   }  // nobody tells anything
-  void failed(const std::string&) override { update(seen_); }
+  void on_store_failure(const std::string&) override { update(members_seen_); }
 
  private:
-  Wiring wiring_;
+  InvokerServices services_;
   const group::Config config_;
-  works::Coordinator& coordinator_;
-  Note note_;
-  group::Member* member_ = nullptr;
-  Epochs epochs_;
-  net::Loop::TimerId turns_{};
-  Millis parted_{0}, proposed_{0};
-  std::size_t seen_ = 0;
-  double part_ = -1;
+  works::MaintenanceReplica& maintenance_;
+  LogSink log_;
+  group::RaftReplica* replica_ = nullptr;
+  QuotaEpochs epochs_;
+  net::EventLoop::TimerId leader_timer_{};
+  Millis epoch_began_at_{0}, proposed_{0};
+  std::size_t members_seen_ = 0;
+  double share_ = -1;
 
-  void turn();
+  void run_leader();
 };
 
 }  // namespace lotusyard::shares
--- a/src/view/gossip.h
+++ b/src/view/gossip.h
@@ -9,43 +9,43 @@
 
 namespace lotusyard::view {
 
-class Gossip {
+class DisseminationQueue {
  public:
-  void spread(const std::string& key) { told_[key] = 0; }
-  void forget(const std::string& key) { told_.erase(key); }
-  std::size_t size() const { return told_.size(); }
+  void enqueue(const std::string& key) { transmissions_[key] = 0; }
+  void remove(const std::string& key) { transmissions_.erase(key); }
+  std::size_t size() const { return transmissions_.size(); }
 
   // Those told least, at most so many; each goes out some multiple of log n times, then everybody has it but
   // by bad luck, which full exchanges make good.
   std::vector<std::string> take(std::size_t most, std::size_t members) {
-    const int often = times_for(members);
+    const int often = max_transmissions(members);
     std::vector<std::pair<int, std::string>> order;
-    for (const auto& [key, times] : told_) order.emplace_back(times, key);
+    for (const auto& [key, times] : transmissions_) order.emplace_back(times, key);
     const std::size_t count = std::min(most, order.size());
     std::partial_sort(order.begin(), order.begin() + static_cast<std::ptrdiff_t>(count), order.end());
     std::vector<std::string> out;
     for (std::size_t i = 0; i < count; ++i) {
       out.push_back(order[i].second);
-      if (++told_[order[i].second] >= often) told_.erase(order[i].second);
+      if (++transmissions_[order[i].second] >= often) transmissions_.erase(order[i].second);
     }
     return out;
   }
 
   // One has been told all of it. Danger: counted as nothing, a large fleet would be told all of it for
   // minutes.
-  void told_whole(std::size_t members) {
-    const int often = times_for(members);
-    for (auto i = told_.begin(); i != told_.end();)
-      i = (i->second += kWhole) >= often ? told_.erase(i) : std::next(i);
+  void record_full_sync(std::size_t members) {
+    const int often = max_transmissions(members);
+    for (auto i = transmissions_.begin(); i != transmissions_.end();)
+      i = (i->second += kWhole) >= often ? transmissions_.erase(i) : std::next(i);
   }
 
  private:
   static constexpr double kOften = 5;
   static constexpr int kWhole = 3;  // who is told everything at once passes it on at once as well
-  static int times_for(std::size_t members) {
+  static int max_transmissions(std::size_t members) {
     return static_cast<int>(std::ceil(kOften * std::log10(static_cast<double>(members) + 2)));
   }
-  std::map<std::string, int> told_;
+  std::map<std::string, int> transmissions_;
 };
 
 }  // namespace lotusyard::view
--- a/src/view/member_table.cpp
+++ b/src/view/member_table.cpp
@@ -4,25 +4,25 @@
 
 namespace lotusyard::view {
 
-const Peer* MemberTable::find(const std::string& name) const {
+const MemberRecord* MemberTable::find(const std::string& name) const {
   const auto found = all_.find(name);
-  return found == all_.end() ? nullptr : &found->second.peer;
+  return found == all_.end() ? nullptr : &found->second.record;
 }
 
-void MemberTable::book(const Known& known, int by) {
-  if (here(known.peer.standing)) here_ += static_cast<std::size_t>(by);
-  if (known.peer.standing != Standing::suspect) return;
+void MemberTable::book(const Member& known, int by) {
+  if (is_present(known.record.status)) here_ += static_cast<std::size_t>(by);
+  if (known.record.status != MemberStatus::suspect) return;
   if (by > 0)
-    suspects_.insert(known.peer.name);
+    suspects_.insert(known.record.name);
   else
-    suspects_.erase(known.peer.name);
+    suspects_.erase(known.record.name);
 }
 
 // The one gone for longest gives its place to another; false: nobody is gone.
 bool MemberTable::make_room() {
   auto oldest = all_.end();
   for (auto i = all_.begin(); i != all_.end(); ++i) {
-    if (here(i->second.peer.standing)) continue;
+    if (is_present(i->second.record.status)) continue;
     if (oldest == all_.end() || i->second.since < oldest->second.since) oldest = i;
   }
   if (oldest == all_.end()) return false;
@@ -30,40 +30,40 @@
   return true;
 }
 
-MemberTable::Took MemberTable::merge(const Peer& peer, Millis now) {
+MemberTable::MergeResult MemberTable::merge(const MemberRecord& peer, Millis now) {
   auto found = all_.find(peer.name);
   if (found == all_.end()) {
-    if (all_.size() >= pace_.members_most && !make_room()) return Took::refused;
-    found = all_.emplace(peer.name, Known{peer, now, {}}).first;
+    if (all_.size() >= pace_.max_members && !make_room()) return MergeResult::rejected;
+    found = all_.emplace(peer.name, Member{peer, now, {}}).first;
   } else {
-    Known& known = found->second;
-    const bool same = !outdoes(known.peer, peer) && !outdoes(peer, known.peer);
-    if (same && peer.standing == Standing::suspect && known.accusers.size() <= pace_.accusers)
-      return known.accusers.insert(peer.by).second ? Took::louder : Took::known;
-    if (!outdoes(peer, known.peer)) return Took::known;
+    Member& known = found->second;
+    const bool same = !supersedes(known.record, peer) && !supersedes(peer, known.record);
+    if (same && peer.status == MemberStatus::suspect && known.accusers.size() <= pace_.accusers)
+      return known.accusers.insert(peer.suspected_by).second ? MergeResult::more_accusers : MergeResult::unchanged;
+    if (!supersedes(peer, known.record)) return MergeResult::unchanged;
     book(known, -1);
     known = {peer, now, {}};
   }
   book(found->second, 1);
-  if (peer.standing == Standing::suspect) found->second.accusers.insert(peer.by);
-  return Took::news;
+  if (peer.status == MemberStatus::suspect) found->second.accusers.insert(peer.suspected_by);
+  return MergeResult::updated;
 }
 
-Millis MemberTable::until(const Known& known, double stretch) const {
+Millis MemberTable::until(const Member& known, double stretch) const {
   const std::size_t further = known.accusers.empty() ? 0 : known.accusers.size() - 1;
-  return known.since + pace_.suspicion(here_, further) * stretch;
+  return known.since + pace_.suspicion_timeout(here_, further) * stretch;
 }
 
-std::vector<Peer> MemberTable::unheard(Millis now, double stretch) const {
-  std::vector<Peer> out;
+std::vector<MemberRecord> MemberTable::expired_suspects(Millis now, double stretch) const {
+  std::vector<MemberRecord> out;
   for (const auto& name : suspects_) {
-    const Known& known = all_.at(name);
-    if (now >= until(known, stretch)) out.push_back(known.peer);
+    const Member& known = all_.at(name);
+    if (now >= until(known, stretch)) out.push_back(known.record);
   }
   return out;
 }
 
-Millis MemberTable::next_unheard(double stretch) const {
+Millis MemberTable::next_suspicion_expiry(double stretch) const {
   Millis out(std::numeric_limits<double>::infinity());
   for (const auto& name : suspects_) out = std::min(out, until(all_.at(name), stretch));
   return out;
@@ -75,7 +75,7 @@
 
 void MemberTable::forget(Millis now, const std::string& self) {
   for (auto i = all_.begin(); i != all_.end();) {
-    const bool old = !here(i->second.peer.standing) && now - i->second.since > pace_.horizon;
+    const bool old = !is_present(i->second.record.status) && now - i->second.since > pace_.forget_dead_after;
     i = old && i->first != self ? all_.erase(i) : std::next(i);
   }
 }
--- a/src/view/message.h
+++ b/src/view/message.h
@@ -14,20 +14,20 @@
 struct Message {
   enum class Kind : std::uint8_t {
     ping,      // are you there?
-    ask,       // ping `about` for me
+    ping_request,       // ping `about` for me
     ack,       // `about` is there
     nack,      // I am there; `about` has not answered me yet
-    exchange,  // all that I know; say what you know
-    reply      // all that I know
+    sync,  // all that I know; say what you know
+    sync_reply      // all that I know
   };
   Kind kind = Kind::ping;
   std::uint64_t number = 0;  // of the probe; an answer repeats it
-  Peer self;                 // the sender, as it knows itself
-  std::string about;
-  std::vector<Peer> peers;
-  std::vector<Fact> facts;
+  MemberRecord self;                 // the sender, as it knows itself
+  std::string subject;
+  std::vector<MemberRecord> members;
+  std::vector<HostObservation> observations;
 };
-std::string worded(const Message& message);
-std::optional<Message> read_message(const std::string& body);
+std::string encode_message(const Message& message);
+std::optional<Message> decode_message(const std::string& body);
 
 }  // namespace lotusyard::view
--- a/src/view/swim.h
+++ b/src/view/swim.h
@@ -17,9 +17,9 @@
 
 namespace lotusyard::view {
 
-class Swim {
+class SwimProtocol {
  public:
-  struct Outgoing {
+  struct OutgoingMessage {
     std::string address;
     Message message;
   };
@@ -27,26 +27,26 @@
     std::uint64_t refuted = 0, suspected = 0, died = 0, stalls = 0, refused = 0;
   };
   // `seed_addresses`: addresses at which others may be found.
-  Swim(Peer self, std::vector<std::string> seed_addresses, Pace pace, std::uint64_t seed, Millis now);
+  SwimProtocol(MemberRecord self, std::vector<std::string> seed_addresses, GossipTiming pace, std::uint64_t seed, Millis now);
 
   void tick(Millis now);
-  Millis due() const;  // when `tick` wants to be called, at the latest
+  Millis next_deadline() const;  // when `tick` wants to be called, at the latest
   void receive(Millis now, const Message& message);
   void serve(Millis now);  // this member is joining no more
   void leave(Millis now);  // and goes on purpose; nothing is to be ticked after that
-  void see(const std::string& host, double host_life, bool usable);  // a fact of its own
+  void observe(const std::string& host, double host_life, bool usable);  // a fact of its own
 
-  const Peer& self() const { return self_; }
+  const MemberRecord& self() const { return self_; }
   // Another process goes by this name, of a later life: this one holds its peace.
-  bool usurped() const { return usurped_; }
+  bool is_superseded() const { return usurped_; }
   const MemberTable& member_table() const { return member_table_; }
-  Facts& facts() { return facts_; }
-  const Facts& facts() const { return facts_; }
+  MemberMetadata& metadata() { return facts_; }
+  const MemberMetadata& metadata() const { return facts_; }
   const Counts& counts() const { return counts_; }
-  int doubts() const { return doubts_; }  // of itself
+  int health_multiplier() const { return doubts_; }  // of itself
 
-  std::vector<Outgoing> take_out() { return std::exchange(out_, {}); }
-  std::vector<Peer> take_changes() { return std::exchange(changes_, {}); }
+  std::vector<OutgoingMessage> take_outgoing() { return std::exchange(out_, {}); }
+  std::vector<MemberRecord> take_changes() { return std::exchange(changes_, {}); }
 
  private:
   struct Probe {
@@ -55,43 +55,43 @@
     bool answered = false, helped = false;
     std::size_t asked = 0, nacks = 0;
   };
-  struct Errand {  // a probe made for another
-    std::uint64_t theirs = 0, mine = 0;
-    std::string address, about;
+  struct IndirectProbe {  // a probe made for another
+    std::uint64_t requester_number = 0, own_number = 0;
+    std::string address, subject;
     Millis until{0};
   };
-  Pace pace_;
-  Peer self_;
+  GossipTiming pace_;
+  MemberRecord self_;
   std::vector<std::string> seed_addresses_;
   std::mt19937_64 random_;
   MemberTable member_table_;
-  Facts facts_;
-  Gossip peers_told_, facts_told_;
+  MemberMetadata facts_;
+  DisseminationQueue peers_told_, facts_told_;
   std::deque<std::string> turn_;  // whom to ask next
   Probe probe_;
-  std::deque<Errand> errands_;
+  std::deque<IndirectProbe> errands_;
   std::uint64_t number_ = 0, stamp_ = 0;
   int periods_ = 0, doubts_ = 0;
   Millis ticked_{0}, direct_by_{0}, period_ends_{0}, heard_{0};
   bool usurped_ = false, gone_ = false;
   Counts counts_;
-  std::vector<Outgoing> out_;
-  std::vector<Peer> changes_;
+  std::vector<OutgoingMessage> out_;
+  std::vector<MemberRecord> changes_;
 
-  double stretch() const { return 1 + doubts_; }
-  void doubt(int by);
-  void take(const Peer& peer, Millis now);
-  void take_said(Peer peer, Millis now);
-  void take(const Fact& fact);
-  void speak_up(std::uint64_t against, Millis now);
+  double stretched_period() const { return 1 + doubts_; }
+  void raise_health_multiplier(int by);
+  void merge_record(const MemberRecord& peer, Millis now);
+  void merge_message(MemberRecord peer, Millis now);
+  void merge_record(const HostObservation& fact);
+  void refute(std::uint64_t against, Millis now);
   void end_period(Millis now);
   void begin_period(Millis now);
-  void help();
-  void ask_for_all();
-  std::string next_in_turn();
-  std::vector<const Peer*> some(std::size_t most, const std::string& but);
+  void probe_for_other();
+  void request_full_sync();
+  std::string next_probe_target();
+  std::vector<const MemberRecord*> random_members(std::size_t most, const std::string& but);
   void send(const std::string& address, Message::Kind kind, std::uint64_t number, const std::string& about,
-            const Peer* about_peer = nullptr);
+            const MemberRecord* about_peer = nullptr);
   void answer(const Message& to, Millis now);
 };
 
--- a/src/view/viewer.h
+++ b/src/view/viewer.h
@@ -10,37 +10,37 @@
 
 namespace lotusyard::view {
 
-class Viewer {
+class GossipService {
  public:
-  using Note = std::function<void(const std::string& text)>;
+  using LogSink = std::function<void(const std::string& text)>;
   // What this member itself sees of its hosts; asked now and then.
-  using Looks = std::function<bool(const std::string& host)>;  // whether it is seen to fail
-  Viewer(const Wiring& wiring, const group::Config& config, group::Member& member, Looks fails, Note note);
-  ~Viewer();
+  using SeesFailure = std::function<bool(const std::string& host)>;  // whether it is seen to fail
+  GossipService(const InvokerServices& wiring, const group::Config& config, group::RaftReplica& member, SeesFailure fails, LogSink note);
+  ~GossipService();
 
   void serve();              // this member takes calls
   void leave();              // it ends on purpose
-  std::size_t seen() const;  // members that are here, as far as this one knows
-  void when_changed(std::function<void()> changed) { changed_ = std::move(changed); }
-  nlohmann::json shown() const;
+  std::size_t present_members() const;  // members that are here, as far as this one knows
+  void set_change_handler(std::function<void()> changed) { change_handler_ = std::move(changed); }
+  nlohmann::json status_to_json() const;
 
  private:
-  Wiring wiring_;
+  InvokerServices services_;
   const group::Config config_;
-  group::Member& member_;
-  Looks fails_;
-  Note note_;
-  std::optional<Swim> swim_;  // none: this member has no place in the group yet
-  std::function<void()> changed_;
-  net::Loop::TimerId turns_{}, looks_{};
-  bool serves_ = false;
-  std::uint64_t life_ = 0;
-
-  void begin();
-  void turn();
-  void look();
-  void heard(const std::string& member, const std::string& body);
-  void carry_out();
+  group::RaftReplica& replica_;
+  SeesFailure sees_failure_;
+  LogSink log_;
+  std::optional<SwimProtocol> swim_;  // none: this member has no place in the group yet
+  std::function<void()> change_handler_;
+  net::EventLoop::TimerId period_timer_{}, observation_timer_{};
+  bool serving_ = false;
+  std::uint64_t incarnation_ = 0;
+
+  void start_protocol();
+  void run_period();
+  void observe_hosts();
+  void handle_message(const std::string& member, const std::string& body);
+  void send_outgoing();
 };
 
 }  // namespace lotusyard::view
--- a/src/works/admin_endpoint.cpp
+++ b/src/works/admin_endpoint.cpp
@@ -8,10 +8,10 @@
 namespace {
 
 using nlohmann::json;
-using Kind = Entry::Kind;
+using Kind = LogEntry::Kind;
 
 // Which hosts a work is about; throws std::invalid_argument.
-json chosen(const json& select, const std::map<std::string, core::Member>& listed) {
+json chosen(const json& select, const std::map<std::string, core::ListedHost>& listed) {
   const auto named = [&](const char* key, const std::string& value) {
     const json& list = config::key(select, key);
     return list.is_array() && std::find(list.begin(), list.end(), value) != list.end();
@@ -32,33 +32,33 @@
 
 }  // namespace
 
-json shown_works(const Board& board, const std::string& member) {
-  const json waits = json::parse(board.waits(), nullptr, false);
+json jobs_to_json(const MaintenanceState& board, const std::string& member) {
+  const json waits = json::parse(board.waiting_reason(), nullptr, false);
   json works = json::array();
-  for (const auto& w : board.works()) {
+  for (const auto& w : board.jobs()) {
     json hosts = json::object();
     for (const auto& key : w.hosts) {
       const auto found = board.hosts().find(key.id);
-      const bool open = found != board.hosts().end() && found->second.work == w.id;
+      const bool open = found != board.hosts().end() && found->second.job == w.id;
       hosts[key.id] = {{"stage", open                           ? name_of(found->second.stage)
-                                 : w.state == Work::State::done ? "back"
+                                 : w.state == MaintenanceJob::State::done ? "back"
                                                                 : "-"},
                        {"reason", open ? found->second.reason : ""},
-                       {"late", open && found->second.late}};
+                       {"late", open && found->second.overdue}};
     }
-    json row = worded_work(w);
+    json row = job_to_json(w);
     row["hosts"] = hosts;
-    row["waits"] = waits.is_object() && w.state != Work::State::done ? waits.value(w.id, "") : "";
+    row["waits"] = waits.is_object() && w.state != MaintenanceJob::State::done ? waits.value(w.id, "") : "";
     works.push_back(row);
   }
   return {{"member", member}, {"index", board.index()}, {"works", works}};
 }
 
-json shown_outcome(const Board::Outcome& o) { return {{"done", o.done}, {"why", o.why}, {"index", o.index}}; }
+json outcome_to_json(const MaintenanceState::ProposalOutcome& o) { return {{"done", o.done}, {"why", o.why}, {"index", o.index}}; }
 
-Proposal read_proposal(const std::string& wording, const std::map<std::string, core::Member>& listed) {
+OperatorProposal parse_proposal(const std::string& wording, const std::map<std::string, core::ListedHost>& listed) {
   const auto refused = [](int status, const std::string& why) {
-    return Proposal{{status, why}, std::nullopt};
+    return OperatorProposal{{status, why}, std::nullopt};
   };
   json from = json::parse(wording, nullptr, false);
   if (!from.is_object()) return refused(400, "no JSON object");
@@ -70,16 +70,16 @@
       if (!added.is_object()) return refused(400, "added: an object is needed");
       added["hosts"] = chosen(added.value("select", json::object()), listed);
       added.erase("select");
-      (void)read_work(added);
+      (void)parse_job(added);
     }
-    if (from.contains("bounds")) (void)read_bounds(from.at("bounds"));
+    if (from.contains("bounds")) (void)parse_bounds(from.at("bounds"));
   } catch (const std::exception& fault) { return refused(400, fault.what()); }
-  auto entry = read_entry(from.dump());
-  static const Kind allowed[] = {Kind::add,      Kind::alter, Kind::bounds,
-                                 Kind::returned, Kind::leave, Kind::ask};
+  auto entry = parse_entry(from.dump());
+  static const Kind allowed[] = {Kind::add_job,      Kind::change_job_state, Kind::change_bounds,
+                                 Kind::return_to_service, Kind::leave, Kind::read_barrier};
   if (!entry || std::find(std::begin(allowed), std::end(allowed), entry->kind) == std::end(allowed))
     return refused(400, "no proposal that an operator can make");
-  if (worded(*entry).size() > longest_entry) return refused(413, "too long");
+  if (encode_entry(*entry).size() > max_entry_bytes) return refused(413, "too long");
   return {{}, std::move(entry)};
 }
 
--- a/src/works/admin_endpoint.h
+++ b/src/works/admin_endpoint.h
@@ -10,14 +10,14 @@
 
 namespace lotusyard::works {
 
-nlohmann::json shown_works(const Board& board, const std::string& member);
-nlohmann::json shown_outcome(const Board::Outcome& outcome);
+nlohmann::json jobs_to_json(const MaintenanceState& board, const std::string& member);
+nlohmann::json outcome_to_json(const MaintenanceState::ProposalOutcome& outcome);
 
-struct Proposal {
-  console::Said refused;       // holds where there is no entry
-  std::optional<Entry> entry;  // for whoever leads
+struct OperatorProposal {
+  console::Response rejection;       // holds where there is no entry
+  std::optional<LogEntry> entry;  // for whoever leads
 };
 // An operator's wording, checked against the hosts that this member sees.
-Proposal read_proposal(const std::string& wording, const std::map<std::string, core::Member>& listed);
+OperatorProposal parse_proposal(const std::string& wording, const std::map<std::string, core::ListedHost>& listed);
 
 }  // namespace lotusyard::works
