--- a/src/works/board.cpp
+++ b/src/works/board.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 using nlohmann::json;
-using Kind = Entry::Kind;
+using Kind = LogEntry::Kind;
 
 constexpr const char* kStages[] = {"waiting", "named", "leaving", "out", "warming", "back"};
 constexpr double kRounding = 1e-9;
@@ -18,335 +18,335 @@
 
 }  // namespace
 
-bool away(Stage s) { return s == Stage::leaving || s == Stage::out || s == Stage::warming; }
-const char* name_of(Stage stage) { return kStages[static_cast<std::size_t>(stage)]; }
+bool counts_against_bounds(HostStage s) { return s == HostStage::draining || s == HostStage::out_of_service || s == HostStage::slow_start; }
+const char* name_of(HostStage stage) { return kStages[static_cast<std::size_t>(stage)]; }
 
-Work* Board::find(const std::string& id) {
-  const auto found = std::find_if(works_.begin(), works_.end(), [&](const Work& w) { return w.id == id; });
-  return found == works_.end() ? nullptr : &*found;
+MaintenanceJob* MaintenanceState::find_mutable_job(const std::string& id) {
+  const auto found = std::find_if(jobs_.begin(), jobs_.end(), [&](const MaintenanceJob& w) { return w.id == id; });
+  return found == jobs_.end() ? nullptr : &*found;
 }
-const Work* Board::work(const std::string& id) const { return const_cast<Board*>(this)->find(id); }
+const MaintenanceJob* MaintenanceState::find_job(const std::string& id) const { return const_cast<MaintenanceState*>(this)->find_mutable_job(id); }
 
-const Board::Outcome* Board::outcome(const std::string& proposal) const {
+const MaintenanceState::ProposalOutcome* MaintenanceState::find_outcome(const std::string& proposal) const {
   const auto found = outcomes_.find(proposal);
   return found == outcomes_.end() ? nullptr : &found->second;
 }
 
-std::uint64_t Board::last_life(const std::string& member) const {
-  const auto found = lives_.find(member);
-  return found == lives_.end() ? 0 : found->second;
+std::uint64_t MaintenanceState::last_incarnation(const std::string& member) const {
+  const auto found = incarnations_.find(member);
+  return found == incarnations_.end() ? 0 : found->second;
 }
 
-Board::Outcome Board::apply(std::uint64_t index, const Entry& entry, Millis now) {
+MaintenanceState::ProposalOutcome MaintenanceState::apply(std::uint64_t index, const LogEntry& entry, Millis now) {
   index_ = index;
   // An operator's proposal that came twice holds once: its answer may have been lost.
   if (!entry.proposal.empty()) {
-    if (const Outcome* before = outcome(entry.proposal)) return *before;
+    if (const ProposalOutcome* before = find_outcome(entry.proposal)) return *before;
   }
-  const std::string why = change(entry, now);
-  const Outcome out{why.empty(), why, index};
-  if (!entry.proposal.empty()) keep_outcome(entry.proposal, out);
+  const std::string why = apply_entry(entry, now);
+  const ProposalOutcome out{why.empty(), why, index};
+  if (!entry.proposal.empty()) remember_outcome(entry.proposal, out);
   return out;
 }
 
 // Bounds the table of outcomes; the one place where it shrinks.
-void Board::keep_outcome(const std::string& proposal, const Outcome& outcome) {
+void MaintenanceState::remember_outcome(const std::string& proposal, const ProposalOutcome& outcome) {
   outcomes_[proposal] = outcome;
   outcome_order_.push_back(proposal);
-  while (outcome_order_.size() > outcomes_most) {
+  while (outcome_order_.size() > max_outcomes) {
     outcomes_.erase(outcome_order_.front());
     outcome_order_.pop_front();
   }
 }
 
-std::string Board::change(const Entry& e, Millis now) {
+std::string MaintenanceState::apply_entry(const LogEntry& e, Millis now) {
   switch (e.kind) {
-    case Kind::ask: return {};
-    case Kind::beats:
-      for (const auto& beat : e.beats) {
+    case Kind::read_barrier: return {};
+    case Kind::heartbeats:
+      for (const auto& beat : e.heartbeats) {
         const auto found = members_.find(beat.member);
-        if (found == members_.end() || found->second.life != beat.life) continue;
-        Member& m = found->second;
-        m.has = std::max(m.has, beat.has);
-        m.followed = std::max(m.followed, beat.followed.value_or(beat.has));
-        m.drained = beat.drained;
-        m.seen = now;
-        if (beat.view) m.view = *beat.view;
-        m.told = m.told || beat.view.has_value();
+        if (found == members_.end() || found->second.incarnation != beat.incarnation) continue;
+        MemberProgress& m = found->second;
+        m.applied_index = std::max(m.applied_index, beat.applied_index);
+        m.followed_index = std::max(m.followed_index, beat.followed_index.value_or(beat.applied_index));
+        m.drained_hosts = beat.drained_hosts;
+        m.last_heartbeat_at = now;
+        if (beat.observations) m.observations = *beat.observations;
+        m.has_reported = m.has_reported || beat.observations.has_value();
       }
-      waits_ = e.reason;
+      waiting_reason_ = e.reason;
       return {};
     case Kind::join:
-      if (e.member.empty() || e.life <= last_life(e.member)) return "member: this life is not a new one";
-      lives_[e.member] = e.life;
-      members_[e.member] = Member{e.life, e.serves, 0, 0, {}, {}, false, now};
+      if (e.member.empty() || e.incarnation <= last_incarnation(e.member)) return "member: this life is not a new one";
+      incarnations_[e.member] = e.incarnation;
+      members_[e.member] = MemberProgress{e.incarnation, e.serves, 0, 0, {}, {}, false, now};
       return {};
     case Kind::leave: return members_.erase(e.member) == 0 ? "member: no such member" : std::string();
-    case Kind::add: return add(e, now);
-    case Kind::alter:
-    case Kind::bounds: return alter(e);
-    case Kind::name:
+    case Kind::add_job: return add_job(e, now);
+    case Kind::change_job_state:
+    case Kind::change_bounds: return change_job_state(e);
+    case Kind::select_hosts:
       for (const auto& id : e.hosts) {
         const auto found = hosts_.find(id);
-        if (found == hosts_.end() || found->second.stage != Stage::waiting) continue;
-        if (work(found->second.work)->state != Work::State::running || in_reach() >= reach_most(listed()))
+        if (found == hosts_.end() || found->second.stage != HostStage::waiting) continue;
+        if (find_job(found->second.job)->state != MaintenanceJob::State::running || hosts_in_progress() >= max_hosts_in_progress(min_listed_hosts()))
           continue;
-        found->second.stage = Stage::named;
-        found->second.round = index_;
+        found->second.stage = HostStage::selected;
+        found->second.selected_at_index = index_;
         found->second.since = now;
       }
       return {};
-    case Kind::take:
-    case Kind::touch:
-    case Kind::returned:
-    case Kind::back:
-    case Kind::late: return move_host(e, now);
+    case Kind::start_drain:
+    case Kind::release_to_operators:
+    case Kind::return_to_service:
+    case Kind::complete:
+    case Kind::overdue: return advance_host(e, now);
   }
   return "unknown";
 }
 
-std::string Board::add(const Entry& e, Millis now) {
-  if (!e.added) return "work: missing";
-  const Work& w = *e.added;
-  if (work(w.id) != nullptr) return "id: there is a work " + w.id + " already";
-  if (w.bounds.out > static_cast<int>(w.hosts.size()))
-    return "out: " + std::to_string(w.bounds.out) + " out at once of " + std::to_string(w.hosts.size()) +
+std::string MaintenanceState::add_job(const LogEntry& e, Millis now) {
+  if (!e.added_job) return "work: missing";
+  const MaintenanceJob& w = *e.added_job;
+  if (find_job(w.id) != nullptr) return "id: there is a work " + w.id + " already";
+  if (w.bounds.max_out > static_cast<int>(w.hosts.size()))
+    return "out: " + std::to_string(w.bounds.max_out) + " out at once of " + std::to_string(w.hosts.size()) +
            " hosts";
-  if (listed() > 0 && most_away(w.bounds.usable, listed()) < 1)
-    return "usable: of " + std::to_string(listed()) + " hosts none could ever be out";
+  if (min_listed_hosts() > 0 && most_away(w.bounds.min_usable_share, min_listed_hosts()) < 1)
+    return "usable: of " + std::to_string(min_listed_hosts()) + " hosts none could ever be out";
   for (const auto& h : w.hosts) {
     const auto found = hosts_.find(h.id);
-    if (found != hosts_.end()) return "hosts: " + h.id + " is in work " + found->second.work;
+    if (found != hosts_.end()) return "hosts: " + h.id + " is in work " + found->second.job;
   }
-  works_.push_back(w);
-  works_.back().state = Work::State::running;
+  jobs_.push_back(w);
+  jobs_.back().state = MaintenanceJob::State::running;
   for (const auto& h : w.hosts) {
-    Host& host = hosts_[h.id];
+    HostProgress& host = hosts_[h.id];
     host.key = h;
-    host.work = w.id;
+    host.job = w.id;
     host.since = now;
   }
   return {};
 }
 
-std::string Board::alter(const Entry& e) {
-  Work* w = find(e.work);
-  if (w == nullptr) return "work: no work " + e.work;
-  if (w->state == Work::State::done || w->state == Work::State::cancelled)
-    return "work: " + e.work + " is " + name_of(w->state);
-  if (e.kind == Kind::bounds) {
+std::string MaintenanceState::change_job_state(const LogEntry& e) {
+  MaintenanceJob* w = find_mutable_job(e.job);
+  if (w == nullptr) return "work: no work " + e.job;
+  if (w->state == MaintenanceJob::State::done || w->state == MaintenanceJob::State::cancelled)
+    return "work: " + e.job + " is " + name_of(w->state);
+  if (e.kind == Kind::change_bounds) {
     if (!e.bounds) return "bounds: missing";
-    if (e.bounds->out > static_cast<int>(w->hosts.size())) return "out: more than there are hosts";
+    if (e.bounds->max_out > static_cast<int>(w->hosts.size())) return "out: more than there are hosts";
     w->bounds = *e.bounds;
     return {};
   }
-  if (e.state == Work::State::done) return "state: a work is done when its hosts are back";
+  if (e.state == MaintenanceJob::State::done) return "state: a work is done when its hosts are back";
   w->state = e.state;
-  if (e.state != Work::State::cancelled) return {};
+  if (e.state != MaintenanceJob::State::cancelled) return {};
   // What nobody may touch yet is used again; what may have been touched stays out until it is returned.
   for (auto i = hosts_.begin(); i != hosts_.end();) {
-    const bool goes = i->second.work == e.work && !i->second.touched;
+    const bool goes = i->second.job == e.job && !i->second.released_to_operators;
     i = goes ? hosts_.erase(i) : std::next(i);
   }
-  close_if_done(std::string(e.work));
+  close_if_done(std::string(e.job));
   return {};
 }
 
-std::string Board::move_host(const Entry& e, Millis now) {
+std::string MaintenanceState::advance_host(const LogEntry& e, Millis now) {
   const auto found = hosts_.find(e.host);
   if (found == hosts_.end()) return "host: " + e.host + " is in no work";
-  Host& h = found->second;
-  const auto at = [&](Stage stage) { return h.stage == stage; };
+  HostProgress& h = found->second;
+  const auto at = [&](HostStage stage) { return h.stage == stage; };
   const std::string stands = "host: " + e.host + " is " + name_of(h.stage);
   switch (e.kind) {
-    case Kind::take: {
-      if (!at(Stage::named) || h.round != e.round) return stands;
-      const std::string why = take(h);
+    case Kind::start_drain: {
+      if (!at(HostStage::selected) || h.selected_at_index != e.selected_at_index) return stands;
+      const std::string why = start_drain(h);
       if (!why.empty()) return why;
       break;
     }
-    case Kind::touch:
-      if (!at(Stage::leaving) || h.round != e.round) return stands;
-      h.stage = Stage::out;
-      h.touched = true;
+    case Kind::release_to_operators:
+      if (!at(HostStage::draining) || h.selected_at_index != e.selected_at_index) return stands;
+      h.stage = HostStage::out_of_service;
+      h.released_to_operators = true;
       break;
-    case Kind::returned:
-      if (!at(Stage::out)) return stands;
-      h.stage = Stage::warming;
-      h.late = false;
-      h.round = index_;
+    case Kind::return_to_service:
+      if (!at(HostStage::out_of_service)) return stands;
+      h.stage = HostStage::slow_start;
+      h.overdue = false;
+      h.selected_at_index = index_;
       break;
-    case Kind::back:
-      if (!at(Stage::warming)) return stands;
-      h.stage = Stage::back;
-      last_back_ = now;
+    case Kind::complete:
+      if (!at(HostStage::slow_start)) return stands;
+      h.stage = HostStage::returned;
+      last_return_at_ = now;
       break;
     default:
-      if (!at(Stage::out)) return stands;
-      h.late = true;
+      if (!at(HostStage::out_of_service)) return stands;
+      h.overdue = true;
       h.reason = e.reason;
       return {};
   }
   h.since = now;
   h.reason = e.reason;
-  if (e.kind == Kind::back) close_if_done(std::string(h.work));
+  if (e.kind == Kind::complete) close_if_done(std::string(h.job));
   return {};
 }
 
-std::string Board::take(Host& host) {
-  const Work& w = *find(host.work);
-  if (w.state != Work::State::running) return "work: " + w.id + " is " + name_of(w.state);
+std::string MaintenanceState::start_drain(HostProgress& host) {
+  const MaintenanceJob& w = *find_mutable_job(host.job);
+  if (w.state != MaintenanceJob::State::running) return "work: " + w.id + " is " + name_of(w.state);
   // Danger: a member that does not know that this host may be next would go on using it without its lease.
   for (const auto& [name, m] : members_) {
-    if (m.serves && m.followed < host.round)
+    if (m.serves && m.followed_index < host.selected_at_index)
       return "member " + name + " does not know that " + host.key.id + " is next";
   }
-  const std::string over = over_bounds(w, host.key, listed());
+  const std::string over = exceeded_bound(w, host.key, min_listed_hosts());
   if (!over.empty()) return over;
-  host.stage = Stage::leaving;
-  host.round = index_;
+  host.stage = HostStage::draining;
+  host.selected_at_index = index_;
   return {};
 }
 
 // A closed work's hosts belong to no work any more. Bounds the list of closed works; it shrinks here alone.
-void Board::close_if_done(const std::string& id) {
-  const auto open = [&](const auto& h) { return h.second.work == id && h.second.stage != Stage::back; };
+void MaintenanceState::close_if_done(const std::string& id) {
+  const auto open = [&](const auto& h) { return h.second.work == id && h.second.stage != HostStage::returned; };
   if (std::any_of(hosts_.begin(), hosts_.end(), open)) return;
-  for (auto i = hosts_.begin(); i != hosts_.end();) i = i->second.work == id ? hosts_.erase(i) : std::next(i);
-  if (Work* w = find(id); w->state != Work::State::cancelled) w->state = Work::State::done;
-  const auto closed = [&](const Work& w) {
+  for (auto i = hosts_.begin(); i != hosts_.end();) i = i->second.job == id ? hosts_.erase(i) : std::next(i);
+  if (MaintenanceJob* w = find_mutable_job(id); w->state != MaintenanceJob::State::cancelled) w->state = MaintenanceJob::State::done;
+  const auto closed = [&](const MaintenanceJob& w) {
     const auto mine = [&](const auto& h) { return h.second.work == w.id; };
-    return (w.state == Work::State::done || w.state == Work::State::cancelled) &&
+    return (w.state == MaintenanceJob::State::done || w.state == MaintenanceJob::State::cancelled) &&
            std::none_of(hosts_.begin(), hosts_.end(), mine);
   };
-  while (std::count_if(works_.begin(), works_.end(), closed) > static_cast<std::ptrdiff_t>(closed_most))
-    works_.erase(std::find_if(works_.begin(), works_.end(), closed));
+  while (std::count_if(jobs_.begin(), jobs_.end(), closed) > static_cast<std::ptrdiff_t>(max_closed_jobs))
+    jobs_.erase(std::find_if(jobs_.begin(), jobs_.end(), closed));
 }
 
-std::set<std::string> Board::avoided(bool leased) const {
+std::set<std::string> MaintenanceState::hosts_to_avoid(bool leased) const {
   std::set<std::string> out;
   for (const auto& [id, h] : hosts_) {
-    if (h.stage == Stage::leaving || h.stage == Stage::out || (!leased && h.stage == Stage::named))
+    if (h.stage == HostStage::draining || h.stage == HostStage::out_of_service || (!leased && h.stage == HostStage::selected))
       out.insert(id);
   }
   return out;
 }
 
-int Board::listed() const {
+int MaintenanceState::min_listed_hosts() const {
   int least = 0;
   for (const auto& [name, m] : members_) {
-    if (m.serves && m.told && m.view.listed > 0)
-      least = least == 0 ? m.view.listed : std::min(least, m.view.listed);
+    if (m.serves && m.has_reported && m.observations.listed_hosts > 0)
+      least = least == 0 ? m.observations.listed_hosts : std::min(least, m.observations.listed_hosts);
   }
   return least;
 }
 
-int Board::in_reach() const {
+int MaintenanceState::hosts_in_progress() const {
   return static_cast<int>(std::count_if(hosts_.begin(), hosts_.end(), [](const auto& h) {
-    return h.second.stage != Stage::waiting && h.second.stage != Stage::back;
+    return h.second.stage != HostStage::waiting && h.second.stage != HostStage::returned;
   }));
 }
 
-int Board::reach_most(int listed) const {
+int MaintenanceState::max_hosts_in_progress(int listed) const {
   double usable = 0;
-  for (const auto& w : works_) {
-    if (w.state == Work::State::running || w.state == Work::State::paused)
-      usable = std::max(usable, w.bounds.usable);
+  for (const auto& w : jobs_) {
+    if (w.state == MaintenanceJob::State::running || w.state == MaintenanceJob::State::paused)
+      usable = std::max(usable, w.bounds.min_usable_share);
   }
   return most_away(usable, listed);
 }
 
-std::string Board::over_bounds(const Work& of, const HostKey& host, int listed) const {
+std::string MaintenanceState::exceeded_bound(const MaintenanceJob& of, const HostKey& host, int listed) const {
   int out = 0, zone = 0, kind = 0;
   std::set<std::string> held;
   for (const auto& [id, h] : hosts_) {
-    if (!away(h.stage)) continue;
-    held.insert(h.work);
+    if (!counts_against_bounds(h.stage)) continue;
+    held.insert(h.job);
     ++out;
     zone += h.key.zone == host.zone;
     kind += h.key.kind == host.kind;
   }
   held.insert(of.id);
-  for (const auto& w : works_) {
+  for (const auto& w : jobs_) {
     if (held.count(w.id) == 0) continue;
-    const Bounds& b = w.bounds;
+    const DisruptionBounds& b = w.bounds;
     const auto says = [&](const char* what, int most) {
       return std::to_string(most) + ' ' + what + " may be out at once by work " + w.id + ", and are";
     };
-    if (out >= b.out) return says("hosts", b.out);
-    if (b.zone > 0 && zone >= b.zone) return says(("of zone " + host.zone).c_str(), b.zone);
-    if (b.kind > 0 && kind >= b.kind) return says(("of kind " + host.kind).c_str(), b.kind);
-    if (out >= most_away(b.usable, listed)) return says("of those listed", most_away(b.usable, listed));
+    if (out >= b.max_out) return says("hosts", b.max_out);
+    if (b.max_out_per_zone > 0 && zone >= b.max_out_per_zone) return says(("of zone " + host.zone).c_str(), b.max_out_per_zone);
+    if (b.max_out_per_kind > 0 && kind >= b.max_out_per_kind) return says(("of kind " + host.kind).c_str(), b.max_out_per_kind);
+    if (out >= most_away(b.min_usable_share, listed)) return says("of those listed", most_away(b.min_usable_share, listed));
   }
   return {};
 }
 
-json Board::snapshot() const {
+json MaintenanceState::snapshot() const {
   json works = json::array(), hosts = json::array(), members = json::array(), outcomes = json::array();
-  for (const auto& w : works_) works.push_back(worded_work(w));
+  for (const auto& w : jobs_) works.push_back(job_to_json(w));
   for (const auto& [id, h] : hosts_) {
     hosts.push_back({{"id", id},
                      {"zone", h.key.zone},
                      {"kind", h.key.kind},
-                     {"work", h.work},
+                     {"work", h.job},
                      {"reason", h.reason},
                      {"stage", static_cast<int>(h.stage)},
-                     {"round", h.round},
-                     {"late", h.late},
-                     {"touched", h.touched}});
+                     {"round", h.selected_at_index},
+                     {"late", h.overdue},
+                     {"touched", h.released_to_operators}});
   }
   for (const auto& [name, m] : members_) {
-    Beat beat{name, m.life, 0, m.has, m.drained, std::nullopt};
-    if (m.told) beat.view = m.view;
-    if (m.followed != m.has) beat.followed = m.followed;
-    json row = worded_beat(beat);
+    Heartbeat beat{name, m.incarnation, 0, m.applied_index, m.drained_hosts, std::nullopt};
+    if (m.has_reported) beat.observations = m.observations;
+    if (m.followed_index != m.applied_index) beat.followed_index = m.followed_index;
+    json row = heartbeat_to_json(beat);
     row["serves"] = m.serves;
     members.push_back(row);
   }
   for (const auto& id : outcome_order_) {
-    const Outcome& o = outcomes_.at(id);
+    const ProposalOutcome& o = outcomes_.at(id);
     outcomes.push_back({id, o.done, o.why, o.index});
   }
   return {{"index", index_},    {"works", works},  {"hosts", hosts},
-          {"members", members}, {"lives", lives_}, {"outcomes", outcomes}};
+          {"members", members}, {"lives", incarnations_}, {"outcomes", outcomes}};
 }
 
-bool Board::restore(const json& from, Millis now) {
+bool MaintenanceState::restore(const json& from, Millis now) {
   try {
-    Board next;
+    MaintenanceState next;
     next.index_ = from.at("index").get<std::uint64_t>();
-    next.lives_ = from.at("lives").get<std::map<std::string, std::uint64_t>>();
-    next.last_back_ = now;  // later than it was: a pause grows, never shrinks
-    for (const auto& row : from.at("works")) next.works_.push_back(read_work(row));
+    next.incarnations_ = from.at("lives").get<std::map<std::string, std::uint64_t>>();
+    next.last_return_at_ = now;  // later than it was: a pause grows, never shrinks
+    for (const auto& row : from.at("works")) next.jobs_.push_back(parse_job(row));
     for (const auto& row : from.at("hosts")) {
       const std::string id = row.at("id").get<std::string>();
-      Host& h = next.hosts_[id];
+      HostProgress& h = next.hosts_[id];
       h.key = {id, row.at("zone").get<std::string>(), row.at("kind").get<std::string>()};
-      h.work = row.at("work").get<std::string>();
+      h.job = row.at("work").get<std::string>();
       h.reason = row.at("reason").get<std::string>();
       const int stage = row.at("stage").get<int>();
-      if (stage < 0 || stage > static_cast<int>(Stage::back) || next.find(h.work) == nullptr) return false;
-      h.stage = static_cast<Stage>(stage);
-      h.round = row.at("round").get<std::uint64_t>();
-      h.late = row.at("late").get<bool>();
-      h.touched = row.at("touched").get<bool>();
+      if (stage < 0 || stage > static_cast<int>(HostStage::returned) || next.find_mutable_job(h.job) == nullptr) return false;
+      h.stage = static_cast<HostStage>(stage);
+      h.selected_at_index = row.at("round").get<std::uint64_t>();
+      h.overdue = row.at("late").get<bool>();
+      h.released_to_operators = row.at("touched").get<bool>();
       h.since = now;
     }
     for (const auto& row : from.at("members")) {
-      const auto beat = read_beat(row);
+      const auto beat = parse_heartbeat(row);
       if (!beat) return false;
-      Member& m = next.members_[beat->member];
-      m.life = beat->life;
+      MemberProgress& m = next.members_[beat->member];
+      m.incarnation = beat->incarnation;
       m.serves = row.at("serves").get<bool>();
-      m.has = beat->has;
-      m.followed = beat->followed.value_or(beat->has);
-      m.drained = beat->drained;
-      m.told = beat->view.has_value();
-      m.seen = now;
-      if (beat->view) m.view = *beat->view;
+      m.applied_index = beat->applied_index;
+      m.followed_index = beat->followed_index.value_or(beat->applied_index);
+      m.drained_hosts = beat->drained_hosts;
+      m.has_reported = beat->observations.has_value();
+      m.last_heartbeat_at = now;
+      if (beat->observations) m.observations = *beat->observations;
     }
     for (const auto& row : from.at("outcomes")) {
-      next.keep_outcome(row.at(0).get<std::string>(), {row.at(1).get<bool>(), row.at(2).get<std::string>(),
+      next.remember_outcome(row.at(0).get<std::string>(), {row.at(1).get<bool>(), row.at(2).get<std::string>(),
                                                        row.at(3).get<std::uint64_t>()});
     }
     *this = std::move(next);
--- a/src/works/coordinator.cpp
+++ b/src/works/coordinator.cpp
@@ -12,232 +12,232 @@
 namespace {
 
 using nlohmann::json;
-using Kind = Entry::Kind;
+using Kind = LogEntry::Kind;
 
 constexpr int kViewEvery = 8;  // so many beats: what is seen is told again though it is as before
 const std::string kPath = "/-/works/";
 
 }  // namespace
 
-Coordinator::Coordinator(const Wiring& wiring, const group::Config& config, group::Lease& lease, Note note)
-    : wiring_(wiring),
+MaintenanceReplica::MaintenanceReplica(const InvokerServices& wiring, const group::Config& config, group::Lease& lease, LogSink note)
+    : services_(wiring),
       config_(config),
       lease_(lease),
-      note_(std::move(note)),
-      order_(config.terms),
-      host_use_(wiring, note_) {}
+      log_(std::move(note)),
+      scheduler_(config.terms),
+      host_access_(wiring, log_) {}
 
-Coordinator::~Coordinator() {
-  for (const auto& timer : {beats_, turns_, lease_ends_, lives_}) wiring_.loop.cancel(timer);
+MaintenanceReplica::~MaintenanceReplica() {
+  for (const auto& timer : {heartbeat_timer_, leader_timer_, lease_timer_, lives_}) services_.loop.cancel(timer);
 }
 
-void Coordinator::attach(group::Member& member) {
-  member_ = &member;
-  follow();
-  beats_ = wiring_.loop.at(now(), [this] { beat(); });
-  turns_ = wiring_.loop.at(now(), [this] { turn(); });
+void MaintenanceReplica::attach(group::RaftReplica& member) {
+  replica_ = &member;
+  update_host_access();
+  heartbeat_timer_ = services_.loop.schedule_at(now(), [this] { send_heartbeat(); });
+  leader_timer_ = services_.loop.schedule_at(now(), [this] { run_leader(); });
 }
 
 // ---- What this member uses ----
 
-bool Coordinator::may_send(const std::string& host) {
+bool MaintenanceReplica::may_send(const std::string& host) {
   before_writes();
-  return !host_use_.left(host) && lease_.ever();
+  return !host_access_.is_avoided(host) && lease_.was_ever_held();
 }
 
 // Danger: a process that was stopped for longer than its lease goes on where it was, with calls decided and
 // not yet written.
-void Coordinator::before_writes() {
-  if (host_use_.leased() && !lease_.holds(now())) follow();
+void MaintenanceReplica::before_writes() {
+  if (host_access_.leased() && !lease_.is_held(now())) update_host_access();
 }
 
-void Coordinator::follow() {
-  Knowledge knowledge;
-  knowledge.leased = !failed_ && (lease_.holds(now()) || (breaks("lease") && lease_.ever()));
-  knowledge.held_back = config_.serves && !lease_.ever();
-  wiring_.loop.cancel(lease_ends_);
-  if (lease_.holds(now())) lease_ends_ = wiring_.loop.at(lease_.until(), [this] { follow(); });
-  host_use_.follow(board_, knowledge);
-  if (changed_) changed_();
+void MaintenanceReplica::update_host_access() {
+  StateFreshness knowledge;
+  knowledge.is_leased = !failed_ && (lease_.is_held(now()) || (fault_injected("lease") && lease_.was_ever_held()));
+  knowledge.must_suspend = config_.serves && !lease_.was_ever_held();
+  services_.loop.cancel(lease_timer_);
+  if (lease_.is_held(now())) lease_timer_ = services_.loop.schedule_at(lease_.expires_at(), [this] { update_host_access(); });
+  host_access_.update(state_, knowledge);
+  if (change_handler_) change_handler_();
 }
 
-void Coordinator::attempt_ended(const std::string& host, const core::Call& call, core::Outcome outcome) {
-  host_use_.attempt_ended(host, call, outcome);
+void MaintenanceReplica::attempt_ended(const std::string& host, const core::Call& call, core::Outcome outcome) {
+  host_access_.attempt_ended(host, call, outcome);
 }
 
 // ---- What this member tells ----
 
-void Coordinator::tell(const json& word) {
-  if (!member_->tell_leader(*this, word.dump(-1, ' ', false, json::error_handler_t::replace)))
-    wiring_.counters.add("works.no_leader");
+void MaintenanceReplica::send_to_leader(const json& word) {
+  if (!replica_->send_to_leader(*this, word.dump(-1, ' ', false, json::error_handler_t::replace)))
+    services_.counters.add("works.no_leader");
 }
 
-void Coordinator::beat() {
-  const Millis pace = config_.terms.beat();
-  beats_ = wiring_.loop.at(now() + pace, [this] { beat(); });
-  if (failed_ || !member_->in_group() || !config_.serves) return;
-  const auto mine = board_.members().find(name());
-  if (mine == board_.members().end() || mine->second.life != member_->life()) {
+void MaintenanceReplica::send_heartbeat() {
+  const Millis pace = config_.terms.heartbeat_interval();
+  heartbeat_timer_ = services_.loop.schedule_at(now() + pace, [this] { send_heartbeat(); });
+  if (failed_ || !replica_->is_member() || !config_.serves) return;
+  const auto mine = state_.members().find(member_name());
+  if (mine == state_.members().end() || mine->second.incarnation != replica_->incarnation()) {
     pass_earlier_lives();
-    Entry join;
+    LogEntry join;
     join.kind = Kind::join;
-    join.member = name();
-    join.life = member_->life();
-    return tell({{"e", worded(join)}});
+    join.member = member_name();
+    join.incarnation = replica_->incarnation();
+    return send_to_leader({{"e", encode_entry(join)}});
   }
   has_joined_ = true;
-  Beat out{name(), member_->life(), now().count(), board_.index(), {}, host_use_.see(board_)};
-  const auto others = represent_ ? std::optional<Represented>(represent_()) : std::nullopt;
+  Heartbeat out{member_name(), replica_->incarnation(), now().count(), state_.index(), {}, host_access_.observe(state_)};
+  const auto others = aggregate_source_ ? std::optional<SessionAggregate>(aggregate_source_()) : std::nullopt;
   if (others) {
-    out.has = std::min(out.has, others->applied);
-    out.followed = std::min(out.has, others->followed);
+    out.applied_index = std::min(out.applied_index, others->applied_index);
+    out.followed_index = std::min(out.applied_index, others->followed_index);
   }
-  if (merge_views_) out.view = merge_views_(std::move(*out.view));
-  out.drained = drained(others ? &*others : nullptr);
-  json worded_out = worded_beat(out);
+  if (merge_observations_) out.observations = merge_observations_(std::move(*out.observations));
+  out.drained_hosts = drained_hosts(others ? &*others : nullptr);
+  json worded_out = heartbeat_to_json(out);
   std::string seen = worded_out["v"].dump();
-  if (seen == told_view_ && ++untold_ < kViewEvery) {
+  if (seen == last_sent_observations_ && ++heartbeats_without_observations_ < kViewEvery) {
     worded_out.erase("v");
   } else {
-    told_view_ = std::move(seen);
-    untold_ = 0;
+    last_sent_observations_ = std::move(seen);
+    heartbeats_without_observations_ = 0;
   }
-  tell({{"b", worded_out}});
+  send_to_leader({{"b", worded_out}});
 }
 
 // A member that lost its store takes its life from the clock; set back since, that is less than the log
 // knows, and it would never be let in. Only before the first join of this process: two processes of one name
 // would outdo each other for ever.
-void Coordinator::pass_earlier_lives() {
-  const std::uint64_t last = board_.last_life(name());
-  if (has_joined_ || last < member_->life()) return;
+void MaintenanceReplica::pass_earlier_lives() {
+  const std::uint64_t last = state_.last_incarnation(member_name());
+  if (has_joined_ || last < replica_->incarnation()) return;
   try {
-    const std::uint64_t life = member_->new_life(last);
-    wiring_.counters.add("works.lives_passed");
-    note_("life=" + std::to_string(life) + " starts: an earlier one is in the log as " +
+    const std::uint64_t life = replica_->begin_new_incarnation(last);
+    services_.counters.add("works.lives_passed");
+    log_("life=" + std::to_string(life) + " starts: an earlier one is in the log as " +
           std::to_string(last));
-  } catch (const std::exception& fault) { failed(fault.what()); }
+  } catch (const std::exception& fault) { on_store_failure(fault.what()); }
 }
 
-std::set<std::string> Coordinator::drained(const Represented* others) const {
+std::set<std::string> MaintenanceReplica::drained_hosts(const SessionAggregate* others) const {
   std::set<std::string> out;
-  for (const auto& [id, h] : board_.hosts()) {
-    const bool gone = h.stage == Stage::leaving || h.stage == Stage::out;
-    if (!gone || !host_use_.left(id)) continue;
-    const bool free = lease_.earlier_ended(now()) && wiring_.fleet.free_of_calls(id);
-    const bool others_free = others == nullptr || others->settled >= h.round;
-    if ((free && others_free) || breaks("drain")) out.insert(id);
+  for (const auto& [id, h] : state_.hosts()) {
+    const bool gone = h.stage == HostStage::draining || h.stage == HostStage::out_of_service;
+    if (!gone || !host_access_.is_avoided(id)) continue;
+    const bool free = lease_.earlier_attempts_ended(now()) && services_.host_connections.has_no_calls(id);
+    const bool others_free = others == nullptr || others->quiesced_index >= h.selected_at_index;
+    if ((free && others_free) || fault_injected("drain")) out.insert(id);
   }
   return out;
 }
 
 // ---- What was agreed upon ----
 
-void Coordinator::applied(std::uint64_t index, const std::string& wording) {
-  const auto entry = read_entry(wording);
+void MaintenanceReplica::apply(std::uint64_t index, const std::string& wording) {
+  const auto entry = parse_entry(wording);
   if (!entry) {
-    wiring_.counters.add("works.unreadable");
-    return failed("entry " + std::to_string(index) + " of the log is of another version of the program");
+    services_.counters.add("works.unreadable");
+    return on_store_failure("entry " + std::to_string(index) + " of the log is of another version of the program");
   }
-  const auto outcome = board_.apply(index, *entry, now());
-  wiring_.counters.add("works.entries");
-  if (entry->kind == Kind::beats) {
-    for (const auto& beat : entry->beats) {
+  const auto outcome = state_.apply(index, *entry, now());
+  services_.counters.add("works.entries");
+  if (entry->kind == Kind::heartbeats) {
+    for (const auto& beat : entry->heartbeats) {
       // Danger: a sign of life that was on its way when the member was said to be gone, or began another
       // life.
-      const auto mine = board_.members().find(beat.member);
-      const bool holds = mine != board_.members().end() && mine->second.life == beat.life;
-      if (beat.member != name()) continue;
-      const bool this_life = member_ != nullptr && beat.life == member_->life();
-      if (holds && this_life) lease_.agreed(beat.stamp);
+      const auto mine = state_.members().find(beat.member);
+      const bool holds = mine != state_.members().end() && mine->second.incarnation == beat.incarnation;
+      if (beat.member != member_name()) continue;
+      const bool this_life = replica_ != nullptr && beat.incarnation == replica_->incarnation();
+      if (holds && this_life) lease_.renew(beat.sent_at);
       // The log keeps what an earlier process of this member read off the clock.
-      if (!this_life) wiring_.loop.remember_wall(Millis(beat.stamp));
+      if (!this_life) services_.loop.remember_wall(Millis(beat.sent_at));
     }
-    if (!host_use_.leased()) return follow();
-    return changed_ ? changed_() : void();
+    if (!host_access_.leased()) return update_host_access();
+    return change_handler_ ? change_handler_() : void();
   }
   // What came again under one proposal has had its outcome.
-  if (entry->kind == Kind::ask || outcome.index != index) return;
-  ++changes_;
-  note_entry(*entry, outcome);
+  if (entry->kind == Kind::read_barrier || outcome.index != index) return;
+  ++version_;
+  log_applied_entry(*entry, outcome);
   // Before `attach` the log of earlier lives is applied: this one is a new one in any case.
-  const bool left = outcome.done && entry->kind == Kind::leave && entry->member == name();
-  if (left && member_ != nullptr) begin_anew();
-  follow();
+  const bool left = outcome.done && entry->kind == Kind::leave && entry->member == member_name();
+  if (left && replica_ != nullptr) begin_new_incarnation();
+  update_host_access();
   // One step leads to the next at once.
-  if (member_ != nullptr && member_->leads()) {
-    wiring_.loop.cancel(turns_);
-    turns_ = wiring_.loop.at(now(), [this] { turn(); });
+  if (replica_ != nullptr && replica_->is_leader()) {
+    services_.loop.cancel(leader_timer_);
+    leader_timer_ = services_.loop.schedule_at(now(), [this] { run_leader(); });
   }
 }
 
-void Coordinator::note_entry(const Entry& e, const Board::Outcome& outcome) {
-  note_(std::string(name_of(e.kind)) + (outcome.done ? "" : " refused") +
-        (e.work.empty() ? "" : " work=" + e.work) + (e.host.empty() ? "" : " host=" + e.host) +
-        (e.added ? " work=" + e.added->id : "") + (e.member.empty() ? "" : " of=" + e.member) +
-        (e.kind == Kind::alter ? std::string(" state=") + name_of(e.state) : "") + " reason=\"" +
+void MaintenanceReplica::log_applied_entry(const LogEntry& e, const MaintenanceState::ProposalOutcome& outcome) {
+  log_(std::string(name_of(e.kind)) + (outcome.done ? "" : " refused") +
+        (e.job.empty() ? "" : " work=" + e.job) + (e.host.empty() ? "" : " host=" + e.host) +
+        (e.added_job ? " work=" + e.added_job->id : "") + (e.member.empty() ? "" : " of=" + e.member) +
+        (e.kind == Kind::change_job_state ? std::string(" state=") + name_of(e.state) : "") + " reason=\"" +
         (outcome.done ? e.reason : outcome.why) + '"');
 }
 
 // It was taken for gone for good, and is not.
-void Coordinator::begin_anew() {
+void MaintenanceReplica::begin_new_incarnation() {
   lease_ = group::Lease(config_.terms, now());
   take_new_life();
 }
 
 // A life that is not kept is not told: a store that fails for now is asked again.
-void Coordinator::take_new_life() {
+void MaintenanceReplica::take_new_life() {
   try {
-    note_("life=" + std::to_string(member_->new_life()) + " starts: this member was said to be gone");
-  } catch (const group::StoreError& fault) {
-    if (!fault.transient()) return failed(fault.what());
-    wiring_.loop.cancel(lives_);
-    lives_ = wiring_.loop.at(now() + config_.terms.beat(), [this] { take_new_life(); });
-  } catch (const std::exception& fault) { failed(fault.what()); }
+    log_("life=" + std::to_string(replica_->begin_new_incarnation()) + " starts: this member was said to be gone");
+  } catch (const group::LogStoreError& fault) {
+    if (!fault.transient()) return on_store_failure(fault.what());
+    services_.loop.cancel(lives_);
+    lives_ = services_.loop.schedule_at(now() + config_.terms.heartbeat_interval(), [this] { take_new_life(); });
+  } catch (const std::exception& fault) { on_store_failure(fault.what()); }
 }
 
-std::string Coordinator::snapshot() {
-  return board_.snapshot().dump(-1, ' ', false, json::error_handler_t::replace);
+std::string MaintenanceReplica::snapshot() {
+  return state_.snapshot().dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-bool Coordinator::restore(const std::string& from) {
+bool MaintenanceReplica::restore(const std::string& from) {
   if (from.empty()) return true;
   const json read = json::parse(from, nullptr, false);
-  ++changes_;
-  return read.is_object() && board_.restore(read, now());
+  ++version_;
+  return read.is_object() && state_.restore(read, now());
 }
 
-void Coordinator::failed(const std::string& why) {
+void MaintenanceReplica::on_store_failure(const std::string& why) {
   if (std::exchange(failed_, true)) return;
   std::cerr << "lotusyard: " << why << std::endl;
-  lease_.lost();
-  wiring_.loop.at(now(), [this] { follow(); });
+  lease_.revoke();
+  services_.loop.schedule_at(now(), [this] { update_host_access(); });
 }
 
 // ---- What operators ask ----
 
-std::optional<console::Said> Coordinator::asked(const console::Request& request) {
+std::optional<console::Response> MaintenanceReplica::handle_request(const console::Request& request) {
   const bool get = request.method == "GET", post = request.method == "POST";
   if (request.path == "/-/works")
-    return get ? console::Said{200, shown_works(board_, name()).dump()} : console::Said{405, "GET"};
+    return get ? console::Response{200, jobs_to_json(state_, member_name()).dump()} : console::Response{405, "GET"};
   if (request.path.compare(0, kPath.size(), kPath) != 0) return std::nullopt;
   const std::string rest = request.path.substr(kPath.size());
   const auto slash = rest.find('/');
   const std::string verb = rest.substr(0, slash),
                     what = slash == std::string::npos ? "" : rest.substr(slash + 1);
   if (verb == "propose") {
-    if (!post) return console::Said{405, "POST"};
-    const Proposal read = read_proposal(what, wiring_.membership.hosts());
-    if (!read.entry) return read.refused;
-    const bool told = member_->tell_leader(*this, json{{"e", worded(*read.entry)}}.dump());
-    return told ? console::Said{202, "taken"} : console::Said{503, "nobody is known to lead"};
+    if (!post) return console::Response{405, "POST"};
+    const OperatorProposal read = parse_proposal(what, services_.endpoint_states.listed_hosts());
+    if (!read.entry) return read.rejection;
+    const bool told = replica_->send_to_leader(*this, json{{"e", encode_entry(*read.entry)}}.dump());
+    return told ? console::Response{202, "taken"} : console::Response{503, "nobody is known to lead"};
   }
   if (verb != "outcome") return std::nullopt;
-  if (!get) return console::Said{405, "GET"};
-  const auto* outcome = board_.outcome(what);
+  if (!get) return console::Response{405, "GET"};
+  const auto* outcome = state_.find_outcome(what);
   if (outcome == nullptr)
-    return console::Said{404, "not known here, as of index " + std::to_string(board_.index())};
-  return console::Said{200, shown_outcome(*outcome).dump()};
+    return console::Response{404, "not known here, as of index " + std::to_string(state_.index())};
+  return console::Response{200, outcome_to_json(*outcome).dump()};
 }
 
 }  // namespace lotusyard::works
--- a/src/works/coordinator.h
+++ b/src/works/coordinator.h
@@ -14,83 +14,83 @@
 
 namespace lotusyard::works {
 
-class Coordinator final : public group::Part {
+class MaintenanceReplica final : public group::ReplicatedStateMachine {
  public:
-  using Note = std::function<void(const std::string& text)>;
+  using LogSink = std::function<void(const std::string& text)>;
   // `lease` outlives it.
-  Coordinator(const Wiring& wiring, const group::Config& config, group::Lease& lease, Note note);
-  ~Coordinator() override;
-  void attach(group::Member& member);  // once, before the loop's next turn
+  MaintenanceReplica(const InvokerServices& wiring, const group::Config& config, group::Lease& lease, LogSink note);
+  ~MaintenanceReplica() override;
+  void attach(group::RaftReplica& member);  // once, before the loop's next turn
 
-  bool ready() const { return !config_.serves || (lease_.ever() && !failed_); }
+  bool ready() const { return !config_.serves || (lease_.was_ever_held() && !failed_); }
   bool may_send(const std::string& host);
   void before_writes();
   void attempt_ended(const std::string& host, const core::Call& call, core::Outcome outcome);
-  std::optional<console::Said> asked(const console::Request& request);
-  const Board& board() const { return board_; }
-  bool sees_down(const std::string& host) const { return host_use_.sees_down(host); }
-  bool leased() const { return !failed_ && lease_.holds(now()); }
+  std::optional<console::Response> handle_request(const console::Request& request);
+  const MaintenanceState& state() const { return state_; }
+  bool sees_down(const std::string& host) const { return host_access_.sees_down(host); }
+  bool is_leased() const { return !failed_ && lease_.is_held(now()); }
   bool has_failed() const { return failed_; }
   // What this member says for others that it represents, beside what it says for itself, each up to an index
   // of the log: what all that hold a lease have applied, what all have applied that go on with a lease or
   // without, and what nothing that is under way at any of them goes against.
-  struct Represented {
-    std::uint64_t applied = 0, followed = 0, settled = 0;
+  struct SessionAggregate {
+    std::uint64_t applied_index = 0, followed_index = 0, quiesced_index = 0;
   };
-  using Represent = std::function<Represented()>;
-  using MergeViews = std::function<View(View own)>;
-  void represent(Represent represent, MergeViews merge_views) {
-    represent_ = std::move(represent);
-    merge_views_ = std::move(merge_views);
+  using AggregateSource = std::function<SessionAggregate()>;
+  using MergeObservations = std::function<HostObservations(HostObservations own)>;
+  void set_aggregate_source(AggregateSource represent, MergeObservations merge_views) {
+    aggregate_source_ = std::move(represent);
+    merge_observations_ = std::move(merge_views);
   }
   // Grows whenever the board may have changed in more than signs of life.
-  std::uint64_t changes() const { return changes_; }
+  std::uint64_t version() const { return version_; }
   // Told whenever an entry has been applied, or the lease has come or gone.
-  void when_changed(std::function<void()> changed) { changed_ = std::move(changed); }
+  void set_change_handler(std::function<void()> changed) { change_handler_ = std::move(changed); }
   // The one member that leads, once all that was agreed before it has been applied here.
-  bool leads();
+  bool is_ready_leader();
 
-  const char* kind() const override { return "works"; }
-  void applied(std::uint64_t index, const std::string& entry) override;
+  const char* name() const override { return "works"; }
+  void apply(std::uint64_t index, const std::string& entry) override;
   std::string snapshot() override;
   bool restore(const std::string& snapshot) override;
-  void told(const std::string& word) override;
-  void failed(const std::string& why) override;
+  void handle_message(const std::string& word) override;
+  void on_store_failure(const std::string& why) override;
 
  private:
-  Wiring wiring_;
+  InvokerServices services_;
   const group::Config config_;
   group::Lease& lease_;
-  Note note_;
-  group::Member* member_ = nullptr;
-  Board board_;
-  Order order_;
-  HostUse host_use_;
-  Represent represent_;
-  MergeViews merge_views_;
-  std::uint64_t changes_ = 0;
-  std::map<std::string, Beat> heard_;  // at the one that leads: what is not in the log yet
-  std::function<void()> changed_;
-  net::Loop::TimerId beats_{}, turns_{}, lease_ends_{}, lives_{};
+  LogSink log_;
+  group::RaftReplica* replica_ = nullptr;
+  MaintenanceState state_;
+  MaintenanceScheduler scheduler_;
+  HostAccess host_access_;
+  AggregateSource aggregate_source_;
+  MergeObservations merge_observations_;
+  std::uint64_t version_ = 0;
+  std::map<std::string, Heartbeat> pending_heartbeats_;  // at the one that leads: what is not in the log yet
+  std::function<void()> change_handler_;
+  net::EventLoop::TimerId heartbeat_timer_{}, leader_timer_{}, lease_timer_{}, lives_{};
   bool failed_ = false, in_flight_ = false, has_joined_ = false;
   std::uint64_t led_term_ = 0, readying_term_ = 0;
-  std::string told_view_, waits_;
-  int untold_ = 0;
+  std::string last_sent_observations_, proposed_waiting_reason_;
+  int heartbeats_without_observations_ = 0;
   Millis flown_at_{0};
 
-  Millis now() const { return wiring_.loop.now(); }
-  const std::string& name() const { return config_.member; }
-  void follow();
-  void beat();
-  void turn();
-  void propose(const Entry& entry);
-  std::set<std::string> drained(const Represented* others) const;
-  void tell(const nlohmann::json& word);
-  void told_beat(Beat&& beat);
-  void begin_anew();
+  Millis now() const { return services_.loop.now(); }
+  const std::string& member_name() const { return config_.member; }
+  void update_host_access();
+  void send_heartbeat();
+  void run_leader();
+  void propose(const LogEntry& entry);
+  std::set<std::string> drained_hosts(const SessionAggregate* others) const;
+  void send_to_leader(const nlohmann::json& word);
+  void handle_heartbeat(Heartbeat&& beat);
+  void begin_new_incarnation();
   void pass_earlier_lives();
   void take_new_life();
-  void note_entry(const Entry& entry, const Board::Outcome& outcome);
+  void log_applied_entry(const LogEntry& entry, const MaintenanceState::ProposalOutcome& outcome);
 };
 
 }  // namespace lotusyard::works
--- a/src/works/coordinator_leads.cpp
+++ b/src/works/coordinator_leads.cpp
@@ -7,70 +7,70 @@
 namespace {
 
 using nlohmann::json;
-using Kind = Entry::Kind;
+using Kind = LogEntry::Kind;
 
 constexpr Millis kFlightMost{10000};  // a proposal that is not answered for so long is taken as lost
 
 }  // namespace
 
-void Coordinator::told(const std::string& word) {
+void MaintenanceReplica::handle_message(const std::string& word) {
   const json read = json::parse(word, nullptr, false);
-  if (!read.is_object()) return wiring_.counters.add("works.malformed");
+  if (!read.is_object()) return services_.counters.add("works.malformed");
   if (const auto& b = config::key(read, "b"); !b.is_null()) {
-    auto beat = read_beat(b);
-    return beat ? told_beat(std::move(*beat)) : wiring_.counters.add("works.malformed");
+    auto beat = parse_heartbeat(b);
+    return beat ? handle_heartbeat(std::move(*beat)) : services_.counters.add("works.malformed");
   }
-  const auto entry = read_entry(config::text(config::key(read, "e")));
-  if (!entry) return wiring_.counters.add("works.malformed");
-  if (!entry->proposal.empty() && board_.outcome(entry->proposal) != nullptr) return;
-  if (entry->kind == Kind::join && entry->life <= board_.last_life(entry->member)) return;
-  if (!member_->propose(*this, worded(*entry))) wiring_.counters.add("works.not_proposed");
+  const auto entry = parse_entry(config::text(config::key(read, "e")));
+  if (!entry) return services_.counters.add("works.malformed");
+  if (!entry->proposal.empty() && state_.find_outcome(entry->proposal) != nullptr) return;
+  if (entry->kind == Kind::join && entry->incarnation <= state_.last_incarnation(entry->member)) return;
+  if (!replica_->propose(*this, encode_entry(*entry))) services_.counters.add("works.not_proposed");
 }
 
-void Coordinator::told_beat(Beat&& beat) {
-  Beat& held = heard_[beat.member];
+void MaintenanceReplica::handle_heartbeat(Heartbeat&& beat) {
+  Heartbeat& held = pending_heartbeats_[beat.member];
   // What was seen and is not in the log yet goes with the newer sign of life.
-  if (!beat.view && held.view && held.life == beat.life) beat.view = std::move(held.view);
+  if (!beat.observations && held.observations && held.incarnation == beat.incarnation) beat.observations = std::move(held.observations);
   held = std::move(beat);
 }
 
-bool Coordinator::leads() {
-  if (!member_->leads()) return false;
-  const std::uint64_t term = member_->term();
+bool MaintenanceReplica::is_ready_leader() {
+  if (!replica_->is_leader()) return false;
+  const std::uint64_t term = replica_->term();
   if (led_term_ == term) return true;
   if (readying_term_ == term) return false;
   readying_term_ = term;
-  heard_.clear();
+  pending_heartbeats_.clear();
   in_flight_ = false;
-  Entry ask;
-  const bool asked = member_->propose(*this, worded(ask), [this, term](bool done) {
+  LogEntry ask;
+  const bool asked = replica_->propose(*this, encode_entry(ask), [this, term](bool done) {
     if (!done) return;
     led_term_ = term;
-    note_("leads");
+    log_("leads");
   });
   if (!asked) readying_term_ = 0;
   return false;
 }
 
-void Coordinator::propose(const Entry& entry) {
+void MaintenanceReplica::propose(const LogEntry& entry) {
   flown_at_ = now();
-  in_flight_ = member_->propose(*this, worded(entry), [this, term = member_->term()](bool) {
+  in_flight_ = replica_->propose(*this, encode_entry(entry), [this, term = replica_->term()](bool) {
     if (term == led_term_) in_flight_ = false;
   });
 }
 
-void Coordinator::turn() {
-  turns_ = wiring_.loop.at(now() + config_.terms.beat() / 2, [this] { turn(); });
-  if (failed_ || !leads()) return;
+void MaintenanceReplica::run_leader() {
+  leader_timer_ = services_.loop.schedule_at(now() + config_.terms.heartbeat_interval() / 2, [this] { run_leader(); });
+  if (failed_ || !is_ready_leader()) return;
   if (in_flight_ && now() - flown_at_ < kFlightMost) return;
-  const auto next = order_.next(board_, now());
-  json waits = order_.waits();
+  const auto next = scheduler_.next_entry(state_, now());
+  json waits = scheduler_.waiting_reasons();
   const std::string told = waits.dump();
-  if (!heard_.empty() || told != waits_) {
-    const Gathered gathered = gather(std::exchange(heard_, {}), told);
-    waits_ = told;
-    wiring_.counters.add("works.too_long", gathered.left_out);
-    for (const Entry& beats : gathered.entries) member_->propose(*this, worded(beats));
+  if (!pending_heartbeats_.empty() || told != proposed_waiting_reason_) {
+    const AggregatedHeartbeats gathered = aggregate_heartbeats(std::exchange(pending_heartbeats_, {}), told);
+    proposed_waiting_reason_ = told;
+    services_.counters.add("works.too_long", gathered.dropped);
+    for (const LogEntry& beats : gathered.entries) replica_->propose(*this, encode_entry(beats));
   }
   if (next) propose(*next);
 }
--- a/src/works/entry.cpp
+++ b/src/works/entry.cpp
@@ -61,78 +61,78 @@
   return static_cast<int>(read);
 }
 
-json worded_bounds(const Bounds& b) {
-  return {{"out", b.out},
-          {"zone", b.zone},
-          {"kind", b.kind},
-          {"usable", b.usable},
-          {"away_ms", b.away.count()},
+json worded_bounds(const DisruptionBounds& b) {
+  return {{"out", b.max_out},
+          {"zone", b.max_out_per_zone},
+          {"kind", b.max_out_per_kind},
+          {"usable", b.min_usable_share},
+          {"away_ms", b.max_time_out.count()},
           {"pause_ms", b.pause.count()},
-          {"answers", b.answers}};
+          {"answers", b.restart_is_return}};
 }
 
-json worded_view(const View& v) {
-  return {{"cost", v.cost},   {"down", v.down}, {"reborn", v.reborn}, {"served", v.served},
-          {"asked", v.asked}, {"lost", v.lost}, {"listed", v.listed}};
+json worded_view(const HostObservations& v) {
+  return {{"cost", v.serving_value},   {"down", v.down}, {"reborn", v.restarted}, {"served", v.served},
+          {"asked", v.calls_per_second}, {"lost", v.failed_per_second}, {"listed", v.listed_hosts}};
 }
 
-View read_view(const json& from) {
-  View out;
-  from.at("cost").get_to(out.cost);
+HostObservations read_view(const json& from) {
+  HostObservations out;
+  from.at("cost").get_to(out.serving_value);
   from.at("down").get_to(out.down);
-  from.at("reborn").get_to(out.reborn);
+  from.at("reborn").get_to(out.restarted);
   from.at("served").get_to(out.served);
-  from.at("asked").get_to(out.asked);
-  from.at("lost").get_to(out.lost);
-  from.at("listed").get_to(out.listed);
+  from.at("asked").get_to(out.calls_per_second);
+  from.at("lost").get_to(out.failed_per_second);
+  from.at("listed").get_to(out.listed_hosts);
   return out;
 }
 
 }  // namespace
 
-const char* name_of(Work::State state) { return kStates[static_cast<std::size_t>(state)]; }
-const char* name_of(Entry::Kind kind) { return kKinds[static_cast<std::size_t>(kind)]; }
+const char* name_of(MaintenanceJob::State state) { return kStates[static_cast<std::size_t>(state)]; }
+const char* name_of(LogEntry::Kind kind) { return kKinds[static_cast<std::size_t>(kind)]; }
 
-json worded_beat(const Beat& beat) {
-  json out = {{"m", beat.member}, {"l", beat.life}, {"s", beat.stamp}, {"h", beat.has}};
-  if (!beat.drained.empty()) out["d"] = beat.drained;
-  if (beat.view) out["v"] = worded_view(*beat.view);
-  if (beat.followed) out["f"] = *beat.followed;
+json heartbeat_to_json(const Heartbeat& beat) {
+  json out = {{"m", beat.member}, {"l", beat.incarnation}, {"s", beat.sent_at}, {"h", beat.applied_index}};
+  if (!beat.drained_hosts.empty()) out["d"] = beat.drained_hosts;
+  if (beat.observations) out["v"] = worded_view(*beat.observations);
+  if (beat.followed_index) out["f"] = *beat.followed_index;
   return out;
 }
 
-std::optional<Beat> read_beat(const json& from) {
+std::optional<Heartbeat> parse_heartbeat(const json& from) {
   try {
-    Beat out;
+    Heartbeat out;
     from.at("m").get_to(out.member);
-    from.at("l").get_to(out.life);
-    from.at("s").get_to(out.stamp);
-    from.at("h").get_to(out.has);
-    if (out.member.empty() || out.member.size() > kLongestName || !std::isfinite(out.stamp))
+    from.at("l").get_to(out.incarnation);
+    from.at("s").get_to(out.sent_at);
+    from.at("h").get_to(out.applied_index);
+    if (out.member.empty() || out.member.size() > kLongestName || !std::isfinite(out.sent_at))
       return std::nullopt;
-    if (from.contains("d")) from.at("d").get_to(out.drained);
-    if (from.contains("v")) out.view = read_view(from.at("v"));
-    if (from.contains("f")) out.followed = from.at("f").get<std::uint64_t>();
+    if (from.contains("d")) from.at("d").get_to(out.drained_hosts);
+    if (from.contains("v")) out.observations = read_view(from.at("v"));
+    if (from.contains("f")) out.followed_index = from.at("f").get<std::uint64_t>();
     return out;
   } catch (const json::exception&) { return std::nullopt; }
 }
 
-Bounds read_bounds(const json& from) {
+DisruptionBounds parse_bounds(const json& from) {
   if (!from.is_object()) fault("bounds", "an object is needed");
-  Bounds out;
-  out.out = whole_of(from, "out", "out", out.out, 1, 4096);
-  out.zone = whole_of(from, "zone", "zone", out.zone, 0, 4096);
-  out.kind = whole_of(from, "kind", "kind", out.kind, 0, 4096);
-  out.usable = number_of(from, "usable", "usable", out.usable, 0, 1);
-  out.away = Millis(number_of(from, "away_ms", "away_ms", out.away.count(), 1, 1e10));
+  DisruptionBounds out;
+  out.max_out = whole_of(from, "out", "out", out.max_out, 1, 4096);
+  out.max_out_per_zone = whole_of(from, "zone", "zone", out.max_out_per_zone, 0, 4096);
+  out.max_out_per_kind = whole_of(from, "kind", "kind", out.max_out_per_kind, 0, 4096);
+  out.min_usable_share = number_of(from, "usable", "usable", out.min_usable_share, 0, 1);
+  out.max_time_out = Millis(number_of(from, "away_ms", "away_ms", out.max_time_out.count(), 1, 1e10));
   out.pause = Millis(number_of(from, "pause_ms", "pause_ms", out.pause.count(), 0, 1e10));
   const auto answers = from.find("answers");
   if (answers != from.end() && !answers->is_boolean()) fault("answers", "true or false is needed");
-  out.answers = answers != from.end() && answers->get<bool>();
+  out.restart_is_return = answers != from.end() && answers->get<bool>();
   return out;
 }
 
-json worded_work(const Work& work) {
+json job_to_json(const MaintenanceJob& work) {
   json hosts = json::array();
   for (const auto& h : work.hosts) hosts.push_back({h.id, h.zone, h.kind});
   return {{"id", work.id},
@@ -141,9 +141,9 @@
           {"state", name_of(work.state)}};
 }
 
-Work read_work(const json& from) {
+MaintenanceJob parse_job(const json& from) {
   if (!from.is_object()) fault("work", "an object is needed");
-  Work out;
+  MaintenanceJob out;
   out.id = text_of(from, "id", "id", true);
   const auto hosts = from.find("hosts");
   if (hosts == from.end() || !hosts->is_array() || hosts->empty()) fault("hosts", "at least one is needed");
@@ -158,66 +158,66 @@
     if (!seen.insert(host.id).second) fault("hosts", host.id + " stands twice");
     out.hosts.push_back(std::move(host));
   }
-  out.bounds = read_bounds(from.value("bounds", json::object()));
+  out.bounds = parse_bounds(from.value("bounds", json::object()));
   const auto state = from.find("state");
   if (state != from.end()) {
-    const auto read = word<Work::State>(kStates, *state);
+    const auto read = word<MaintenanceJob::State>(kStates, *state);
     if (!read) fault("state", "no such state");
     out.state = *read;
   }
   return out;
 }
 
-std::string worded(const Entry& e) {
+std::string encode_entry(const LogEntry& e) {
   json out = {{"t", name_of(e.kind)}};
   const auto text = [&](const char* key, const std::string& value) {
     if (!value.empty()) out[key] = value;
   };
   text("id", e.proposal);
-  text("work", e.work);
+  text("work", e.job);
   text("host", e.host);
   text("member", e.member);
   text("reason", e.reason);
-  if (e.life != 0) out["life"] = e.life;
-  if (e.round != 0) out["round"] = e.round;
+  if (e.incarnation != 0) out["life"] = e.incarnation;
+  if (e.selected_at_index != 0) out["round"] = e.selected_at_index;
   if (!e.serves) out["serves"] = false;
-  if (e.kind == Entry::Kind::alter) out["state"] = name_of(e.state);
+  if (e.kind == LogEntry::Kind::change_job_state) out["state"] = name_of(e.state);
   if (!e.hosts.empty()) out["hosts"] = e.hosts;
-  if (e.added) out["added"] = worded_work(*e.added);
+  if (e.added_job) out["added"] = job_to_json(*e.added_job);
   if (e.bounds) out["bounds"] = worded_bounds(*e.bounds);
-  for (const auto& beat : e.beats) out["beats"].push_back(worded_beat(beat));
+  for (const auto& beat : e.heartbeats) out["beats"].push_back(heartbeat_to_json(beat));
   return out.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-std::optional<Entry> read_entry(const std::string& wording) {
-  if (wording.size() > longest_entry) return std::nullopt;
+std::optional<LogEntry> parse_entry(const std::string& wording) {
+  if (wording.size() > max_entry_bytes) return std::nullopt;
   const json from = json::parse(wording, nullptr, false);
   if (!from.is_object()) return std::nullopt;
-  const auto kind = word<Entry::Kind>(kKinds, from.value("t", json()));
+  const auto kind = word<LogEntry::Kind>(kKinds, from.value("t", json()));
   if (!kind) return std::nullopt;
-  Entry out;
+  LogEntry out;
   out.kind = *kind;
   try {
     out.proposal = from.value("id", std::string());
-    out.work = from.value("work", std::string());
+    out.job = from.value("work", std::string());
     out.host = from.value("host", std::string());
     out.member = from.value("member", std::string());
     out.reason = from.value("reason", std::string());
-    out.life = from.value("life", std::uint64_t{0});
-    out.round = from.value("round", std::uint64_t{0});
+    out.incarnation = from.value("life", std::uint64_t{0});
+    out.selected_at_index = from.value("round", std::uint64_t{0});
     out.serves = from.value("serves", true);
     out.hosts = from.value("hosts", std::vector<std::string>());
-    if (out.kind == Entry::Kind::alter) {
-      const auto state = word<Work::State>(kStates, from.value("state", json()));
+    if (out.kind == LogEntry::Kind::change_job_state) {
+      const auto state = word<MaintenanceJob::State>(kStates, from.value("state", json()));
       if (!state) return std::nullopt;
       out.state = *state;
     }
-    if (from.contains("added")) out.added = read_work(from.at("added"));
-    if (from.contains("bounds")) out.bounds = read_bounds(from.at("bounds"));
+    if (from.contains("added")) out.added_job = parse_job(from.at("added"));
+    if (from.contains("bounds")) out.bounds = parse_bounds(from.at("bounds"));
     for (const auto& row : from.value("beats", json::array())) {
-      auto beat = read_beat(row);
+      auto beat = parse_heartbeat(row);
       if (!beat) return std::nullopt;
-      out.beats.push_back(std::move(*beat));
+      out.heartbeats.push_back(std::move(*beat));
     }
   } catch (const std::exception&) { return std::nullopt; }
   return out;
--- a/src/works/gather.cpp
+++ b/src/works/gather.cpp
@@ -5,9 +5,9 @@
 namespace lotusyard::works {
 namespace {
 
-Entry entry_with(const std::string& reason) {
-  Entry out;
-  out.kind = Entry::Kind::beats;
+LogEntry entry_with(const std::string& reason) {
+  LogEntry out;
+  out.kind = LogEntry::Kind::heartbeats;
   out.reason = reason;
   return out;
 }
@@ -15,23 +15,23 @@
 }  // namespace
 
 // Danger: an entry over the bound is refused by every member that reads it, and each stands aside for good.
-Gathered gather(std::map<std::string, Beat>&& heard, const std::string& reason) {
-  Gathered out;
+AggregatedHeartbeats aggregate_heartbeats(std::map<std::string, Heartbeat>&& heard, const std::string& reason) {
+  AggregatedHeartbeats out;
   out.entries.push_back(entry_with(reason));
-  const std::size_t empty = worded(out.entries.back()).size();
+  const std::size_t empty = encode_entry(out.entries.back()).size();
   std::size_t length = empty;
   for (auto& [member, beat] : heard) {
-    const std::size_t more = worded_beat(beat).dump().size() + 1;  // and the comma before it
-    if (empty + more > longest_entry) {
-      ++out.left_out;
+    const std::size_t more = heartbeat_to_json(beat).dump().size() + 1;  // and the comma before it
+    if (empty + more > max_entry_bytes) {
+      ++out.dropped;
       continue;
     }
-    if (length + more > longest_entry) {
+    if (length + more > max_entry_bytes) {
       out.entries.push_back(entry_with(reason));
       length = empty;
     }
     length += more;
-    out.entries.back().beats.push_back(std::move(beat));
+    out.entries.back().heartbeats.push_back(std::move(beat));
   }
   heard.clear();
   return out;
--- a/src/works/gather.h
+++ b/src/works/gather.h
@@ -9,13 +9,13 @@
 
 namespace lotusyard::works {
 
-struct Gathered {
-  std::vector<Entry> entries;
-  std::size_t left_out = 0;  // signs of life too long for any entry
+struct AggregatedHeartbeats {
+  std::vector<LogEntry> entries;
+  std::size_t dropped = 0;  // signs of life too long for any entry
 };
 
 // All that was heard, by member, in as few entries as the bound on an entry's wording allows; each carries
 // `reason`. At least one entry.
-Gathered gather(std::map<std::string, Beat>&& heard, const std::string& reason);
+AggregatedHeartbeats aggregate_heartbeats(std::map<std::string, Heartbeat>&& heard, const std::string& reason);
 
 }  // namespace lotusyard::works
--- a/src/works/host_use.cpp
+++ b/src/works/host_use.cpp
@@ -10,44 +10,44 @@
 
 }  // namespace
 
-void HostUse::note_lease(bool leased) {
+void HostAccess::log_lease_change(bool leased) {
   if (leased == leased_) return;
-  note_(leased ? "lease held" : "lease over: hosts that may be next are left alone");
-  wiring_.counters.add(leased ? "works.leases" : "works.leases_over");
+  log_(leased ? "lease held" : "lease over: hosts that may be next are left alone");
+  services_.counters.add(leased ? "works.leases" : "works.leases_over");
 }
 
-void HostUse::follow(const Board& board, const Knowledge& knowledge) {
-  note_lease(knowledge.leased);
-  const bool ended = leased_ && !knowledge.leased;
-  leased_ = knowledge.leased;
-  const auto change = leaving_.follow(board, leased_, wiring_.membership.hosts());
-  for (const auto& line : change.lines) note_(line);
-  wiring_.membership.works(change.out, change.anew, wiring_.loop.now());
-  wiring_.membership.hold_all(knowledge.held_back);
+void HostAccess::update(const MaintenanceState& board, const StateFreshness& knowledge) {
+  log_lease_change(knowledge.is_leased);
+  const bool ended = leased_ && !knowledge.is_leased;
+  leased_ = knowledge.is_leased;
+  const auto change = drain_tracker_.update(board, leased_, services_.endpoint_states.listed_hosts());
+  for (const auto& line : change.log_lines) log_(line);
+  services_.endpoint_states.set_in_maintenance(change.avoided, change.restart_slow_start, services_.loop.now());
+  services_.endpoint_states.suspend_all(knowledge.must_suspend);
   if (!ended) return;
   // What was decided while the lease held must not go out after it.
-  for (const auto& host : change.out) wiring_.fleet.cut(host);
+  for (const auto& host : change.avoided) services_.host_connections.abort_unsent(host);
 }
 
-void HostUse::attempt_ended(const std::string& host, const core::Call& call, core::Outcome outcome) {
+void HostAccess::attempt_ended(const std::string& host, const core::Call& call, core::Outcome outcome) {
   using core::Outcome;
   if (outcome == Outcome::ok) {
-    const auto* cls = core::class_named(wiring_.settings(), call.class_name);
-    watch_.served(host, call.function, cls == nullptr ? 1 : cls->worth, wiring_.loop.now());
+    const auto* cls = core::class_named(services_.settings(), call.class_name);
+    host_observer_.record_success(host, call.function, cls == nullptr ? 1 : cls->worth, services_.loop.now());
   } else if (outcome == Outcome::connect_failed || outcome == Outcome::reset) {
-    watch_.failed(host, wiring_.loop.now());
+    host_observer_.record_failure(host, services_.loop.now());
   }
 }
 
-View HostUse::see(const Board& board) {
-  const Millis now = wiring_.loop.now();
-  View out = leaving_.see(board, watch_, wiring_.membership.hosts(), wiring_.membership.out(), now);
-  const auto& counters = wiring_.counters;
+HostObservations HostAccess::observe(const MaintenanceState& board) {
+  const Millis now = services_.loop.now();
+  HostObservations out = drain_tracker_.observe(board, host_observer_, services_.endpoint_states.listed_hosts(), services_.endpoint_states.disabled(), now);
+  const auto& counters = services_.counters;
   const double taken = static_cast<double>(counters.value("calls.taken"));
   const double lost = static_cast<double>(counters.value("calls.refused") + counters.value("calls.failed"));
   const double seconds = std::max(kLeastSeconds, (now - counted_at_).count() / 1000);
-  out.asked = std::round((taken - taken_) / seconds);
-  out.lost = std::round((lost - lost_) / seconds);
+  out.calls_per_second = std::round((taken - taken_) / seconds);
+  out.failed_per_second = std::round((lost - lost_) / seconds);
   taken_ = taken;
   lost_ = lost;
   counted_at_ = now;
--- a/src/works/host_use.h
+++ b/src/works/host_use.h
@@ -13,37 +13,37 @@
 namespace lotusyard::works {
 
 // What a process may take for granted about its knowledge of the board.
-struct Knowledge {
-  bool leased = false;     // it is current: the lease holds
-  bool held_back = false;  // it is so old, or there was never any, that no host may be used
+struct StateFreshness {
+  bool is_leased = false;     // it is current: the lease holds
+  bool must_suspend = false;  // it is so old, or there was never any, that no host may be used
 };
 
-class HostUse {
+class HostAccess {
  public:
-  using Note = std::function<void(const std::string& text)>;
-  HostUse(const Wiring& wiring, Note note)
-      : wiring_(wiring), note_(std::move(note)), counted_at_(wiring.loop.now()) {}
+  using LogSink = std::function<void(const std::string& text)>;
+  HostAccess(const InvokerServices& wiring, LogSink note)
+      : services_(wiring), log_(std::move(note)), counted_at_(wiring.loop.now()) {}
 
   // To be called whenever the board or the knowledge of it has changed.
-  void follow(const Board& board, const Knowledge& knowledge);
+  void update(const MaintenanceState& board, const StateFreshness& knowledge);
   bool leased() const { return leased_; }  // as of the last `follow`
-  bool left(const std::string& host) const { return leaving_.left(host); }
-  bool sees_down(const std::string& host) const { return watch_.down(host, wiring_.loop.now()); }
+  bool is_avoided(const std::string& host) const { return drain_tracker_.is_avoided(host); }
+  bool sees_down(const std::string& host) const { return host_observer_.is_down(host, services_.loop.now()); }
 
   void attempt_ended(const std::string& host, const core::Call& call, core::Outcome outcome);
   // What this process sees of hosts now, and of its calls since it was asked before.
-  View see(const Board& board);
+  HostObservations observe(const MaintenanceState& board);
 
  private:
-  Wiring wiring_;
-  Note note_;
-  Leaving leaving_;
-  Watch watch_;
+  InvokerServices services_;
+  LogSink log_;
+  DrainTracker drain_tracker_;
+  HostObserver host_observer_;
   bool leased_ = false;
   Millis counted_at_;
   double taken_ = 0, lost_ = 0;
 
-  void note_lease(bool leased);
+  void log_lease_change(bool leased);
 };
 
 }  // namespace lotusyard::works
--- a/src/works/leaving.h
+++ b/src/works/leaving.h
@@ -13,28 +13,28 @@
 
 namespace lotusyard::works {
 
-class Leaving {
+class DrainTracker {
  public:
-  using Listed = std::map<std::string, core::Member>;
+  using Listed = std::map<std::string, core::ListedHost>;
   struct Change {
-    std::set<std::string> out, anew;  // anew: used again from now on, and cold
-    std::vector<std::string> lines;   // for the log
+    std::set<std::string> avoided, restart_slow_start;  // anew: used again from now on, and cold
+    std::vector<std::string> log_lines;   // for the log
   };
   // What the board says, with its lease or without.
-  Change follow(const Board& board, bool leased, const Listed& listed);
-  bool left(const std::string& host) const { return left_.count(host) != 0; }
+  Change update(const MaintenanceState& board, bool leased, const Listed& listed);
+  bool is_avoided(const std::string& host) const { return avoided_.count(host) != 0; }
 
   // What this member sees of hosts: what each costs, which fail, start anew, serve again.
-  View see(const Board& board, const Watch& watch, const Listed& listed, const std::set<std::string>& by_hand,
+  HostObservations observe(const MaintenanceState& board, const HostObserver& watch, const Listed& listed, const std::set<std::string>& by_hand,
            Millis now);
 
  private:
-  struct Left {
+  struct AvoidedHost {
     Millis started{0};      // as listed when it was taken
     bool vanished = false;  // it has left the list since
   };
-  std::map<std::string, Left> left_;
-  std::set<std::string> touched_;
+  std::map<std::string, AvoidedHost> avoided_;
+  std::set<std::string> released_to_operators_;
 };
 
 }  // namespace lotusyard::works
--- a/src/works/order.cpp
+++ b/src/works/order.cpp
@@ -7,7 +7,7 @@
 namespace lotusyard::works {
 namespace {
 
-using Kind = Entry::Kind;
+using Kind = LogEntry::Kind;
 
 constexpr Millis kUsualTau{60000};  // memory of the usual share of lost calls: longer than one host is away
 constexpr double kFalls = 0.05;     // so much above the usual the share may rise before no further host goes
@@ -19,66 +19,66 @@
   return text;
 }
 
-Entry about(Kind kind, const Board::Host& host, std::string reason) {
-  Entry out;
+LogEntry about(Kind kind, const MaintenanceState::HostProgress& host, std::string reason) {
+  LogEntry out;
   out.kind = kind;
-  out.work = host.work;
+  out.job = host.job;
   out.host = host.key.id;
-  out.round = host.round;
+  out.selected_at_index = host.selected_at_index;
   out.reason = std::move(reason);
   return out;
 }
 
 }  // namespace
 
-bool Order::settled(const Board::Member& m, const std::string& host, std::uint64_t round, Millis now) const {
+bool MaintenanceScheduler::has_quiesced(const MaintenanceState::MemberProgress& m, const std::string& host, std::uint64_t round, Millis now) const {
   if (!m.serves) return true;
-  if (m.has >= round && m.drained.count(host) != 0) return true;
-  return now - m.seen >= terms_.silent();
+  if (m.applied_index >= round && m.drained_hosts.count(host) != 0) return true;
+  return now - m.last_heartbeat_at >= terms_.presumed_dead_after();
 }
 
 // Whether what it last said of hosts is of now.
-bool Order::tells(const Board::Member& m, Millis now) const {
-  return m.serves && m.told && now - m.seen <= terms_.silent();
+bool MaintenanceScheduler::is_reporting(const MaintenanceState::MemberProgress& m, Millis now) const {
+  return m.serves && m.has_reported && now - m.last_heartbeat_at <= terms_.presumed_dead_after();
 }
 
-std::optional<Entry> Order::touch(const Board& board, Millis now) {
+std::optional<LogEntry> MaintenanceScheduler::next_release(const MaintenanceState& board, Millis now) {
   for (const auto& [id, h] : board.hosts()) {
-    if (h.stage != Stage::leaving) continue;
+    if (h.stage != HostStage::draining) continue;
     std::string over, silent;
     for (const auto& [name, m] : board.members()) {
-      if (!settled(m, id, h.round, now))
+      if (!has_quiesced(m, id, h.selected_at_index, now))
         over += (over.empty() ? "" : ", ") + name;
-      else if (m.serves && m.drained.count(id) == 0)
+      else if (m.serves && m.drained_hosts.count(id) == 0)
         silent += (silent.empty() ? "" : ", ") + name;
     }
     if (over.empty())
-      return about(Kind::touch, h,
+      return about(Kind::release_to_operators, h,
                    silent.empty() ? "all members are done with it"
                                   : "the leases have run out of " + silent + "; all others are done");
-    waits_[h.work] = "host " + id + " is still used, or may be, by " + over;
+    waiting_reasons_[h.job] = "host " + id + " is still used, or may be, by " + over;
   }
   return std::nullopt;
 }
 
-std::optional<Entry> Order::returns(const Board& board, Millis now) const {
+std::optional<LogEntry> MaintenanceScheduler::next_return(const MaintenanceState& board, Millis now) const {
   for (const auto& [id, h] : board.hosts()) {
-    const Work& w = *board.work(h.work);
+    const MaintenanceJob& w = *board.find_job(h.job);
     const auto seen_by = [&](std::set<std::string> View::*what) {
       for (const auto& [name, m] : board.members()) {
-        if (m.told && (m.view.*what).count(id) != 0) return name;
+        if (m.has_reported && (m.observations.*what).count(id) != 0) return name;
       }
       return std::string();
     };
-    if (h.stage == Stage::out) {
-      const std::string by = w.bounds.answers ? seen_by(&View::reborn) : std::string();
-      if (!by.empty()) return about(Kind::returned, h, "it has started anew, says " + by);
-      if (!h.late && now - h.since > w.bounds.away)
-        return about(Kind::late, h, "out for longer than " + figure(w.bounds.away.count() / 1000) + " s");
+    if (h.stage == HostStage::out_of_service) {
+      const std::string by = w.bounds.restart_is_return ? seen_by(&HostObservations::restarted) : std::string();
+      if (!by.empty()) return about(Kind::return_to_service, h, "it has started anew, says " + by);
+      if (!h.overdue && now - h.since > w.bounds.max_time_out)
+        return about(Kind::overdue, h, "out for longer than " + figure(w.bounds.max_time_out.count() / 1000) + " s");
     }
-    if (h.stage == Stage::warming) {
-      const std::string by = seen_by(&View::served);
-      if (!by.empty()) return about(Kind::back, h, "it has served a call of " + by);
+    if (h.stage == HostStage::slow_start) {
+      const std::string by = seen_by(&HostObservations::served);
+      if (!by.empty()) return about(Kind::complete, h, "it has served a call of " + by);
     }
   }
   return std::nullopt;
@@ -86,88 +86,88 @@
 
 // Hosts are named ahead, so that what a member without its lease leaves alone is never more than the works
 // may have out, and the next one is there to be taken at once.
-std::optional<Entry> Order::name(const Board& board) const {
-  int room = board.reach_most(board.listed()) - board.in_reach();
-  Entry out;
-  out.kind = Kind::name;
-  for (const auto& w : board.works()) {
-    if (w.state != Work::State::running) continue;
+std::optional<LogEntry> MaintenanceScheduler::next_selection(const MaintenanceState& board) const {
+  int room = board.max_hosts_in_progress(board.min_listed_hosts()) - board.hosts_in_progress();
+  LogEntry out;
+  out.kind = Kind::select_hosts;
+  for (const auto& w : board.jobs()) {
+    if (w.state != MaintenanceJob::State::running) continue;
     int named = 0;
-    for (const auto& [id, h] : board.hosts()) named += h.work == w.id && h.stage == Stage::named;
+    for (const auto& [id, h] : board.hosts()) named += h.job == w.id && h.stage == HostStage::selected;
     for (const auto& key : w.hosts) {
       const auto found = board.hosts().find(key.id);
-      if (found == board.hosts().end() || found->second.stage != Stage::waiting) continue;
-      if (room <= 0 || named >= kAhead * w.bounds.out) break;
+      if (found == board.hosts().end() || found->second.stage != HostStage::waiting) continue;
+      if (room <= 0 || named >= kAhead * w.bounds.max_out) break;
       out.hosts.push_back(key.id);
       ++named;
       --room;
     }
   }
-  return out.hosts.empty() ? std::nullopt : std::optional<Entry>(out);
+  return out.hosts.empty() ? std::nullopt : std::optional<LogEntry>(out);
 }
 
-double Order::lost_share(const Board& board, Millis now) const {
+double MaintenanceScheduler::failed_share(const MaintenanceState& board, Millis now) const {
   double asked = 0, lost = 0;
   for (const auto& [name, m] : board.members()) {
-    if (!tells(m, now)) continue;
-    asked += m.view.asked;
-    lost += m.view.lost;
+    if (!is_reporting(m, now)) continue;
+    asked += m.observations.calls_per_second;
+    lost += m.observations.failed_per_second;
   }
   return asked > 0 ? std::min(1.0, lost / asked) : 0;
 }
 
-std::optional<double> Order::cost(const Board& board, const std::string& host, Millis now) const {
+std::optional<double> MaintenanceScheduler::serving_value(const MaintenanceState& board, const std::string& host, Millis now) const {
   std::optional<double> out;
   for (const auto& [name, m] : board.members()) {
-    if (!tells(m, now)) continue;
-    const auto found = m.view.cost.find(host);
-    out = out.value_or(0) + (found == m.view.cost.end() ? 0 : found->second);
+    if (!is_reporting(m, now)) continue;
+    const auto found = m.observations.serving_value.find(host);
+    out = out.value_or(0) + (found == m.observations.serving_value.end() ? 0 : found->second);
   }
   return out;
 }
 
-std::string Order::obstacle(const Board& board, const Work& work, Millis now) const {
+std::string MaintenanceScheduler::obstacle(const MaintenanceState& board, const MaintenanceJob& work, Millis now) const {
   for (const auto& [id, h] : board.hosts()) {
-    if (h.late) return "host " + id + " is " + h.reason + "; it is to come back first";
+    if (h.overdue) return "host " + id + " is " + h.reason + "; it is to come back first";
   }
   bool heard = false;
   for (const auto& [name, m] : board.members()) {
-    if (!tells(m, now)) continue;
+    if (!is_reporting(m, now)) continue;
     heard = true;
-    for (const auto& id : m.view.down) {
+    for (const auto& id : m.observations.down) {
       const auto found = board.hosts().find(id);
-      const bool ours = found != board.hosts().end() && away(found->second.stage);
+      const bool ours = found != board.hosts().end() && counts_against_bounds(found->second.stage);
       if (!ours) return "host " + id + " is down unasked, says " + name;
     }
   }
   if (!heard) return "no member that serves calls tells what it sees";
-  const double share = lost_share(board, now);
-  if (share > usual_lost_ + kFalls)
+  const double share = failed_share(board, now);
+  if (share > usual_failed_share_ + kFalls)
     return "service falls: " + figure(share * 100) + "% of calls are lost, usually " +
-           figure(usual_lost_ * 100) + "%";
-  if (board.last_back().count() > 0 && now - board.last_back() < work.bounds.pause)
+           figure(usual_failed_share_ * 100) + "%";
+  if (board.last_return_at().count() > 0 && now - board.last_return_at() < work.bounds.pause)
     return "a pause of " + figure(work.bounds.pause.count() / 1000) + " s after the last return";
   return {};
 }
 
-std::optional<Entry> Order::take(const Board& board, const Work& work, Millis now) {
-  if (work.state == Work::State::paused) {
-    waits_.emplace(work.id, "paused");
+std::optional<LogEntry> MaintenanceScheduler::next_drain(const MaintenanceState& board, const MaintenanceJob& work, Millis now) {
+  if (work.state == MaintenanceJob::State::paused) {
+    waiting_reasons_.emplace(work.id, "paused");
     return std::nullopt;
   }
-  if (work.state != Work::State::running) return std::nullopt;
+  if (work.state != MaintenanceJob::State::running) return std::nullopt;
   const std::string held_up = obstacle(board, work, now);
   std::string why = held_up;
-  const Board::Host* best = nullptr;
+  const MaintenanceState::HostProgress* best = nullptr;
   double least = 0, next = -1;
   for (const auto& key : work.hosts) {
     const auto found = board.hosts().find(key.id);
-    if (found == board.hosts().end() || found->second.stage != Stage::named) continue;
-    const Board::Host& h = found->second;
-    std::string not_now = board.over_bounds(work, key, board.listed());
+    if (found == board.hosts().end() || found->second.stage != HostStage::selected) continue;
+    const MaintenanceState::HostProgress& h = found->second;
+    std::string not_now = board.exceeded_bound(work, key, board.min_listed_hosts());
     for (const auto& [name, m] : board.members()) {
-      if (!m.serves || m.followed >= h.round) continue;
-      not_now = m.has < h.round
+      if (!m.serves || m.followed_index >= h.selected_at_index) continue;
+      not_now = m.applied_index < h.selected_at_index
                     ? "member " + name + " does not follow: it is to come back or to leave"
                     : "an invoker of control node " + name + " may not know that " + key.id + " is next";
     }
@@ -175,7 +175,7 @@
       if (why.empty()) why = not_now;
       continue;
     }
-    const double costs = cost(board, key.id, now).value_or(0);
+    const double costs = serving_value(board, key.id, now).value_or(0);
     if (best != nullptr && costs >= least) {
       next = next < 0 ? costs : std::min(next, costs);
       continue;
@@ -186,34 +186,34 @@
   }
   if (best == nullptr || !held_up.empty()) {
     const auto open = [&](const auto& h) {
-      return h.second.work == work.id && h.second.stage == Stage::waiting;
+      return h.second.work == work.id && h.second.stage == HostStage::waiting;
     };
     const bool waits = std::any_of(board.hosts().begin(), board.hosts().end(), open);
     if (!why.empty())
-      waits_.emplace(work.id, why);
+      waiting_reasons_.emplace(work.id, why);
     else if (waits)
-      waits_.emplace(work.id, "as many hosts are in reach as may be");
+      waiting_reasons_.emplace(work.id, "as many hosts are in reach as may be");
     return std::nullopt;
   }
-  return about(Kind::take, *best,
+  return about(Kind::start_drain, *best,
                "its absence costs least now: " + figure(least) + " of worth a second" +
                    (next < 0 ? std::string(", the only one at hand") : ", the next one " + figure(next)));
 }
 
-std::optional<Entry> Order::next(const Board& board, Millis now) {
-  waits_.clear();
-  const double share = lost_share(board, now);
-  const bool calm = board.in_reach() == 0 || share < usual_lost_;
-  if (usual_at_.count() == 0) usual_lost_ = share;
+std::optional<LogEntry> MaintenanceScheduler::next_entry(const MaintenanceState& board, Millis now) {
+  waiting_reasons_.clear();
+  const double share = failed_share(board, now);
+  const bool calm = board.hosts_in_progress() == 0 || share < usual_failed_share_;
+  if (usual_at_.count() == 0) usual_failed_share_ = share;
   // Danger: what the works themselves cost would soon count as usual.
   if (calm && usual_at_.count() > 0)
-    usual_lost_ += (1 - std::exp(-((now - usual_at_) / kUsualTau))) * (share - usual_lost_);
+    usual_failed_share_ += (1 - std::exp(-((now - usual_at_) / kUsualTau))) * (share - usual_failed_share_);
   usual_at_ = now;
-  if (auto entry = touch(board, now)) return entry;
-  if (auto entry = returns(board, now)) return entry;
-  if (auto entry = name(board)) return entry;
-  for (const auto& work : board.works()) {
-    if (auto entry = take(board, work, now)) return entry;
+  if (auto entry = next_release(board, now)) return entry;
+  if (auto entry = next_return(board, now)) return entry;
+  if (auto entry = next_selection(board)) return entry;
+  for (const auto& work : board.jobs()) {
+    if (auto entry = next_drain(board, work, now)) return entry;
   }
   return std::nullopt;
 }
--- a/src/works/order.h
+++ b/src/works/order.h
@@ -8,31 +8,31 @@
 
 namespace lotusyard::works {
 
-class Order {
+class MaintenanceScheduler {
  public:
-  explicit Order(group::Terms terms) : terms_(terms) {}
+  explicit MaintenanceScheduler(group::LeaseTerms terms) : terms_(terms) {}
 
   // The one entry that is due now; nothing: all is as it should be, or waits. To be called again once what it
   // gave is agreed upon or lost.
-  std::optional<Entry> next(const Board& board, Millis now);
+  std::optional<LogEntry> next_entry(const MaintenanceState& board, Millis now);
   // Why a work does not go on, as of the last `next`.
-  const std::map<std::string, std::string>& waits() const { return waits_; }
+  const std::map<std::string, std::string>& waiting_reasons() const { return waiting_reasons_; }
 
  private:
-  group::Terms terms_;
-  std::map<std::string, std::string> waits_;
-  double usual_lost_ = 0;  // share of calls that is lost, as it is usually
+  group::LeaseTerms terms_;
+  std::map<std::string, std::string> waiting_reasons_;
+  double usual_failed_share_ = 0;  // share of calls that is lost, as it is usually
   Millis usual_at_{0};
 
-  bool settled(const Board::Member& m, const std::string& host, std::uint64_t round, Millis now) const;
-  bool tells(const Board::Member& m, Millis now) const;
-  std::optional<Entry> touch(const Board& board, Millis now);
-  std::optional<Entry> returns(const Board& board, Millis now) const;
-  std::optional<Entry> name(const Board& board) const;
-  std::optional<Entry> take(const Board& board, const Work& work, Millis now);
-  std::string obstacle(const Board& board, const Work& work, Millis now) const;
-  double lost_share(const Board& board, Millis now) const;
-  std::optional<double> cost(const Board& board, const std::string& host, Millis now) const;
+  bool has_quiesced(const MaintenanceState::MemberProgress& m, const std::string& host, std::uint64_t round, Millis now) const;
+  bool is_reporting(const MaintenanceState::MemberProgress& m, Millis now) const;
+  std::optional<LogEntry> next_release(const MaintenanceState& board, Millis now);
+  std::optional<LogEntry> next_return(const MaintenanceState& board, Millis now) const;
+  std::optional<LogEntry> next_selection(const MaintenanceState& board) const;
+  std::optional<LogEntry> next_drain(const MaintenanceState& board, const MaintenanceJob& work, Millis now);
+  std::string obstacle(const MaintenanceState& board, const MaintenanceJob& work, Millis now) const;
+  double failed_share(const MaintenanceState& board, Millis now) const;
+  std::optional<double> serving_value(const MaintenanceState& board, const std::string& host, Millis now) const;
 };
 
 }  // namespace lotusyard::works
--- a/src/works/timeline.cpp
+++ b/src/works/timeline.cpp
@@ -61,11 +61,11 @@
 
 }  // namespace
 
-Course read_timeline(const std::vector<std::string>& lines) {
+Timeline parse_timeline(const std::vector<std::string>& lines) {
   static const std::set<std::string> told = {"add",      "alter", "bounds", "name", "take", "touch",
                                              "returned", "back",  "late",   "join", "leave"};
-  Course out;
-  std::map<std::uint64_t, Happening> by_index;
+  Timeline out;
+  std::map<std::uint64_t, AppliedEntry> by_index;
   const std::string head = "works at=";
   for (const auto& line : lines) {
     if (line.compare(0, head.size(), head) != 0) continue;
@@ -73,14 +73,14 @@
     const double at = std::atof(words["at"].c_str());
     const std::string& what = words[""];
     if (what == "calls") {
-      out.counts.push_back(
+      out.call_rates.push_back(
           {at, std::atof(words["asked"].c_str()), std::atof(words["lost"].c_str()), words["member"]});
       continue;
     }
     if (told.count(what.substr(0, what.find(' '))) == 0) continue;
     const std::uint64_t index = std::strtoull(words["index"].c_str(), nullptr, 10);
     const auto [found, fresh] = by_index.try_emplace(index);
-    Happening& h = found->second;
+    AppliedEntry& h = found->second;
     if (!fresh && (h.what != what || h.host != words["host"] || h.work != words["work"]) && out.fault.empty())
       out.fault = "index " + std::to_string(index) + ": " + h.what + ' ' + h.host + " and " + what + ' ' +
                   words["host"];
@@ -88,19 +88,19 @@
     h.at = std::min(h.at, at);
     h.members.emplace(words["member"], at);
   }
-  for (auto& [index, h] : by_index) out.happenings.push_back(std::move(h));
+  for (auto& [index, h] : by_index) out.entries.push_back(std::move(h));
   const auto earlier = [](const auto& a, const auto& b) { return a.at < b.at; };
-  std::stable_sort(out.counts.begin(), out.counts.end(), earlier);
+  std::stable_sort(out.call_rates.begin(), out.call_rates.end(), earlier);
   return out;
 }
 
-std::string table_of(const Course& course) {
+std::string render_table(const Timeline& course) {
   std::string out;
   if (!course.fault.empty()) out += "members disagree: " + course.fault + "\n";
-  if (course.happenings.empty()) return out + "nothing has happened\n";
-  const double began = course.happenings.front().at;
+  if (course.entries.empty()) return out + "nothing has happened\n";
+  const double began = course.entries.front().at;
   out += "   seconds   index  what      host            members  reason\n";
-  for (const auto& h : course.happenings) {
+  for (const auto& h : course.entries) {
     char head[160];
     std::snprintf(head, sizeof head, "%10.3f  %6llu  %-9s %-15s %7zu  ", (h.at - began) / 1000,
                   static_cast<unsigned long long>(h.index), h.what.c_str(),
@@ -110,16 +110,16 @@
   return out;
 }
 
-std::string chart_of(const Course& course) {
+std::string render_svg(const Timeline& course) {
   std::vector<std::string> hosts;
   double from = 0, to = 1;
-  for (const auto& h : course.happenings) {
+  for (const auto& h : course.entries) {
     if (!h.host.empty() && std::find(hosts.begin(), hosts.end(), h.host) == hosts.end())
       hosts.push_back(h.host);
     from = from == 0 ? h.at : std::min(from, h.at);
     to = std::max(to, h.at);
   }
-  for (const auto& c : course.counts) to = std::max(to, c.at);
+  for (const auto& c : course.call_rates) to = std::max(to, c.at);
   const double scale = (kWide - kLeft - 20) / std::max(1.0, to - from);
   const auto x = [&](double at) { return kLeft + (std::max(at, from) - from) * scale; };
   const double high = kCalls + 60 + kRow * static_cast<double>(hosts.size());
@@ -147,7 +147,7 @@
       if (stage == "touch") bar(since, at, y, "#c0392b", host + " out");
       if (stage == "returned") bar(since, at, y, "#e0a030", host + " back and cold");
     };
-    for (const auto& h : course.happenings) {
+    for (const auto& h : course.entries) {
       const bool moves = h.what == "take" || h.what == "touch" || h.what == "returned" || h.what == "back";
       if (h.host != host || !moves) continue;
       close(h.at);
@@ -158,11 +158,11 @@
     y += kRow;
   }
   // Calls a second over all members: each count holds till that member's next.
-  std::map<std::string, Course::Count> last;
-  std::vector<Course::Count> sums;
-  for (const auto& c : course.counts) {
+  std::map<std::string, Timeline::CallRates> last;
+  std::vector<Timeline::CallRates> sums;
+  for (const auto& c : course.call_rates) {
     last[c.member] = c;
-    Course::Count sum{c.at, 0, 0, {}};
+    Timeline::CallRates sum{c.at, 0, 0, {}};
     for (const auto& [member, one] : last) {
       if (c.at - one.at > 5000) continue;
       sum.asked += one.asked;
@@ -179,8 +179,8 @@
       out += format("%.1f", x(s.at)) + "," + format("%.1f", floor - s.*what / most * (kCalls - 20)) + " ";
     out += "\"/>\n";
   };
-  line(&Course::Count::asked, "#2c5f9e");
-  line(&Course::Count::lost, "#c0392b");
+  line(&Timeline::CallRates::asked, "#2c5f9e");
+  line(&Timeline::CallRates::lost, "#c0392b");
   text(8, floor, "calls a second,");
   text(8, floor + 12, "most " + format("%.0f", most));
   text(kLeft, floor + 24, "0 s");
--- a/src/works/timeline.h
+++ b/src/works/timeline.h
@@ -9,24 +9,24 @@
 
 namespace lotusyard::works {
 
-struct Happening {  // one agreed entry, as the member wrote it that applied it first
+struct AppliedEntry {  // one agreed entry, as the member wrote it that applied it first
   double at = 0;    // Unix milliseconds
   std::uint64_t index = 0;
   std::string what, work, host, reason;
   std::map<std::string, double> members;  // when each applied it
 };
-struct Course {
-  std::vector<Happening> happenings;  // by index
-  struct Count {
+struct Timeline {
+  std::vector<AppliedEntry> entries;  // by index
+  struct CallRates {
     double at = 0, asked = 0, lost = 0;  // calls a second at one member
     std::string member;
   };
-  std::vector<Count> counts;  // in the order of time
+  std::vector<CallRates> call_rates;  // in the order of time
   std::string fault;          // members that tell of different entries under one index; empty: none do
 };
 
-Course read_timeline(const std::vector<std::string>& lines);  // what is no such line is left out
-std::string table_of(const Course& course);
-std::string chart_of(const Course& course);  // SVG
+Timeline parse_timeline(const std::vector<std::string>& lines);  // what is no such line is left out
+std::string render_table(const Timeline& course);
+std::string render_svg(const Timeline& course);  // SVG
 
 }  // namespace lotusyard::works
--- a/src/works/watch.cpp
+++ b/src/works/watch.cpp
@@ -16,12 +16,12 @@
 
 }  // namespace
 
-void Watch::served(const std::string& host, std::uint64_t function, double worth, Millis now) {
+void HostObserver::record_success(const std::string& host, std::uint64_t function, double worth, Millis now) {
   Host& h = hosts_[host];
   h.rate = faded(h.rate, now - h.at) + worth;
   h.at = h.served = now;
   h.failures = 0;
-  if (functions_.count(function) == 0 && functions_.size() >= functions_most) make_room();
+  if (functions_.count(function) == 0 && functions_.size() >= max_functions) make_room();
   Function& f = functions_[function];
   f.rate = faded(f.rate, now - f.at) + worth;
   f.at = now;
@@ -31,20 +31,20 @@
 }
 
 // Bounds the table of functions; the one place where it shrinks.
-void Watch::make_room() {
+void HostObserver::make_room() {
   const auto oldest =
       std::min_element(functions_.begin(), functions_.end(),
                        [](const auto& a, const auto& b) { return a.second.at < b.second.at; });
   functions_.erase(oldest);
 }
 
-void Watch::failed(const std::string& host, Millis now) {
+void HostObserver::record_failure(const std::string& host, Millis now) {
   Host& h = hosts_[host];
   ++h.failures;
   h.failed = now;
 }
 
-double Watch::cost(const std::string& host, Millis now) const {
+double HostObserver::serving_value(const std::string& host, Millis now) const {
   const auto found = hosts_.find(host);
   if (found == hosts_.end()) return 0;
   double out = faded(found->second.rate, now - found->second.at);
@@ -58,13 +58,13 @@
   return out / (kTau.count() / 1000);
 }
 
-bool Watch::down(const std::string& host, Millis now) const {
+bool HostObserver::is_down(const std::string& host, Millis now) const {
   const auto found = hosts_.find(host);
   return found != hosts_.end() && found->second.failures >= kDownAfter &&
          now - found->second.failed <= kDownFor;
 }
 
-Millis Watch::last_served(const std::string& host) const {
+Millis HostObserver::last_served(const std::string& host) const {
   const auto found = hosts_.find(host);
   return found == hosts_.end() ? Millis(0) : found->second.served;
 }
--- a/src/works/watch.h
+++ b/src/works/watch.h
@@ -12,17 +12,17 @@
 
 using robinfold::Millis;
 
-class Watch {
+class HostObserver {
  public:
-  static constexpr std::size_t functions_most = 4096;  // known at once; the one unseen for longest goes
+  static constexpr std::size_t max_functions = 4096;  // known at once; the one unseen for longest goes
 
-  void served(const std::string& host, std::uint64_t function, double worth, Millis now);
-  void failed(const std::string& host, Millis now);  // it could not be reached, or broke off
+  void record_success(const std::string& host, std::uint64_t function, double worth, Millis now);
+  void record_failure(const std::string& host, Millis now);  // it could not be reached, or broke off
 
   // Worth a second that it serves. What it alone has served of late counts several times: those calls wait
   // for a load elsewhere, the others only move.
-  double cost(const std::string& host, Millis now) const;
-  bool down(const std::string& host, Millis now) const;
+  double serving_value(const std::string& host, Millis now) const;
+  bool is_down(const std::string& host, Millis now) const;
   Millis last_served(const std::string& host) const;
 
  private:
--- a/src/xds/hosts.cpp
+++ b/src/xds/hosts.cpp
@@ -77,18 +77,18 @@
 
 }  // namespace
 
-std::optional<core::MemberList> read_hosts(const json& file, const std::string& cluster, std::string& fault) {
+std::optional<core::HostListUpdate> read_hosts(const json& file, const std::string& cluster, std::string& fault) {
   const json* assignment = find_assignment(file, cluster);
   if (assignment == nullptr) {
     fault = "no endpoints of cluster '" + cluster + "'";
     return std::nullopt;
   }
-  core::MemberList out;
+  core::HostListUpdate out;
   out.complete = true;
   std::set<std::string> seen;
   for (const auto& group : key(*assignment, "endpoints")) {
     for (const auto& endpoint : either(group, "lb_endpoints", "lbEndpoints")) {
-      core::Member member;
+      core::ListedHost member;
       member.address = member.entry.worker = address_of(endpoint);
       if (member.address.empty() || !seen.insert(member.address).second) {
         fault =
@@ -101,13 +101,13 @@
           config::number(either(endpoint, "load_balancing_weight", "loadBalancingWeight"), 1);
       const json& metadata = either(key(endpoint, "metadata"), "filter_metadata", "filterMetadata");
       member.entry.kind = text(key(key(metadata, "lotusyard"), "kind"));
-      out.members.push_back(std::move(member));
+      out.hosts.push_back(std::move(member));
     }
   }
   return out;
 }
 
-HostFile::HostFile(net::Loop& loop, core::Counters& counters, std::string path, std::string cluster,
+HostFile::HostFile(net::EventLoop& loop, core::Counters& counters, std::string path, std::string cluster,
                    core::Millis pace, Told told)
     : loop_(loop),
       counters_(counters),
@@ -126,7 +126,7 @@
 bool HostFile::start(std::string& fault) {
   stamp_ = stamp();
   const bool good = read(fault);
-  timer_ = loop_.at(loop_.now() + pace_, [this] { look(); });
+  timer_ = loop_.schedule_at(loop_.now() + pace_, [this] { look(); });
   return good;
 }
 
@@ -154,7 +154,7 @@
   }
   counters_.add("xds.lists");
   std::map<std::string, core::Millis> started;
-  for (auto& member : list->members) {
+  for (auto& member : list->hosts) {
     const auto known = started_.find(member.entry.worker);
     // Danger: one that has just been added is cold, and would be sent a warm host's share.
     member.entry.started = known != started_.end() ? known->second
@@ -169,7 +169,7 @@
 }
 
 void HostFile::look() {
-  timer_ = loop_.at(loop_.now() + pace_, [this] { look(); });
+  timer_ = loop_.schedule_at(loop_.now() + pace_, [this] { look(); });
   const std::string now = stamp();
   if (now.empty() || now == stamp_) return;  // a file that is just being replaced comes back
   stamp_ = now;
--- a/src/xds/hosts.h
+++ b/src/xds/hosts.h
@@ -15,14 +15,14 @@
 
 // The endpoints of one cluster. Nothing, and a reason in `fault`, if the text does not hold it whole: half a
 // list must not be taken for one from which hosts were removed.
-std::optional<core::MemberList> read_hosts(const nlohmann::json& file, const std::string& cluster,
+std::optional<core::HostListUpdate> read_hosts(const nlohmann::json& file, const std::string& cluster,
                                            std::string& fault);
 
 // Such a file, read again whenever it changes. An endpoint that comes later, or comes back, has just started.
 class HostFile {
  public:
-  using Told = std::function<void(const core::MemberList&)>;
-  HostFile(net::Loop& loop, core::Counters& counters, std::string path, std::string cluster,
+  using Told = std::function<void(const core::HostListUpdate&)>;
+  HostFile(net::EventLoop& loop, core::Counters& counters, std::string path, std::string cluster,
            core::Millis pace, Told told);
   ~HostFile() { loop_.cancel(timer_); }
   bool start(std::string& fault);  // false if the first reading fails
@@ -31,12 +31,12 @@
   bool move(const std::string& path, const std::string& cluster, std::string& fault);
 
  private:
-  net::Loop& loop_;
+  net::EventLoop& loop_;
   core::Counters& counters_;
   std::string path_, cluster_;
   core::Millis pace_;
   Told told_;
-  net::Loop::TimerId timer_{};
+  net::EventLoop::TimerId timer_{};
   std::string stamp_;  // what tells one writing of the file from the next
   bool read_once_ = false;
   std::map<std::string, core::Millis> started_;  // of the hosts on the last list
--- a/tests/control/config_test.cpp
+++ b/tests/control/config_test.cpp
@@ -145,9 +145,9 @@
   CHECK(least->cluster == "yard");
   CHECK(least->nodes == std::vector<NodeAddress>{{"a", "127.0.0.1:7100", "", ""}});
   CHECK((least->zone.empty() && least->region.empty()));
-  CHECK(least->terms.lease == group::Terms().lease);
-  CHECK(least->terms.drift == group::Terms().drift);
-  CHECK(least->terms.last_call == kLongestDeadline);
+  CHECK(least->terms.lease == group::LeaseTerms().lease);
+  CHECK(least->terms.clock_drift == group::LeaseTerms().clock_drift);
+  CHECK(least->terms.max_attempt_time == kLongestDeadline);
 
   json file = invoker_file();
   file["control"].update(
@@ -156,8 +156,8 @@
   REQUIRE(whole);
   CHECK((whole->zone == "z1" && whole->region == "r1"));
   CHECK(whole->terms.lease == Millis(600));
-  CHECK(whole->terms.drift == 0.02);
-  CHECK(whole->terms.last_call == Millis(2500));
+  CHECK(whole->terms.clock_drift == 0.02);
+  CHECK(whole->terms.max_attempt_time == Millis(2500));
 }
 
 TEST_CASE("a faulty part of an invoker is refused by the name of its key") {
--- a/tests/control/control_node_test.cpp
+++ b/tests/control/control_node_test.cpp
@@ -27,7 +27,7 @@
   rig.open(2, other);
   rig.check_refused(2, "other_cluster");
   other = NodeRig::opening(10);
-  other.terms.drift = 0.02;
+  other.terms.clock_drift = 0.02;
   rig.open(3, other);
   rig.check_refused(3, "other_terms");
   rig.open(4, NodeRig::opening(11));
@@ -79,7 +79,7 @@
   rig.welcome(1, NodeRig::opening(10));
   rig.receive(1, Renew{1, 10, 10});
   const auto grant = rig.transport.next<Grant>(1);
-  CHECK((grant.sequence == 1 && grant.duration == group::Terms().lease));
+  CHECK((grant.sequence == 1 && grant.duration == group::LeaseTerms().lease));
   rig.change(11);
   rig.receive(1, Renew{2, 11, 10});
   CHECK(rig.transport.next<Delta>(1).index == 11);
--- a/tests/control/message_test.cpp
+++ b/tests/control/message_test.cpp
@@ -35,7 +35,7 @@
   out.incarnation = some_number();
   out.position = some_number();
   out.terms.lease = some_duration();
-  out.terms.last_call = some_duration();
+  out.terms.max_attempt_time = some_duration();
   return out;
 }
 Message some_message() {
@@ -97,8 +97,8 @@
   const auto& read = std::get<Open>(messages[0]);
   CHECK((read.version == protocol_version && read.cluster == "c" && read.invoker == "i" && read.zone == "z"));
   CHECK((read.incarnation == 1ULL << 63 && read.position == 17));
-  CHECK((read.terms.lease == Millis(1234.5) && read.terms.last_call == Millis(777)));
-  CHECK(read.terms.drift == Approx(0.02));
+  CHECK((read.terms.lease == Millis(1234.5) && read.terms.max_attempt_time == Millis(777)));
+  CHECK(read.terms.clock_drift == Approx(0.02));
   CHECK(std::get<Forward>(messages[1]).word == "word");
 }
 
--- a/tests/control/node_course.h
+++ b/tests/control/node_course.h
@@ -192,7 +192,7 @@
   }
   void call(Process& process) {
     if (process.holds(now_))
-      process.calls.push_back({process.position, now_ + kCourseTerms.last_call * process.rate});
+      process.calls.push_back({process.position, now_ + kCourseTerms.max_attempt_time * process.rate});
   }
   void deliver(Process& process, int count) {
     for (; count > 0 && process.link != 0 && !transport_.waiting[process.link].empty(); --count) {
--- a/tests/control/offline_floor_test.cpp
+++ b/tests/control/offline_floor_test.cpp
@@ -6,16 +6,16 @@
 #include "control/session_table.h"
 
 using namespace lotusyard::control;
-using lotusyard::group::Terms;
+using lotusyard::group::LeaseTerms;
 
 namespace {
 
-Terms terms_of_test() {
-  Terms out;
+LeaseTerms terms_of_test() {
+  LeaseTerms out;
   out.lease = Millis(1000);
-  out.drift = 0;
-  out.last_call = Millis(500);
-  out.offline = Millis(10000);
+  out.clock_drift = 0;
+  out.max_attempt_time = Millis(500);
+  out.max_offline = Millis(10000);
   return out;
 }
 
@@ -35,11 +35,11 @@
 }
 
 TEST_CASE("an invoker that is behind and without a lease holds the floor down until it uses no host") {
-  const Terms terms = terms_of_test();
+  const LeaseTerms terms = terms_of_test();
   ChangeLog log({});
   log.reset(10, {});
   SessionTable sessions(terms, {}, log, Millis(0));
-  const Millis accounted = terms.silent() + terms.offline;
+  const Millis accounted = terms.presumed_dead_after() + terms.max_offline;
   sessions.floors(accounted);
   const auto admitted = sessions.open("a", 1, 10, accounted);
   REQUIRE(sessions.report(admitted.session, 10, 10));
@@ -52,20 +52,20 @@
   Floors floors = sessions.floors(after);
   CHECK(floors.applied == 11);
   CHECK(floors.followed == 10);
-  sessions.expire(after + terms.last_call);
+  sessions.expire(after + terms.max_attempt_time);
   REQUIRE_FALSE(sessions.known(admitted.session));
-  floors = sessions.floors(after + terms.offline - Millis(1));
+  floors = sessions.floors(after + terms.max_offline - Millis(1));
   CHECK(floors.followed < 11);
-  floors = sessions.floors(after + terms.offline);
+  floors = sessions.floors(after + terms.max_offline);
   CHECK(floors.followed == 11);
 }
 
 TEST_CASE("an invoker that said that it ends holds nothing down") {
-  const Terms terms = terms_of_test();
+  const LeaseTerms terms = terms_of_test();
   ChangeLog log({});
   log.reset(10, {});
   SessionTable sessions(terms, {}, log, Millis(0));
-  const Millis now = terms.silent() + terms.offline;
+  const Millis now = terms.presumed_dead_after() + terms.max_offline;
   const auto admitted = sessions.open("a", 1, 10, now);
   REQUIRE(sessions.report(admitted.session, 10, 10));
   REQUIRE(sessions.grant(admitted.session, now + Millis(900), now).count() > 0);
--- a/tests/control/relay.h
+++ b/tests/control/relay.h
@@ -18,7 +18,7 @@
   // something ends once its way is open again, since a stream cannot lack bytes in its middle.
   enum class Mode { open, held, cut };
 
-  Relay(net::Loop& loop, std::string to, std::uint64_t seed)
+  Relay(net::EventLoop& loop, std::string to, std::uint64_t seed)
       : loop_(loop), to_(std::move(to)), random_(seed), pool_(kBlocks), server_(loop, pool_, *this) {}
 
   const std::string& address() const { return server_.address(); }
@@ -45,7 +45,7 @@
    public:
     Pipe(Relay& relay, Way way) : relay_(relay), way_(way) {}
     ~Pipe() { relay_.loop_.cancel(timer_); }
-    net::Stream* sink = nullptr;
+    net::BufferedConnection* sink = nullptr;
 
     void take(std::string_view bytes) {
       lost_ = lost_ || mode() == Mode::cut;
@@ -71,9 +71,9 @@
         sink->write(waiting_.front().bytes);
         waiting_.pop_front();
       }
-      if (waiting_.empty() && source_ended_) sink->finish_later();
+      if (waiting_.empty() && source_ended_) sink->shutdown_after_flush();
       relay_.loop_.cancel(timer_);
-      if (!waiting_.empty()) timer_ = relay_.loop_.at(waiting_.front().due, [this] { forward(); });
+      if (!waiting_.empty()) timer_ = relay_.loop_.schedule_at(waiting_.front().due, [this] { forward(); });
     }
     bool must_end() const { return lost_ && mode() == Mode::open; }
 
@@ -85,7 +85,7 @@
     Relay& relay_;
     Way way_;
     std::deque<Piece> waiting_;
-    net::Loop::TimerId timer_{};
+    net::EventLoop::TimerId timer_{};
     Millis last_due_{0};
     bool lost_ = false, source_ended_ = false;
 
@@ -99,9 +99,9 @@
   };
 
   // The two connections that belong together: this one is the invoker's.
-  class Peer final : public net::Stream {
+  class Peer final : public net::BufferedConnection {
    public:
-    Peer(Relay& relay, net::Loop& loop, net::BufferPool& pool, net::Socket socket)
+    Peer(Relay& relay, net::EventLoop& loop, net::BufferPool& pool, net::Socket socket)
         : Peer(relay, loop, pool, std::move(socket), net::connect_to(relay.to_).socket) {}
     void mode_changed() {
       if (to_node_.must_end() || to_invoker_.must_end()) return close();
@@ -109,8 +109,8 @@
       to_invoker_.forward();
     }
     void close() {
-      end_later();
-      inner_.end_later();
+      close_later();
+      inner_.close_later();
     }
     void reset() {
       const linger at_once{1, 0};
@@ -119,12 +119,12 @@
     }
 
    private:
-    struct Inner final : net::Stream {
-      Inner(Peer& peer, net::Loop& loop, net::BufferPool& pool, net::Socket socket)
-          : Stream(loop, pool, std::move(socket), true), peer_(peer) {}
-      void connected() override { loop().flush_later(*this); }
-      void received(std::string_view bytes) override { peer_.to_invoker_.take(bytes); }
-      void ended() override { peer_.side_ended(peer_.inner_fd_, peer_.to_invoker_); }
+    struct Inner final : net::BufferedConnection {
+      Inner(Peer& peer, net::EventLoop& loop, net::BufferPool& pool, net::Socket socket)
+          : BufferedConnection(loop, pool, std::move(socket), true), peer_(peer) {}
+      void on_connected() override { loop().flush_later(*this); }
+      void on_received(std::string_view bytes) override { peer_.to_invoker_.take(bytes); }
+      void on_closed() override { peer_.side_ended(peer_.inner_fd_, peer_.to_invoker_); }
       Peer& peer_;
     };
     Relay& relay_;
@@ -132,11 +132,11 @@
     Pipe to_node_, to_invoker_;
     Inner inner_;
 
-    Peer(Relay& relay, net::Loop& loop, net::BufferPool& pool, net::Socket&& socket, net::Socket&& inner)
+    Peer(Relay& relay, net::EventLoop& loop, net::BufferPool& pool, net::Socket&& socket, net::Socket&& inner)
         : Peer(relay, loop, pool, socket.fd(), inner.fd(), std::move(socket), std::move(inner)) {}
-    Peer(Relay& relay, net::Loop& loop, net::BufferPool& pool, int fd, int inner_fd, net::Socket&& socket,
+    Peer(Relay& relay, net::EventLoop& loop, net::BufferPool& pool, int fd, int inner_fd, net::Socket&& socket,
          net::Socket&& inner)
-        : Stream(loop, pool, std::move(socket), false),
+        : BufferedConnection(loop, pool, std::move(socket), false),
           relay_(relay),
           fd_(fd),
           inner_fd_(inner_fd),
@@ -145,10 +145,10 @@
           inner_(*this, loop, pool, std::move(inner)) {
       to_node_.sink = &inner_;
       to_invoker_.sink = this;
-      if (inner_fd_ < 0) end_later();
+      if (inner_fd_ < 0) close_later();
     }
-    void received(std::string_view bytes) override { to_node_.take(bytes); }
-    void ended() override { side_ended(fd_, to_node_); }
+    void on_received(std::string_view bytes) override { to_node_.take(bytes); }
+    void on_closed() override { side_ended(fd_, to_node_); }
     void side_ended(int& fd, Pipe& pipe) {
       fd = -1;
       pipe.source_ended();
@@ -156,7 +156,7 @@
     }
   };
 
-  net::Loop& loop_;
+  net::EventLoop& loop_;
   std::string to_;
   Random random_;
   Mode mode_[2] = {Mode::open, Mode::open};
--- a/tests/control/session_rig.h
+++ b/tests/control/session_rig.h
@@ -62,7 +62,7 @@
     session = std::make_unique<Session>(config, transport, replica, counters, seed, now);
   }
   Millis lease() const { return config.terms.lease; }
-  Millis beat() const { return config.terms.beat(); }
+  Millis beat() const { return config.terms.heartbeat_interval(); }
 
   // Ticks whenever the session wants to, until then.
   void run(Millis span) {
--- a/tests/control/session_world.h
+++ b/tests/control/session_world.h
@@ -88,7 +88,7 @@
   };
   History history_;
   std::mt19937_64 random_;
-  group::Terms terms_;
+  group::LeaseTerms terms_;
   control::Replica replica_;
   core::Counters counters_;
   std::unique_ptr<Session> session_;
@@ -121,7 +121,7 @@
     RC_ASSERT(renewal.sequence == ++sequence_);
     RC_ASSERT(renewal.applied == replica_.position());
     RC_ASSERT(renewal.settled <= renewal.applied);
-    RC_ASSERT(renewal.sequence == 1 || now_ - last_renewal_ >= terms_.beat());
+    RC_ASSERT(renewal.sequence == 1 || now_ - last_renewal_ >= terms_.heartbeat_interval());
     RC_ASSERT(sequence_ - answered_ <= 4);
     last_renewal_ = now_;
     sent_at_[renewal.sequence] = now_;
--- a/tests/control/tier.h
+++ b/tests/control/tier.h
@@ -25,7 +25,7 @@
 
   explicit Tier(Millis lease = Millis(600)) {
     terms.lease = lease;
-    terms.last_call = Millis(100);
+    terms.max_attempt_time = Millis(100);
   }
 
   // A node that continues from the present state.
@@ -80,7 +80,7 @@
     for (const auto& node : nodes) {
       if (node) node->node().set_lease(loop.now() + terms.lease);
     }
-    loop.turn(loop.now() + Millis(5), [] {});
+    loop.run_once(loop.now() + Millis(5), [] {});
   }
   template <typename Until>
   bool until(const Until& until, Millis most = Millis(10000)) {
@@ -101,9 +101,9 @@
     return std::all_of(invokers.begin(), invokers.end(), [&](const auto& one) { return up_to_date(*one); });
   }
 
-  net::Loop loop;
+  net::EventLoop loop;
   core::Counters counters;  // of all nodes
-  group::Terms terms;
+  group::LeaseTerms terms;
   control::Records records = {{"first", "record"}};
   control::Index index = 1;
   std::vector<std::unique_ptr<control::NodeServer>> nodes;  // null: killed
--- a/tests/gate_test.cpp
+++ b/tests/gate_test.cpp
@@ -6,9 +6,9 @@
 namespace robinfold::test {
 namespace {
 
-struct Only final : Gate {
+struct Only final : HostFilter {
   std::set<std::string> open_to;  // for the tenant "bound"; others may go anywhere
-  bool open(const std::string& tenant, std::uint64_t, const std::string& worker) override {
+  bool allows(const std::string& tenant, std::uint64_t, const std::string& worker) override {
     return tenant != "bound" || open_to.count(worker) != 0;
   }
 };
@@ -32,7 +32,7 @@
     Only gate;
     gate.open_to = {"c"};
     Router r(s);
-    r.policy.guard(&gate);
+    r.policy.set_host_filter(&gate);
     r.list({entry("a"), entry("b"), entry("c"), entry("d"), entry("e")});
     for (int i = 0; i < 200; ++i) {
       ask(r, std::to_string(i), "bound", 1 + i % 7);
@@ -55,7 +55,7 @@
   Only gate;
   gate.open_to = {"a", "b"};
   Router r;
-  r.policy.guard(&gate);
+  r.policy.set_host_filter(&gate);
   r.list({entry("a"), entry("b"), entry("c")});
   ask(r, "first", "bound");
   if (!r.loads.empty()) r.loaded(r.loads[0].worker, 1, 1);
--- a/tests/golden/admin_golden.cpp
+++ b/tests/golden/admin_golden.cpp
@@ -6,21 +6,21 @@
 namespace lotusyard::golden {
 namespace {
 
-class SampleOperations final : public console::Operations {
+class SampleOperations final : public console::AdminOperations {
  public:
   bool is_ready = true, can_keep = true;
   bool ready() const override { return is_ready; }
-  console::Done disable(const std::string& host) override { return change(host); }
-  console::Done enable(const std::string& host) override { return change(host); }
-  std::optional<console::Said> other(const console::Request& request) override {
+  console::OperationResult disable(const std::string& host) override { return change(host); }
+  console::OperationResult enable(const std::string& host) override { return change(host); }
+  std::optional<console::Response> handle_request(const console::Request& request) override {
     if (request.path != "/-/other") return std::nullopt;
-    return console::Said{202, R"({"done":false,"why":"","index":0})"};
+    return console::Response{202, R"({"done":false,"why":"","index":0})"};
   }
 
  private:
-  console::Done change(const std::string& host) const {
-    if (host != "h1") return console::Done::unknown_host;
-    return can_keep ? console::Done::yes : console::Done::not_kept;
+  console::OperationResult change(const std::string& host) const {
+    if (host != "h1") return console::OperationResult::unknown_host;
+    return can_keep ? console::OperationResult::done : console::OperationResult::not_persisted;
   }
 };
 
--- a/tests/golden/compliance_golden.cpp
+++ b/tests/golden/compliance_golden.cpp
@@ -6,11 +6,11 @@
 namespace {
 
 std::string reencode_entry(const std::string& bytes) {
-  return compliance::worded(compliance::read_entry(nlohmann::json::parse(bytes)));
+  return compliance::encode_entry(compliance::parse_entry(nlohmann::json::parse(bytes)));
 }
 
 std::string reencode_snapshot(const std::string& bytes) {
-  compliance::Book state;
+  compliance::CertificateState state;
   if (!state.restore(nlohmann::json::parse(bytes)))
     throw std::runtime_error("the snapshot can't be restored");
   return state.snapshot().dump();
@@ -21,8 +21,8 @@
 Part compliance_part() {
   Part out{"compliance", {}};
   for (const auto& [name, entry] : sample_compliance_entries())
-    out.samples.push_back({"entry " + name, compliance::worded(entry), reencode_entry});
-  out.samples.push_back({"snapshot empty", compliance::Book().snapshot().dump(), reencode_snapshot});
+    out.samples.push_back({"entry " + name, compliance::encode_entry(entry), reencode_entry});
+  out.samples.push_back({"snapshot empty", compliance::CertificateState().snapshot().dump(), reencode_snapshot});
   out.samples.push_back({"snapshot", sample_compliance_state().snapshot().dump(), reencode_snapshot});
   return out;
 }
--- a/tests/golden/compliance_samples.cpp
+++ b/tests/golden/compliance_samples.cpp
@@ -4,59 +4,59 @@
 namespace {
 
 using compliance::Certificate;
-using compliance::Entry;
+using compliance::LogEntry;
 using compliance::Millis;
-using Kind = Entry::Kind;
+using Kind = LogEntry::Kind;
 
-Entry entry(Kind kind, const std::string& proposal) {
-  Entry out;
+LogEntry entry(Kind kind, const std::string& proposal) {
+  LogEntry out;
   out.kind = kind;
   out.proposal = proposal;
   return out;
 }
 
-Entry regime(const std::string& name, const std::string& zone, bool exclusive) {
-  Entry out = entry(Kind::regime, "proposal-" + name);
+LogEntry regime(const std::string& name, const std::string& zone, bool exclusive) {
+  LogEntry out = entry(Kind::put_regime, "proposal-" + name);
   out.regime = {name, zone, exclusive};
   return out;
 }
 
-Entry tenant(const std::string& name, const std::set<std::string>& regimes) {
-  Entry out = entry(Kind::tenant, "proposal-" + name);
+LogEntry tenant(const std::string& name, const std::set<std::string>& regimes) {
+  LogEntry out = entry(Kind::put_tenant, "proposal-" + name);
   out.tenant = name;
   out.regimes = regimes;
   return out;
 }
 
-Entry certification(const std::string& name, bool outlives_start) {
-  Entry out = entry(Kind::certify, "proposal-" + name);
+LogEntry certification(const std::string& name, bool outlives_start) {
+  LogEntry out = entry(Kind::certify, "proposal-" + name);
   out.certificate.name = name;
   out.certificate.host = "h1";
   out.certificate.regime = "card-data";
-  out.certificate.from = Millis(1700000000000.5);
-  out.certificate.until = Millis(1700086400000);
-  out.certificate.outlives_start = outlives_start;
-  out.certificate.host_life = outlives_start ? 0 : 1699999990000.25;
+  out.certificate.valid_from = Millis(1700000000000.5);
+  out.certificate.valid_until = Millis(1700086400000);
+  out.certificate.survives_restart = outlives_start;
+  out.certificate.host_incarnation = outlives_start ? 0 : 1699999990000.25;
   return out;
 }
 
-Entry about_certificate(Kind kind, const std::string& name, std::uint64_t round) {
-  Entry out = entry(kind, "");
+LogEntry about_certificate(Kind kind, const std::string& name, std::uint64_t round) {
+  LogEntry out = entry(kind, "");
   out.name = name;
-  out.round = round;
+  out.revoked_at_index = round;
   return out;
 }
 
-Entry notified(const std::string& name, std::uint64_t round) {
-  Entry out = about_certificate(Kind::told, name, round);
+LogEntry notified(const std::string& name, std::uint64_t round) {
+  LogEntry out = about_certificate(Kind::acknowledge, name, round);
   out.member = "member-1";
-  out.life = 1ULL << 60;
+  out.incarnation = 1ULL << 60;
   return out;
 }
 
 }  // namespace
 
-std::vector<std::pair<std::string, Entry>> sample_compliance_entries() {
+std::vector<std::pair<std::string, LogEntry>> sample_compliance_entries() {
   return {{"regime", regime("card-data", "zone-a", true)},
           {"regime anywhere", regime("health", "", false)},
           {"tenant", tenant("tenant-1", {"card-data", "health"})},
@@ -66,13 +66,13 @@
           {"certify for restarts", certification("certificate-2", true)},
           {"revoke", about_certificate(Kind::revoke, "certificate-1", 0)},
           {"told", notified("certificate-1", 8)},
-          {"ended", about_certificate(Kind::ended, "certificate-1", 8)}};
+          {"ended", about_certificate(Kind::finish_revocation, "certificate-1", 8)}};
 }
 
-compliance::Book sample_compliance_state() {
-  compliance::Book out;
+compliance::CertificateState sample_compliance_state() {
+  compliance::CertificateState out;
   std::uint64_t index = 0;
-  const auto apply = [&](const Entry& e) { return out.apply(++index, e); };
+  const auto apply = [&](const LogEntry& e) { return out.apply(++index, e); };
   apply(regime("card-data", "zone-a", true));
   apply(regime("health", "", false));
   apply(tenant("tenant-1", {"card-data", "health"}));
@@ -83,7 +83,7 @@
   apply(about_certificate(Kind::revoke, "certificate-1", 0));
   apply(notified("certificate-1", index));
   apply(about_certificate(Kind::revoke, "certificate-3", 0));
-  apply(about_certificate(Kind::ended, "certificate-3", index));
+  apply(about_certificate(Kind::finish_revocation, "certificate-3", index));
   return out;
 }
 
--- a/tests/golden/hosts_golden.cpp
+++ b/tests/golden/hosts_golden.cpp
@@ -13,17 +13,17 @@
 // A host that keeps what it is sent, and never answers.
 class SilentHost {
  public:
-  class Peer final : public net::Stream {
+  class Peer final : public net::BufferedConnection {
    public:
-    Peer(SilentHost& host, net::Loop& loop, net::BufferPool& pool, net::Socket socket)
-        : Stream(loop, pool, std::move(socket), false), host_(host) {}
+    Peer(SilentHost& host, net::EventLoop& loop, net::BufferPool& pool, net::Socket socket)
+        : BufferedConnection(loop, pool, std::move(socket), false), host_(host) {}
 
    private:
     SilentHost& host_;
-    void received(std::string_view bytes) override { host_.received += bytes; }
-    void ended() override { host_.server.gone(*this); }
+    void on_received(std::string_view bytes) override { host_.received += bytes; }
+    void on_closed() override { host_.server.gone(*this); }
   };
-  SilentHost(net::Loop& loop, net::BufferPool& pool) : server(loop, pool, *this) {}
+  SilentHost(net::EventLoop& loop, net::BufferPool& pool) : server(loop, pool, *this) {}
   test::Server<Peer, SilentHost> server;
   std::string received;
 };
@@ -42,11 +42,11 @@
  public:
   explicit Connection(hosts::LivenessProbe liveness = hosts::LivenessProbe::none)
       : world(0, plain_settings(), limits(liveness)), host_(world.loop, world.pool) {
-    core::Member member;
+    core::ListedHost member;
     member.entry.worker = "h0";
     member.address = host_.server.address();
-    world.fleet.members({true, {member}});
-    world.dispatcher.members({core::ListKind::full, {member.entry}});
+    world.fleet.update_endpoints({true, {member}});
+    world.dispatcher.update_endpoints({core::ListKind::full, {member.entry}});
   }
   test::World world;
 
@@ -62,8 +62,8 @@
     call.arrived = world.loop.now();
     call.allow = core::Millis(60000);
     call.body = std::string("bo\0dy", 5);
-    const core::CallId id = world.dispatcher.next_id();
-    REQUIRE(world.dispatcher.take(id, std::move(call), front_));
+    const core::CallId id = world.dispatcher.allocate_call_id();
+    REQUIRE(world.dispatcher.admit(id, std::move(call), front_));
     return id;
   }
   // What the host was sent up to `end`; the time that a call has left differs from run to run.
@@ -97,7 +97,7 @@
   Connection connection;
   const core::CallId id = connection.call("");
   connection.sent("dy\r\n");
-  connection.world.dispatcher.leave(id);
+  connection.world.dispatcher.client_disconnected(id);
   return connection.sent("drop 00000000000000a1\r\n");
 }
 
@@ -107,7 +107,7 @@
   return connection.sent(end);
 }
 
-std::string without_call(const std::function<void(hosts::Fleet&)>& order) {
+std::string without_call(const std::function<void(hosts::HostConnectionPool&)>& order) {
   Connection connection;
   order(connection.world.fleet);
   return connection.sent("\r\n");
@@ -127,7 +127,7 @@
 Part hosts_part() {
   using hosts::LivenessProbe;
   const auto ensure = [](int copies) {
-    return without_call([copies](hosts::Fleet& fleet) { fleet.ensure("h0", kFunction, copies); });
+    return without_call([copies](hosts::HostConnectionPool& fleet) { fleet.load_copies("h0", kFunction, copies); });
   };
   return {"hosts",
           {{"exec", attempt(""), {}},
@@ -135,8 +135,8 @@
            {"exec and drop", cancelled_attempt(), {}},
            {"ensure", ensure(2), {}},
            {"ensure asks", ensure(0), {}},
-           {"load", without_call([](hosts::Fleet& fleet) { fleet.probe("h0"); }), {}},
-           {"release", without_call([](hosts::Fleet& fleet) { fleet.release("h0", kFunction); }), {}},
+           {"load", without_call([](hosts::HostConnectionPool& fleet) { fleet.probe("h0"); }), {}},
+           {"release", without_call([](hosts::HostConnectionPool& fleet) { fleet.unload("h0", kFunction); }), {}},
            {"exec and health", liveness_check(LivenessProbe::health, "health s1\r\n"), {}},
            {"exec and liveness order", liveness_check(LivenessProbe::order, "count=0\r\n"), {}},
            {"reply", "00000000000000a1 data l=inflight:1;util:0.5 5\r\nbo\x01\xff\n\r\n", reencode_reply},
--- a/tests/golden/maintenance_golden.cpp
+++ b/tests/golden/maintenance_golden.cpp
@@ -6,50 +6,50 @@
 namespace lotusyard::golden {
 namespace {
 
-using works::Entry;
-using Kind = Entry::Kind;
+using works::LogEntry;
+using Kind = LogEntry::Kind;
 
 std::string reencode_entry(const std::string& bytes) {
-  return works::worded(decoded(works::read_entry(bytes)));
+  return works::encode_entry(decoded(works::parse_entry(bytes)));
 }
 
 std::string reencode_heartbeat(const std::string& bytes) {
-  return works::worded_beat(decoded(works::read_beat(nlohmann::json::parse(bytes)))).dump();
+  return works::heartbeat_to_json(decoded(works::parse_heartbeat(nlohmann::json::parse(bytes)))).dump();
 }
 
 std::string reencode_job(const std::string& bytes) {
-  return works::worded_work(works::read_work(nlohmann::json::parse(bytes))).dump();
+  return works::job_to_json(works::parse_job(nlohmann::json::parse(bytes))).dump();
 }
 
 std::string reencode_snapshot(const std::string& bytes) {
-  works::Board state;
+  works::MaintenanceState state;
   if (!state.restore(nlohmann::json::parse(bytes), works::Millis(5000)))
     throw std::runtime_error("the snapshot can't be restored");
   return state.snapshot().dump();
 }
 
 std::string proposal(const std::string& text) {
-  std::map<std::string, core::Member> listed;
+  std::map<std::string, core::ListedHost> listed;
   for (const char* id : {"h1", "h2", "h3"}) {
     listed[id].entry.worker = id;
     listed[id].entry.zone = "zone-a";
     listed[id].entry.kind = "kind-a";
   }
-  const works::Proposal read = works::read_proposal(text, listed);
-  return read.entry ? works::worded(*read.entry)
-                    : std::to_string(read.refused.status) + " " + read.refused.text;
+  const works::OperatorProposal read = works::parse_proposal(text, listed);
+  return read.entry ? works::encode_entry(*read.entry)
+                    : std::to_string(read.rejection.status) + " " + read.rejection.text;
 }
 
 void add_entries(std::vector<Sample>& out) {
   for (const auto& [name, entry] : sample_maintenance_entries())
-    out.push_back({"entry " + name, works::worded(entry), reencode_entry});
+    out.push_back({"entry " + name, works::encode_entry(entry), reencode_entry});
 }
 
 void add_answers(std::vector<Sample>& out) {
-  const works::Board state = sample_maintenance_state();
-  out.push_back({"admin jobs", works::shown_works(state, "member-1").dump(), {}});
-  out.push_back({"admin outcome done", works::shown_outcome({true, "", 7}).dump(), {}});
-  out.push_back({"admin outcome refused", works::shown_outcome({false, "id: known already", 8}).dump(), {}});
+  const works::MaintenanceState state = sample_maintenance_state();
+  out.push_back({"admin jobs", works::jobs_to_json(state, "member-1").dump(), {}});
+  out.push_back({"admin outcome done", works::outcome_to_json({true, "", 7}).dump(), {}});
+  out.push_back({"admin outcome refused", works::outcome_to_json({false, "id: known already", 8}).dump(), {}});
   const std::string job = R"({"t":"add","id":"p9","added":{"id":"job-9","select":{"zones":["zone-a"]},)"
                           R"("bounds":{"out":2,"usable":0.25}}})";
   out.push_back({"admin proposal job", proposal(job), {}});
@@ -67,12 +67,12 @@
 Part maintenance_part() {
   Part out{"maintenance", {}};
   add_entries(out.samples);
-  const works::Beat least{"member-2", 3, 1500.25, 17, {}, std::nullopt, std::nullopt};
-  out.samples.push_back({"heartbeat least", works::worded_beat(least).dump(), reencode_heartbeat});
+  const works::Heartbeat least{"member-2", 3, 1500.25, 17, {}, std::nullopt, std::nullopt};
+  out.samples.push_back({"heartbeat least", works::heartbeat_to_json(least).dump(), reencode_heartbeat});
   out.samples.push_back(
-      {"heartbeat full", works::worded_beat(sample_heartbeat()).dump(), reencode_heartbeat});
-  out.samples.push_back({"job", works::worded_work(sample_job()).dump(), reencode_job});
-  out.samples.push_back({"snapshot empty", works::Board().snapshot().dump(), reencode_snapshot});
+      {"heartbeat full", works::heartbeat_to_json(sample_heartbeat()).dump(), reencode_heartbeat});
+  out.samples.push_back({"job", works::job_to_json(sample_job()).dump(), reencode_job});
+  out.samples.push_back({"snapshot empty", works::MaintenanceState().snapshot().dump(), reencode_snapshot});
   out.samples.push_back({"snapshot", sample_maintenance_state().snapshot().dump(), reencode_snapshot});
   add_answers(out.samples);
   return out;
--- a/tests/golden/maintenance_samples.h
+++ b/tests/golden/maintenance_samples.h
@@ -10,13 +10,13 @@
 
 namespace lotusyard::golden {
 
-works::Work sample_job();
-works::Beat sample_heartbeat();
-std::vector<std::pair<std::string, works::Entry>> sample_maintenance_entries();
+works::MaintenanceJob sample_job();
+works::Heartbeat sample_heartbeat();
+std::vector<std::pair<std::string, works::LogEntry>> sample_maintenance_entries();
 // With jobs in several states and a host in each stage.
-works::Board sample_maintenance_state();
+works::MaintenanceState sample_maintenance_state();
 
-std::vector<std::pair<std::string, compliance::Entry>> sample_compliance_entries();
-compliance::Book sample_compliance_state();
+std::vector<std::pair<std::string, compliance::LogEntry>> sample_compliance_entries();
+compliance::CertificateState sample_compliance_state();
 
 }  // namespace lotusyard::golden
--- a/tests/golden/quota_golden.cpp
+++ b/tests/golden/quota_golden.cpp
@@ -5,35 +5,35 @@
 namespace lotusyard::golden {
 namespace {
 
-using shares::Entry;
-using shares::Epochs;
+using shares::LogEntry;
+using shares::QuotaEpochs;
 
 std::string reencode_entry(const std::string& bytes) {
-  return shares::worded(decoded(shares::read_entry(bytes)));
+  return shares::encode_entry(decoded(shares::parse_entry(bytes)));
 }
 
 std::string reencode_snapshot(const std::string& bytes) {
-  Epochs state;
+  QuotaEpochs state;
   if (!state.restore(nlohmann::json::parse(bytes)))
     throw std::runtime_error("the snapshot can't be restored");
   return state.snapshot().dump();
 }
 
-const Entry kFirst{Entry::Kind::part, {{"member-1", 1ULL << 60}}, 0};
-const Entry kSecond{Entry::Kind::part, {{"member-1", 1ULL << 60}, {"member-2", 3}}, 0};
-const Entry kOpen{Entry::Kind::open, {}, 5};
+const LogEntry kFirst{LogEntry::Kind::begin_epoch, {{"member-1", 1ULL << 60}}, 0};
+const LogEntry kSecond{LogEntry::Kind::begin_epoch, {{"member-1", 1ULL << 60}, {"member-2", 3}}, 0};
+const LogEntry kOpen{LogEntry::Kind::open_epoch, {}, 5};
 
 }  // namespace
 
 Part quota_part() {
-  Epochs state;
+  QuotaEpochs state;
   const std::string empty = state.snapshot().dump();
   state.apply(5, kFirst);
   state.apply(6, kOpen);
   state.apply(7, kSecond);
   return {"quota",
-          {{"entry part", shares::worded(kSecond), reencode_entry},
-           {"entry open", shares::worded(kOpen), reencode_entry},
+          {{"entry part", shares::encode_entry(kSecond), reencode_entry},
+           {"entry open", shares::encode_entry(kOpen), reencode_entry},
            {"snapshot empty", empty, reencode_snapshot},
            {"snapshot", state.snapshot().dump(), reencode_snapshot}}};
 }
--- a/tests/golden/raft_golden.cpp
+++ b/tests/golden/raft_golden.cpp
@@ -13,24 +13,24 @@
 std::string reencode_frame(const std::string& bytes) {
   FrameParser parser;
   std::vector<Frame> out;
-  if (!parser.take(bytes, out) || out.size() != 1) throw std::runtime_error("it isn't one whole frame");
-  return framed(out.front().kind, out.front().body);
+  if (!parser.feed(bytes, out) || out.size() != 1) throw std::runtime_error("it isn't one whole frame");
+  return encode_frame(out.front().kind, out.front().body);
 }
 
-std::string reencode_hello(const std::string& bytes) { return worded(decoded(read_hello(bytes))); }
+std::string reencode_hello(const std::string& bytes) { return encode_hello(decoded(decode_hello(bytes))); }
 
 std::string reencode_consensus(const std::string& bytes) {
-  raft_message message = decoded(read_message(bytes));
-  const std::string out = worded(message);
+  raft_message message = decoded(decode_message(bytes));
+  const std::string out = encode_hello(message);
   give_back(message);
   return out;
 }
 
-std::string reencode_snapshots(const std::string& bytes) { return worded_parts(decoded(read_parts(bytes))); }
+std::string reencode_snapshots(const std::string& bytes) { return encode_snapshots(decoded(decode_snapshots(bytes))); }
 
 std::string reencode_tagged(const std::string& bytes) {
-  const auto [kind, text] = untagged(bytes);
-  return tagged(kind, text);
+  const auto [kind, text] = untag_entry(bytes);
+  return tag_entry(kind, text);
 }
 
 std::string vote_request() {
@@ -42,7 +42,7 @@
   m.request_vote.last_log_term = 4;
   m.request_vote.disrupt_leader = true;
   m.request_vote.pre_vote = false;
-  return worded(m);
+  return encode_hello(m);
 }
 
 std::string vote_result(raft_tribool pre_vote) {
@@ -51,7 +51,7 @@
   m.request_vote_result.term = 5;
   m.request_vote_result.vote_granted = true;
   m.request_vote_result.pre_vote = pre_vote;
-  return worded(m);
+  return encode_hello(m);
 }
 
 std::string append_entries(bool heartbeat) {
@@ -73,7 +73,7 @@
   m.append_entries.leader_commit = 298;
   m.append_entries.entries = heartbeat ? nullptr : entries;
   m.append_entries.n_entries = heartbeat ? 0 : 3;
-  return worded(m);
+  return encode_hello(m);
 }
 
 std::string append_result() {
@@ -82,11 +82,11 @@
   m.append_entries_result.term = 5;
   m.append_entries_result.rejected = 299;
   m.append_entries_result.last_log_index = 290;
-  return worded(m);
+  return encode_hello(m);
 }
 
 std::string install_snapshot() {
-  std::string data = worded_parts({{"works", "{}"}});
+  std::string data = encode_snapshots({{"works", "{}"}});
   raft_message m{};
   m.type = RAFT_IO_INSTALL_SNAPSHOT;
   m.install_snapshot.term = 5;
@@ -97,7 +97,7 @@
   raft_configuration_add(&m.install_snapshot.conf, 1, "127.0.0.1:7200", RAFT_VOTER);
   raft_configuration_add(&m.install_snapshot.conf, 2, "127.0.0.1:7201", RAFT_STANDBY);
   m.install_snapshot.data = {data.data(), data.size()};
-  std::string out = worded(m);
+  std::string out = encode_hello(m);
   raft_configuration_close(&m.install_snapshot.conf);
   return out;
 }
@@ -108,16 +108,16 @@
   m.timeout_now.term = 5;
   m.timeout_now.last_log_index = 300;
   m.timeout_now.last_log_term = 5;
-  return worded(m);
+  return encode_hello(m);
 }
 
 void add_frames(std::vector<Sample>& out) {
   const std::vector<std::pair<std::string, Frame::Kind>> kinds = {
-      {"hello", Frame::Kind::hello},     {"consensus", Frame::Kind::consensus}, {"word", Frame::Kind::word},
-      {"refusal", Frame::Kind::refusal}, {"heard", Frame::Kind::heard},         {"view", Frame::Kind::view}};
+      {"hello", Frame::Kind::hello},     {"consensus", Frame::Kind::consensus}, {"word", Frame::Kind::message},
+      {"refusal", Frame::Kind::refusal}, {"heard", Frame::Kind::received},         {"view", Frame::Kind::gossip}};
   for (const auto& [name, kind] : kinds)
-    out.push_back({"frame " + name, framed(kind, "body of " + name), reencode_frame});
-  out.push_back({"frame empty", framed(Frame::Kind::heard, ""), reencode_frame});
+    out.push_back({"frame " + name, encode_frame(kind, "body of " + name), reencode_frame});
+  out.push_back({"frame empty", encode_frame(Frame::Kind::received, ""), reencode_frame});
 }
 
 }  // namespace
@@ -127,8 +127,8 @@
   add_frames(out.samples);
   const Hello hello{protocol_version, "yard-1", "member-1", 1ULL << 60, 2, 3000.5, 0.0125, 2000};
   const std::vector<Sample> more = {
-      {"hello", worded(hello), reencode_hello},
-      {"hello before ids are known", worded(Hello{protocol_version, "yard-1", "m", 0, 0, 1, 0, 1}),
+      {"hello", encode_hello(hello), reencode_hello},
+      {"hello before ids are known", encode_hello(Hello{protocol_version, "yard-1", "m", 0, 0, 1, 0, 1}),
        reencode_hello},
       {"vote request", vote_request(), reencode_consensus},
       {"vote result unknown", vote_result(raft_tribool_unknown), reencode_consensus},
@@ -139,8 +139,8 @@
       {"append result", append_result(), reencode_consensus},
       {"install snapshot", install_snapshot(), reencode_consensus},
       {"timeout now", timeout_now(), reencode_consensus},
-      {"tagged entry", tagged("compliance", R"({"t":"regime"})"), reencode_tagged},
-      {"snapshots of all", worded_parts({{"works", "{}"}, {"compliance", "{\"a\":1}"}}), reencode_snapshots}};
+      {"tagged entry", tag_entry("compliance", R"({"t":"regime"})"), reencode_tagged},
+      {"snapshots of all", encode_snapshots({{"works", "{}"}, {"compliance", "{\"a\":1}"}}), reencode_snapshots}};
   out.samples.insert(out.samples.end(), more.begin(), more.end());
   return out;
 }
--- a/tests/golden/recording_client.h
+++ b/tests/golden/recording_client.h
@@ -15,10 +15,10 @@
   return out;
 }
 
-class RecordingClient final : public net::Stream {
+class RecordingClient final : public net::BufferedConnection {
  public:
   RecordingClient(test::World& world, const std::string& address, const std::string& bytes)
-      : Stream(world.loop, world.pool, net::connect_to(address).socket, true) {
+      : BufferedConnection(world.loop, world.pool, net::connect_to(address).socket, true) {
     write(bytes);
   }
   void send(const std::string& bytes) { write(bytes); }
@@ -29,9 +29,9 @@
   std::string received_bytes_;
   bool closed_ = false;
 
-  void connected() override { loop().flush_later(*this); }
-  void received(std::string_view bytes) override { received_bytes_ += bytes; }
-  void ended() override { closed_ = true; }
+  void on_connected() override { loop().flush_later(*this); }
+  void on_received(std::string_view bytes) override { received_bytes_ += bytes; }
+  void on_closed() override { closed_ = true; }
 };
 
 }  // namespace lotusyard::golden
--- a/tests/golden/stores_golden.cpp
+++ b/tests/golden/stores_golden.cpp
@@ -14,8 +14,8 @@
 namespace lotusyard::golden {
 namespace {
 
-using answers::Record;
-using answers::Stage;
+using answers::ResultRecord;
+using answers::ResultStage;
 using core::Millis;
 using sqlite::Query;
 
@@ -83,8 +83,8 @@
 
 std::string dump_of(const TemporaryFile& file) { return Database(file.path()).dump(); }
 
-void fill_log_store(group::Store& store) {
-  store.begin({"yard-1", "member-1", 1ULL << 60, 7});
+void fill_log_store(group::LogStore& store) {
+  store.initialize({"yard-1", "member-1", 1ULL << 60, 7});
   store.set_term(4);
   store.set_vote(2);
   store.append({{1, 3, std::string("\0\xff", 2)}, {3, 1, "works\n{\"t\":\"ask\"}"}, {4, 2, ""}});
@@ -95,14 +95,14 @@
 std::string log_store() {
   const TemporaryFile file;
   {
-    group::Store store(file.path());
+    group::LogStore store(file.path());
     fill_log_store(store);
   }
   return dump_of(file);
 }
 
-void copy_log_store(const group::Store& from, group::Store& to) {
-  to.begin(from.identity());
+void copy_log_store(const group::LogStore& from, group::LogStore& to) {
+  to.initialize(from.identity());
   to.set_term(from.term());
   to.set_vote(from.vote());
   if (from.has_snapshot()) to.put_snapshot(from.snapshot(), 0);
@@ -113,27 +113,27 @@
   const TemporaryFile stored, copied;
   Database(stored.path()).execute(sql);
   {
-    const group::Store from(stored.path());
-    group::Store to(copied.path());
+    const group::LogStore from(stored.path());
+    group::LogStore to(copied.path());
     copy_log_store(from, to);
   }
   return dump_of(copied);
 }
 
-Record record(Stage stage, core::Verdict verdict, const std::string& body) {
-  Record out;
+ResultRecord record(ResultStage stage, core::Verdict verdict, const std::string& body) {
+  ResultRecord out;
   out.stage = stage;
   out.answer = {verdict, Millis(verdict == core::Verdict::refused ? 250.5 : 0), body};
   out.at = Millis(1700000000000.25 + static_cast<int>(stage));
-  if (stage == Stage::confirmed) out.address = "answers";
+  if (stage == ResultStage::confirmed) out.address = "answers";
   return out;
 }
 
 // By way of the stages that must come before the record's.
-void put(answers::SqliteStore& store, const std::string& id, const Record& last) {
-  for (const Stage stage : {Stage::sent, Stage::answered}) {
+void put(answers::SqliteResultStore& store, const std::string& id, const ResultRecord& last) {
+  for (const ResultStage stage : {ResultStage::sent, ResultStage::answered}) {
     if (stage >= last.stage) break;
-    Record before = last;
+    ResultRecord before = last;
     before.stage = stage;
     before.address.clear();
     REQUIRE(store.put(id, before));
@@ -145,12 +145,12 @@
   const TemporaryFile file;
   core::Counters counters;
   {
-    answers::SqliteStore store(file.path(), {}, Millis(1690000000000.5), counters, [](const auto&) {});
-    put(store, "sent", record(Stage::sent, core::Verdict::failed, ""));
-    put(store, "cleared", record(Stage::cleared, core::Verdict::failed, ""));
-    put(store, "answered", record(Stage::answered, core::Verdict::served, std::string("\0\xff", 2)));
-    put(store, "refused", record(Stage::answered, core::Verdict::refused, ""));
-    put(store, std::string("confirmed\0\xff", 11), record(Stage::confirmed, core::Verdict::served, "body"));
+    answers::SqliteResultStore store(file.path(), {}, Millis(1690000000000.5), counters, [](const auto&) {});
+    put(store, "sent", record(ResultStage::sent, core::Verdict::failed, ""));
+    put(store, "cleared", record(ResultStage::cleared, core::Verdict::failed, ""));
+    put(store, "answered", record(ResultStage::answered, core::Verdict::served, std::string("\0\xff", 2)));
+    put(store, "refused", record(ResultStage::answered, core::Verdict::refused, ""));
+    put(store, std::string("confirmed\0\xff", 11), record(ResultStage::confirmed, core::Verdict::served, "body"));
   }
   return dump_of(file);
 }
@@ -160,9 +160,9 @@
   Database(stored.path()).execute(sql);
   core::Counters counters;
   {
-    answers::SqliteStore from(stored.path(), {}, Millis(0), counters, [](const auto&) {});
-    answers::SqliteStore to(copied.path(), {}, from.complete_from(), counters, [](const auto&) {});
-    from.each([&to](const std::string& id, const Record& one) { put(to, id, one); });
+    answers::SqliteResultStore from(stored.path(), {}, Millis(0), counters, [](const auto&) {});
+    answers::SqliteResultStore to(copied.path(), {}, from.complete_from(), counters, [](const auto&) {});
+    from.for_each([&to](const std::string& id, const ResultRecord& one) { put(to, id, one); });
   }
   return dump_of(copied);
 }
--- a/tests/lotusyard/answers_test.cpp
+++ b/tests/lotusyard/answers_test.cpp
@@ -35,34 +35,34 @@
               [this](const std::string& line) { log.push_back(line); }) {}
   core::Counters counters;
   std::vector<std::string> log;
-  SqliteStore store;
+  SqliteResultStore store;
 };
 
-Record record(Stage stage, Verdict verdict = Verdict::served, double at = kNow) {
-  Record r;
+ResultRecord record(ResultStage stage, Verdict verdict = Verdict::served, double at = kNow) {
+  ResultRecord r;
   r.stage = stage;
-  r.answer = {verdict, Millis(0), stage >= Stage::answered ? "body" : ""};
+  r.answer = {verdict, Millis(0), stage >= ResultStage::answered ? "body" : ""};
   r.at = Millis(at);
   return r;
 }
 
 TEST_CASE("what a store tells decides whether a redelivered call may run") {
-  Trust trust;
+  StoreTrust trust;
   trust.healthy = true;
-  const Arrival fresh, again{true, std::nullopt};
+  const DeliveryFacts fresh, again{true, std::nullopt};
   CHECK(decide(std::nullopt, fresh, trust) == Decision::run);
   CHECK(decide(std::nullopt, again, trust) == Decision::fail_may_have_run);
   for (const auto& arrival : {fresh, again}) {
-    CHECK(decide(record(Stage::sent), arrival, trust) == Decision::fail_may_have_run);
-    CHECK(decide(record(Stage::cleared), arrival, trust) == Decision::run);
-    CHECK(decide(record(Stage::answered), arrival, trust) == Decision::answer);
-    CHECK(decide(record(Stage::confirmed, Verdict::failed), arrival, trust) == Decision::answer);
+    CHECK(decide(record(ResultStage::sent), arrival, trust) == Decision::fail_may_have_run);
+    CHECK(decide(record(ResultStage::cleared), arrival, trust) == Decision::run);
+    CHECK(decide(record(ResultStage::answered), arrival, trust) == Decision::answer);
+    CHECK(decide(record(ResultStage::confirmed, Verdict::failed), arrival, trust) == Decision::answer);
   }
-  CHECK(decide(record(Stage::answered, Verdict::refused), fresh, trust) == Decision::run);
-  CHECK(decide(record(Stage::answered, Verdict::refused), again, trust) == Decision::answer);
+  CHECK(decide(record(ResultStage::answered, Verdict::refused), fresh, trust) == Decision::run);
+  CHECK(decide(record(ResultStage::answered, Verdict::refused), again, trust) == Decision::answer);
   // Not in the store shows that it did not run only at the sole consumer, and for what is young enough.
   trust.complete_from = Millis(kNow);
-  const Arrival young{true, Millis(kNow) + kClockSkew}, old{true, Millis(kNow) + kClockSkew / 2};
+  const DeliveryFacts young{true, Millis(kNow) + kClockSkew}, old{true, Millis(kNow) + kClockSkew / 2};
   CHECK(decide(std::nullopt, young, trust) == Decision::fail_may_have_run);
   trust.sole_consumer = true;
   CHECK(decide(std::nullopt, young, trust) == Decision::run);
@@ -77,35 +77,35 @@
 TEST_CASE("no series of deliveries, ends and kills runs a call twice") {
   Random random(11);
   for (int round = 0; round < 3000; ++round) {
-    std::optional<Record> stored;
-    Trust trust{true, below(random, 2) == 0, Millis(0)};
+    std::optional<ResultRecord> stored;
+    StoreTrust trust{true, below(random, 2) == 0, Millis(0)};
     const Millis published(1e6);
     int runs = 0;
     bool open = false, may_have_run = false;
     for (int step = 0; step < 30; ++step) {
       const std::size_t dice = below(random, 8);
-      const auto write = [&](Stage to, Verdict verdict = Verdict::served) {
-        if (!may_follow(stored ? std::optional<Stage>(stored->stage) : std::nullopt, to)) return false;
+      const auto write = [&](ResultStage to, Verdict verdict = Verdict::served) {
+        if (!may_follow(stored ? std::optional<ResultStage>(stored->stage) : std::nullopt, to)) return false;
         stored = record(to, verdict);
         return true;
       };
       if (dice < 3 && !open) {
         trust.healthy = below(random, 10) > 0;
-        const Arrival arrival{step > 0, published};
+        const DeliveryFacts arrival{step > 0, published};
         open = decide(stored, arrival, trust) == Decision::run;
         may_have_run = false;
       } else if (dice < 5 && open && !may_have_run) {
-        if (!write(Stage::sent)) continue;
+        if (!write(ResultStage::sent)) continue;
         if (below(random, 3) == 0) continue;  // killed or cut off before it ran; nobody knows
         const bool ran = below(random, 2) == 0;
         runs += ran;
         may_have_run = ran;
-        if (!ran) write(Stage::cleared);
+        if (!ran) write(ResultStage::cleared);
       } else if (dice == 5 && open) {
-        write(Stage::answered, may_have_run ? Verdict::served : Verdict::refused);
+        write(ResultStage::answered, may_have_run ? Verdict::served : Verdict::refused);
         open = false;
       } else if (dice == 6) {
-        write(Stage::confirmed);
+        write(ResultStage::confirmed);
       } else if (dice == 7) {
         open = false;  // killed
         if (stored && below(random, 4) == 0) {
@@ -120,7 +120,7 @@
 
 // Each step is the last thing that a process does before it is killed.
 TEST_CASE("a process killed after any step of the store leaves what it wrote") {
-  const Stage steps[] = {Stage::sent, Stage::cleared, Stage::sent, Stage::answered, Stage::confirmed};
+  const ResultStage steps[] = {ResultStage::sent, ResultStage::cleared, ResultStage::sent, ResultStage::answered, ResultStage::confirmed};
   for (int last = 0; last <= 5; ++last) {
     File file("kill");
     const pid_t child = fork();
@@ -133,7 +133,7 @@
     REQUIRE(waitpid(child, &status, 0) == child);
     REQUIRE((WIFSIGNALED(status) && WTERMSIG(status) == SIGKILL));
     Opened opened(file, {}, kNow + 1000);
-    std::optional<Record> found;
+    std::optional<ResultRecord> found;
     REQUIRE(opened.store.find("m", found));
     CHECK(opened.store.complete_from() == Millis(kNow));
     REQUIRE(found.has_value() == (last > 0));
@@ -148,17 +148,17 @@
   bounds.most = 10;
   bounds.longest = Millis(1000);
   Opened opened(file, bounds);
-  for (int i = 0; i < 6; ++i) REQUIRE(opened.store.put("sent" + std::to_string(i), record(Stage::sent)));
+  for (int i = 0; i < 6; ++i) REQUIRE(opened.store.put("sent" + std::to_string(i), record(ResultStage::sent)));
   for (int i = 0; i < 20; ++i) {
-    opened.store.put("done" + std::to_string(i), record(Stage::answered, Verdict::served, kNow + i));
+    opened.store.put("done" + std::to_string(i), record(ResultStage::answered, Verdict::served, kNow + i));
     opened.store.prune(Millis(kNow + i));
   }
   CHECK(opened.store.size() == 10);
-  std::optional<Record> found;
+  std::optional<ResultRecord> found;
   REQUIRE(opened.store.find("sent0", found));
   CHECK(found.has_value());
   CHECK(opened.store.complete_from() == Millis(kNow + 15));  // the newest that was forgotten
-  for (int i = 6; i < 20; ++i) opened.store.put("sent" + std::to_string(i), record(Stage::sent));
+  for (int i = 6; i < 20; ++i) opened.store.put("sent" + std::to_string(i), record(ResultStage::sent));
   opened.store.prune(Millis(kNow + 30));
   CHECK(opened.store.size() <= 11);
   CHECK(opened.counters.value("answers.store_bound") > 0);  // and a further call is not begun
@@ -212,9 +212,9 @@
     t.broker.send("lost", "bin-record", "lost");
     REQUIRE(t.world.turn_until([&] { return t.world.host[0]->execs == 2; }, 20000));
     const double now = t.world.loop.now().count();
-    opened.store.put("cleared", record(Stage::sent, Verdict::served, now));
-    opened.store.put("cleared", record(Stage::cleared, Verdict::served, now));
-    opened.store.put("answered", record(Stage::answered, Verdict::served, now));
+    opened.store.put("cleared", record(ResultStage::sent, Verdict::served, now));
+    opened.store.put("cleared", record(ResultStage::cleared, Verdict::served, now));
+    opened.store.put("answered", record(ResultStage::answered, Verdict::served, now));
   }  // as if killed: "lost" is out and its answer never comes
   Opened opened(file);
   Triggers t(1, 1, {}, settings(), &opened.store);
--- a/tests/lotusyard/breaks.cpp
+++ b/tests/lotusyard/breaks.cpp
@@ -4,7 +4,7 @@
 #include <cstdlib>
 #include <cstring>
 
-bool lotusyard::breaks(const char* rule) {
+bool lotusyard::fault_injected(const char* rule) {
   static const char* const told = std::getenv("LOTUSYARD_BREAKS");
   return told != nullptr && std::strcmp(told, rule) == 0;
 }
--- a/tests/lotusyard/client_close_paths_test.cpp
+++ b/tests/lotusyard/client_close_paths_test.cpp
@@ -34,7 +34,7 @@
   second.say(call_bytes(2));
   REQUIRE(p.world.turn_until([&] { return p.world.host[0]->execs == 2; }, 1000));
   limits.clients = 1;
-  p.front.bound(limits);
+  p.front.set_limits(limits);
   first.say(call_bytes(3));
   run_turns(p);
   for (int tag = 1; tag <= 3; ++tag) answer_call(p, tag);
--- a/tests/lotusyard/client_gone_test.cpp
+++ b/tests/lotusyard/client_gone_test.cpp
@@ -30,7 +30,7 @@
   client.say(long_calls(1, kCalls) + cancels(1, kCalls));
   for (int i = 0; i < 10; ++i) turn_with(p.world, [] { usleep(30000); });
   CHECK(p.world.host[0]->execs == 1);  // the usual one
-  CHECK(p.world.dispatcher.open() == 0);
+  CHECK(p.world.dispatcher.open_calls() == 0);
 }
 
 TEST_CASE("a CANCEL behind more bytes than two turns read is heard before a retry goes out") {
@@ -52,7 +52,7 @@
   run_turns(p);
   CHECK(p.world.counters.value("hosts.answers.full") == 1);
   CHECK(execs() == 1);
-  CHECK(p.world.dispatcher.open() == 0);
+  CHECK(p.world.dispatcher.open_calls() == 0);
 }
 
 // Failure found in review: once a tag was repeated, nothing that came behind was heard, a CANCEL neither.
@@ -70,7 +70,7 @@
   run_turns(p);
   CHECK(p.world.counters.value("hosts.links_up") == 1);
   CHECK(p.world.host[0]->execs == 0);
-  CHECK(p.world.dispatcher.open() == 0);
+  CHECK(p.world.dispatcher.open_calls() == 0);
 }
 
 // A client that goes on sending is not kept from its attempts: what it sent is read at once, not a part a
--- a/tests/lotusyard/clubs_test.cpp
+++ b/tests/lotusyard/clubs_test.cpp
@@ -20,22 +20,22 @@
  public:
   ClubHost(World& world, Runs& runs, Random& random)
       : server(world.loop, world.pool, *this), world_(world), runs_(runs), random_(random) {}
-  class Peer final : public net::Stream {
+  class Peer final : public net::BufferedConnection {
    public:
-    Peer(ClubHost& host, net::Loop& loop, net::BufferPool& pool, net::Socket socket)
-        : Stream(loop, pool, std::move(socket), false), host_(host) {}
+    Peer(ClubHost& host, net::EventLoop& loop, net::BufferPool& pool, net::Socket socket)
+        : BufferedConnection(loop, pool, std::move(socket), false), host_(host) {}
     int number = ++last_;
 
    private:
     static inline int last_ = 0;
     ClubHost& host_;
     hosts::LineParser parser_;
-    void received(std::string_view bytes) override {
+    void on_received(std::string_view bytes) override {
       std::vector<hosts::Reply> lines;
       REQUIRE(parser_.take(bytes, lines));
       for (const auto& line : lines) host_.take(number, line);
     }
-    void ended() override { host_.server.gone(*this); }
+    void on_closed() override { host_.server.gone(*this); }
   };
   Server<Peer, ClubHost> server;
   double slow = 1;  // what other programs on the machine leave
@@ -49,11 +49,11 @@
 
   void say(int peer, const std::string& text) {
     for (const auto& p : server.peers) {
-      if (p->number != peer || p->ending()) continue;
+      if (p->number != peer || p->is_closing()) continue;
       p->write(text);
       if (below(random_, 60) != 0) return;
       ++runs_.cut;  // the machine's network is poor: the answer may have gone out, or not
-      return p->end_later();
+      return p->close_later();
     }
   }
   Millis load(const std::string& function) {  // until it stands
@@ -70,7 +70,7 @@
       const bool asks = net::field(*fields, "count") == "0";
       const Millis at = asks ? world_.loop.now() : load(function);
       const bool stands = standing_.count(function) != 0 && standing_.at(function) <= at;
-      world_.loop.at(
+      world_.loop.schedule_at(
           at, [this, peer, tag, stands] { say(peer, tag + " data count=" + (stands ? "1" : "0") + "\r\n"); });
     }
     if (line.id != "exec") return;  // a cancel stops nothing
@@ -84,7 +84,7 @@
     ++inflight_;
     const Millis begins = std::max(load(net::field(*fields, "asset")), world_.loop.now());
     const Millis ends = begins + kRun * slow * (1.0 + static_cast<double>(below(random_, 3)));
-    world_.loop.at(ends, [this, peer, ref, body, key, repeat] {
+    world_.loop.schedule_at(ends, [this, peer, ref, body, key, repeat] {
       --inflight_;
       runs_.dropped += repeat;
       if (!repeat) ++runs_.by_body[body];
@@ -117,18 +117,18 @@
   World world(0, s, limits);
   Runs runs;
   std::vector<std::unique_ptr<ClubHost>> fleet;
-  core::MemberList list{true, {}};
+  core::HostListUpdate list{true, {}};
   core::HostList entries{core::ListKind::full, {}};
   for (int i = 0; i < 5; ++i) {
     fleet.push_back(std::make_unique<ClubHost>(world, runs, random));
-    core::Member member;
+    core::ListedHost member;
     member.entry.worker = "c" + std::to_string(i);
     member.address = fleet.back()->server.address();
-    list.members.push_back(member);
+    list.hosts.push_back(member);
     entries.entries.push_back(member.entry);
   }
-  world.fleet.members(list);
-  world.dispatcher.members(std::move(entries));
+  world.fleet.update_endpoints(list);
+  world.dispatcher.update_endpoints(std::move(entries));
 
   struct Try {
     std::string cls, key, body;
@@ -155,8 +155,8 @@
     c.retry = t.tries++ > 0;
     c.arrived = world.loop.now();
     c.allow = std::min(Millis(250), t.first + Millis(500) - c.arrived);
-    t.id = world.dispatcher.next_id();
-    if (world.dispatcher.take(t.id, std::move(c), clients)) taken.insert(t.id);
+    t.id = world.dispatcher.allocate_call_id();
+    if (world.dispatcher.admit(t.id, std::move(c), clients)) taken.insert(t.id);
   };
   const Millis began = world.loop.now();
   const auto retry = [&](Try& t) {  // as clients do: what the class allows, while its time lasts
@@ -185,7 +185,7 @@
   }
   const auto settled = [&] {
     for (auto& t : wanted) retry(t);
-    return world.dispatcher.open() == 0;
+    return world.dispatcher.open_calls() == 0;
   };
   REQUIRE(world.turn_until(settled, 20000));
   const Millis rest = world.loop.now() + kWindow;  // what was given up runs to its end
--- a/tests/lotusyard/compliance_test.cpp
+++ b/tests/lotusyard/compliance_test.cpp
@@ -6,20 +6,20 @@
 namespace lotusyard::test {
 namespace {
 
-using compliance::Book;
-using compliance::Entry;
+using compliance::CertificateState;
+using compliance::LogEntry;
 using compliance::Millis;
-using Kind = compliance::Entry::Kind;
+using Kind = compliance::LogEntry::Kind;
 using nlohmann::json;
 
 struct Desk {
-  Book book;
+  CertificateState book;
   std::uint64_t index = 0;
-  Book::Outcome say(const json& what) { return book.apply(++index, compliance::read_entry(what)); }
+  CertificateState::ProposalOutcome say(const json& what) { return book.apply(++index, compliance::parse_entry(what)); }
   std::string may(const std::string& tenant, const std::string& host, double now = 5000, bool knows = true,
                   double life = 10, const std::string& zone = "east") const {
-    const auto verdict = book.may(tenant, {host, zone, life}, knows, Millis(now), Millis(100));
-    return verdict.may ? "yes" : verdict.reason;
+    const auto verdict = book.check(tenant, {host, zone, life}, knows, Millis(now), Millis(100));
+    return verdict.allowed ? "yes" : verdict.reason;
   }
   Desk() {
     say({{"t", "regime"}, {"regime", {{"name", "export"}}}});
@@ -31,7 +31,7 @@
     certify("c2", "h2", "export");
     certify("c3", "h2", "excise");
   }
-  Book::Outcome certify(const std::string& name, const std::string& host, const std::string& regime,
+  CertificateState::ProposalOutcome certify(const std::string& name, const std::string& host, const std::string& regime,
                         double from = 1000, double until = 9000, bool outlives = false) {
     return say({{"t", "certify"},
                 {"certificate",
@@ -46,8 +46,8 @@
 };
 
 TEST_CASE("with nothing agreed every host may have every call") {
-  const Book book;
-  CHECK(book.may("anyone", {"h", "", 0}, false, Millis(0), Millis(1000)).may);
+  const CertificateState book;
+  CHECK(book.check("anyone", {"h", "", 0}, false, Millis(0), Millis(1000)).allowed);
 }
 
 TEST_CASE(
@@ -60,7 +60,7 @@
   CHECK(d.may("still", "h2", 5000, true, 10, "west") == "zone");
   CHECK(d.may("free", "h3") == "yes");
   CHECK(d.may("nobody", "h1") == "regime_unknown");
-  CHECK(d.book.regulated("nobody"));
+  CHECK(d.book.is_regulated("nobody"));
 }
 
 TEST_CASE("a host of an exclusive regime serves nobody else") {
@@ -108,9 +108,9 @@
   CHECK_FALSE(d.say({{"t", "revoke"}, {"name", "c1"}}).done);
   CHECK_FALSE(d.say({{"t", "ended"}, {"name", "c1"}, {"round", round - 1}}).done);
   REQUIRE(d.say({{"t", "told"}, {"name", "c1"}, {"member", "a"}, {"life", 3}, {"round", round}}).done);
-  CHECK(d.book.told("c1", "a", 3));
-  CHECK_FALSE(d.book.told("c1", "a", 4));
-  Book read;
+  CHECK(d.book.has_acknowledged("c1", "a", 3));
+  CHECK_FALSE(d.book.has_acknowledged("c1", "a", 4));
+  CertificateState read;
   REQUIRE(read.restore(d.book.snapshot()));
   CHECK(read.snapshot() == d.book.snapshot());
   REQUIRE(d.say({{"t", "ended"}, {"name", "c1"}, {"round", round}}).done);
@@ -121,7 +121,7 @@
 TEST_CASE("what operators word wrongly is refused whole, with the key named") {
   const auto fault = [](const json& what) {
     try {
-      compliance::read_entry(what);
+      compliance::parse_entry(what);
       return std::string("taken");
     } catch (const std::exception& f) { return std::string(f.what()); }
   };
@@ -142,7 +142,7 @@
   CHECK(fault(json::array()) == "entry: an object is needed");
   Desk d;
   CHECK(d.say({{"t", "tenant"}, {"tenant", "x"}, {"regimes", {"none"}}}).why == "regimes: no regime none");
-  Book book;
+  CertificateState book;
   CHECK_FALSE(book.restore({{"index", 1}}));
 }
 
--- a/tests/lotusyard/config_test.cpp
+++ b/tests/lotusyard/config_test.cpp
@@ -100,17 +100,17 @@
       "bins", fault);
   REQUIRE(list);
   std::string states;
-  for (const auto& m : list->members) states += m.entry.state == core::WorkerState::ready ? 'r' : 'd';
+  for (const auto& m : list->hosts) states += m.entry.state == core::WorkerState::ready ? 'r' : 'd';
   CHECK(states == "rddrd");
-  CHECK(list->members[1].address == "127.0.0.1:2");
-  CHECK(list->members[0].entry.zone == "osborne-park");
+  CHECK(list->hosts[1].address == "127.0.0.1:2");
+  CHECK(list->hosts[0].entry.zone == "osborne-park");
   const json cluster = {{"@type", "type.googleapis.com/envoy.config.cluster.v3.Cluster"},
                         {"name", "bins-by-eds"},
                         {"type", "EDS"},
                         {"edsClusterConfig", {{"serviceName", "bins"}}}};
   const json both = {
       {"resources", json::array({cluster, assignment(json::array({endpoint(1, "HEALTHY")}))})}};
-  CHECK(xds::read_hosts(both, "bins-by-eds", fault)->members.size() == 1);
+  CHECK(xds::read_hosts(both, "bins-by-eds", fault)->hosts.size() == 1);
   CHECK_FALSE(xds::read_hosts(both, "other", fault));
   CHECK_FALSE(xds::read_hosts(assignment(json::array({endpoint(1, "HEALTHY"), endpoint(0, "HEALTHY")})),
                               "bins", fault));
@@ -119,7 +119,7 @@
 }
 
 TEST_CASE("an xDS file is read again when it changes; what was added has just started") {
-  net::Loop loop;
+  net::EventLoop loop;
   core::Counters counters;
   char path[] = "/tmp/lotusyard-xds-XXXXXX";
   const net::Socket made(mkstemp(path));
@@ -128,7 +128,7 @@
     std::ofstream(next) << text;
     REQUIRE(std::rename(next.c_str(), path) == 0);
   };
-  std::vector<core::MemberList> told;
+  std::vector<core::HostListUpdate> told;
   write(assignment(json::array({endpoint(1, "HEALTHY")})).dump());
   xds::HostFile file(loop, counters, path, "bins", Millis(10),
                      [&](const auto& list) { told.push_back(list); });
@@ -136,14 +136,14 @@
   REQUIRE(file.start(fault));
   const auto wait_for = [&](const char* counter, std::uint64_t value) {
     for (int i = 0; i < 2000 && counters.value(counter) < value; ++i)
-      loop.turn(loop.now() + Millis(20), [] {});
+      loop.run_once(loop.now() + Millis(20), [] {});
     return counters.value(counter) == value;
   };
   write(assignment(json::array({endpoint(1, "DRAINING"), endpoint(2, "HEALTHY")})).dump());
   REQUIRE(wait_for("xds.lists", 2));
-  CHECK(told[1].members[0].entry.state == core::WorkerState::draining);
-  CHECK(told[1].members[0].entry.started == Millis(0));
-  CHECK(told[1].members[1].entry.started > Millis(0));
+  CHECK(told[1].hosts[0].entry.state == core::WorkerState::draining);
+  CHECK(told[1].hosts[0].entry.started == Millis(0));
+  CHECK(told[1].hosts[1].entry.started > Millis(0));
   write("{\"half\": ");
   REQUIRE(wait_for("xds.rejected", 1));
   CHECK(told.size() == 2);
--- a/tests/lotusyard/console_test.cpp
+++ b/tests/lotusyard/console_test.cpp
@@ -7,7 +7,7 @@
 namespace lotusyard::test {
 namespace {
 
-using console::Done;
+using console::OperationResult;
 using console::Parser;
 
 // The parser's status: 0 if more is to come, 200 once whole, else what the caller is owed.
@@ -88,10 +88,10 @@
   }
 }
 
-class Call final : public net::Stream {
+class Call final : public net::BufferedConnection {
  public:
   Call(World& world, const std::string& address, const std::string& bytes)
-      : Stream(world.loop, world.pool, net::connect_to(address).socket, true), world_(world) {
+      : BufferedConnection(world.loop, world.pool, net::connect_to(address).socket, true), world_(world) {
     write(bytes);
   }
   int status() {
@@ -103,22 +103,22 @@
 
  private:
   World& world_;
-  void connected() override { loop().flush_later(*this); }
-  void received(std::string_view bytes) override { got += bytes; }
-  void ended() override { closed = true; }
+  void on_connected() override { loop().flush_later(*this); }
+  void on_received(std::string_view bytes) override { got += bytes; }
+  void on_closed() override { closed = true; }
 };
 
-struct Office final : console::Operations {
+struct Office final : console::AdminOperations {
   bool takes = true, keeps = true;
   std::vector<std::string> told;
   bool ready() const override { return takes; }
-  Done disable(const std::string& id) override { return change("out " + id, id); }
-  Done enable(const std::string& id) override { return change("in " + id, id); }
-  Done change(const std::string& what, const std::string& id) {
-    if (id != "s-1") return Done::unknown_host;
-    if (!keeps) return Done::not_kept;
+  OperationResult disable(const std::string& id) override { return change("out " + id, id); }
+  OperationResult enable(const std::string& id) override { return change("in " + id, id); }
+  OperationResult change(const std::string& what, const std::string& id) {
+    if (id != "s-1") return OperationResult::unknown_host;
+    if (!keeps) return OperationResult::not_persisted;
     told.push_back(what);
-    return Done::yes;
+    return OperationResult::done;
   }
 };
 
@@ -172,7 +172,7 @@
 }
 
 // A peer that always has something to read, and takes its time with it.
-class Slow final : public net::Handler {
+class Slow final : public net::EventHandler {
  public:
   explicit Slow(std::function<void()> work) : work_(std::move(work)) {}
   void ready(short) override { work_(); }
@@ -204,13 +204,13 @@
       ++worked;
       if (worked_after < 0 && desk.world.counters.value("console.calls") > 0) worked_after = worked;
     }));
-    desk.world.loop.watch(ends.back().fd(), *crowd.back(), POLLIN);
+    desk.world.loop.register_handler(ends.back().fd(), *crowd.back(), POLLIN);
   }
   desk.world.turn();
   CHECK(turns_begun == 1);
   CHECK(desk.world.counters.value("console.calls") == 1);
   CHECK((worked_after > 0 && worked_after < 40));
-  for (std::size_t i = 0; i < crowd.size(); ++i) desk.world.loop.forget(ends[i].fd(), *crowd[i]);
+  for (std::size_t i = 0; i < crowd.size(); ++i) desk.world.loop.unregister(ends[i].fd(), *crowd[i]);
 }
 
 }  // namespace
--- a/tests/lotusyard/core_test.cpp
+++ b/tests/lotusyard/core_test.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 // Hosts that only note; a front that only counts. Both check the rules on whatever they are told.
-struct Desk final : core::Hosts, core::Front {
+struct Desk final : core::HostTransport, core::Front {
   struct Out {
     std::string body, host;
     bool out = true;
@@ -16,7 +16,7 @@
   std::map<core::Attempt, Out> attempts;
   std::map<core::CallId, std::vector<core::Answer>> answers;
   std::vector<std::pair<std::string, std::uint64_t>> orders;
-  void exec(const core::Attempt& a, const std::string& host, const core::Call& call,
+  void send_attempt(const core::Attempt& a, const std::string& host, const core::Call& call,
             Millis patience) override {
     CHECK(patience.count() > 0);
     CHECK(answers.count(a.call) == 0);
@@ -24,15 +24,15 @@
     CHECK(a.number < 4);
     attempts[a] = {call.body, host};
   }
-  bool drop(const core::Attempt& a) override {
+  bool cancel_attempt(const core::Attempt& a) override {
     const auto found = attempts.find(a);
     return found != attempts.end() && std::exchange(found->second.out, false);
   }
   void probe(const std::string&) override {}
-  void ensure(const std::string& host, std::uint64_t function, int) override {
+  void load_copies(const std::string& host, std::uint64_t function, int) override {
     orders.emplace_back(host, function);
   }
-  void release(const std::string&, std::uint64_t) override {}
+  void unload(const std::string&, std::uint64_t) override {}
   void answer(core::CallId call, core::Answer&& answer) override {
     answers[call].push_back(std::move(answer));
   }
@@ -52,7 +52,7 @@
       list.entries.emplace_back();
       list.entries.back().worker = "h" + std::to_string(i);
     }
-    dispatcher.members(std::move(list));
+    dispatcher.update_endpoints(std::move(list));
   }
   core::CallId call(const std::string& cls, const std::string& ref, Millis allow = Millis(1000)) {
     core::Call c;
@@ -65,14 +65,14 @@
     c.arrived = now;
     c.allow = allow;
     c.body = ref;
-    const core::CallId id = dispatcher.next_id();
-    CHECK(dispatcher.take(id, std::move(c), desk));
+    const core::CallId id = dispatcher.allocate_call_id();
+    CHECK(dispatcher.admit(id, std::move(c), desk));
     return id;
   }
   void pass(Millis span) {
     const Millis until = now + span;
-    while (dispatcher.next_due() <= until) {
-      now = std::max(now, dispatcher.next_due());
+    while (dispatcher.next_deadline() <= until) {
+      now = std::max(now, dispatcher.next_deadline());
       dispatcher.tick();
     }
     now = until;
@@ -117,7 +117,7 @@
             std::next(deadline.begin(), static_cast<std::ptrdiff_t>(below(random, deadline.size())))->first;
         if (b.desk.answers.count(id) == 0) {
           left[id] = true;
-          b.dispatcher.leave(id);
+          b.dispatcher.client_disconnected(id);
         }
       }
       b.pass(Millis(static_cast<double>(below(random, 40))));
@@ -126,7 +126,7 @@
       }
     }
     b.pass(Millis(3000));
-    CHECK(b.dispatcher.open() == 0);
+    CHECK(b.dispatcher.open_calls() == 0);
     for (const auto& [id, at] : deadline) {
       const auto& answers = b.desk.answers[id];
       CHECK(answers.size() == (left[id] ? 0U : 1U));
@@ -150,7 +150,7 @@
     c.memory_mb = 300;
     c.allow = Millis(1000);
     change(c);
-    return b.dispatcher.take(b.dispatcher.next_id(), std::move(c), b.desk);
+    return b.dispatcher.admit(b.dispatcher.allocate_call_id(), std::move(c), b.desk);
   };
   CHECK(takes([](core::Call&) {}));
   CHECK(takes([](core::Call& c) { c.ref = "same"; }));
@@ -191,7 +191,7 @@
     c.class_name = "bin-check";
     c.arrived = b.now;
     c.allow = Millis(1000);
-    return b.dispatcher.take(b.dispatcher.next_id(), std::move(c), b.desk);
+    return b.dispatcher.admit(b.dispatcher.allocate_call_id(), std::move(c), b.desk);
   };
   CHECK_FALSE(repeated(Millis(1)));
   CHECK_FALSE(repeated(Millis(10000)));
@@ -215,7 +215,7 @@
   next.classes[0].semantics = robinfold::Semantics::once;
   next.classes[1].name = "bin-weigh";
   next.classes[1].semantics = robinfold::Semantics::repeatable;
-  b.dispatcher.retune(next);
+  b.dispatcher.apply_settings(next);
   const auto sent = [&](core::CallId id) {
     return std::count_if(b.desk.attempts.begin(), b.desk.attempts.end(),
                          [id](const auto& a) { return a.first.call == id; });
@@ -242,7 +242,7 @@
   dropped.class_name = "bin-record";
   dropped.arrived = b.now;
   dropped.allow = Millis(1000);
-  CHECK_FALSE(b.dispatcher.take(b.dispatcher.next_id(), std::move(dropped), b.desk));
+  CHECK_FALSE(b.dispatcher.admit(b.dispatcher.allocate_call_id(), std::move(dropped), b.desk));
   CHECK(b.counters.value("calls.unknown_class") == 1);
   CHECK(b.counters.value("guard.send_stopped") == 0);
 }
@@ -257,7 +257,7 @@
   for (const auto& [attempt, o] : b.desk.attempts) out.insert(attempt.call);
   REQUIRE((!out.empty() && out.size() < ids.size() - 1));
   const auto spared = *std::find_if(ids.begin(), ids.end(), [&](auto id) { return out.count(id) == 0; });
-  b.dispatcher.give_up(core::Dispatcher::Which::held, [&](core::CallId id) { return id != spared; });
+  b.dispatcher.abort_calls(core::Dispatcher::CallSelection::never_sent, [&](core::CallId id) { return id != spared; });
   for (const auto id : ids) {
     const bool goes_on = out.count(id) != 0 || id == spared;
     REQUIRE(b.desk.answers.count(id) == (goes_on ? 0 : 1));
--- a/tests/lotusyard/discovery_test.cpp
+++ b/tests/lotusyard/discovery_test.cpp
@@ -9,15 +9,15 @@
 // Answers `since N` with the later events, cut anywhere; breaks off after a random part, or stops there and
 // stays open.
 struct StandInLog {
-  class Peer final : public net::Stream {
+  class Peer final : public net::BufferedConnection {
    public:
-    Peer(StandInLog& log, net::Loop& loop, net::BufferPool& pool, net::Socket socket)
-        : Stream(loop, pool, std::move(socket), false), log_(log) {}
+    Peer(StandInLog& log, net::EventLoop& loop, net::BufferPool& pool, net::Socket socket)
+        : BufferedConnection(loop, pool, std::move(socket), false), log_(log) {}
 
    private:
     StandInLog& log_;
     discovery::LineCutter cutter_;
-    void received(std::string_view bytes) override {
+    void on_received(std::string_view bytes) override {
       std::vector<std::string> lines;
       REQUIRE(cutter_.take(bytes, lines));
       for (const auto& line : lines) {
@@ -31,12 +31,12 @@
         text += std::to_string(log_.events) + "\n";
         write(text.substr(0, below(log_.random, text.size() + 1)));
         flush_now();
-        if (!log_.stays_open) end_later();
+        if (!log_.stays_open) close_later();
       }
     }
-    void ended() override { log_.server.gone(*this); }
+    void on_closed() override { log_.server.gone(*this); }
   };
-  StandInLog(net::Loop& loop, net::BufferPool& pool) : server(loop, pool, *this) {}
+  StandInLog(net::EventLoop& loop, net::BufferPool& pool) : server(loop, pool, *this) {}
   Random random{6};
   Server<Peer, StandInLog> server;
   std::size_t events = 20;
@@ -45,18 +45,18 @@
 };
 
 TEST_CASE("a change log that breaks off anywhere is taken up again; each event is told once, in order") {
-  net::Loop loop;
+  net::EventLoop loop;
   net::BufferPool pool(64);
   core::Counters counters;
   StandInLog log(loop, pool);
   std::vector<std::string> told, all;
   for (int i = 4; i <= 20; ++i) all.push_back("s" + std::to_string(i));
   discovery::Discovery discovery(loop, pool, counters, log.server.address(), discovery::Log(3),
-                                 [&](const core::MemberList& list) {
-                                   for (const auto& m : list.members) told.push_back(m.entry.worker);
+                                 [&](const core::HostListUpdate& list) {
+                                   for (const auto& m : list.hosts) told.push_back(m.entry.worker);
                                  });
   discovery.start();
-  for (int i = 0; i < 5000 && told.size() < all.size(); ++i) loop.turn(loop.now() + Millis(20), [] {});
+  for (int i = 0; i < 5000 && told.size() < all.size(); ++i) loop.run_once(loop.now() + Millis(20), [] {});
   CHECK(told == all);
   CHECK(log.asked.size() > 1);
   CHECK(log.asked.front() == 3);
@@ -64,7 +64,7 @@
 }
 
 TEST_CASE("a change log that moves is asked at its new address at once; the old one is left") {
-  net::Loop loop;
+  net::EventLoop loop;
   net::BufferPool pool(64);
   core::Counters counters;
   StandInLog old(loop, pool), next(loop, pool);
@@ -73,9 +73,9 @@
   std::vector<std::string> told;
   discovery::Discovery discovery(
       loop, pool, counters, old.server.address(), discovery::Log(3),
-      [&](const core::MemberList& list) { told.push_back(list.members.at(0).entry.worker); });
+      [&](const core::HostListUpdate& list) { told.push_back(list.hosts.at(0).entry.worker); });
   const auto turn_until = [&](const auto& until) {
-    for (int i = 0; i < 5000 && !until(); ++i) loop.turn(loop.now() + Millis(20), [] {});
+    for (int i = 0; i < 5000 && !until(); ++i) loop.run_once(loop.now() + Millis(20), [] {});
     return until();
   };
   discovery.start();
@@ -90,7 +90,7 @@
 }
 
 TEST_CASE("a change log that stops half-way through an event and stays open is asked again") {
-  net::Loop loop;
+  net::EventLoop loop;
   net::BufferPool pool(64);
   core::Counters counters;
   StandInLog log(loop, pool);
@@ -98,11 +98,11 @@
   log.stays_open = true;
   std::size_t told = 0;
   discovery::Discovery discovery(loop, pool, counters, log.server.address(), discovery::Log(0),
-                                 [&](const core::MemberList&) { ++told; });
+                                 [&](const core::HostListUpdate&) { ++told; });
   discovery.start();
   Millis next = loop.now();
   for (int i = 0; i < 5000 && log.asked.size() < 2; ++i) {
-    loop.turn(loop.now() + Millis(20), [] {});
+    loop.run_once(loop.now() + Millis(20), [] {});
     if (loop.now() < next) continue;
     next = loop.now() + Millis(20);
     for (const auto& peer : log.server.peers) peer->write("x");  // it trickles on, but no line ends
--- a/tests/lotusyard/gather_test.cpp
+++ b/tests/lotusyard/gather_test.cpp
@@ -8,16 +8,16 @@
 
 namespace {
 
-std::map<std::string, Beat> heard_from(int members) {
-  std::map<std::string, Beat> out;
+std::map<std::string, Heartbeat> heard_from(int members) {
+  std::map<std::string, Heartbeat> out;
   for (int i = 0; i < members; ++i) {
-    Beat beat;
+    Heartbeat beat;
     beat.member = "m" + std::to_string(i);
-    beat.life = 1790000000000 + static_cast<std::uint64_t>(i);
-    beat.stamp = 1790000000000.25 + i;
-    beat.has = 100000 + static_cast<std::uint64_t>(i);
-    beat.view = View{};
-    beat.view->down = {"h1", "h2"};
+    beat.incarnation = 1790000000000 + static_cast<std::uint64_t>(i);
+    beat.sent_at = 1790000000000.25 + i;
+    beat.applied_index = 100000 + static_cast<std::uint64_t>(i);
+    beat.observations = HostObservations{};
+    beat.observations->down = {"h1", "h2"};
     out[beat.member] = beat;
   }
   return out;
@@ -26,33 +26,33 @@
 }  // namespace
 
 TEST_CASE("one entry holds the signs of life of a small group, and one goes out if nobody was heard") {
-  CHECK(gather(heard_from(3), "{}").entries.size() == 1);
-  const Gathered none = gather({}, "{}");
+  CHECK(aggregate_heartbeats(heard_from(3), "{}").entries.size() == 1);
+  const AggregatedHeartbeats none = aggregate_heartbeats({}, "{}");
   REQUIRE(none.entries.size() == 1);
-  CHECK(none.entries[0].beats.empty());
+  CHECK(none.entries[0].heartbeats.empty());
   CHECK(none.entries[0].reason == "{}");
 }
 
 TEST_CASE("every sign of life of 5,000 members is in an entry that can be read again") {
-  Gathered gathered = gather(heard_from(5000), "{}");
-  CHECK(gathered.left_out == 0);
+  AggregatedHeartbeats gathered = aggregate_heartbeats(heard_from(5000), "{}");
+  CHECK(gathered.dropped == 0);
   CHECK(gathered.entries.size() > 1);
   std::set<std::string> members;
-  for (const Entry& entry : gathered.entries) {
-    const std::string text = worded(entry);
-    CHECK(text.size() <= longest_entry);
-    const auto read = read_entry(text);
+  for (const LogEntry& entry : gathered.entries) {
+    const std::string text = encode_entry(entry);
+    CHECK(text.size() <= max_entry_bytes);
+    const auto read = parse_entry(text);
     REQUIRE(read.has_value());
-    for (const Beat& beat : read->beats) CHECK(members.insert(beat.member).second);
+    for (const Heartbeat& beat : read->heartbeats) CHECK(members.insert(beat.member).second);
   }
   CHECK(members.size() == 5000);
 }
 
 TEST_CASE("a sign of life that fits no entry is left out and counted, the others are not") {
   auto heard = heard_from(3);
-  for (int i = 0; i < 40000; ++i) heard["m1"].drained.insert("host-" + std::to_string(i));
-  const Gathered gathered = gather(std::move(heard), "{}");
-  CHECK(gathered.left_out == 1);
+  for (int i = 0; i < 40000; ++i) heard["m1"].drained_hosts.insert("host-" + std::to_string(i));
+  const AggregatedHeartbeats gathered = aggregate_heartbeats(std::move(heard), "{}");
+  CHECK(gathered.dropped == 1);
   REQUIRE(gathered.entries.size() == 1);
-  CHECK(gathered.entries[0].beats.size() == 2);
+  CHECK(gathered.entries[0].heartbeats.size() == 2);
 }
--- a/tests/lotusyard/group_relay.h
+++ b/tests/lotusyard/group_relay.h
@@ -21,31 +21,31 @@
  public:
   GroupRelay(World& world, std::string to)
       : server(world.loop, world.pool, *this), world_(world), to_(std::move(to)) {}
-  class Peer final : public net::Stream {
+  class Peer final : public net::BufferedConnection {
    public:
-    Peer(GroupRelay& relay, net::Loop& loop, net::BufferPool& pool, net::Socket socket)
-        : Stream(loop, pool, std::move(socket), false), relay_(relay), inner_(relay) {
+    Peer(GroupRelay& relay, net::EventLoop& loop, net::BufferPool& pool, net::Socket socket)
+        : BufferedConnection(loop, pool, std::move(socket), false), relay_(relay), inner_(relay) {
       inner_.back = [this](std::string_view more) {
         if (!dead) write(more);
       };
-      inner_.gone = [this] { end_later(); };
+      inner_.gone = [this] { close_later(); };
     }
     std::string from;
     bool dead = false;
     void over() {
-      inner_.end_later();
-      end_later();
+      inner_.close_later();
+      close_later();
     }
 
    private:
-    struct Inner final : net::Stream {
+    struct Inner final : net::BufferedConnection {
       explicit Inner(GroupRelay& relay)
-          : Stream(relay.world_.loop, relay.world_.pool, net::connect_to(relay.to_).socket, true) {}
-      void connected() override { loop().flush_later(*this); }
-      void received(std::string_view bytes) override {
+          : BufferedConnection(relay.world_.loop, relay.world_.pool, net::connect_to(relay.to_).socket, true) {}
+      void on_connected() override { loop().flush_later(*this); }
+      void on_received(std::string_view bytes) override {
         if (back) back(bytes);
       }
-      void ended() override {
+      void on_closed() override {
         if (gone) gone();
       }
       std::function<void(std::string_view)> back;
@@ -54,18 +54,18 @@
     GroupRelay& relay_;
     Inner inner_;
     FrameParser parser_;
-    void received(std::string_view bytes) override {
+    void on_received(std::string_view bytes) override {
       if (from.empty()) {
         std::vector<Frame> frames;
-        if (!parser_.take(bytes, frames)) return over();
-        if (!frames.empty()) from = group::read_hello(frames[0].body).value_or(group::Hello()).member;
+        if (!parser_.feed(bytes, frames)) return over();
+        if (!frames.empty()) from = group::decode_hello(frames[0].body).value_or(group::Hello()).member;
       }
       if (relay_.cut.count(from) != 0) dead = true;  // whatever comes is lost, and nobody is told
       if (dead) return;
       inner_.write(bytes);
     }
-    void ended() override {
-      inner_.end_later();
+    void on_closed() override {
+      inner_.close_later();
       relay_.server.gone(*this);
     }
   };
--- a/tests/lotusyard/group_test.cpp
+++ b/tests/lotusyard/group_test.cpp
@@ -15,9 +15,9 @@
 namespace lotusyard::test {
 namespace {
 
-using group::Store;
+using group::LogStore;
 using group::StoredEntry;
-using group::StoreError;
+using group::LogStoreError;
 
 // ---- The store ----
 
@@ -25,21 +25,21 @@
   Folder folder;
   const std::string path = folder.path + "/a.db";
   {
-    Store store(path);
-    CHECK(store.fresh());
-    store.begin({"yard", "a", 3, 0});
+    LogStore store(path);
+    CHECK(store.is_empty());
+    store.initialize({"yard", "a", 3, 0});
     store.set_term(7);
     store.set_vote(2);
     store.append(
         {{7, RAFT_COMMAND, "one"}, {7, RAFT_COMMAND, std::string("t\0wo", 4)}, {7, RAFT_BARRIER, "b"}});
     store.truncate(3);
-    CHECK(store.next_life() == 1);
-    CHECK_THROWS_AS(Store(path), StoreError);
+    CHECK(store.begin_next_incarnation() == 1);
+    CHECK_THROWS_AS(LogStore(path), LogStoreError);
   }
   {
-    Store store(path);
+    LogStore store(path);
     CHECK(store.identity().member == "a");
-    CHECK(store.next_life() == 2);
+    CHECK(store.begin_next_incarnation() == 2);
     CHECK((store.term() == 7 && store.vote() == 2));
     REQUIRE(store.entries().size() == 2);
     CHECK(store.entries()[1].data == std::string("t\0wo", 4));
@@ -50,7 +50,7 @@
     CHECK(store.first_index() == 15);
     CHECK(store.entries().size() == 8);
   }
-  Store store(path);
+  LogStore store(path);
   CHECK(store.snapshot().index == 18);
   CHECK(store.snapshot().data == "board");
   CHECK(store.first_index() == 15);
@@ -66,7 +66,7 @@
     const std::string told = folder.path + "/told";
     const pid_t child = fork();
     if (child == 0) {
-      Store store(path);
+      LogStore store(path);
       const int out = open(told.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
       for (int i = 1;; ++i) {
         store.set_term(static_cast<std::uint64_t>(i));
@@ -79,7 +79,7 @@
     waitpid(child, nullptr, 0);
     struct stat size {};
     const auto promised = stat(told.c_str(), &size) == 0 ? static_cast<std::size_t>(size.st_size) : 0;
-    const Store store(path);
+    const LogStore store(path);
     const auto entries = store.entries();
     CHECK(entries.size() >= promised);
     CHECK(entries.size() <= promised + 1);
@@ -95,13 +95,13 @@
   const pid_t child = fork();
   if (child == 0) {
     signal(SIGXFSZ, SIG_IGN);
-    Store store(path);
+    LogStore store(path);
     const rlimit most{200000, 200000};
     setrlimit(RLIMIT_FSIZE, &most);
     std::size_t done = 0;
     try {
       for (;; ++done) store.append({{1, RAFT_COMMAND, std::string(3000, 'e')}});
-    } catch (const StoreError&) {}
+    } catch (const LogStoreError&) {}
     _exit(static_cast<int>(std::min<std::size_t>(done, 200)));
   }
   int status = 0;
@@ -109,7 +109,7 @@
   REQUIRE(WIFEXITED(status));
   kept = static_cast<std::size_t>(WEXITSTATUS(status));
   CHECK(kept > 5);
-  const Store store(path);
+  const LogStore store(path);
   CHECK(store.entries().size() == kept);
 }
 
@@ -119,8 +119,8 @@
     Folder folder;
     const std::string path = folder.path + "/a.db";
     {
-      Store store(path);
-      store.begin({"yard", "a", 1, 0});
+      LogStore store(path);
+      store.initialize({"yard", "a", 1, 0});
       for (int i = 0; i < 20; ++i) store.append({{1, RAFT_COMMAND, std::string(500, 'e')}});
     }
     std::ostringstream text;
@@ -133,10 +133,10 @@
     }
     std::ofstream(path, std::ios::binary | std::ios::trunc) << bytes;
     try {
-      const Store store(path);
+      const LogStore store(path);
       const std::size_t entries = store.entries().size();
       CHECK(entries <= 20);
-    } catch (const StoreError&) {  // it says so; nothing ends the process
+    } catch (const LogStoreError&) {  // it says so; nothing ends the process
     }
   }
 }
@@ -155,15 +155,15 @@
   raft_message m{};
   m.type = RAFT_IO_APPEND_ENTRIES;
   m.append_entries = {9, 8, 7, 6, entries, 3};
-  const std::string body = group::worded(m);
+  const std::string body = group::encode_hello(m);
   const std::string bytes =
-      group::framed(Frame::Kind::consensus, body) + group::framed(Frame::Kind::word, "t{}");
+      group::encode_frame(Frame::Kind::consensus, body) + group::encode_frame(Frame::Kind::message, "t{}");
   for (int i = 0; i < 50; ++i) {
     bool sound = false;
     const auto frames = parse_cut<FrameParser, Frame>(random, bytes, sound);
     REQUIRE(sound);
     REQUIRE(frames.size() == 2);
-    auto read = group::read_message(frames[0].body);
+    auto read = group::decode_message(frames[0].body);
     REQUIRE(read);
     REQUIRE(read->append_entries.n_entries == 3);
     CHECK(read->append_entries.prev_log_index == 8);
@@ -176,19 +176,19 @@
       spoilt.resize(below(random, spoilt.size()));
     else
       spoilt[below(random, spoilt.size())] = static_cast<char>(random());
-    if (auto read = group::read_message(spoilt)) group::give_back(*read);
+    if (auto read = group::decode_message(spoilt)) group::give_back(*read);
     FrameParser parser;
     std::vector<Frame> out;
-    parser.take(garbage(random, std::string("\0\0\0\x01\x02\x03", 6)), out);
-    group::read_hello(garbage(random, "{}:,\"abc1"));
+    parser.feed(garbage(random, std::string("\0\0\0\x01\x02\x03", 6)), out);
+    group::decode_hello(garbage(random, "{}:,\"abc1"));
   }
   FrameParser parser;
   std::vector<Frame> out;
-  CHECK_FALSE(parser.take(std::string("\x7f\xff\xff\xff\x02", 5), out));  // longer than any frame
+  CHECK_FALSE(parser.feed(std::string("\x7f\xff\xff\xff\x02", 5), out));  // longer than any frame
 }
 
 TEST_CASE("a member of another group, version, lease or id is turned away with a reason") {
-  net::Loop loop;
+  net::EventLoop loop;
   core::Counters counters;
   group::Hello mine;
   mine.cluster = "yard";
@@ -196,7 +196,7 @@
   mine.from = 1;
   mine.lease = 1000;
   std::vector<std::string> got, notes;
-  group::Links links(
+  group::PeerTransport links(
       loop, counters, mine, [&](const group::Hello& from, Frame&& f) { got.push_back(from.member + f.body); },
       [&](const std::string& line) { notes.push_back(line); });
   REQUIRE(links.listen("127.0.0.1:0"));
@@ -206,13 +206,13 @@
     other.from = 2;
     change(other);
     std::vector<std::string> told;
-    group::Links peer(
+    group::PeerTransport peer(
         loop, counters, other, [](const group::Hello&, Frame&&) {},
         [&](const std::string& line) { told.push_back(line); });
-    peer.send(1, links.address(), Frame::Kind::word, "hello");
+    peer.send(1, links.address(), Frame::Kind::message, "hello");
     const std::size_t before = got.size();
     for (int i = 0; i < 400 && told.empty() && got.size() == before; ++i)
-      loop.turn(loop.now() + Millis(5), [] {});
+      loop.run_once(loop.now() + Millis(5), [] {});
     return told.empty() ? std::string("let in") : told.back();
   };
   CHECK(tell([](group::Hello&) {}) == "let in");
@@ -270,7 +270,7 @@
   Cluster::Member& away = *cluster.members[2];
   const auto touches = [&] {
     int out = 0;
-    for (const auto& h : works::read_timeline(cluster.lines()).happenings) out += h.what == "touch";
+    for (const auto& h : works::parse_timeline(cluster.lines()).entries) out += h.what == "touch";
     return out;
   };
   double checked = 0;
