--- a/tests/lotusyard/helper.h
+++ b/tests/lotusyard/helper.h
@@ -82,17 +82,17 @@
 
 // Accepts connections and keeps them until they end.
 template <typename Peer, typename Owner>
-class Server : public net::Handler {
+class Server : public net::EventHandler {
  public:
-  Server(net::Loop& loop, net::BufferPool& pool, Owner& owner, const std::string& address = "127.0.0.1:0")
+  Server(net::EventLoop& loop, net::BufferPool& pool, Owner& owner, const std::string& address = "127.0.0.1:0")
       : loop_(loop), pool_(pool), owner_(owner), listener_(net::listen_on(address)) {
     REQUIRE(static_cast<bool>(listener_));
     address_ = net::bound_address(listener_);
-    loop_.watch(listener_.fd(), *this, POLLIN);
+    loop_.register_handler(listener_.fd(), *this, POLLIN);
   }
   ~Server() override { stop(); }
   void stop() {
-    if (listener_) loop_.forget(listener_.fd(), *this);
+    if (listener_) loop_.unregister(listener_.fd(), *this);
     listener_.close();
   }
   const std::string& address() const { return address_; }
@@ -105,14 +105,14 @@
   void gone(Peer& peer) {
     for (auto i = peers.begin(); i != peers.end(); ++i) {
       if (i->get() != &peer) continue;
-      loop_.bury(*i);
+      loop_.delete_later(*i);
       peers.erase(i);
       return;
     }
   }
 
  private:
-  net::Loop& loop_;
+  net::EventLoop& loop_;
   net::BufferPool& pool_;
   Owner& owner_;
   net::Socket listener_;
@@ -128,24 +128,24 @@
 
 class StandInHost {
  public:
-  StandInHost(net::Loop& loop, net::BufferPool& pool, const std::string& address = "127.0.0.1:0")
+  StandInHost(net::EventLoop& loop, net::BufferPool& pool, const std::string& address = "127.0.0.1:0")
       : server(loop, pool, *this, address) {}
-  class Peer final : public net::Stream {
+  class Peer final : public net::BufferedConnection {
    public:
-    Peer(StandInHost& host, net::Loop& loop, net::BufferPool& pool, net::Socket socket)
-        : Stream(loop, pool, std::move(socket), false), host_(host) {}
+    Peer(StandInHost& host, net::EventLoop& loop, net::BufferPool& pool, net::Socket socket)
+        : BufferedConnection(loop, pool, std::move(socket), false), host_(host) {}
 
     bool stalled = false;
 
    private:
     StandInHost& host_;
     hosts::LineParser parser_;  // its requests have the form of its answers, with the verb first
-    void received(std::string_view bytes) override {
+    void on_received(std::string_view bytes) override {
       std::vector<hosts::Reply> lines;
       REQUIRE(parser_.take(bytes, lines));
       for (const auto& line : lines) host_.take(*this, line);
     }
-    void ended() override { host_.server.gone(*this); }
+    void on_closed() override { host_.server.gone(*this); }
   };
   Server<Peer, StandInHost> server;
   std::function<Reaction(const std::string& body)> react = [](const std::string&) { return Reaction(); };
@@ -184,7 +184,7 @@
     if (peer.stalled) peer.write(whole.substr(0, whole.size() / 2));
     if (reaction.kind == Reaction::half) peer.write(whole.substr(0, whole.size() / 2));
     if (reaction.kind == Reaction::half) peer.flush_now();
-    if (reaction.kind == Reaction::half || reaction.kind == Reaction::hang_up) peer.end_later();
+    if (reaction.kind == Reaction::half || reaction.kind == Reaction::hang_up) peer.close_later();
   }
 };
 
@@ -206,23 +206,23 @@
   // The whole list anew; the given state is that of all hosts, or of one.
   void tell(robinfold::WorkerState state, double started = 0, std::size_t one = SIZE_MAX) {
     states.resize(host.size());
-    core::MemberList list{true, {}};
+    core::HostListUpdate list{true, {}};
     core::HostList entries{core::ListKind::full, {}};
     for (std::size_t i = 0; i < host.size(); ++i) {
-      core::Member member;
+      core::ListedHost member;
       member.entry.worker = "h" + std::to_string(i);
       if (one == SIZE_MAX || one == i) states[i] = {state, Millis(started), loop.now()};
       member.entry.state = states[i].state;
       member.entry.started = states[i].started;
       member.address = host[i]->server.address();
-      list.members.push_back(member);
+      list.hosts.push_back(member);
       entries.entries.push_back(member.entry);
     }
-    fleet.members(list);
-    dispatcher.members(std::move(entries));
+    fleet.update_endpoints(list);
+    dispatcher.update_endpoints(std::move(entries));
   }
   void turn() {
-    loop.turn(std::min(dispatcher.next_due(), loop.now() + Millis(20)), [this] { dispatcher.tick(); });
+    loop.run_once(std::min(dispatcher.next_deadline(), loop.now() + Millis(20)), [this] { dispatcher.tick(); });
   }
   template <typename Until>
   bool turn_until(const Until& until, int most = 200000) {
@@ -241,12 +241,12 @@
     robinfold::WorkerState state = robinfold::WorkerState::gone;
     Millis started{0}, at{0};
   };
-  net::Loop loop;
+  net::EventLoop loop;
   net::BufferPool pool;
   core::Counters counters;
   std::vector<std::unique_ptr<StandInHost>> host;
   std::vector<Told> states;
-  hosts::Fleet fleet;
+  hosts::HostConnectionPool fleet;
   core::Dispatcher dispatcher;
 };
 
@@ -261,13 +261,13 @@
   struct Chaos {  // chances in a thousand
     unsigned drop = 0, redeliver = 0, reorder = 0, nack = 0;
   };
-  StandInBroker(net::Loop& loop, net::BufferPool& pool, std::uint64_t seed)
+  StandInBroker(net::EventLoop& loop, net::BufferPool& pool, std::uint64_t seed)
       : random(seed), server(loop, pool, *this), loop_(loop) {}
 
-  class Peer final : public net::Stream {
+  class Peer final : public net::BufferedConnection {
    public:
-    Peer(StandInBroker& broker, net::Loop& loop, net::BufferPool& pool, net::Socket socket)
-        : Stream(loop, pool, std::move(socket), false), broker_(broker) {}
+    Peer(StandInBroker& broker, net::EventLoop& loop, net::BufferPool& pool, net::Socket socket)
+        : BufferedConnection(loop, pool, std::move(socket), false), broker_(broker) {}
     void say(std::uint32_t id, std::uint16_t channel, const amqp::Writer& arguments) {
       const std::string head = amqp::Writer().u16(id >> 16).u16(id & 0xFFFF).bytes();
       write(amqp::frame(amqp::FrameType::method, channel, head + arguments.bytes()));
@@ -285,7 +285,7 @@
     std::string reply_queue_;
     std::uint64_t left_ = 0;
 
-    void received(std::string_view bytes) override {
+    void on_received(std::string_view bytes) override {
       const std::size_t part = std::min(8 - greeting_.size(), bytes.size());
       if (part > 0) greeting_.append(bytes.substr(0, part));
       bytes.remove_prefix(part);
@@ -380,7 +380,7 @@
         default: return;
       }
     }
-    void ended() override {
+    void on_closed() override {
       for (auto& [tag, message] : unacked) {
         message.redelivered = true;
         broker_.queue.push_back(std::move(message));
@@ -431,10 +431,10 @@
   }
   void drop_all() {
     dropped += server.peers.size();
-    for (const auto& peer : server.peers) peer->end_later();
+    for (const auto& peer : server.peers) peer->close_later();
   }
   void deliver(Peer& peer) {
-    while (peer.consuming && peer.open() && !queue.empty() && peer.unacked.size() < peer.prefetch) {
+    while (peer.consuming && peer.is_open() && !queue.empty() && peer.unacked.size() < peer.prefetch) {
       const std::size_t pick = chance(chaos.reorder) ? below(random, queue.size()) : 0;
       Message m = std::move(queue[pick]);
       queue.erase(queue.begin() + static_cast<std::ptrdiff_t>(pick));
@@ -461,10 +461,10 @@
   }
 
  private:
-  net::Loop& loop_;
+  net::EventLoop& loop_;
   void drop(Peer& peer) {
     ++dropped;
-    peer.end_later();
+    peer.close_later();
   }
   void write_delivery(Peer& peer, const Message& m) {
     using namespace amqp;
--- a/tests/lotusyard/host_deadline_test.cpp
+++ b/tests/lotusyard/host_deadline_test.cpp
@@ -22,7 +22,7 @@
 struct Excess {
   Millis sent{0}, most{-1e9};
   int calls = 0;
-  void watch(const net::Loop& loop, StandInHost& host) {
+  void watch(const net::EventLoop& loop, StandInHost& host) {
     host.react = [this, &loop, &host](const std::string&) {
       ++calls;
       if (sent.count() > 0) most = std::max(most, told_patience(host) - (kAllow - (loop.now() - sent)));
@@ -142,7 +142,7 @@
   call.function = 0xa1;
   call.arrived = excess.sent = p.world.loop.now();
   call.allow = kAllow;
-  REQUIRE(p.world.dispatcher.take(p.world.dispatcher.next_id(), std::move(call), front));
+  REQUIRE(p.world.dispatcher.admit(p.world.dispatcher.allocate_call_id(), std::move(call), front));
   run_turns(p);
   REQUIRE(excess.calls == 1);
   CHECK(excess.most.count() < kSlack.count());
@@ -171,8 +171,8 @@
 // Failure found in review: calls stood in a connection's queue behind bytes that the host did not read, with
 // the time that they had had when they were put there.
 TEST_CASE("no call waits behind what its host does not read with the time that it had before") {
-  net::Loop host_loop;
-  const auto host_turn = [&] { host_loop.turn(host_loop.now(), [] {}); };
+  net::EventLoop host_loop;
+  const auto host_turn = [&] { host_loop.run_once(host_loop.now(), [] {}); };
   Platform p(0);
   p.world.host.push_back(std::make_unique<StandInHost>(host_loop, p.world.pool));
   StandInHost& host = *p.world.host[0];
@@ -195,8 +195,8 @@
   client.say(many);
   while (p.world.loop.now() < excess.sent + Millis(60)) p.world.turn();
   // One call is cut in two; all others can still be looked at, and taken back.
-  CHECK(p.world.dispatcher.open() > 8);
-  CHECK(p.world.pool.out() <= 2);
+  CHECK(p.world.dispatcher.open_calls() > 8);
+  CHECK(p.world.pool.blocks_in_use() <= 2);
   CHECK(p.world.counters.value("hosts.stuck_calls") == 0);
   while (p.world.loop.now() < excess.sent + Millis(200)) p.world.turn();
   CHECK(p.world.counters.value("hosts.stuck_calls") == 1);
--- a/tests/lotusyard/hot_restart_test.cpp
+++ b/tests/lotusyard/hot_restart_test.cpp
@@ -11,14 +11,14 @@
 namespace lotusyard::test {
 namespace {
 
-using hot_restart::Standing;
+using hot_restart::ProcessRole;
 
 TEST_CASE("what two processes may hold is no more than the limits of one") {
   for (std::size_t sockets = hot_restart::least_sockets; sockets <= 4096; sockets += 7) {
     for (std::size_t mb = hot_restart::least_memory_mb; mb <= 512; mb += 9) {
-      const auto alone = hot_restart::shares_of(mb, sockets, Standing::alone);
-      const auto beside = hot_restart::shares_of(mb, sockets, Standing::beside);
-      const auto leaving = hot_restart::shares_of(mb, sockets, Standing::leaving);
+      const auto alone = hot_restart::shares_of(mb, sockets, ProcessRole::sole);
+      const auto beside = hot_restart::shares_of(mb, sockets, ProcessRole::concurrent);
+      const auto leaving = hot_restart::shares_of(mb, sockets, ProcessRole::draining);
       REQUIRE(alone.descriptors() <= sockets);
       REQUIRE(beside.descriptors() * 2 <= sockets);
       REQUIRE(beside.descriptors() + leaving.descriptors() <= sockets);
@@ -33,15 +33,15 @@
 TEST_CASE("a pool that is to hold less gives back what is not out, and the rest as it comes back") {
   net::BufferPool pool(8);
   std::vector<net::BufferPool::Lease> leases;
-  for (int i = 0; i < 6; ++i) leases.push_back(pool.take());
+  for (int i = 0; i < 6; ++i) leases.push_back(pool.acquire());
   leases.pop_back();
-  pool.bound(2);
-  CHECK(pool.out() == 5);
-  CHECK(pool.held() == 5);
-  CHECK_FALSE(pool.take());
+  pool.set_max_blocks(2);
+  CHECK(pool.blocks_in_use() == 5);
+  CHECK(pool.blocks_allocated() == 5);
+  CHECK_FALSE(pool.acquire());
   leases.clear();
-  CHECK(pool.held() == 2);
-  CHECK(pool.take());
+  CHECK(pool.blocks_allocated() == 2);
+  CHECK(pool.acquire());
 }
 
 TEST_CASE("another process is known to live for as long as it does, however it ends") {
--- a/tests/lotusyard/keys_test.cpp
+++ b/tests/lotusyard/keys_test.cpp
@@ -7,8 +7,8 @@
 namespace {
 
 using core::Attempt;
-using core::Keys;
-using core::Place;
+using core::IdempotencyKeys;
+using core::HostLocation;
 using robinfold::KeyScope;
 
 core::Call keyed(const std::string& key, const std::string& body = "b", Millis allow = Millis(1000)) {
@@ -23,100 +23,100 @@
 core::KeyRule rule(KeyScope scope = KeyScope::all) { return {scope, Millis(5000), Millis(1500)}; }
 
 TEST_CASE("a key is bytes that can stand in a host's line") {
-  for (const char* good : {"5c0f6e1a2b3d4c59a8b7c6d5e4f30211", "a", "~!#:;/"}) CHECK(Keys::sound(good));
+  for (const char* good : {"5c0f6e1a2b3d4c59a8b7c6d5e4f30211", "a", "~!#:;/"}) CHECK(IdempotencyKeys::is_valid(good));
   for (const std::string& bad :
        {std::string(), std::string("a b"), std::string("a,b"), std::string("a=b"), std::string("a\r\n"),
         std::string("a\0", 2), std::string("\xC3\xA9"), std::string(129, 'a')}) {
-    CHECK_FALSE(Keys::sound(bad));
+    CHECK_FALSE(IdempotencyKeys::is_valid(bad));
   }
 }
 
 TEST_CASE("a keyed call goes out again until its window has passed, from the first send that may have run") {
-  Keys keys;
+  IdempotencyKeys keys;
   const auto call = keyed("k");
-  REQUIRE(keys.begin(call, rule(), Millis(0)) == Keys::Word::taken);
-  CHECK(keys.may_go(call, rule(), {}, Millis(9000)));  // nothing has gone out
-  keys.went_out(call, {1, 0}, {}, Millis(1000));
-  keys.never_ran(call, {1, 0});
-  CHECK(keys.may_go(call, rule(), {}, Millis(9000)));
-  keys.went_out(call, {1, 1}, {}, Millis(2000));
-  keys.went_out(call, {1, 2}, {}, Millis(4000));
-  CHECK(keys.may_go(call, rule(), {}, Millis(6999)));
-  CHECK_FALSE(keys.may_go(call, rule(), {}, Millis(7000)));
+  REQUIRE(keys.begin(call, rule(), Millis(0)) == IdempotencyKeys::KeyDecision::accepted);
+  CHECK(keys.may_send_to(call, rule(), {}, Millis(9000)));  // nothing has gone out
+  keys.record_send(call, {1, 0}, {}, Millis(1000));
+  keys.record_not_run(call, {1, 0});
+  CHECK(keys.may_send_to(call, rule(), {}, Millis(9000)));
+  keys.record_send(call, {1, 1}, {}, Millis(2000));
+  keys.record_send(call, {1, 2}, {}, Millis(4000));
+  CHECK(keys.may_send_to(call, rule(), {}, Millis(6999)));
+  CHECK_FALSE(keys.may_send_to(call, rule(), {}, Millis(7000)));
   keys.end(call, rule(), Millis(6000));
-  CHECK(keys.begin(call, rule(), Millis(6999)) == Keys::Word::taken);  // a further try of the client
-  CHECK_FALSE(keys.may_go(call, rule(), {}, Millis(7001)));
+  CHECK(keys.begin(call, rule(), Millis(6999)) == IdempotencyKeys::KeyDecision::accepted);  // a further try of the client
+  CHECK_FALSE(keys.may_send_to(call, rule(), {}, Millis(7001)));
   keys.end(call, rule(), Millis(7001));
-  CHECK(keys.begin(call, rule(), Millis(8000)) == Keys::Word::window_over);
-  CHECK(keys.begin(keyed("other"), rule(), Millis(14001)) == Keys::Word::taken);
+  CHECK(keys.begin(call, rule(), Millis(8000)) == IdempotencyKeys::KeyDecision::window_over);
+  CHECK(keys.begin(keyed("other"), rule(), Millis(14001)) == IdempotencyKeys::KeyDecision::accepted);
   CHECK(keys.size() == 1);  // forgotten once it could be no client's try any more
 }
 
 TEST_CASE("within a zone or a cell only its hosts drop a repeat") {
   for (const auto scope : {KeyScope::zone, KeyScope::cell}) {
-    Keys keys;
+    IdempotencyKeys keys;
     const auto call = keyed("k");
-    REQUIRE(keys.begin(call, rule(scope), Millis(0)) == Keys::Word::taken);
-    CHECK(keys.may_go(call, rule(scope), {"z2", 4}, Millis(1)));
-    keys.went_out(call, {1, 0}, {"z1", 3}, Millis(1));
-    CHECK(keys.may_go(call, rule(scope), {"z1", 3}, Millis(2)));
-    CHECK(keys.may_go(call, rule(scope), {"z1", 4}, Millis(2)) == (scope == KeyScope::zone));
-    CHECK(keys.may_go(call, rule(scope), {"z2", 3}, Millis(2)) == (scope == KeyScope::cell));
+    REQUIRE(keys.begin(call, rule(scope), Millis(0)) == IdempotencyKeys::KeyDecision::accepted);
+    CHECK(keys.may_send_to(call, rule(scope), {"z2", 4}, Millis(1)));
+    keys.record_send(call, {1, 0}, {"z1", 3}, Millis(1));
+    CHECK(keys.may_send_to(call, rule(scope), {"z1", 3}, Millis(2)));
+    CHECK(keys.may_send_to(call, rule(scope), {"z1", 4}, Millis(2)) == (scope == KeyScope::zone));
+    CHECK(keys.may_send_to(call, rule(scope), {"z2", 3}, Millis(2)) == (scope == KeyScope::cell));
     // One that may have run before a restart: nobody knows where.
     auto again = keyed("restarted");
     again.retry = true;
-    REQUIRE(keys.begin(again, rule(scope), Millis(0)) == Keys::Word::taken);
-    CHECK_FALSE(keys.may_go(again, rule(scope), {"z1", 3}, Millis(2)));
+    REQUIRE(keys.begin(again, rule(scope), Millis(0)) == IdempotencyKeys::KeyDecision::accepted);
+    CHECK_FALSE(keys.may_send_to(again, rule(scope), {"z1", 3}, Millis(2)));
   }
 }
 
 TEST_CASE("the same key for another body or function is another request, and a host would drop it") {
-  Keys keys;
-  REQUIRE(keys.begin(keyed("k"), rule(), Millis(0)) == Keys::Word::taken);
-  CHECK(keys.begin(keyed("k"), rule(), Millis(1)) == Keys::Word::taken);  // both go, under the one key
-  CHECK(keys.begin(keyed("k", "other"), rule(), Millis(1)) == Keys::Word::other_request);
+  IdempotencyKeys keys;
+  REQUIRE(keys.begin(keyed("k"), rule(), Millis(0)) == IdempotencyKeys::KeyDecision::accepted);
+  CHECK(keys.begin(keyed("k"), rule(), Millis(1)) == IdempotencyKeys::KeyDecision::accepted);  // both go, under the one key
+  CHECK(keys.begin(keyed("k", "other"), rule(), Millis(1)) == IdempotencyKeys::KeyDecision::other_request);
   auto call = keyed("k");
   call.function = 8;
-  CHECK(keys.begin(call, rule(), Millis(1)) == Keys::Word::other_request);
+  CHECK(keys.begin(call, rule(), Millis(1)) == IdempotencyKeys::KeyDecision::other_request);
   call.class_name = "charge";  // a key is its class's
-  CHECK(keys.begin(call, rule(), Millis(1)) == Keys::Word::taken);
+  CHECK(keys.begin(call, rule(), Millis(1)) == IdempotencyKeys::KeyDecision::accepted);
   CHECK(keys.size() == 2);
 }
 
 TEST_CASE("a client's retry that is not known here counts from when its first try can have come") {
-  Keys keys;
+  IdempotencyKeys keys;
   auto call = keyed("k", "b", Millis(500));
   call.retry = true;  // waits 500 ms of 1500 in all: the first try came up to a second ago
-  REQUIRE(keys.begin(call, rule(), Millis(10000)) == Keys::Word::taken);
-  CHECK(keys.may_go(call, rule(), {}, Millis(13999)));
-  CHECK_FALSE(keys.may_go(call, rule(), {}, Millis(14000)));
+  REQUIRE(keys.begin(call, rule(), Millis(10000)) == IdempotencyKeys::KeyDecision::accepted);
+  CHECK(keys.may_send_to(call, rule(), {}, Millis(13999)));
+  CHECK_FALSE(keys.may_send_to(call, rule(), {}, Millis(14000)));
   auto late = keyed("late");
   late.ran_since = Millis(5000);
-  CHECK(keys.begin(late, rule(), Millis(10000)) == Keys::Word::window_over);
+  CHECK(keys.begin(late, rule(), Millis(10000)) == IdempotencyKeys::KeyDecision::window_over);
 }
 
 TEST_CASE("the memory of keys is bounded, and what it holds is kept") {
-  Keys keys;
-  for (std::size_t i = 0; i < Keys::most; ++i) {
-    REQUIRE(keys.begin(keyed(std::to_string(i)), rule(), Millis(0)) == Keys::Word::taken);
-    keys.went_out(keyed(std::to_string(i)), {i, 0}, {}, Millis(0));
+  IdempotencyKeys keys;
+  for (std::size_t i = 0; i < IdempotencyKeys::max_keys; ++i) {
+    REQUIRE(keys.begin(keyed(std::to_string(i)), rule(), Millis(0)) == IdempotencyKeys::KeyDecision::accepted);
+    keys.record_send(keyed(std::to_string(i)), {i, 0}, {}, Millis(0));
     keys.end(keyed(std::to_string(i)), rule(), Millis(0));
   }
-  CHECK(keys.begin(keyed("one more"), rule(), Millis(1)) == Keys::Word::full);
-  CHECK(keys.begin(keyed("5"), rule(), Millis(1)) == Keys::Word::taken);
+  CHECK(keys.begin(keyed("one more"), rule(), Millis(1)) == IdempotencyKeys::KeyDecision::full);
+  CHECK(keys.begin(keyed("5"), rule(), Millis(1)) == IdempotencyKeys::KeyDecision::accepted);
   keys.end(keyed("5"), rule(), Millis(1));
-  CHECK(keys.begin(keyed("one more"), rule(), Millis(10000)) == Keys::Word::taken);
+  CHECK(keys.begin(keyed("one more"), rule(), Millis(10000)) == IdempotencyKeys::KeyDecision::accepted);
   CHECK(keys.size() == 1);
   const auto same = keyed("same");
   for (std::uint64_t i = 0; i < 100; ++i) {
-    if (keys.begin(same, rule(), Millis(10000)) != Keys::Word::taken) break;
-    if (keys.may_go(same, rule(), {}, Millis(10000))) keys.went_out(same, {i, 0}, {}, Millis(10000));
+    if (keys.begin(same, rule(), Millis(10000)) != IdempotencyKeys::KeyDecision::accepted) break;
+    if (keys.may_send_to(same, rule(), {}, Millis(10000))) keys.record_send(same, {i, 0}, {}, Millis(10000));
   }
-  CHECK_FALSE(keys.may_go(same, rule(), {}, Millis(10000)));
+  CHECK_FALSE(keys.may_send_to(same, rule(), {}, Millis(10000)));
 }
 
 // Hosts that note every run by key and place; a front that counts answers.
-struct Ledger final : core::Hosts, core::Front {
+struct Ledger final : core::HostTransport, core::Front {
   struct Out {
     std::string host, key;
     Millis at{0};
@@ -128,7 +128,7 @@
   std::map<core::CallId, std::vector<core::Answer>> answers;
   std::vector<std::pair<std::string, std::uint64_t>> orders;
   int most_out = 0;
-  void exec(const Attempt& a, const std::string& host, const core::Call& call, Millis) override {
+  void send_attempt(const Attempt& a, const std::string& host, const core::Call& call, Millis) override {
     CHECK(answers.count(a.call) == 0);
     int out = 1;
     for (const auto& [other, o] : attempts) {
@@ -139,12 +139,12 @@
     most_out = std::max(most_out, out);
     attempts[a] = {host, call.key, now};
   }
-  bool drop(const Attempt& a) override { return std::exchange(attempts.at(a).out, false); }
+  bool cancel_attempt(const Attempt& a) override { return std::exchange(attempts.at(a).out, false); }
   void probe(const std::string&) override {}
-  void ensure(const std::string& host, std::uint64_t function, int copies) override {
+  void load_copies(const std::string& host, std::uint64_t function, int copies) override {
     if (copies > 0) orders.emplace_back(host, function);
   }
-  void release(const std::string&, std::uint64_t) override {}
+  void unload(const std::string&, std::uint64_t) override {}
   void answer(core::CallId call, core::Answer&& a) override { answers[call].push_back(std::move(a)); }
 };
 
@@ -162,7 +162,7 @@
     core::Counters counters;
     auto dispatcher = std::make_unique<core::Dispatcher>(
         s, [&now] { return now; }, desk, counters);
-    const auto place = [](int host) { return Place{"z" + std::to_string(host % 2), host % 3}; };
+    const auto place = [](int host) { return HostLocation{"z" + std::to_string(host % 2), host % 3}; };
     const auto tell_list = [&](bool whole) {
       core::HostList list;
       list.kind = whole ? core::ListKind::full : core::ListKind::delta;
@@ -174,7 +174,7 @@
         list.entries.back().cell = place(i).cell;
         if (!whole) list.entries.back().state = static_cast<core::WorkerState>(below(random, 3));
       }
-      dispatcher->members(std::move(list));
+      dispatcher->update_endpoints(std::move(list));
     };
     tell_list(true);
     std::map<core::CallId, std::string> cls;
@@ -195,9 +195,9 @@
         c.arrived = now;
         c.allow = Millis(300.0 + static_cast<double>(below(random, 900)));
         c.retry = below(random, 4) == 0;
-        last = dispatcher->next_id();
+        last = dispatcher->allocate_call_id();
         cls[last] = c.class_name;
-        if (!dispatcher->take(last, std::move(c), desk)) cls.erase(last);
+        if (!dispatcher->admit(last, std::move(c), desk)) cls.erase(last);
       }
       while (orders_told < desk.orders.size()) {
         const auto order = desk.orders[orders_told++];
@@ -213,7 +213,7 @@
       }
       if (below(random, 12) == 0 && cls.count(last) != 0 && desk.answers.count(last) == 0) {
         left.insert(last);
-        dispatcher->leave(last);
+        dispatcher->client_disconnected(last);
       }
       if (below(random, 40) == 0) tell_list(below(random, 2) == 0);
       now += Millis(static_cast<double>(below(random, 40)));
@@ -223,7 +223,7 @@
       now += Millis(20);
       dispatcher->tick();
     }
-    CHECK(dispatcher->open() == 0);
+    CHECK(dispatcher->open_calls() == 0);
     for (const auto& [id, name] : cls) CHECK(desk.answers[id].size() == (left.count(id) != 0 ? 0U : 1U));
     CHECK(desk.most_out <= (s.second_copies ? 2 : 1));
     std::map<core::CallId, int> runs;
@@ -247,7 +247,7 @@
         if (o->at - before->at >= s.classes[2].key_window * 2) start = o;  // a new request by now
         before = o;
         CHECK(o->at - start->at < s.classes[2].key_window);
-        const Place a = place(start->host[1] - '0'), b = place(o->host[1] - '0');
+        const HostLocation a = place(start->host[1] - '0'), b = place(o->host[1] - '0');
         if (s.classes[2].scope == KeyScope::zone) CHECK(a.zone == b.zone);
         if (s.classes[2].scope == KeyScope::cell) CHECK(a.cell == b.cell);
       }
--- a/tests/lotusyard/last_look_test.cpp
+++ b/tests/lotusyard/last_look_test.cpp
@@ -54,7 +54,7 @@
 // One turn; `between` happens after all was read and decided, before anything is written.
 template <typename Between>
 void turn_with(Platform& p, const Between& between) {
-  p.world.loop.turn(p.world.loop.now() + Millis(20), [&] {
+  p.world.loop.run_once(p.world.loop.now() + Millis(20), [&] {
     p.world.dispatcher.tick();
     between();
   });
@@ -86,7 +86,7 @@
   }
   turns(p);
   CHECK(p.world.host[0]->execs == 1);  // the usual one
-  CHECK(p.world.dispatcher.open() == 0);
+  CHECK(p.world.dispatcher.open_calls() == 0);
   CHECK(p.world.counters.value("calls.left") > 0);
 }
 
@@ -100,7 +100,7 @@
   client.say(many);
   turns(p);
   CHECK(p.world.host[0]->execs == 1);  // the usual one
-  CHECK(p.world.dispatcher.open() == 0);
+  CHECK(p.world.dispatcher.open_calls() == 0);
 }
 
 // Failure found in review: a connection that came up in the turn in which the client left took the call with
@@ -124,7 +124,7 @@
   turns(p);
   CHECK(p.world.host[0]->execs == 0);
   CHECK(p.world.host[0]->drops == 0);
-  CHECK(p.world.dispatcher.open() == 0);
+  CHECK(p.world.dispatcher.open_calls() == 0);
 }
 
 // Failure found in review: what was decided for a host earlier in the turn went out, whatever was told behind
@@ -139,8 +139,8 @@
   const auto state = GENERATE(robinfold::WorkerState::draining, robinfold::WorkerState::gone);
   const int orders = p.world.host[0]->orders;
   turn_with(p, [&] {
-    REQUIRE(p.world.dispatcher.open() == 1);
-    p.world.fleet.ensure("h0", 0xa1, 2);
+    REQUIRE(p.world.dispatcher.open_calls() == 1);
+    p.world.fleet.load_copies("h0", 0xa1, 2);
     p.world.tell(state);
   });
   turns(p);
@@ -165,11 +165,11 @@
   bool closed = false;
   while (!closed) {
     turn_with(p, [&] {
-      if (p.world.dispatcher.open() < 2) return;
+      if (p.world.dispatcher.open_calls() < 2) return;
       const auto peer = p.world.host[0]->server.peers.front();
       peer->write(ref + " data - 5\r\nfirst\r\n");
       peer->flush_now();
-      peer->end_later();
+      peer->close_later();
       peer->flush();
       closed = true;
     });
@@ -194,10 +194,10 @@
     const auto peer = p.world.host[0]->server.peers.front();
     peer->write(ref + " data - 5\r\nfirst\r\n");
     peer->flush_now();
-    peer->end_later();
+    peer->close_later();
     peer->flush();
-    p.world.dispatcher.leave(2);  // written into the closed connection, which is reset
-    p.world.dispatcher.leave(3);  // and this finds it so
+    p.world.dispatcher.client_disconnected(2);  // written into the closed connection, which is reset
+    p.world.dispatcher.client_disconnected(3);  // and this finds it so
   });
   REQUIRE(client.answer("1") != nullptr);
   CHECK(client.answer("1")->at(1) == "OK");
--- a/tests/lotusyard/listeners_test.cpp
+++ b/tests/lotusyard/listeners_test.cpp
@@ -8,15 +8,15 @@
 namespace lotusyard::test {
 namespace {
 
-struct NoOperations final : console::Operations {
+struct NoOperations final : console::AdminOperations {
   bool ready() const override { return true; }
-  console::Done disable(const std::string&) override { return console::Done::yes; }
-  console::Done enable(const std::string&) override { return console::Done::yes; }
+  console::OperationResult disable(const std::string&) override { return console::OperationResult::done; }
+  console::OperationResult enable(const std::string&) override { return console::OperationResult::done; }
 };
 
 // Turns for so long; the number of accepts that were tried meanwhile.
 template <typename Turn>
-int accepts_while_short(const net::Loop& loop, int error, const Turn& turn) {
+int accepts_while_short(const net::EventLoop& loop, int error, const Turn& turn) {
   SystemCallFaults faults;
   faults.fail(SystemCall::accept, {error});
   const Millis end = loop.now() + Millis(300);
@@ -46,13 +46,13 @@
   }
   SECTION("the group's links") {
     World world(0);
-    group::Links links(
+    group::PeerTransport links(
         world.loop, world.counters, {}, [](const auto&, auto&&) {}, [](const auto&) {});
     REQUIRE(links.listen("127.0.0.1:0"));
     const net::Socket caller = net::connect_to(links.address()).socket;
     CHECK(few(accepts_while_short(world.loop, error, [&] { world.turn(); })));
     REQUIRE(::send(caller.fd(), "garbage that is no frame", 24, MSG_NOSIGNAL) == 24);
-    const auto closed = [&] { return net::look_at(caller) == net::Peer::gone; };
+    const auto closed = [&] { return net::peek_peer(caller) == net::PeerState::disconnected; };
     CHECK(world.turn_until(closed, 1000));  // accepted, read and let go
   }
   SECTION("a control node's server") {
--- a/tests/lotusyard/log_store_faults_test.cpp
+++ b/tests/lotusyard/log_store_faults_test.cpp
@@ -7,9 +7,9 @@
 namespace lotusyard::test {
 namespace {
 
-using group::Store;
+using group::LogStore;
 using group::StoredEntry;
-using group::StoreError;
+using group::LogStoreError;
 
 // ---- The store alone ----
 
@@ -19,26 +19,26 @@
   bool operator==(const Durable& o) const { return term == o.term && vote == o.vote && log == o.log; }
 };
 
-Durable read_back(const Store& store) {
+Durable read_back(const LogStore& store) {
   Durable out{store.term(), store.vote(), {}};
   for (const auto& entry : store.entries()) out.log.push_back(entry.data);
   return out;
 }
 
 // One change at random; `next` is what the store holds once it is taken.
-std::function<void(Store&)> random_change(Random& random, Durable& next) {
+std::function<void(LogStore&)> random_change(Random& random, Durable& next) {
   switch (below(random, 5)) {
     case 0:
       ++next.term;
       next.vote = 0;
-      return [term = next.term](Store& store) { store.set_term(term); };
+      return [term = next.term](LogStore& store) { store.set_term(term); };
     case 1:
       if (next.vote == 0) next.vote = 1 + below(random, 3);
-      return [vote = next.vote](Store& store) { store.set_vote(vote); };
+      return [vote = next.vote](LogStore& store) { store.set_vote(vote); };
     case 2: {
       const std::size_t keep = below(random, next.log.size() + 1);
       next.log.resize(keep);
-      return [keep](Store& store) { store.truncate(keep + 1); };
+      return [keep](LogStore& store) { store.truncate(keep + 1); };
     }
     default: {
       std::vector<StoredEntry> entries;
@@ -46,7 +46,7 @@
         entries.push_back({next.term, RAFT_COMMAND, std::to_string(random()) + std::string(900, 'e')});
         next.log.push_back(entries.back().data);
       }
-      return [entries](Store& store) { store.append(entries); };
+      return [entries](LogStore& store) { store.append(entries); };
     }
   }
 }
@@ -59,13 +59,13 @@
   FaultDisk& disk = vfs.make_disk("d", seed);
   Random random(seed);
   Durable said, tried;
-  { Store store("d:log"); }
+  { LogStore store("d:log"); }
   disk.sync_lies = lies;
   disk.crash_kind = kind;
   disk.crash_at = crash_at == 0 ? 0 : disk.changes() + crash_at;
   const std::uint64_t before = disk.changes();
   try {
-    Store store("d:log");
+    LogStore store("d:log");
     for (int i = 0; i < 40 && !disk.crashed(); ++i) {
       if (faults)
         disk.rates = {unsigned(below(random, 60)),
@@ -79,7 +79,7 @@
       try {
         change(store);
         said = tried = next;
-      } catch (const StoreError& fault) {
+      } catch (const LogStoreError& fault) {
         if (!fault.transient()) return std::string("damaged by trouble that passed: ") + fault.what();
         tried = next;
         disk.rates = FaultRates();
@@ -89,7 +89,7 @@
         said = tried = read_back(store);
       }
     }
-  } catch (const StoreError& fault) {
+  } catch (const LogStoreError& fault) {
     if (!fault.transient()) return std::string("damaged by trouble that passed: ") + fault.what();
   }
   if (changes != nullptr) *changes = disk.changes() - before;
@@ -98,8 +98,8 @@
   disk.rates = FaultRates();
   Durable found;
   try {
-    found = read_back(Store("d:log"));
-  } catch (const StoreError& fault) { return fault.what(); }
+    found = read_back(LogStore("d:log"));
+  } catch (const LogStoreError& fault) { return fault.what(); }
   if (found == said || found == tried) return "";
   return found.term < said.term    ? "the term goes back"
          : found.vote != said.vote ? "a vote is forgotten"
@@ -179,7 +179,7 @@
     world.run(Millis(50));
   }
   CHECK(leader->unavailable_times > 0);
-  CHECK_FALSE(leader->consensus->leads());
+  CHECK_FALSE(leader->consensus->is_leader());
   CHECK_FALSE(leader->consensus->is_available());
   CHECK_FALSE(leader->consensus->has_failed());
   CHECK(world.checker.acknowledged().size() > 150);  // the others go on
--- a/tests/lotusyard/membership_test.cpp
+++ b/tests/lotusyard/membership_test.cpp
@@ -12,11 +12,11 @@
 namespace {
 
 using core::WorkerState;
-using membership::Membership;
-using membership::OutFiles;
+using membership::EndpointStates;
+using membership::DisabledHostFiles;
 
-core::Member member(const std::string& id, WorkerState state, double started = 0) {
-  core::Member out;
+core::ListedHost member(const std::string& id, WorkerState state, double started = 0) {
+  core::ListedHost out;
   out.entry.worker = id;
   out.entry.state = state;
   out.entry.started = Millis(started);
@@ -27,10 +27,10 @@
 struct Seen {  // what hosts and core would believe
   std::map<std::string, core::WorkerEntry> hosts;
   int tellings = 0;
-  Membership membership{[this](const core::MemberList& list, core::ListKind) {
+  EndpointStates membership{[this](const core::HostListUpdate& list, core::ListKind) {
     ++tellings;
     std::set<std::string> named;
-    for (const auto& m : list.members) {
+    for (const auto& m : list.hosts) {
       hosts[m.entry.worker] = m.entry;
       named.insert(m.entry.worker);
     }
@@ -42,42 +42,42 @@
 
 TEST_CASE("a host out by hand is draining whatever the list says, till one call puts it back, cold") {
   Seen seen;
-  seen.membership.list({true, {member("a", WorkerState::ready, 5), member("b", WorkerState::ready)}},
+  seen.membership.apply_list({true, {member("a", WorkerState::ready, 5), member("b", WorkerState::ready)}},
                        core::ListKind::cached);
-  CHECK_FALSE(seen.membership.known("c"));
+  CHECK_FALSE(seen.membership.is_known("c"));
   seen.membership.disable("a");
   const int told = seen.tellings;
   seen.membership.disable("a");
   CHECK(seen.tellings == told);  // twice is once
   CHECK(seen.hosts["a"].state == WorkerState::draining);
-  seen.membership.list({false, {member("a", WorkerState::ready, 900)}}, core::ListKind::delta);
-  seen.membership.list({true, {member("a", WorkerState::ready, 900)}}, core::ListKind::full);
+  seen.membership.apply_list({false, {member("a", WorkerState::ready, 900)}}, core::ListKind::delta);
+  seen.membership.apply_list({true, {member("a", WorkerState::ready, 900)}}, core::ListKind::full);
   CHECK(seen.hosts["a"].state == WorkerState::draining);
   CHECK(seen.hosts["b"].state == WorkerState::gone);
   seen.membership.enable("a", Millis(2000));
   CHECK((seen.hosts["a"].state == WorkerState::ready && seen.hosts["a"].started == Millis(2000)));
   CHECK(seen.hosts["a"].put_back);
   seen.membership.enable("a", Millis(3000));  // it was not out
-  seen.membership.list({false, {member("a", WorkerState::ready, 900)}}, core::ListKind::delta);
+  seen.membership.apply_list({false, {member("a", WorkerState::ready, 900)}}, core::ListKind::delta);
   CHECK(seen.hosts["a"].started == Millis(2000));  // the list does not know of its new start yet
-  seen.membership.list({false, {member("a", WorkerState::ready, 4000)}}, core::ListKind::delta);
+  seen.membership.apply_list({false, {member("a", WorkerState::ready, 4000)}}, core::ListKind::delta);
   CHECK(seen.hosts["a"].started == Millis(4000));
 }
 
 TEST_CASE("a host that is out and has left the list stays known, and out when it comes back") {
   Seen seen;
-  seen.membership.list({true, {member("a", WorkerState::ready)}}, core::ListKind::cached);
+  seen.membership.apply_list({true, {member("a", WorkerState::ready)}}, core::ListKind::cached);
   seen.membership.disable("a");
-  seen.membership.list({false, {member("a", WorkerState::gone)}}, core::ListKind::delta);
+  seen.membership.apply_list({false, {member("a", WorkerState::gone)}}, core::ListKind::delta);
   for (int i = 0; i < 3000; ++i) {  // long after, thousands of others have come and gone
     const std::string id = "x" + std::to_string(i);
-    seen.membership.list({false, {member(id, WorkerState::ready)}}, core::ListKind::delta);
-    seen.membership.list({false, {member(id, WorkerState::gone)}}, core::ListKind::delta);
+    seen.membership.apply_list({false, {member(id, WorkerState::ready)}}, core::ListKind::delta);
+    seen.membership.apply_list({false, {member(id, WorkerState::gone)}}, core::ListKind::delta);
   }
-  CHECK_FALSE(seen.membership.known("x0"));
-  CHECK(seen.membership.known("x2999"));
-  CHECK(seen.membership.known("a"));
-  seen.membership.list({false, {member("a", WorkerState::ready, 70)}}, core::ListKind::delta);
+  CHECK_FALSE(seen.membership.is_known("x0"));
+  CHECK(seen.membership.is_known("x2999"));
+  CHECK(seen.membership.is_known("a"));
+  seen.membership.apply_list({false, {member("a", WorkerState::ready, 70)}}, core::ListKind::delta);
   CHECK(seen.hosts["a"].state == WorkerState::draining);
   seen.membership.enable("a", Millis(90));
   CHECK(seen.hosts["a"].state == WorkerState::ready);
@@ -89,32 +89,32 @@
   Random random(11);
   for (int round = 0; round < 60; ++round) {
     const Folder folder;
-    std::map<std::string, core::Member> listed;
+    std::map<std::string, core::ListedHost> listed;
     std::set<std::string> out;
     std::vector<std::unique_ptr<Seen>> process(2);
     const auto start = [&](std::unique_ptr<Seen>& one) {
       one = std::make_unique<Seen>();
-      one->membership.follow(*OutFiles(folder.path).read(), Millis(0));
-      core::MemberList all{true, {}};
-      for (const auto& [id, m] : listed) all.members.push_back(m);
-      one->membership.list(all, core::ListKind::cached);
+      one->membership.set_disabled(*DisabledHostFiles(folder.path).read(), Millis(0));
+      core::HostListUpdate all{true, {}};
+      for (const auto& [id, m] : listed) all.hosts.push_back(m);
+      one->membership.apply_list(all, core::ListKind::cached);
     };
     for (auto& one : process) start(one);
     for (int step = 1; step <= 120; ++step) {
       const Millis now(1000.0 * step);
       const std::string id(1, static_cast<char>('a' + below(random, 5)));
       auto& one = *process[below(random, 2)];
-      OutFiles files(folder.path);
+      DisabledHostFiles files(folder.path);
       switch (below(random, 6)) {
         case 0:
         case 1: {
           const auto state = static_cast<WorkerState>(below(random, 3));
           listed[id] = member(id, state, below(random, 2) == 0 ? 0 : now.count());
-          for (auto& p : process) p->membership.list({false, {listed[id]}}, core::ListKind::delta);
+          for (auto& p : process) p->membership.apply_list({false, {listed[id]}}, core::ListKind::delta);
           break;
         }
         case 2:  // the call out, killed at times between the file and the memory
-          if (!one.membership.known(id)) break;
+          if (!one.membership.is_known(id)) break;
           REQUIRE(files.add(id));
           out.insert(id);
           if (below(random, 4) == 0) {
@@ -124,7 +124,7 @@
           }
           break;
         case 3:
-          if (!one.membership.known(id)) break;
+          if (!one.membership.is_known(id)) break;
           REQUIRE(files.remove(id));
           out.erase(id);
           if (below(random, 4) == 0) {
@@ -136,9 +136,9 @@
         case 4: start(process[below(random, 2)]); break;  // it is replaced
         default: break;
       }
-      for (auto& p : process) p->membership.follow(*files.read(), now);
+      for (auto& p : process) p->membership.set_disabled(*files.read(), now);
       for (const auto& p : process) {
-        REQUIRE(p->membership.out() == out);
+        REQUIRE(p->membership.disabled() == out);
         for (const auto& [host_id, m] : listed) {
           const bool ready = m.entry.state == WorkerState::ready && out.count(host_id) == 0;
           REQUIRE((p->hosts[host_id].state == WorkerState::ready) == ready);
@@ -153,26 +153,26 @@
   for (int i = 0; i < 2000; ++i) {
     std::string id = garbage(random, "s-0./%_Az").substr(0, 60);
     if (id.empty()) continue;
-    const std::string name = OutFiles::file_name(id);
+    const std::string name = DisabledHostFiles::file_name(id);
     CHECK(name.find('/') == std::string::npos);
     CHECK((name != "." && name != ".."));
-    CHECK(OutFiles::host_name(name) == id);
+    CHECK(DisabledHostFiles::host_name(name) == id);
   }
   for (const char* other : {".", "..", "a.tmp", "%2", "%zz", "%41", ""})
-    CHECK_FALSE(OutFiles::host_name(other));
-  CHECK(OutFiles::file_name(std::string(300, 'a')).empty());
+    CHECK_FALSE(DisabledHostFiles::host_name(other));
+  CHECK(DisabledHostFiles::file_name(std::string(300, 'a')).empty());
 }
 
 TEST_CASE("what cannot be kept is refused") {
-  OutFiles nowhere("");
+  DisabledHostFiles nowhere("");
   CHECK_FALSE(nowhere.add("a"));
   CHECK_FALSE(nowhere.read());
   const Folder folder;
-  OutFiles missing(folder.path + "/not/there");  // the folder above it is missing
+  DisabledHostFiles missing(folder.path + "/not/there");  // the folder above it is missing
   CHECK_FALSE(missing.add("a"));
   const std::string file = folder.path + "/out.file";
-  REQUIRE(OutFiles(folder.path).add("file"));
-  OutFiles under(file);  // a file stands where the folder should
+  REQUIRE(DisabledHostFiles(folder.path).add("file"));
+  DisabledHostFiles under(file);  // a file stands where the folder should
   CHECK_FALSE(under.add("a"));
   CHECK_FALSE(under.remove("a"));
   CHECK_FALSE(under.read());
--- a/tests/lotusyard/parsers_test.cpp
+++ b/tests/lotusyard/parsers_test.cpp
@@ -145,7 +145,7 @@
     reader.table();
     net::parse_fields(garbage(random, "a=b,;:"));
     discovery::Log log;
-    core::MemberList list;
+    core::HostListUpdate list;
     log.line(R"({"seq":1,"fleet":{"members":[)" + garbage(random, "{}\"id:,") + "]}}", list);
   }
 }
@@ -157,11 +157,11 @@
            R"("phase":"draining","up_since_ms":5}]}})";
   };
   discovery::Log log(3);
-  core::MemberList list;
+  core::HostListUpdate list;
   CHECK(log.line(event(4), list) == discovery::Log::Read::news);
-  REQUIRE(list.members.size() == 1);
-  CHECK(list.members[0].entry.state == core::WorkerState::draining);
-  CHECK(list.members[0].entry.started == Millis(5));
+  REQUIRE(list.hosts.size() == 1);
+  CHECK(list.hosts[0].entry.state == core::WorkerState::draining);
+  CHECK(list.hosts[0].entry.started == Millis(5));
   CHECK(log.line(event(4), list) == discovery::Log::Read::nothing);
   CHECK(log.line("4", list) == discovery::Log::Read::nothing);
   CHECK(log.line("6", list) == discovery::Log::Read::gap);
--- a/tests/lotusyard/part_test.cpp
+++ b/tests/lotusyard/part_test.cpp
@@ -6,17 +6,17 @@
 namespace lotusyard::test {
 namespace {
 
-struct Fake final : group::Part {
+struct Fake final : group::ReplicatedStateMachine {
   explicit Fake(const char* name) : name_(name) {}
-  const char* kind() const override { return name_; }
-  void applied(std::uint64_t, const std::string& entry) override { got.push_back(entry); }
+  const char* name() const override { return name_; }
+  void apply(std::uint64_t, const std::string& entry) override { got.push_back(entry); }
   std::string snapshot() override { return std::to_string(got.size()); }
   bool restore(const std::string& from) override {
     restored = from;
     return from != "damaged";
   }
-  void told(const std::string& word) override { words.push_back(word); }
-  void failed(const std::string& why) override { fault = why; }
+  void handle_message(const std::string& word) override { words.push_back(word); }
+  void on_store_failure(const std::string& why) override { fault = why; }
   std::vector<std::string> got, words;
   std::string restored = "never", fault;
 
@@ -26,7 +26,7 @@
 
 struct Alone {
   Folder folder;
-  net::Loop loop;
+  net::EventLoop loop;
   core::Counters counters;
   group::Config config;
   Alone() {
@@ -37,11 +37,11 @@
     config.listen = config.address = net::bound_address(free);
     config.members = {{"a", config.address, true}};
     config.election = Millis(50);
-    group::Member::found(config);
+    group::RaftReplica::bootstrap(config);
   }
   template <typename Until>
   bool until(const Until& done) {
-    for (int i = 0; i < 2000 && !done(); ++i) loop.turn(loop.now() + Millis(5), [] {});
+    for (int i = 0; i < 2000 && !done(); ++i) loop.run_once(loop.now() + Millis(5), [] {});
     return done();
   }
 };
@@ -49,11 +49,11 @@
 TEST_CASE("parts share one log, and each gets what is its own") {
   Alone alone;
   Fake works("works"), view("other");
-  group::Member member(alone.loop, alone.counters, alone.config, {&works, &view}, [](const auto&) {});
-  REQUIRE(alone.until([&] { return member.leads(); }));
+  group::RaftReplica member(alone.loop, alone.counters, alone.config, {&works, &view}, [](const auto&) {});
+  REQUIRE(alone.until([&] { return member.is_leader(); }));
   REQUIRE(member.propose(view, "{\"a\":1}"));
   REQUIRE(member.propose(works, "w"));
-  REQUIRE(member.tell_leader(view, "word"));
+  REQUIRE(member.send_to_leader(view, "word"));
   REQUIRE(alone.until([&] { return works.got.size() == 1 && view.words.size() == 1; }));
   CHECK(view.got == std::vector<std::string>{"{\"a\":1}"});
   CHECK(view.words == std::vector<std::string>{"word"});
@@ -63,12 +63,12 @@
 TEST_CASE("an entry of a kind that a member does not know stops it, and is not skipped") {
   Alone alone;
   {
-    group::Store store(alone.config.store);
-    store.append({{1, RAFT_COMMAND, group::tagged("later", "{}")}});
+    group::LogStore store(alone.config.store);
+    store.append({{1, RAFT_COMMAND, group::tag_entry("later", "{}")}});
     store.append({{1, RAFT_COMMAND, "{\"t\":\"ask\"}"}});  // as written before there were kinds
   }
   Fake works("works"), other("other");
-  group::Member member(alone.loop, alone.counters, alone.config, {&works, &other}, [](const auto&) {});
+  group::RaftReplica member(alone.loop, alone.counters, alone.config, {&works, &other}, [](const auto&) {});
   REQUIRE(alone.until([&] { return !works.fault.empty() && !works.got.empty(); }));
   CHECK_THAT(works.fault, Catch::Contains("does not know: later"));
   CHECK(other.fault == works.fault);
@@ -78,13 +78,13 @@
 
 TEST_CASE("snapshots hold every part's state, and one from before there were parts is read as works") {
   const std::map<std::string, std::string> parts = {{"works", "{\"index\":3}"}, {"other", "x"}};
-  CHECK(group::read_parts(group::worded_parts(parts)) == parts);
-  const auto old = group::read_parts("{\"index\":7}");
+  CHECK(group::decode_snapshots(group::encode_snapshots(parts)) == parts);
+  const auto old = group::decode_snapshots("{\"index\":7}");
   REQUIRE(old);
   CHECK(old->at("works") == "{\"index\":7}");
-  CHECK_FALSE(group::read_parts("nonsense"));
-  CHECK_FALSE(group::read_parts("{\"parts\":{\"a\":3}}"));
-  CHECK(group::untagged("no mark") == std::make_pair(std::string("works"), std::string("no mark")));
+  CHECK_FALSE(group::decode_snapshots("nonsense"));
+  CHECK_FALSE(group::decode_snapshots("{\"parts\":{\"a\":3}}"));
+  CHECK(group::untag_entry("no mark") == std::make_pair(std::string("works"), std::string("no mark")));
 }
 
 }  // namespace
--- a/tests/lotusyard/platform.h
+++ b/tests/lotusyard/platform.h
@@ -7,10 +7,10 @@
 
 namespace lotusyard::test {
 
-class Client final : public net::Stream {
+class Client final : public net::BufferedConnection {
  public:
   Client(World& world, const std::string& address)
-      : Stream(world.loop, world.pool, net::connect_to(address).socket, true), world_(world) {}
+      : BufferedConnection(world.loop, world.pool, net::connect_to(address).socket, true), world_(world) {}
   void say(const std::vector<std::string_view>& words) {
     std::string out;
     resp::write_array(out, words);
@@ -35,9 +35,9 @@
  private:
   World& world_;
   resp::Parser parser_;
-  void connected() override { loop().flush_later(*this); }
-  void received(std::string_view bytes) override { REQUIRE(parser_.take(bytes, got)); }
-  void ended() override { closed = true; }
+  void on_connected() override { loop().flush_later(*this); }
+  void on_received(std::string_view bytes) override { REQUIRE(parser_.take(bytes, got)); }
+  void on_closed() override { closed = true; }
 };
 
 struct Platform {
--- a/tests/lotusyard/platform_test.cpp
+++ b/tests/lotusyard/platform_test.cpp
@@ -66,10 +66,10 @@
   if (GENERATE(true, false)) {
     c.say({"CANCEL", "1"});
   } else {
-    c.end_later();
+    c.close_later();
   }
   REQUIRE(p.world.turn_until([&] { return p.world.host[0]->drops == 1; }, 20000));
-  CHECK(p.world.dispatcher.open() == 0);
+  CHECK(p.world.dispatcher.open_calls() == 0);
   CHECK(c.got.empty());
 }
 
@@ -147,7 +147,7 @@
 }
 
 // A client that reads about a megabyte a second, with little room before it.
-class SlowReader final : public net::Handler {
+class SlowReader final : public net::EventHandler {
  public:
   SlowReader(World& world, const std::string& address) : world_(world), socket_(net::connect_to(address).socket) {
     const int room = 8192;
@@ -166,11 +166,11 @@
  private:
   World& world_;
   net::Socket socket_;
-  net::Loop::TimerId timer_{};
+  net::EventLoop::TimerId timer_{};
   std::string got_;
   void ready(short) override {}
   void read_later() {
-    timer_ = world_.loop.at(world_.loop.now() + Millis(5), [this] {
+    timer_ = world_.loop.schedule_at(world_.loop.now() + Millis(5), [this] {
       char block[5000];
       const ssize_t some = reads ? ::recv(socket_.fd(), block, sizeof block, 0) : -1;
       if (some == 0) closed = true;
@@ -199,14 +199,14 @@
 
 TEST_CASE(
     "answers of 230,000 bytes reach clients that read a megabyte a second, at half of the least limits") {
-  const auto shares = hot_restart::shares_of(16, 128, hot_restart::Standing::alone);
+  const auto shares = hot_restart::shares_of(16, 128, hot_restart::ProcessRole::sole);
   hosts::Limits host_limits = World::limits();
   host_limits.incoming = shares.incoming;
   host_limits.longest_answer = 256U << 10;
   resp::Front::Limits limits;
   limits.unread_bytes = shares.unwritten / 2;
   Platform p(1, limits, host_limits);
-  p.world.pool.bound(shares.unwritten / net::BufferPool::block_size);
+  p.world.pool.set_max_blocks(shares.unwritten / net::BufferPool::block_size);
   p.world.host[0]->react = [](const std::string&) { return Reaction{Kind::reply, "data", 230000}; };
   std::list<SlowReader> readers;
   for (int i = 0; i < 4; ++i) readers.emplace_back(p.world, p.front.address());
@@ -424,12 +424,12 @@
     c.lanes = 4;
     c.arrived = world.loop.now();
     c.allow = Millis(1000);
-    world.dispatcher.take(world.dispatcher.next_id(), std::move(c), desk);
+    world.dispatcher.admit(world.dispatcher.allocate_call_id(), std::move(c), desk);
   };
   call("000000000000000a");
   REQUIRE(world.turn_until([&] { return desk.verdicts.size() == 1; }, 20000));
   const Millis due = world.loop.now() + Millis(50);
-  world.loop.at(due, [&] { call("000000000000000b"); });
+  world.loop.schedule_at(due, [&] { call("000000000000000b"); });
   while (world.loop.now() < due) {}  // both timers ring in one turn, the connection's first
   REQUIRE(world.turn_until([&] { return desk.verdicts.size() == 2; }, 20000));
   CHECK(desk.verdicts[1] == core::Verdict::served);
@@ -469,7 +469,7 @@
     call.ref = net::hex16(i + 1);
     call.class_name = "bin-check";
     call.function_name = "00000000000000a1";
-    world.fleet.exec({i + 1, 0}, "h" + std::to_string(i % 12), call, Millis(5000));
+    world.fleet.send_attempt({i + 1, 0}, "h" + std::to_string(i % 12), call, Millis(5000));
   }
   const Millis began = world.loop.now();
   world.turn_until([&] { return world.loop.now() - began > Millis(1500); }, 20000);
@@ -532,7 +532,7 @@
   call.class_name = "bin-check";
   call.function = 0xa1;
   call.function_name = "00000000000000a1";
-  world.fleet.exec({1, 0}, "h0", call, Millis(5000));
+  world.fleet.send_attempt({1, 0}, "h0", call, Millis(5000));
 }
 
 // Failure found: every connection on which a call waited for a load was asked by a probe that the settings
--- a/tests/lotusyard/raw_client.h
+++ b/tests/lotusyard/raw_client.h
@@ -60,7 +60,7 @@
 // One turn; `between` happens after all was read and decided, before anything is written.
 template <typename Between>
 void turn_with(World& world, const Between& between) {
-  world.loop.turn(world.loop.now() + Millis(20), [&] {
+  world.loop.run_once(world.loop.now() + Millis(20), [&] {
     world.dispatcher.tick();
     between();
   });
--- a/tests/lotusyard/replica_world.h
+++ b/tests/lotusyard/replica_world.h
@@ -73,12 +73,12 @@
   static constexpr int kReplicas = 3;
   static constexpr Millis kElection{200}, kDelay{3}, kRestart{150};
 
-  struct Replica final : group::Consensus::User {
+  struct Replica final : group::RaftCore::Delegate {
     ReplicaWorld* world = nullptr;
     std::uint64_t id = 0;
     FaultDisk* disk = nullptr;
-    std::unique_ptr<group::Store> store;
-    std::unique_ptr<group::Consensus> consensus;
+    std::unique_ptr<group::LogStore> store;
+    std::unique_ptr<group::RaftCore> consensus;
     std::vector<std::string> state;
     std::uint64_t last = 0;
     int unavailable_times = 0;
@@ -86,7 +86,7 @@
     Millis back_at{0};
 
     std::string path() const { return "r" + std::to_string(id) + ":log"; }
-    void applied(std::uint64_t index, const std::string& entry) override {
+    void apply(std::uint64_t index, const std::string& entry) override {
       if (index <= last) world->checker.fault("applied twice: " + entry);
       last = index;
       state.push_back(entry);
@@ -108,9 +108,9 @@
     }
     void send(std::uint64_t to, const std::string&, const raft_message& message) override {
       world->checker.sent(id, to, message);
-      world->deliver_later(id, to, group::worded(message));
+      world->deliver_later(id, to, group::encode_hello(message));
     }
-    void failed(const std::string& why) override { failure = why; }
+    void on_store_failure(const std::string& why) override { failure = why; }
     void unavailable(sqlite::ResultKind, const std::string&) override { ++unavailable_times; }
     void available() override {}
   };
@@ -121,12 +121,12 @@
       r.world = this;
       r.id = static_cast<std::uint64_t>(i) + 1;
       r.disk = &vfs.make_disk("r" + std::to_string(r.id), seed * kReplicas + r.id);
-      group::Store store(r.path());
-      store.begin({"yard", std::to_string(r.id), r.id, 0});
+      group::LogStore store(r.path());
+      store.initialize({"yard", std::to_string(r.id), r.id, 0});
       std::vector<group::StoredServer> servers;
       for (std::uint64_t s = 1; s <= kReplicas; ++s)
         servers.push_back({s, "r" + std::to_string(s), RAFT_VOTER});
-      group::Consensus::found(store, servers);
+      group::RaftCore::bootstrap(store, servers);
     }
     for (auto& r : replicas) start(r);
   }
@@ -144,10 +144,10 @@
 
   void start(Replica& r) {
     try {
-      r.store = std::make_unique<group::Store>(r.path());
-      r.consensus = std::make_unique<group::Consensus>(scheduler, *r.store, r, r.id,
+      r.store = std::make_unique<group::LogStore>(r.path());
+      r.consensus = std::make_unique<group::RaftCore>(scheduler, *r.store, r, r.id,
                                                        "r" + std::to_string(r.id), kElection, random());
-    } catch (const group::StoreError& fault) {
+    } catch (const group::LogStoreError& fault) {
       if (!fault.transient()) checker.fault(std::string("damaged by trouble that passed: ") + fault.what());
       stop(r);
     }
@@ -167,7 +167,7 @@
   }
   void propose() {
     for (auto& r : replicas) {
-      if (!r.consensus || !r.consensus->leads()) continue;
+      if (!r.consensus || !r.consensus->is_leader()) continue;
       const std::string entry = "e" + std::to_string(++proposed);
       r.consensus->propose(entry, [this, entry](bool done) {
         if (done) checker.acknowledged(entry);
@@ -214,7 +214,7 @@
     if (to == 0 || to > kReplicas || below(random, 100) < loss) return;
     scheduler.at(scheduler.now() + kDelay, [this, from, to, body] {
       Replica& r = replicas[to - 1];
-      auto message = group::read_message(body);
+      auto message = group::decode_message(body);
       if (!message) return checker.fault("a message that cannot be read");
       if (!r.consensus) return group::give_back(*message);
       r.consensus->receive(from, "r" + std::to_string(from), std::move(*message));
--- a/tests/lotusyard/service.h
+++ b/tests/lotusyard/service.h
@@ -39,18 +39,18 @@
 class ChangeLog {
  public:
   explicit ChangeLog(World& world) : server(world.loop, world.pool, *this) {}
-  class Peer final : public net::Stream {
+  class Peer final : public net::BufferedConnection {
    public:
-    Peer(ChangeLog& log, net::Loop& loop, net::BufferPool& pool, net::Socket socket)
-        : Stream(loop, pool, std::move(socket), false), log_(log) {}
+    Peer(ChangeLog& log, net::EventLoop& loop, net::BufferPool& pool, net::Socket socket)
+        : BufferedConnection(loop, pool, std::move(socket), false), log_(log) {}
 
    private:
     ChangeLog& log_;
-    void received(std::string_view) override {
+    void on_received(std::string_view) override {
       ++log_.asked;
       for (const auto& line : log_.lines) write(line);  // those it has it passes over
     }
-    void ended() override { log_.server.gone(*this); }
+    void on_closed() override { log_.server.gone(*this); }
   };
   void tell(const std::string& id, const std::string& address, const std::string& phase, double started = 0) {
     nlohmann::json event = {{"seq", lines.size() + 1}};
@@ -73,10 +73,10 @@
 
 // A client that asks again on a new connection when its old one has ended without an answer, as the
 // platform's front does.
-class Tablet final : public net::Stream {
+class Tablet final : public net::BufferedConnection {
  public:
   Tablet(World& world, const std::string& address)
-      : Stream(world.loop, world.pool, net::connect_to(address).socket, true) {}
+      : BufferedConnection(world.loop, world.pool, net::connect_to(address).socket, true) {}
   void call(int number, const std::string& cls, const std::string& body, int allow = 800,
             std::uint64_t function = 0xa1) {
     const std::string tag = std::to_string(number);
@@ -95,8 +95,8 @@
 
  private:
   resp::Parser parser_;
-  void connected() override { loop().flush_later(*this); }
-  void received(std::string_view bytes) override {
+  void on_connected() override { loop().flush_later(*this); }
+  void on_received(std::string_view bytes) override {
     std::vector<resp::Words> answers;
     REQUIRE(parser_.take(bytes, answers));
     for (const auto& words : answers) {
@@ -107,7 +107,7 @@
       open.erase(asked);
     }
   }
-  void ended() override {
+  void on_closed() override {
     closed = true;
     ended_at = loop().now();
   }
@@ -184,17 +184,17 @@
  private:
   bool inherited_;
   std::string answer(const std::string& console, const std::string& method, const std::string& path) {
-    class Call final : public net::Stream {
+    class Call final : public net::BufferedConnection {
      public:
       Call(World& world, const std::string& address)
-          : Stream(world.loop, world.pool, net::connect_to(address).socket, true) {}
+          : BufferedConnection(world.loop, world.pool, net::connect_to(address).socket, true) {}
       std::string got;
       bool closed = false;
 
      private:
-      void connected() override { loop().flush_later(*this); }
-      void received(std::string_view bytes) override { got += bytes; }
-      void ended() override { closed = true; }
+      void on_connected() override { loop().flush_later(*this); }
+      void on_received(std::string_view bytes) override { got += bytes; }
+      void on_closed() override { closed = true; }
     } call(world, console);
     call.write(method + " " + path + " HTTP/1.1\r\nHost: x\r\n\r\n");
     REQUIRE(until([&] { return call.closed; }));
--- a/tests/lotusyard/session_member_test.cpp
+++ b/tests/lotusyard/session_member_test.cpp
@@ -12,19 +12,19 @@
 
 namespace {
 
-nlohmann::json host_row(const std::string& id, works::Stage stage, std::uint64_t round) {
+nlohmann::json host_row(const std::string& id, works::HostStage stage, std::uint64_t round) {
   return {{"id", id},       {"zone", "z"},    {"kind", "k"},   {"work", "w"},     {"reason", "because"},
           {"stage", stage}, {"round", round}, {"late", false}, {"touched", false}};
 }
 
-works::Board board_with(const nlohmann::json& hosts, std::uint64_t index) {
-  works::Work work;
+works::MaintenanceState board_with(const nlohmann::json& hosts, std::uint64_t index) {
+  works::MaintenanceJob work;
   work.id = "w";
   work.hosts = {{"h1", "z", "k"}};
-  works::Board out;
+  works::MaintenanceState out;
   REQUIRE(out.restore({{"index", index},
                        {"hosts", hosts},
-                       {"works", nlohmann::json::array({works::worded_work(work)})},
+                       {"works", nlohmann::json::array({works::job_to_json(work)})},
                        {"members", nlohmann::json::array()},
                        {"lives", nlohmann::json::object()},
                        {"outcomes", nlohmann::json::array()}},
@@ -32,29 +32,29 @@
   return out;
 }
 
-compliance::Book book_with_certificate() {
-  compliance::Book out;
-  compliance::Entry regime;
+compliance::CertificateState book_with_certificate() {
+  compliance::CertificateState out;
+  compliance::LogEntry regime;
   regime.regime = {"gdpr", "", false};
   out.apply(1, regime);
-  compliance::Entry tenant;
-  tenant.kind = compliance::Entry::Kind::tenant;
+  compliance::LogEntry tenant;
+  tenant.kind = compliance::LogEntry::Kind::put_tenant;
   tenant.tenant = "acme";
   tenant.regimes = {"gdpr"};
   out.apply(2, tenant);
-  compliance::Entry certify;
-  certify.kind = compliance::Entry::Kind::certify;
+  compliance::LogEntry certify;
+  certify.kind = compliance::LogEntry::Kind::certify;
   certify.certificate.name = "c1";
   certify.certificate.host = "h1";
   certify.certificate.regime = "gdpr";
-  certify.certificate.until = Millis(1e12);
+  certify.certificate.valid_until = Millis(1e12);
   out.apply(3, certify);
   return out;
 }
 
-void revoke(compliance::Book& book, std::uint64_t index) {
-  compliance::Entry entry;
-  entry.kind = compliance::Entry::Kind::revoke;
+void revoke(compliance::CertificateState& book, std::uint64_t index) {
+  compliance::LogEntry entry;
+  entry.kind = compliance::LogEntry::Kind::revoke;
   entry.name = "c1";
   REQUIRE(book.apply(index, entry).done);
 }
@@ -62,15 +62,15 @@
 }  // namespace
 
 TEST_CASE("records made from the agreed state give the same state again, and change only where it changes") {
-  const works::Board board = board_with(nlohmann::json::array({host_row("h1", works::Stage::named, 4)}), 9);
-  compliance::Book book = book_with_certificate();
+  const works::MaintenanceState board = board_with(nlohmann::json::array({host_row("h1", works::HostStage::selected, 4)}), 9);
+  compliance::CertificateState book = book_with_certificate();
   const control::Records records = node::records_of(board, book);
-  const auto board_again = node::board_of(records, 9, Millis(0));
-  const auto book_again = node::book_of(records, 9);
+  const auto board_again = node::maintenance_state_from(records, 9, Millis(0));
+  const auto book_again = node::certificate_state_from(records, 9);
   REQUIRE((board_again && book_again));
   CHECK(node::records_of(*board_again, *book_again) == records);
-  CHECK(board_again->avoided(false) == std::set<std::string>{"h1"});
-  CHECK(book_again->regulated("acme"));
+  CHECK(board_again->hosts_to_avoid(false) == std::set<std::string>{"h1"});
+  CHECK(book_again->is_regulated("acme"));
 
   revoke(book, 12);
   const control::Change change = control::difference(records, node::records_of(board, book));
@@ -78,63 +78,63 @@
   CHECK(change[0].key == "compliance/certificate/c1");
   control::Records followed = records;
   control::apply(followed, change);
-  CHECK(node::book_of(followed, 12)->certificates().at("c1").state == compliance::Certificate::State::ending);
+  CHECK(node::certificate_state_from(followed, 12)->certificates().at("c1").state == compliance::Certificate::State::revoking);
 }
 
 TEST_CASE("records of another version are refused whole") {
-  control::Records records = node::records_of(works::Board(), book_with_certificate());
+  control::Records records = node::records_of(works::MaintenanceState(), book_with_certificate());
   records["compliance/regime/later"] = R"({"name":"later","kind":7})";
-  CHECK_FALSE(node::book_of(records, 9).has_value());
+  CHECK_FALSE(node::certificate_state_from(records, 9).has_value());
   records = {{"maintenance/host/h1", "no JSON"}};
-  CHECK_FALSE(node::board_of(records, 9, Millis(0)).has_value());
+  CHECK_FALSE(node::maintenance_state_from(records, 9, Millis(0)).has_value());
 }
 
 TEST_CASE("nothing is settled past a host's leaving while a call is there") {
-  const works::Board board =
-      board_with({host_row("h1", works::Stage::leaving, 7), host_row("h2", works::Stage::named, 5)}, 9);
-  node::SettledTracker tracker(Millis(2000));
+  const works::MaintenanceState board =
+      board_with({host_row("h1", works::HostStage::draining, 7), host_row("h2", works::HostStage::selected, 5)}, 9);
+  node::QuiescenceTracker tracker(Millis(2000));
   bool free = false;
   const auto is_free = [&free](const std::string& host) { return host != "h1" || free; };
-  CHECK(tracker.settled(board, {}, 9, is_free, Millis(0)) == 6);
+  CHECK(tracker.quiesced_index(board, {}, 9, is_free, Millis(0)) == 6);
   free = true;
-  CHECK(tracker.settled(board, {}, 9, is_free, Millis(0)) == 9);
+  CHECK(tracker.quiesced_index(board, {}, 9, is_free, Millis(0)) == 9);
 }
 
 TEST_CASE("nothing is settled past a revocation until the longest call under it must be over") {
-  compliance::Book book = book_with_certificate();
-  node::SettledTracker tracker(Millis(2000));
+  compliance::CertificateState book = book_with_certificate();
+  node::QuiescenceTracker tracker(Millis(2000));
   const auto is_free = [](const std::string&) { return true; };
-  CHECK(tracker.settled({}, book, 10, is_free, Millis(0)) == 10);
+  CHECK(tracker.quiesced_index({}, book, 10, is_free, Millis(0)) == 10);
   revoke(book, 12);
-  CHECK(tracker.settled({}, book, 12, is_free, Millis(500)) == 11);
-  CHECK(tracker.settled({}, book, 15, is_free, Millis(2499)) == 11);
-  CHECK(tracker.settled({}, book, 15, is_free, Millis(2500)) == 15);
+  CHECK(tracker.quiesced_index({}, book, 12, is_free, Millis(500)) == 11);
+  CHECK(tracker.quiesced_index({}, book, 15, is_free, Millis(2499)) == 11);
+  CHECK(tracker.quiesced_index({}, book, 15, is_free, Millis(2500)) == 15);
 }
 
 TEST_CASE("views of sessions are merged until their sessions are over; malformed words change nothing") {
-  node::SessionViews views;
-  works::View one, two;
-  one.cost = {{"h1", 2}};
+  node::SessionObservations views;
+  works::HostObservations one, two;
+  one.serving_value = {{"h1", 2}};
   one.served = {"h3"};
-  one.asked = 10;
-  one.listed = 12;
-  two.cost = {{"h1", 3}};
+  one.calls_per_second = 10;
+  one.listed_hosts = 12;
+  two.serving_value = {{"h1", 3}};
   two.down = {"h2"};
-  two.lost = 1;
-  two.listed = 11;
-  REQUIRE(views.take(1, node::SessionViews::encode("a", one)));
-  REQUIRE(views.take(2, node::SessionViews::encode("b", two)));
-  CHECK_FALSE(views.take(2, "{}"));
-  CHECK_FALSE(views.take(2, "[1]"));
-  CHECK_FALSE(views.take(3, std::string(1000, '[')));
-  works::View own;
-  own.listed = 13;
-  const works::View merged = views.merged(own);
-  CHECK(merged.cost.at("h1") == 5);
+  two.failed_per_second = 1;
+  two.listed_hosts = 11;
+  REQUIRE(views.update(1, node::SessionObservations::encode("a", one)));
+  REQUIRE(views.update(2, node::SessionObservations::encode("b", two)));
+  CHECK_FALSE(views.update(2, "{}"));
+  CHECK_FALSE(views.update(2, "[1]"));
+  CHECK_FALSE(views.update(3, std::string(1000, '[')));
+  works::HostObservations own;
+  own.listed_hosts = 13;
+  const works::HostObservations merged = views.merged(own);
+  CHECK(merged.serving_value.at("h1") == 5);
   CHECK(merged.down == std::set<std::string>{"h2"});
   CHECK(merged.served == std::set<std::string>{"h3"});
-  CHECK((merged.asked == 10 && merged.lost == 1));
-  CHECK(merged.listed == 11);
+  CHECK((merged.calls_per_second == 10 && merged.failed_per_second == 1));
+  CHECK(merged.listed_hosts == 11);
   views.retain([](auto session) { return session == 2; });
   CHECK(views.size() == 1);
   CHECK(views.merged(own).served.empty());
--- a/tests/lotusyard/shares_test.cpp
+++ b/tests/lotusyard/shares_test.cpp
@@ -11,15 +11,15 @@
 namespace lotusyard::test {
 namespace {
 
-using shares::Entry;
-using shares::Epochs;
+using shares::LogEntry;
+using shares::QuotaEpochs;
 using shares::Millis;
 
 struct Table {
   struct Person {
     std::string name;
     std::uint64_t life = 1;
-    Epochs epochs;
+    QuotaEpochs epochs;
     std::size_t follows = 0;
     std::optional<group::Lease> lease;
     bool up = true, cut = false;
@@ -27,24 +27,24 @@
   };
   // In the log: either a parting's entry, or the signs of life that the leader gathered.
   struct Line {
-    std::optional<Entry> entry;
+    std::optional<LogEntry> entry;
     std::map<std::string, std::pair<std::uint64_t, double>>
         stamps;  // by member: its life, and its own clock's
     std::map<std::string, std::size_t> has;
   };
   std::mt19937_64 random;
-  group::Terms terms;
+  group::LeaseTerms terms;
   std::vector<Person> people;
   std::deque<Line> log;
   std::size_t leader = 0, lead_from = 0, led_to = 0;
-  std::map<std::string, shares::Sign> signs;  // as the leader knows them
+  std::map<std::string, shares::HolderProgress> signs;  // as the leader knows them
   Millis parted{0};
   double now = 1000;
   double most = 0;
 
   Table(std::uint64_t seed, int count) : random(seed) {
     terms.lease = Millis(1000);
-    terms.last_call = Millis(300);
+    terms.max_attempt_time = Millis(300);
     for (int i = 0; i < count; ++i) {
       Person p;
       p.name = std::string(1, static_cast<char>('a' + i));
@@ -59,7 +59,7 @@
       const Line& line = log[p.follows];
       if (line.entry) p.epochs.apply(p.follows + 1, *line.entry);
       const auto mine = line.stamps.find(p.name);
-      if (mine != line.stamps.end() && mine->second.first == p.life) p.lease->agreed(mine->second.second);
+      if (mine != line.stamps.end() && mine->second.first == p.life) p.lease->renew(mine->second.second);
     }
   }
   void lead() {
@@ -67,7 +67,7 @@
     if (!p.up || p.cut) return;
     follow(p);
     for (std::size_t i = std::exchange(led_to, p.follows); i < p.follows; ++i) {
-      if (log[i].entry && log[i].entry->kind == Entry::Kind::part) parted = clock(p);
+      if (log[i].entry && log[i].entry->kind == LogEntry::Kind::begin_epoch) parted = clock(p);
       for (const auto& [name, stamp] : log[i].stamps)
         signs[name] = {stamp.first, log[i].has.at(name), clock(p)};
     }
@@ -79,8 +79,8 @@
     }
     log.push_back(std::move(line));
     if (p.follows < lead_from) return;
-    if (const auto entry = shares::next(p.epochs, signs, terms, parted, clock(p)))
-      log.push_back({shares::read_entry(shares::worded(*entry)), {}, {}});
+    if (const auto entry = shares::next_entry(p.epochs, signs, terms, parted, clock(p)))
+      log.push_back({shares::parse_entry(shares::encode_entry(*entry)), {}, {}});
   }
   void elect() {
     const std::size_t next = random() % people.size();
@@ -88,7 +88,7 @@
     leader = next;
     lead_from = log.size();
     for (auto& [name, sign] : signs)
-      sign.seen = clock(people[next]);  // what it did not see itself is as of now
+      sign.last_heartbeat_at = clock(people[next]);  // what it did not see itself is as of now
     parted = clock(people[next]);
   }
   void disturb() {
@@ -99,7 +99,7 @@
         p.up = !p.up;
         if (!p.up) break;
         ++p.life;
-        p.epochs = Epochs();
+        p.epochs = QuotaEpochs();
         p.follows = 0;
         p.lease.emplace(terms, clock(p));
         break;
@@ -111,7 +111,7 @@
   double sum(std::size_t seen_by_a_side) {
     double out = 0;
     for (const auto& p : people) {
-      if (p.up) out += p.epochs.part_of(p.name, p.life, p.lease->holds(clock(p)), p.cut ? 1 : seen_by_a_side);
+      if (p.up) out += p.epochs.share_of(p.name, p.life, p.lease->is_held(clock(p)), p.cut ? 1 : seen_by_a_side);
     }
     return out;
   }
@@ -159,16 +159,16 @@
   }
   CHECK(table.sum(4) == Approx(1));
   const auto& p = table.people[1];
-  CHECK(p.epochs.part_of("b", 1, true, 4) == Approx(0.25));
-  CHECK(p.epochs.part_of("b", 1, true, 8) == Approx(0.125));
-  CHECK(p.epochs.part_of("b", 1, true, 1) == Approx(0.25));
-  CHECK(p.epochs.part_of("b", 2, true, 4) == 0);  // another life
-  CHECK(p.epochs.part_of("b", 1, false, 4) == 0);
-  Epochs read;
+  CHECK(p.epochs.share_of("b", 1, true, 4) == Approx(0.25));
+  CHECK(p.epochs.share_of("b", 1, true, 8) == Approx(0.125));
+  CHECK(p.epochs.share_of("b", 1, true, 1) == Approx(0.25));
+  CHECK(p.epochs.share_of("b", 2, true, 4) == 0);  // another life
+  CHECK(p.epochs.share_of("b", 1, false, 4) == 0);
+  QuotaEpochs read;
   REQUIRE(read.restore(p.epochs.snapshot()));
-  CHECK(read.part_of("b", 1, true, 4) == Approx(0.25));
+  CHECK(read.share_of("b", 1, true, 4) == Approx(0.25));
   CHECK_FALSE(read.restore(nlohmann::json::array()));
-  CHECK_FALSE(shares::read_entry("{\"t\":\"other\"}"));
+  CHECK_FALSE(shares::parse_entry("{\"t\":\"other\"}"));
 }
 
 }  // namespace
--- a/tests/lotusyard/store_faults_test.cpp
+++ b/tests/lotusyard/store_faults_test.cpp
@@ -22,7 +22,7 @@
   struct Call {
     int runs = 0;
     bool answered = false;             // the store took its answer
-    std::optional<Stage> kept, tried;  // the last change that it took, and a later one that it refused
+    std::optional<ResultStage> kept, tried;  // the last change that it took, and a later one that it refused
   };
 
   Call& operator[](const std::string& id) { return calls_[id]; }
@@ -31,9 +31,9 @@
     if (broken_.empty()) broken_ = what;
   }
   // After a crash every call stands where the store took it to, or one refused change further.
-  void check(const std::string& id, const std::optional<Record>& found) {
+  void check(const std::string& id, const std::optional<ResultRecord>& found) {
     const Call& call = calls_[id];
-    const std::optional<Stage> stage = found ? std::optional<Stage>(found->stage) : std::nullopt;
+    const std::optional<ResultStage> stage = found ? std::optional<ResultStage>(found->stage) : std::nullopt;
     if (stage != call.kept && stage != call.tried) fault("lost what was taken of " + id);
     if (call.answered && (!found || found->answer.body != "answer of " + id)) fault("lost answer of " + id);
   }
@@ -54,10 +54,10 @@
   core::Counters counters;
   History history;
   Millis clock{0};
-  std::unique_ptr<SqliteStore> store;
+  std::unique_ptr<SqliteResultStore> store;
 
   void open() {
-    store = std::make_unique<SqliteStore>(
+    store = std::make_unique<SqliteResultStore>(
         "d:answers", Bounds(), Millis(kStart), counters, [](const std::string&) {}, [this] { return clock; });
   }
   void crash() {
@@ -65,17 +65,17 @@
     store.reset();
     disk.restart();
   }
-  bool put(const std::string& id, Stage stage) {
-    Record record;
+  bool put(const std::string& id, ResultStage stage) {
+    ResultRecord record;
     record.stage = stage;
     record.at = Millis(kStart) + clock;
-    if (stage >= Stage::answered) record.answer = {Verdict::served, Millis(0), "answer of " + id};
+    if (stage >= ResultStage::answered) record.answer = {Verdict::served, Millis(0), "answer of " + id};
     const bool taken = store->put(id, record);
     auto& call = history[id];
     if (taken) {
       call.kept = stage;
       call.tried.reset();
-      call.answered = call.answered || stage >= Stage::answered;
+      call.answered = call.answered || stage >= ResultStage::answered;
     } else {
       call.tried = stage;
     }
@@ -83,16 +83,16 @@
   }
   // One delivery, as the front treats it.
   void deliver(const std::string& id) {
-    std::optional<Record> known;
+    std::optional<ResultRecord> known;
     auto& call = history[id];
-    Trust trust;
+    StoreTrust trust;
     trust.healthy = store->find(id, known);
     trust.complete_from = store->complete_from();
-    const Arrival arrival{call.runs > 0 || call.kept.has_value(), std::nullopt};
-    if (decide(known, arrival, trust) != Decision::run || !put(id, Stage::sent)) return;
+    const DeliveryFacts arrival{call.runs > 0 || call.kept.has_value(), std::nullopt};
+    if (decide(known, arrival, trust) != Decision::run || !put(id, ResultStage::sent)) return;
     if (++call.runs > 1) history.fault("second run of " + id);
     if (below(random_, 4) == 0) return;  // its answer never comes
-    if (put(id, Stage::answered) && below(random_, 2) == 0) put(id, Stage::confirmed);
+    if (put(id, ResultStage::answered) && below(random_, 2) == 0) put(id, ResultStage::confirmed);
   }
   void step() {
     clock += kStep;
@@ -105,12 +105,12 @@
     clock += sqlite::Backoff::kLongest;
     if (!store) open();
     for (const auto& [id, call] : history.calls()) {
-      std::optional<Record> found;
+      std::optional<ResultRecord> found;
       if (!store->find(id, found)) return history.fault("still not available");
       history.check(id, found);
     }
     if (store->is_damaged()) history.fault("damaged by trouble that passed");
-    if (!put("last", Stage::sent)) history.fault("takes nothing though the disk is well");
+    if (!put("last", ResultStage::sent)) history.fault("takes nothing though the disk is well");
   }
 
  private:
@@ -179,16 +179,16 @@
 TEST_CASE("answers: a disk that is full for 10 s fails what is put, and nothing after") {
   Rig rig(3);
   rig.open();
-  REQUIRE(rig.put("before", Stage::sent));
+  REQUIRE(rig.put("before", ResultStage::sent));
   rig.disk.is_full = true;
   int refused = 0;
   for (const Millis until = rig.clock + Millis(10000); rig.clock < until; rig.clock += kStep)
-    refused += rig.put("during" + std::to_string(refused), Stage::sent) ? 0 : 1;
+    refused += rig.put("during" + std::to_string(refused), ResultStage::sent) ? 0 : 1;
   CHECK(refused > 400);  // what fits into the log file as it is may still go in
   CHECK(rig.counters.value("answers.store_full") == static_cast<std::uint64_t>(refused));
   CHECK(rig.counters.value("answers.store_damaged") == 0);
   rig.disk.is_full = false;
-  CHECK(rig.put("after", Stage::sent));
+  CHECK(rig.put("after", ResultStage::sent));
   rig.end();
   CHECK(rig.history.broken() == "");
 }
@@ -199,13 +199,13 @@
   rig.open();
   CHECK_FALSE(rig.store->healthy());
   for (const Millis until = rig.clock + Millis(10000); rig.clock < until; rig.clock += kStep)
-    CHECK_FALSE(rig.put("during", Stage::sent));
+    CHECK_FALSE(rig.put("during", ResultStage::sent));
   const auto tries = rig.counters.value("answers.store_cannot_open");
   CHECK(tries >= 5);
   CHECK(tries <= 20);
   rig.disk.rates.open_error = 0;
   rig.clock += sqlite::Backoff::kLongest;
-  CHECK(rig.put("after", Stage::sent));
+  CHECK(rig.put("after", ResultStage::sent));
   CHECK(rig.store->healthy());
   CHECK(rig.store->complete_from() == Millis(kStart));
 }
@@ -213,7 +213,7 @@
 TEST_CASE("answers: a store held by another process is taken over when that ends") {
   Rig rig(5);
   rig.open();
-  REQUIRE(rig.put("mine", Stage::sent));
+  REQUIRE(rig.put("mine", ResultStage::sent));
   auto first = std::move(rig.store);
   rig.open();
   CHECK_FALSE(rig.store->healthy());
@@ -221,7 +221,7 @@
   CHECK(rig.counters.value("answers.store_busy") > 0);
   first.reset();
   rig.clock += sqlite::Backoff::kLongest;
-  std::optional<Record> found;
+  std::optional<ResultRecord> found;
   CHECK(rig.store->find("mine", found));
   CHECK(found.has_value());
 }
@@ -229,19 +229,19 @@
 TEST_CASE("answers: a file system that is read-only for a while is written to again afterwards") {
   Rig rig(6);
   rig.open();
-  REQUIRE(rig.put("before", Stage::sent));
+  REQUIRE(rig.put("before", ResultStage::sent));
   rig.store.reset();
   rig.disk.is_read_only = true;
   rig.open();
-  std::optional<Record> found;
+  std::optional<ResultRecord> found;
   for (const Millis until = rig.clock + Millis(10000); rig.clock < until; rig.clock += kStep) {
-    CHECK_FALSE(rig.put("during", Stage::sent));
+    CHECK_FALSE(rig.put("during", ResultStage::sent));
     REQUIRE(rig.store->find("before", found));  // what stands can be looked for
     CHECK(found.has_value());
   }
   rig.disk.is_read_only = false;
   rig.clock += sqlite::Backoff::kLongest;
-  CHECK(rig.put("after", Stage::sent));
+  CHECK(rig.put("after", ResultStage::sent));
 }
 
 }  // namespace
--- a/tests/lotusyard/system_call_storm_test.cpp
+++ b/tests/lotusyard/system_call_storm_test.cpp
@@ -86,15 +86,15 @@
 
 // Tells its events whenever it is asked.
 struct WholeLog {
-  class Peer final : public net::Stream {
+  class Peer final : public net::BufferedConnection {
    public:
-    Peer(WholeLog& log, net::Loop& loop, net::BufferPool& pool, net::Socket socket)
-        : Stream(loop, pool, std::move(socket), false), log_(log) {}
+    Peer(WholeLog& log, net::EventLoop& loop, net::BufferPool& pool, net::Socket socket)
+        : BufferedConnection(loop, pool, std::move(socket), false), log_(log) {}
 
    private:
     WholeLog& log_;
     discovery::LineCutter cutter_;
-    void received(std::string_view bytes) override {
+    void on_received(std::string_view bytes) override {
       std::vector<std::string> lines;
       REQUIRE(cutter_.take(bytes, lines));
       for (const auto& line : lines) tell(std::stoull(line.substr(6)));
@@ -107,50 +107,50 @@
       }
       write("20\n");
     }
-    void ended() override { log_.server.gone(*this); }
+    void on_closed() override { log_.server.gone(*this); }
   };
-  WholeLog(net::Loop& loop, net::BufferPool& pool) : server(loop, pool, *this) {}
+  WholeLog(net::EventLoop& loop, net::BufferPool& pool) : server(loop, pool, *this) {}
   Server<Peer, WholeLog> server;
 };
 
 TEST_CASE("discovery: each event is told once, in order", "[system-calls][storm]") {
   in_each_weather([](std::uint64_t, const auto& begin) {
-    net::Loop loop;
+    net::EventLoop loop;
     net::BufferPool pool(64);
     core::Counters counters;
     WholeLog log(loop, pool);
     std::vector<std::string> told;
-    const auto keep = [&](const core::MemberList& list) {
-      for (const auto& member : list.members) told.push_back(member.entry.worker);
+    const auto keep = [&](const core::HostListUpdate& list) {
+      for (const auto& member : list.hosts) told.push_back(member.entry.worker);
     };
     discovery::Discovery discovery(loop, pool, counters, log.server.address(), discovery::Log(0), keep);
     begin();
     discovery.start();
-    for (int i = 0; i < 20000 && told.size() < 20; ++i) loop.turn(loop.now() + Millis(20), [] {});
+    for (int i = 0; i < 20000 && told.size() < 20; ++i) loop.run_once(loop.now() + Millis(20), [] {});
     REQUIRE(told.size() == 20);
     for (std::size_t i = 0; i < 20; ++i) CHECK(told[i] == "s" + std::to_string(i + 1));
   });
 }
 
-struct AlwaysReady final : console::Operations {
+struct AlwaysReady final : console::AdminOperations {
   bool ready() const override { return true; }
-  console::Done disable(const std::string&) override { return console::Done::yes; }
-  console::Done enable(const std::string&) override { return console::Done::yes; }
+  console::OperationResult disable(const std::string&) override { return console::OperationResult::done; }
+  console::OperationResult enable(const std::string&) override { return console::OperationResult::done; }
 };
 
-class AdminCaller final : public net::Stream {
+class AdminCaller final : public net::BufferedConnection {
  public:
   AdminCaller(World& world, const std::string& address)
-      : Stream(world.loop, world.pool, net::connect_to(address).socket, true) {
+      : BufferedConnection(world.loop, world.pool, net::connect_to(address).socket, true) {
     write("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n");
   }
   std::string got;
   bool closed = false;
 
  private:
-  void connected() override { loop().flush_later(*this); }
-  void received(std::string_view bytes) override { got += bytes; }
-  void ended() override { closed = true; }
+  void on_connected() override { loop().flush_later(*this); }
+  void on_received(std::string_view bytes) override { got += bytes; }
+  void on_closed() override { closed = true; }
 };
 
 TEST_CASE("admin endpoint: each call gets its whole answer", "[system-calls][storm]") {
--- a/tests/lotusyard/system_calls_test.cpp
+++ b/tests/lotusyard/system_calls_test.cpp
@@ -20,21 +20,21 @@
 };
 
 // Keeps what it reads.
-class Reader final : public net::Stream {
+class Reader final : public net::BufferedConnection {
  public:
-  Reader(net::Loop& loop, net::BufferPool& pool, net::Socket socket, bool connecting)
-      : Stream(loop, pool, std::move(socket), connecting) {}
+  Reader(net::EventLoop& loop, net::BufferPool& pool, net::Socket socket, bool connecting)
+      : BufferedConnection(loop, pool, std::move(socket), connecting) {}
   std::string got;
   bool has_ended = false;
 
  private:
-  void received(std::string_view bytes) override { got += bytes; }
-  void ended() override { has_ended = true; }
+  void on_received(std::string_view bytes) override { got += bytes; }
+  void on_closed() override { has_ended = true; }
 };
 
 // Two ends of one connection, on one loop.
 struct Pair {
-  net::Loop loop;
+  net::EventLoop loop;
   net::BufferPool pool{64};
   Listener listener;
   Reader near{loop, pool, net::connect_to(listener.address).socket, true};
@@ -42,7 +42,7 @@
   template <typename Until>
   bool until(const Until& done, Millis most = Millis(4000)) {
     const Millis end = loop.now() + most;
-    while (!done() && loop.now() < end) loop.turn(loop.now() + Millis(5), [] {});
+    while (!done() && loop.now() < end) loop.run_once(loop.now() + Millis(5), [] {});
     return done();
   }
 };
@@ -131,16 +131,16 @@
 TEST_CASE("a poll that fails tells of nothing, does not spin, and timers go on", "[system-calls]") {
   for (const int error : {EINTR, ENOMEM}) {
     Pair pair;
-    REQUIRE(pair.until([&] { return pair.near.open(); }));
+    REQUIRE(pair.until([&] { return pair.near.is_open(); }));
     pair.far.write("x");
     pair.far.flush_now();
     bool rung = false;
-    pair.loop.at(pair.loop.now() + Millis(40), [&] { rung = true; });
+    pair.loop.schedule_at(pair.loop.now() + Millis(40), [&] { rung = true; });
     {
       SystemCallFaults faults;
       faults.fail(SystemCall::poll, {error});
       const Millis end = pair.loop.now() + Millis(200);
-      while (pair.loop.now() < end) pair.loop.turn(end, [] {});
+      while (pair.loop.now() < end) pair.loop.run_once(end, [] {});
       CHECK(rung);
       CHECK(pair.near.got.empty());
       CHECK(faults.calls(SystemCall::receive) == 0);
@@ -157,13 +157,13 @@
     net::AcceptResult far = net::accept_from(listener.socket);
     SystemCallFaults faults;
     faults.fail(SystemCall::poll, {error});
-    CHECK(net::look_at(near.socket) == net::Peer::quiet);
+    CHECK(net::peek_peer(near.socket) == net::PeerState::idle);
     REQUIRE(::send(far.socket.fd(), "x", 1, MSG_NOSIGNAL) == 1);
-    CHECK(net::look_at(near.socket) == net::Peer::spoke);
+    CHECK(net::peek_peer(near.socket) == net::PeerState::readable);
     far.socket.close();
     char byte = 0;
     REQUIRE(::recv(near.socket.fd(), &byte, 1, 0) == 1);
-    CHECK(net::look_at(near.socket) == net::Peer::gone);
+    CHECK(net::peek_peer(near.socket) == net::PeerState::disconnected);
   }
 }
 
@@ -171,7 +171,7 @@
   const SystemCall call = GENERATE(SystemCall::receive, SystemCall::send);
   const int error = GENERATE(ENOBUFS, ENOMEM);
   Pair pair;
-  REQUIRE(pair.until([&] { return pair.near.open(); }));
+  REQUIRE(pair.until([&] { return pair.near.is_open(); }));
   {
     SystemCallFaults faults;
     faults.fail(call, {error});
--- a/tests/lotusyard/triggers.h
+++ b/tests/lotusyard/triggers.h
@@ -10,7 +10,7 @@
 class Triggers {
  public:
   explicit Triggers(std::size_t hosts, std::uint64_t seed = 1, amqp::Front::Limits limits = {},
-                    const core::Settings& s = settings(), answers::Store* store = nullptr,
+                    const core::Settings& s = settings(), answers::ResultStore* store = nullptr,
                     std::vector<std::string> before = {}, amqp::Topology topology = {},
                     net::Clocks clocks = net::Clocks::system())
       : world(hosts, s, World::limits(), std::move(clocks)), broker(world.loop, world.pool, seed) {
--- a/tests/lotusyard/triggers_gone_test.cpp
+++ b/tests/lotusyard/triggers_gone_test.cpp
@@ -9,7 +9,7 @@
 void close_broker(Triggers& t) {
   const auto peers = t.broker.server.peers;
   for (const auto& peer : peers) {
-    peer->end_later();
+    peer->close_later();
     peer->flush();
   }
 }
@@ -38,9 +38,9 @@
   }
   t.broker.send("b", "bin-check", "x");
   while (!gone) {
-    t.world.loop.turn(t.world.loop.now() + Millis(20), [&] {
+    t.world.loop.run_once(t.world.loop.now() + Millis(20), [&] {
       t.world.dispatcher.tick();
-      if (!retry && t.world.dispatcher.open() > 0) go();  // decided, and not written yet
+      if (!retry && t.world.dispatcher.open_calls() > 0) go();  // decided, and not written yet
     });
   }
   const Millis until = t.world.loop.now() + Millis(300);
@@ -57,9 +57,9 @@
   t.broker.send("b", "bin-record", "x");
   bool gone = false;
   while (!gone) {
-    t.world.loop.turn(t.world.loop.now() + Millis(20), [&] {
+    t.world.loop.run_once(t.world.loop.now() + Millis(20), [&] {
       t.world.dispatcher.tick();
-      if (gone || t.world.dispatcher.open() == 0) return;
+      if (gone || t.world.dispatcher.open_calls() == 0) return;
       close_broker(t);
       gone = true;
     });
--- a/tests/lotusyard/triggers_test.cpp
+++ b/tests/lotusyard/triggers_test.cpp
@@ -73,8 +73,8 @@
   bool changed = false;
   const auto change = [&] {
     if (std::exchange(changed, true)) return;
-    t.world.dispatcher.retune(next);
-    t.front->retune(next);
+    t.world.dispatcher.apply_settings(next);
+    t.front->apply_settings(next);
   };
   for (auto& h : t.world.host) {
     h->react = [&](const std::string& body) {
--- a/tests/lotusyard/view_net.h
+++ b/tests/lotusyard/view_net.h
@@ -12,14 +12,14 @@
 namespace lotusyard::test {
 
 using view::Millis;
-using view::Peer;
-using view::Standing;
-using view::Swim;
+using view::MemberRecord;
+using view::MemberStatus;
+using view::SwimProtocol;
 
 struct ViewNet {
   struct Node {
     std::string name, address;
-    std::unique_ptr<Swim> swim;  // none: it is down
+    std::unique_ptr<SwimProtocol> swim;  // none: it is down
     std::uint64_t life = 0;
     double stalled_until = 0;
     std::vector<view::Message> while_stalled;
@@ -38,7 +38,7 @@
   std::priority_queue<Flight, std::vector<Flight>, std::greater<>> flights;
   std::set<std::pair<std::size_t, std::size_t>> cut;  // from, to
   std::mt19937_64 random;
-  view::Pace pace;
+  view::GossipTiming pace;
   double now = 1000, loss = 0, delay = 20;
   std::uint64_t order = 0;
   bool measure_bytes = false;
@@ -63,7 +63,7 @@
     std::vector<std::string> seed_addresses;
     for (std::size_t k = 0; k < std::min<std::size_t>(nodes.size(), 3); ++k)
       seed_addresses.push_back(nodes[k].address);
-    n.swim = std::make_unique<Swim>(Peer{n.name, n.address, n.life, 0, Standing::joining, {}}, seed_addresses,
+    n.swim = std::make_unique<SwimProtocol>(MemberRecord{n.name, n.address, n.life, 0, MemberStatus::joining, {}}, seed_addresses,
                                     pace, random(), Millis(now));
     n.due = now;
     if (serves) n.swim->serve(Millis(now));
@@ -105,17 +105,17 @@
   void say(const std::string& what) { events.emplace_back(now, what); }
 
   void carry(std::size_t i) {
-    nodes[i].due = nodes[i].swim->due().count();
-    for (auto& out : nodes[i].swim->take_out()) {
+    nodes[i].due = nodes[i].swim->next_deadline().count();
+    for (auto& out : nodes[i].swim->take_outgoing()) {
       ++nodes[i].sent;
-      if (measure_bytes) nodes[i].bytes += view::worded(out.message).size();
+      if (measure_bytes) nodes[i].bytes += view::encode_message(out.message).size();
       const auto to = by_address.find(out.address);
       if (to == by_address.end() || cut.count({i, to->second}) != 0 || chance() < loss) continue;
       flights.push({now + delay * (0.5 + chance()), ++order, i, to->second, std::move(out.message)});
     }
     for (const auto& change : nodes[i].swim->take_changes()) {
       ++changes;
-      if (change.standing == Standing::dead && really_down.count({change.name, change.life}) == 0) {
+      if (change.status == MemberStatus::dead && really_down.count({change.name, change.incarnation}) == 0) {
         // What is cut off for longer than a suspicion lasts is rightly held for dead.
         if (cut.empty()) ++false_deaths;
       }
@@ -157,8 +157,8 @@
     }
   }
   char mark(std::size_t at, std::size_t of) const {
-    const Peer* peer = nodes[at].swim->member_table().find(nodes[of].name);
-    return peer == nullptr ? '.' : "~+?x<"[static_cast<std::size_t>(peer->standing)];
+    const MemberRecord* peer = nodes[at].swim->member_table().find(nodes[of].name);
+    return peer == nullptr ? '.' : "~+?x<"[static_cast<std::size_t>(peer->status)];
   }
   std::string cell(std::size_t at) const {
     if (!nodes[at].swim) return std::string(nodes.size(), ' ');
@@ -188,8 +188,8 @@
     for (std::size_t i = 0; i < nodes.size(); ++i) {
       if (!nodes[i].swim) continue;
       for (std::size_t k = 0; k < nodes.size(); ++k) {
-        const Peer* peer = nodes[i].swim->member_table().find(nodes[k].name);
-        const bool up = peer != nullptr && peer->standing <= Standing::alive && peer->life == nodes[k].life;
+        const MemberRecord* peer = nodes[i].swim->member_table().find(nodes[k].name);
+        const bool up = peer != nullptr && peer->status <= MemberStatus::alive && peer->incarnation == nodes[k].life;
         if (up != (nodes[k].swim != nullptr)) return false;
       }
     }
--- a/tests/lotusyard/view_test.cpp
+++ b/tests/lotusyard/view_test.cpp
@@ -123,8 +123,8 @@
   net.nodes[3].life = 5;
   net.start_all();
   net.run(5000);
-  CHECK(net.nodes[0].swim->usurped());
-  CHECK_FALSE(net.nodes[3].swim->usurped());
+  CHECK(net.nodes[0].swim->is_superseded());
+  CHECK_FALSE(net.nodes[3].swim->is_superseded());
   CHECK(net.nodes[1].swim->member_table().find("a")->address == net.nodes[3].address);
 }
 
@@ -135,13 +135,13 @@
   for (std::size_t i = 1; i < 5; ++i) net.cut.insert({i, 0});  // half of them cannot reach a
   const auto before = net.changes;
   net.run(120000);
-  for (const auto& n : net.nodes) CHECK(n.swim->member_table().find("a")->standing != Standing::dead);
+  for (const auto& n : net.nodes) CHECK(n.swim->member_table().find("a")->status != MemberStatus::dead);
   CHECK(net.changes - before < 8 * 8 * 4);  // nobody flaps: as much as four pieces of gossip known to all
 }
 
 // ---- Merges ----
 
-view::Fact some_fact() {
+view::HostObservation some_fact() {
   const auto few = [](int most) { return *rc::gen::inRange(0, most); };
   return {std::string(1, static_cast<char>('h' + few(2))),
           static_cast<double>(few(3)),
@@ -150,11 +150,11 @@
           static_cast<std::uint64_t>(few(4)),
           few(2) == 0};
 }
-std::string state_of(const view::Facts& facts) {
+std::string state_of(const view::MemberMetadata& facts) {
   std::string out;
   for (const auto& f : facts.all())
-    out += f.host + std::to_string(f.host_life) + f.observer + std::to_string(f.observer_life) + "." +
-           std::to_string(f.stamp) + (f.usable ? "+" : "-") + " ";
+    out += f.host + std::to_string(f.host_incarnation) + f.observer + std::to_string(f.observer_incarnation) + "." +
+           std::to_string(f.sequence) + (f.usable ? "+" : "-") + " ";
   return out;
 }
 // Whether a property holds for so many cases; one that does not is printed, cut down, unless it was broken
@@ -172,9 +172,9 @@
 bool order_matters() {
   return !holds("facts merge alike in any order, repeated or not", 300, [] {
     const auto count = *rc::gen::inRange<std::size_t>(0, 12);
-    std::vector<view::Fact> all;
+    std::vector<view::HostObservation> all;
     for (std::size_t i = 0; i < count; ++i) all.push_back(some_fact());
-    view::Facts one, other;
+    view::MemberMetadata one, other;
     for (const auto& f : all) one.merge(f);
     std::mt19937_64 random(*rc::gen::arbitrary<std::uint64_t>());
     for (int twice = 0; twice < 2; ++twice) {
@@ -192,42 +192,42 @@
 }
 
 TEST_CASE("records of an earlier life of a host, and of observers that are gone, go") {
-  view::Facts facts;
+  view::MemberMetadata facts;
   facts.merge({"h", 10, "a", 1, 1, false});
   facts.merge({"h", 20, "b", 1, 1, true});
-  CHECK(facts.merge({"h", 10, "c", 1, 1, false}) == view::Facts::Took::known);
+  CHECK(facts.merge({"h", 10, "c", 1, 1, false}) == view::MemberMetadata::MergeResult::unchanged);
   CHECK(facts.all().size() == 1);
-  CHECK(facts.against("h") == 0);
-  facts.keep({"h"}, {"a"});
+  CHECK(facts.failure_reports("h") == 0);
+  facts.retain({"h"}, {"a"});
   CHECK(facts.all().empty());
-  CHECK(facts.merge({"h", 10, "a", 1, 1, false}) == view::Facts::Took::known);  // its life is remembered
-  facts.keep({}, {"a"});
+  CHECK(facts.merge({"h", 10, "a", 1, 1, false}) == view::MemberMetadata::MergeResult::unchanged);  // its life is remembered
+  facts.retain({}, {"a"});
   CHECK(facts.hosts() == 0);
   Breaks::Rule broken("earlier-life");
-  view::Facts faulty;
+  view::MemberMetadata faulty;
   faulty.merge({"h", 20, "b", 1, 1, true});
-  CHECK(faulty.merge({"h", 10, "c", 1, 1, false}) != view::Facts::Took::known);
+  CHECK(faulty.merge({"h", 10, "c", 1, 1, false}) != view::MemberMetadata::MergeResult::unchanged);
 }
 
 TEST_CASE("messages are read whole or not at all, however they are spoilt") {
   std::mt19937_64 random(3);
   view::Message m;
-  m.self = {"a", "127.0.0.1:1", 3, 4, Standing::alive, {}};
-  m.peers = {{"b", "127.0.0.1:2", 1, 0, Standing::suspect, "c"}};
-  m.facts = {{"h", 1.5, "a", 3, 9, false}};
-  const std::string body = view::worded(m);
-  const auto read = view::read_message(body);
+  m.self = {"a", "127.0.0.1:1", 3, 4, MemberStatus::alive, {}};
+  m.members = {{"b", "127.0.0.1:2", 1, 0, MemberStatus::suspect, "c"}};
+  m.observations = {{"h", 1.5, "a", 3, 9, false}};
+  const std::string body = view::encode_message(m);
+  const auto read = view::decode_message(body);
   REQUIRE(read);
-  CHECK((read->peers[0].by == "c" && read->facts[0].stamp == 9 && read->self.round == 4));
+  CHECK((read->members[0].suspected_by == "c" && read->observations[0].sequence == 9 && read->self.refutation == 4));
   for (int i = 0; i < 4000; ++i) {
     std::string spoilt = body;
     if (i % 2 == 0) spoilt.resize(random() % spoilt.size());
     spoilt[random() % (spoilt.size() + 1)] = static_cast<char>(random());
-    view::read_message(spoilt);
+    view::decode_message(spoilt);
   }
-  CHECK_FALSE(view::read_message(std::string(1U << 20, '[')));
-  m.self.round = ~0ULL;
-  CHECK_FALSE(view::read_message(view::worded(m)));  // an incarnation that jumps
+  CHECK_FALSE(view::decode_message(std::string(1U << 20, '[')));
+  m.self.refutation = ~0ULL;
+  CHECK_FALSE(view::decode_message(view::encode_message(m)));  // an incarnation that jumps
 }
 
 // ---- Schedules ----
@@ -301,7 +301,7 @@
 
 TEST_CASE("who was forgotten is not brought back by one that was cut off for longer") {
   ViewNet net(9, 4);
-  net.pace.horizon = Millis(30000);
+  net.pace.forget_dead_after = Millis(30000);
   net.start_all();
   net.run(5000);
   net.part({0});
@@ -314,21 +314,21 @@
 }
 
 TEST_CASE("tables are bounded, and those gone longest give their places") {
-  view::Pace pace;
-  pace.members_most = 10;
+  view::GossipTiming pace;
+  pace.max_members = 10;
   view::MemberTable member_table(pace);
   for (int i = 0; i < 10; ++i)
     member_table.merge(
-        {"m" + std::to_string(i), "127.0.0.1:1", 1, 0, i < 2 ? Standing::dead : Standing::alive, {}},
+        {"m" + std::to_string(i), "127.0.0.1:1", 1, 0, i < 2 ? MemberStatus::dead : MemberStatus::alive, {}},
         Millis(i));
-  CHECK(member_table.merge({"x", "127.0.0.1:1", 1, 0, Standing::alive, {}}, Millis(20)) ==
-        view::MemberTable::Took::news);
+  CHECK(member_table.merge({"x", "127.0.0.1:1", 1, 0, MemberStatus::alive, {}}, Millis(20)) ==
+        view::MemberTable::MergeResult::updated);
   CHECK(member_table.find("m0") == nullptr);
-  CHECK(member_table.merge({"y", "127.0.0.1:1", 1, 0, Standing::alive, {}}, Millis(20)) ==
-        view::MemberTable::Took::news);
-  CHECK(member_table.merge({"z", "127.0.0.1:1", 1, 0, Standing::alive, {}}, Millis(20)) ==
-        view::MemberTable::Took::refused);
-  CHECK(member_table.here_count() == 10);
+  CHECK(member_table.merge({"y", "127.0.0.1:1", 1, 0, MemberStatus::alive, {}}, Millis(20)) ==
+        view::MemberTable::MergeResult::updated);
+  CHECK(member_table.merge({"z", "127.0.0.1:1", 1, 0, MemberStatus::alive, {}}, Millis(20)) ==
+        view::MemberTable::MergeResult::rejected);
+  CHECK(member_table.present_count() == 10);
 }
 
 }  // namespace
--- a/tests/lotusyard/work_rig.h
+++ b/tests/lotusyard/work_rig.h
@@ -24,17 +24,17 @@
         [&] {
           const auto running = std::find_if(operated.begin(), operated.end(), runs);
           if (running != operated.end()) propose(**running, work);
-          const auto course = works::read_timeline(lines());
-          return std::any_of(course.happenings.begin(), course.happenings.end(),
+          const auto course = works::parse_timeline(lines());
+          return std::any_of(course.entries.begin(), course.entries.end(),
                              [&](const auto& h) { return h.what == "add"; });
         },
         20);
   }
   // Every host has been out and is back.
   bool done() const {
-    const auto course = works::read_timeline(lines());
+    const auto course = works::parse_timeline(lines());
     std::map<std::string, int> back;
-    for (const auto& h : course.happenings) back[h.host] += h.what == "back";
+    for (const auto& h : course.entries) back[h.host] += h.what == "back";
     int all = 0;
     for (const auto& [host, times] : back) all += times > 0;
     return all == static_cast<int>(world.host.size());
--- a/tests/lotusyard/works_test.cpp
+++ b/tests/lotusyard/works_test.cpp
@@ -13,51 +13,51 @@
 namespace lotusyard::test {
 namespace {
 
-using works::Board;
-using works::Entry;
-using works::Stage;
-using works::Work;
-using Kind = works::Entry::Kind;
+using works::MaintenanceState;
+using works::LogEntry;
+using works::HostStage;
+using works::MaintenanceJob;
+using Kind = works::LogEntry::Kind;
 
-Work work_of(int hosts, int out, double usable = 0.5) {
-  Work w;
+MaintenanceJob work_of(int hosts, int out, double usable = 0.5) {
+  MaintenanceJob w;
   w.id = "w";
   for (int i = 0; i < hosts; ++i)
     w.hosts.push_back({"h" + std::to_string(i), i % 2 == 0 ? "east" : "west", "std"});
-  w.bounds.out = out;
-  w.bounds.usable = usable;
+  w.bounds.max_out = out;
+  w.bounds.min_usable_share = usable;
   return w;
 }
-Entry about(Kind kind, const std::string& host = {}, std::uint64_t round = 0) {
-  Entry e;
+LogEntry about(Kind kind, const std::string& host = {}, std::uint64_t round = 0) {
+  LogEntry e;
   e.kind = kind;
   e.host = host;
-  e.round = round;
+  e.selected_at_index = round;
   return e;
 }
-Entry adds(const Work& w) {
-  Entry e = about(Kind::add);
-  e.added = w;
+LogEntry adds(const MaintenanceJob& w) {
+  LogEntry e = about(Kind::add_job);
+  e.added_job = w;
   return e;
 }
-Entry joins(const std::string& member, std::uint64_t life) {
-  Entry e = about(Kind::join);
+LogEntry joins(const std::string& member, std::uint64_t life) {
+  LogEntry e = about(Kind::join);
   e.member = member;
-  e.life = life;
+  e.incarnation = life;
   return e;
 }
-works::Beat beat_of(const std::string& member, std::uint64_t life, std::uint64_t has, int listed) {
-  works::Beat b{member, life, 0, has, {}, works::View()};
-  b.view->listed = listed;
+works::Heartbeat beat_of(const std::string& member, std::uint64_t life, std::uint64_t has, int listed) {
+  works::Heartbeat b{member, life, 0, has, {}, works::HostObservations()};
+  b.observations->listed_hosts = listed;
   return b;
 }
-Entry beats(std::vector<works::Beat> all) {
-  Entry e = about(Kind::beats);
-  e.beats = std::move(all);
+LogEntry beats(std::vector<works::Heartbeat> all) {
+  LogEntry e = about(Kind::heartbeats);
+  e.heartbeats = std::move(all);
   return e;
 }
-Entry names(std::vector<std::string> hosts) {
-  Entry e = about(Kind::name);
+LogEntry names(std::vector<std::string> hosts) {
+  LogEntry e = about(Kind::select_hosts);
   e.hosts = std::move(hosts);
   return e;
 }
@@ -67,7 +67,7 @@
   struct Person {
     std::string name;
     std::uint64_t life = 1;
-    Board board;
+    MaintenanceState board;
     std::optional<group::Lease> lease;
     double clock = 1, ahead = 0;  // its clock: true time * clock + ahead
     bool up = true, reachable = true;
@@ -81,20 +81,20 @@
   };
   Random random;
   Bug bug;
-  group::Terms terms;
+  group::LeaseTerms terms;
   double now = 1000;
-  std::vector<Entry> log;
+  std::vector<LogEntry> log;
   std::vector<Person> people;
   std::size_t leader = 0;
-  std::optional<works::Order> order;
-  std::map<std::string, works::Beat> heard;
+  std::optional<works::MaintenanceScheduler> order;
+  std::map<std::string, works::Heartbeat> heard;
   std::size_t led_from = 0;
   int hosts = 0, most_out = 0, touched = 0;
   std::string broken;
 
   explicit Yard(std::uint64_t seed, int members, int all_hosts) : random(seed), hosts(all_hosts) {
     terms.lease = Millis(1000);
-    terms.last_call = Millis(400);
+    terms.max_attempt_time = Millis(400);
     for (int i = 0; i < members; ++i) {
       Person p;
       p.name = std::string(1, static_cast<char>('a' + i));
@@ -108,22 +108,22 @@
   Millis clock(const Person& p) const { return Millis(now * p.clock + p.ahead); }
   void begin(Person& p) { p.lease.emplace(terms, clock(p)); }
   bool may_use(const Person& p, const std::string& host) const {
-    if (!p.up || !p.lease->ever()) return false;
-    const bool leased = bug.ignores_lease || p.lease->holds(clock(p));
-    return p.board.avoided(leased).count(host) == 0;
+    if (!p.up || !p.lease->was_ever_held()) return false;
+    const bool leased = bug.ignores_lease || p.lease->is_held(clock(p));
+    return p.board.hosts_to_avoid(leased).count(host) == 0;
   }
-  void append(const Entry& e) {
+  void append(const LogEntry& e) {
     // The wording is what goes through the log.
-    const auto read = works::read_entry(works::worded(e));
+    const auto read = works::parse_entry(works::encode_entry(e));
     REQUIRE(read);
     log.push_back(*read);
   }
   void follow(Person& p) {
     for (; p.follows < log.size(); ++p.follows) {
-      const Entry& e = log[p.follows];
+      const LogEntry& e = log[p.follows];
       p.board.apply(p.follows + 1, e, clock(p));
-      for (const auto& b : e.beats) {
-        if (b.member == p.name && b.life == p.life) p.lease->agreed(b.stamp);
+      for (const auto& b : e.heartbeats) {
+        if (b.member == p.name && b.incarnation == p.life) p.lease->renew(b.sent_at);
       }
     }
   }
@@ -145,40 +145,40 @@
     }
   }
   // As the log has it, whoever has followed that far.
-  Board newest;
+  MaintenanceState newest;
   std::size_t newest_follows = 0;
   std::set<std::string> truly_touched() {
     for (; newest_follows < log.size(); ++newest_follows) {
-      const Entry& e = log[newest_follows];
+      const LogEntry& e = log[newest_follows];
       const bool done = newest.apply(newest_follows + 1, e, Millis(now)).done;
-      touched += done && e.kind == Kind::touch;
+      touched += done && e.kind == Kind::release_to_operators;
     }
     std::set<std::string> out;
     int away = 0;
     for (const auto& [id, h] : newest.hosts()) {
-      if (h.stage == Stage::out) out.insert(id);
-      away += h.stage == Stage::leaving || h.stage == Stage::out || h.stage == Stage::warming;
+      if (h.stage == HostStage::out_of_service) out.insert(id);
+      away += h.stage == HostStage::draining || h.stage == HostStage::out_of_service || h.stage == HostStage::slow_start;
     }
     most_out = std::max(most_out, away);
     return out;
   }
   void beat(Person& p) {
     if (!p.up || now < p.beats_at) return;
-    p.beats_at = now + terms.beat().count();
+    p.beats_at = now + terms.heartbeat_interval().count();
     const auto mine = p.board.members().find(p.name);
     if (!p.reachable || !people[leader].up || !people[leader].reachable) return;
-    if (mine == p.board.members().end() || mine->second.life != p.life) {
-      if (people[leader].board.last_life(p.name) < p.life) append(joins(p.name, p.life));
+    if (mine == p.board.members().end() || mine->second.incarnation != p.life) {
+      if (people[leader].board.last_incarnation(p.name) < p.life) append(joins(p.name, p.life));
       return;
     }
-    works::Beat b = beat_of(p.name, p.life, p.board.index(), hosts);
-    b.stamp = clock(p).count();
+    works::Heartbeat b = beat_of(p.name, p.life, p.board.index(), hosts);
+    b.sent_at = clock(p).count();
     for (const auto& [id, h] : p.board.hosts()) {
-      const bool gone = h.stage == Stage::leaving || h.stage == Stage::out;
+      const bool gone = h.stage == HostStage::draining || h.stage == HostStage::out_of_service;
       const bool quiet = p.calls.count(id) == 0 || p.calls[id] <= now;
-      if (gone && (bug.ignores_drain || (quiet && p.lease->earlier_ended(clock(p))))) b.drained.insert(id);
-      if (h.stage == Stage::warming) b.view->served.insert(id);
-      b.view->cost[id] = static_cast<double>(below(random, 10));
+      if (gone && (bug.ignores_drain || (quiet && p.lease->earlier_attempts_ended(clock(p))))) b.drained_hosts.insert(id);
+      if (h.stage == HostStage::slow_start) b.observations->served.insert(id);
+      b.observations->serving_value[id] = static_cast<double>(below(random, 10));
     }
     heard[p.name] = b;
   }
@@ -186,13 +186,13 @@
     Person& p = people[leader];
     if (!p.up || !p.reachable || p.follows < led_from) return;
     if (!heard.empty()) {
-      std::vector<works::Beat> all;
+      std::vector<works::Heartbeat> all;
       for (auto& [name, b] : heard) all.push_back(b);
       heard.clear();
       append(beats(all));
       return;
     }
-    if (auto next = order->next(p.board, clock(p))) append(*next);
+    if (auto next = order->next_entry(p.board, clock(p))) append(*next);
   }
   void elect() {
     for (std::size_t i = 0; i < people.size(); ++i) {
@@ -226,7 +226,7 @@
           ++p.life;
           for (const auto& [host, until] : p.calls) p.earlier[host] = std::max(p.earlier[host], until);
           p.calls.clear();
-          p.board = Board();
+          p.board = MaintenanceState();
           const std::size_t kept = p.follows;
           p.follows = 0;
           begin(p);
@@ -238,7 +238,7 @@
     if (!people[leader].up || !people[leader].reachable || below(random, 6) == 0) elect();
     // As an operator would: what is out comes back.
     if (const auto out = truly_touched(); !out.empty() && below(random, 2) == 0)
-      append(about(Kind::returned,
+      append(about(Kind::return_to_service,
                    *std::next(out.begin(), static_cast<std::ptrdiff_t>(below(random, out.size())))));
   }
   std::string run(int turns) {
@@ -278,15 +278,15 @@
 }
 
 struct Table {
-  Board board;
+  MaintenanceState board;
   std::uint64_t index = 0;
   Millis now{1000};
-  Board::Outcome apply(const Entry& e) { return board.apply(++index, e, now); }
+  MaintenanceState::ProposalOutcome apply(const LogEntry& e) { return board.apply(++index, e, now); }
   // One member that follows and has let go of what leaves.
   void follows(std::set<std::string> drained = {}, std::set<std::string> served = {}) {
-    works::Beat b = beat_of("a", 1, index, 10);
-    b.drained = std::move(drained);
-    b.view->served = std::move(served);
+    works::Heartbeat b = beat_of("a", 1, index, 10);
+    b.drained_hosts = std::move(drained);
+    b.observations->served = std::move(served);
     apply(beats({b}));
   }
 };
@@ -296,38 +296,38 @@
   REQUIRE(t.apply(joins("a", 1)).done);
   t.follows();
   REQUIRE(t.apply(adds(work_of(6, 2))).done);
-  CHECK(t.apply(about(Kind::take, "h0", 0)).why == "host: h0 is waiting");
+  CHECK(t.apply(about(Kind::start_drain, "h0", 0)).why == "host: h0 is waiting");
   REQUIRE(t.apply(names({"h0", "h1", "h2", "h3", "h4", "h5"})).done);
   const std::uint64_t named = t.index;
-  CHECK(t.board.in_reach() == 5);  // half of the ten that are listed stays out of reach
-  CHECK_THAT(t.apply(about(Kind::take, "h0", named)).why, Catch::Contains("member a does not know"));
+  CHECK(t.board.hosts_in_progress() == 5);  // half of the ten that are listed stays out of reach
+  CHECK_THAT(t.apply(about(Kind::start_drain, "h0", named)).why, Catch::Contains("member a does not know"));
   t.follows();
-  CHECK(t.apply(about(Kind::take, "h0", named - 1)).why == "host: h0 is named");
-  REQUIRE(t.apply(about(Kind::take, "h0", named)).done);
+  CHECK(t.apply(about(Kind::start_drain, "h0", named - 1)).why == "host: h0 is named");
+  REQUIRE(t.apply(about(Kind::start_drain, "h0", named)).done);
   const std::uint64_t taken = t.index;
-  CHECK(t.board.avoided(true) == std::set<std::string>{"h0"});
-  CHECK(t.board.avoided(false).size() == 5);
-  REQUIRE(t.apply(about(Kind::take, "h1", named)).done);
-  CHECK_THAT(t.apply(about(Kind::take, "h2", named)).why, Catch::Contains("2 hosts may be out"));
-  CHECK(t.apply(about(Kind::returned, "h0")).why == "host: h0 is leaving");
-  REQUIRE(t.apply(about(Kind::touch, "h0", taken)).done);
-  CHECK(t.apply(about(Kind::touch, "h0", taken)).why == "host: h0 is out");
-  REQUIRE(t.apply(about(Kind::returned, "h0")).done);
-  CHECK_THAT(t.apply(about(Kind::take, "h2", named)).why,
+  CHECK(t.board.hosts_to_avoid(true) == std::set<std::string>{"h0"});
+  CHECK(t.board.hosts_to_avoid(false).size() == 5);
+  REQUIRE(t.apply(about(Kind::start_drain, "h1", named)).done);
+  CHECK_THAT(t.apply(about(Kind::start_drain, "h2", named)).why, Catch::Contains("2 hosts may be out"));
+  CHECK(t.apply(about(Kind::return_to_service, "h0")).why == "host: h0 is leaving");
+  REQUIRE(t.apply(about(Kind::release_to_operators, "h0", taken)).done);
+  CHECK(t.apply(about(Kind::release_to_operators, "h0", taken)).why == "host: h0 is out");
+  REQUIRE(t.apply(about(Kind::return_to_service, "h0")).done);
+  CHECK_THAT(t.apply(about(Kind::start_drain, "h2", named)).why,
              Catch::Contains("2 hosts may be out"));  // it is cold
-  REQUIRE(t.apply(about(Kind::back, "h0")).done);
-  REQUIRE(t.apply(about(Kind::take, "h2", named)).done);
+  REQUIRE(t.apply(about(Kind::complete, "h0")).done);
+  REQUIRE(t.apply(about(Kind::start_drain, "h2", named)).done);
 }
 
 TEST_CASE("works share their bounds, zones and kinds have their own, and paused works take nothing") {
   Table t;
   t.apply(joins("a", 1));
   t.follows();
-  Work first = work_of(4, 3), second = work_of(4, 3);
-  first.bounds.zone = 1;
+  MaintenanceJob first = work_of(4, 3), second = work_of(4, 3);
+  first.bounds.max_out_per_zone = 1;
   second.id = "v";
   for (auto& h : second.hosts) h.id = "k" + h.id;
-  second.bounds.out = 2;
+  second.bounds.max_out = 2;
   REQUIRE(t.apply(adds(first)).done);
   REQUIRE(t.apply(adds(second)).done);
   CHECK_THAT(t.apply(adds(first)).why, Catch::Contains("there is a work w already"));
@@ -336,25 +336,25 @@
   t.apply(names({"h0", "h1", "h2", "kh0", "kh1"}));
   const std::uint64_t named = t.index;
   t.follows();
-  REQUIRE(t.apply(about(Kind::take, "h0", named)).done);
-  CHECK_THAT(t.apply(about(Kind::take, "h2", named)).why, Catch::Contains("of zone east"));
-  CHECK_THAT(t.apply(about(Kind::take, "kh0", named)).why,
+  REQUIRE(t.apply(about(Kind::start_drain, "h0", named)).done);
+  CHECK_THAT(t.apply(about(Kind::start_drain, "h2", named)).why, Catch::Contains("of zone east"));
+  CHECK_THAT(t.apply(about(Kind::start_drain, "kh0", named)).why,
              Catch::Contains("of zone east"));  // the other's bound
-  Entry pause = about(Kind::alter);
-  pause.work = "v";
-  pause.state = Work::State::paused;
+  LogEntry pause = about(Kind::change_job_state);
+  pause.job = "v";
+  pause.state = MaintenanceJob::State::paused;
   REQUIRE(t.apply(pause).done);
-  CHECK(t.apply(about(Kind::take, "kh1", named)).why == "work: v is paused");
-  pause.state = Work::State::running;
+  CHECK(t.apply(about(Kind::start_drain, "kh1", named)).why == "work: v is paused");
+  pause.state = MaintenanceJob::State::running;
   REQUIRE(t.apply(pause).done);
-  REQUIRE(t.apply(about(Kind::take, "kh1", named)).done);
-  CHECK_THAT(t.apply(about(Kind::take, "h1", named)).why,
+  REQUIRE(t.apply(about(Kind::start_drain, "kh1", named)).done);
+  CHECK_THAT(t.apply(about(Kind::start_drain, "h1", named)).why,
              Catch::Contains("of zone west may be out at once by work w"));
-  pause.work = "w";
-  pause.state = Work::State::cancelled;
+  pause.job = "w";
+  pause.state = MaintenanceJob::State::cancelled;
   REQUIRE(t.apply(pause).done);  // nobody may touch h0 yet: it is used again
-  CHECK(t.board.avoided(true) == std::set<std::string>{"kh1"});
-  pause.state = Work::State::running;
+  CHECK(t.board.hosts_to_avoid(true) == std::set<std::string>{"kh1"});
+  pause.state = MaintenanceJob::State::running;
   CHECK(t.apply(pause).why == "work: w is cancelled");
 }
 
@@ -366,7 +366,7 @@
   CHECK_THAT(t.apply(adds(work_of(4, 1, 0.95))).why, Catch::StartsWith("usable: "));
   const auto faulty = [](const char* text) {
     try {
-      works::read_work(nlohmann::json::parse(text));
+      works::parse_job(nlohmann::json::parse(text));
     } catch (const std::invalid_argument& fault) { return std::string(fault.what()); }
     return std::string("taken");
   };
@@ -384,26 +384,26 @@
   Table t;
   t.apply(joins("a", 1));
   t.follows();
-  Entry add = adds(work_of(4, 1));
+  LogEntry add = adds(work_of(4, 1));
   add.proposal = "p1";
   REQUIRE(t.apply(add).done);
   REQUIRE(t.apply(add).done);  // else it would say that there is such a work already
-  CHECK(t.board.works().size() == 1);
-  REQUIRE(t.board.outcome("p1") != nullptr);
+  CHECK(t.board.jobs().size() == 1);
+  REQUIRE(t.board.find_outcome("p1") != nullptr);
   for (int i = 0; i < 300; ++i) {
-    Entry ask = about(Kind::ask);
+    LogEntry ask = about(Kind::read_barrier);
     ask.proposal = "q" + std::to_string(i);
     t.apply(ask);
   }
-  CHECK(t.board.outcome("p1") == nullptr);  // the table is bounded
-  CHECK(t.board.outcome("q299") != nullptr);
+  CHECK(t.board.find_outcome("p1") == nullptr);  // the table is bounded
+  CHECK(t.board.find_outcome("q299") != nullptr);
 }
 
 TEST_CASE("a board comes back whole from its snapshot, and nothing else is taken for one") {
   Yard yard(5, 3, 8);
   yard.run(2500);
-  const Board& before = yard.newest;
-  Board after;
+  const MaintenanceState& before = yard.newest;
+  MaintenanceState after;
   REQUIRE(after.restore(before.snapshot(), Millis(5)));
   CHECK(after.snapshot() == before.snapshot());
   Random random(3);
@@ -412,32 +412,32 @@
     std::string spoilt = whole;
     for (int n = 0; n < 3; ++n) spoilt[below(random, spoilt.size())] = static_cast<char>(random());
     const auto read = nlohmann::json::parse(spoilt, nullptr, false);
-    Board other;
-    if (!read.is_object() || !other.restore(read, Millis(0))) CHECK(other.works().empty());
-    works::read_entry(spoilt);  // neither ends the process
+    MaintenanceState other;
+    if (!read.is_object() || !other.restore(read, Millis(0))) CHECK(other.jobs().empty());
+    works::parse_entry(spoilt);  // neither ends the process
   }
 }
 
 TEST_CASE("the one that leads names its reasons and waits for what holds up a work") {
   Table t;
-  group::Terms terms;
-  works::Order order(terms);
+  group::LeaseTerms terms;
+  works::MaintenanceScheduler order(terms);
   t.apply(joins("a", 1));
   t.apply(joins("b", 1));
-  Work w = work_of(4, 1);
+  MaintenanceJob w = work_of(4, 1);
   w.bounds.pause = Millis(5000);
-  w.bounds.away = Millis(60000);
+  w.bounds.max_time_out = Millis(60000);
   t.apply(adds(w));
   const auto both = [&](double cost0, double cost1, std::set<std::string> down = {}, double lost = 0) {
-    works::Beat a = beat_of("a", 1, t.index, 10), b = beat_of("b", 1, t.index, 10);
-    a.view->cost = {{"h0", cost0}, {"h1", cost1}};
-    a.view->down = std::move(down);
-    a.view->asked = 100;
-    a.view->lost = lost;
+    works::Heartbeat a = beat_of("a", 1, t.index, 10), b = beat_of("b", 1, t.index, 10);
+    a.observations->serving_value = {{"h0", cost0}, {"h1", cost1}};
+    a.observations->down = std::move(down);
+    a.observations->calls_per_second = 100;
+    a.observations->failed_per_second = lost;
     t.apply(beats({a, b}));
   };
   const auto step = [&](Kind kind, const std::string& host) {
-    const auto next = order.next(t.board, t.now);
+    const auto next = order.next_entry(t.board, t.now);
     REQUIRE(next);
     CHECK(works::name_of(next->kind) == std::string(works::name_of(kind)));
     CHECK(next->host == host);
@@ -446,72 +446,72 @@
   };
   // Naming ahead is no step of a host's: it is followed at once.
   const auto idle = [&] {
-    auto next = order.next(t.board, t.now);
-    for (; next && next->kind == Kind::name; next = order.next(t.board, t.now)) t.apply(*next);
+    auto next = order.next_entry(t.board, t.now);
+    for (; next && next->kind == Kind::select_hosts; next = order.next_entry(t.board, t.now)) t.apply(*next);
     return !next;
   };
   both(3, 1);
-  step(Kind::name, "");
+  step(Kind::select_hosts, "");
   CHECK(idle());
-  CHECK_THAT(order.waits().at("w"), Catch::Contains("does not follow"));
+  CHECK_THAT(order.waiting_reasons().at("w"), Catch::Contains("does not follow"));
   both(3, 1, {"h9"});
   CHECK(idle());
-  CHECK(order.waits().at("w") == "host h9 is down unasked, says a");
+  CHECK(order.waiting_reasons().at("w") == "host h9 is down unasked, says a");
   both(3, 1, {}, 30);
   CHECK(idle());
-  CHECK_THAT(order.waits().at("w"), Catch::StartsWith("service falls: 30%"));
+  CHECK_THAT(order.waiting_reasons().at("w"), Catch::StartsWith("service falls: 30%"));
   both(3, 1);
-  CHECK_THAT(step(Kind::take, "h1"), Catch::Contains("costs least now: 1 "));
+  CHECK_THAT(step(Kind::start_drain, "h1"), Catch::Contains("costs least now: 1 "));
   both(3, 1);
   CHECK(idle());
-  CHECK_THAT(order.waits().at("w"), Catch::Contains("still used, or may be, by a, b"));
-  works::Beat a = beat_of("a", 1, t.index, 10);
-  a.drained = {"h1"};
+  CHECK_THAT(order.waiting_reasons().at("w"), Catch::Contains("still used, or may be, by a, b"));
+  works::Heartbeat a = beat_of("a", 1, t.index, 10);
+  a.drained_hosts = {"h1"};
   t.apply(beats({a}));
   CHECK(idle());
-  t.now += terms.silent() - Millis(1);  // b is silent, and its lease may still run
+  t.now += terms.presumed_dead_after() - Millis(1);  // b is silent, and its lease may still run
   t.apply(beats({a}));
   CHECK(idle());
   t.now += Millis(1);
-  CHECK_THAT(step(Kind::touch, "h1"), Catch::Contains("leases have run out of b"));
+  CHECK_THAT(step(Kind::release_to_operators, "h1"), Catch::Contains("leases have run out of b"));
   t.now += Millis(60001);
   both(3, 1);
-  CHECK_THAT(step(Kind::late, "h1"), Catch::Contains("longer than 60 s"));
+  CHECK_THAT(step(Kind::overdue, "h1"), Catch::Contains("longer than 60 s"));
   CHECK(idle());
-  CHECK_THAT(order.waits().at("w"), Catch::Contains("h1"));
-  REQUIRE(t.apply(about(Kind::returned, "h1")).done);
+  CHECK_THAT(order.waiting_reasons().at("w"), Catch::Contains("h1"));
+  REQUIRE(t.apply(about(Kind::return_to_service, "h1")).done);
   CHECK(idle());  // it has not served yet
   t.follows({}, {"h1"});
-  CHECK(step(Kind::back, "h1") == "it has served a call of a");
+  CHECK(step(Kind::complete, "h1") == "it has served a call of a");
   both(3, 1);
   t.now += Millis(1000);
   CHECK(idle());
-  CHECK_THAT(order.waits().at("w"), Catch::StartsWith("a pause of 5 s"));
+  CHECK_THAT(order.waiting_reasons().at("w"), Catch::StartsWith("a pause of 5 s"));
   t.now += Millis(4000);
   both(3, 1);
-  step(Kind::take, "h2");  // nothing is known to run there
+  step(Kind::start_drain, "h2");  // nothing is known to run there
 }
 
 TEST_CASE("a host is worth what it serves, and more where it serves a function alone") {
-  works::Watch watch;
+  works::HostObserver watch;
   for (int i = 0; i < 100; ++i) {
     const Millis at(i * 100);
-    watch.served("busy", 1, 1, at);
-    watch.served("other", 1, 1, at);
-    if (i % 2 == 0) watch.served("alone", 2, 1, at);
+    watch.record_success("busy", 1, 1, at);
+    watch.record_success("other", 1, 1, at);
+    if (i % 2 == 0) watch.record_success("alone", 2, 1, at);
   }
   const Millis now(10000);
-  CHECK(watch.cost("alone", now) > watch.cost("busy", now));
-  CHECK(watch.cost("busy", now) == Approx(watch.cost("other", now)).epsilon(0.05));
-  CHECK(watch.cost("unknown", now) == 0);
+  CHECK(watch.serving_value("alone", now) > watch.serving_value("busy", now));
+  CHECK(watch.serving_value("busy", now) == Approx(watch.serving_value("other", now)).epsilon(0.05));
+  CHECK(watch.serving_value("unknown", now) == 0);
   for (int i = 0; i < 3; ++i) {
-    CHECK_FALSE(watch.down("busy", now));
-    watch.failed("busy", now);
+    CHECK_FALSE(watch.is_down("busy", now));
+    watch.record_failure("busy", now);
   }
-  CHECK(watch.down("busy", now));
-  watch.served("busy", 1, 1, now);
-  CHECK_FALSE(watch.down("busy", now));
-  for (std::uint64_t f = 0; f < 3 * works::Watch::functions_most; ++f) watch.served("busy", f, 1, now);
+  CHECK(watch.is_down("busy", now));
+  watch.record_success("busy", 1, 1, now);
+  CHECK_FALSE(watch.is_down("busy", now));
+  for (std::uint64_t f = 0; f < 3 * works::HostObserver::max_functions; ++f) watch.record_success("busy", f, 1, now);
 }
 
 TEST_CASE("a work's course is read from the members' logs, and members that disagree are found") {
@@ -520,15 +520,15 @@
       "works at=1010 member=b term=1 index=7 take work=w host=h1 reason=\"its absence costs least\"",
       "works at=1200 member=a term=1 index=9 touch work=w host=h1 reason=\"all members are done with it\"",
       "works at=1100 member=a term=1 index=8 calls asked=50 lost=2"};
-  auto course = works::read_timeline(lines);
-  REQUIRE(course.happenings.size() == 2);
-  CHECK(course.happenings[0].members.size() == 2);
+  auto course = works::parse_timeline(lines);
+  REQUIRE(course.entries.size() == 2);
+  CHECK(course.entries[0].members.size() == 2);
   CHECK(course.fault.empty());
-  CHECK_THAT(works::table_of(course), Catch::Contains("its absence costs least"));
-  CHECK_THAT(works::chart_of(course), Catch::Contains("h1 leaving") && Catch::EndsWith("</svg>\n"));
+  CHECK_THAT(works::render_table(course), Catch::Contains("its absence costs least"));
+  CHECK_THAT(works::render_svg(course), Catch::Contains("h1 leaving") && Catch::EndsWith("</svg>\n"));
   auto other = lines;
   other.push_back("works at=1300 member=b term=1 index=9 touch work=w host=h2 reason=\"\"");
-  CHECK_THAT(works::read_timeline(other).fault, Catch::Contains("index 9"));
+  CHECK_THAT(works::parse_timeline(other).fault, Catch::Contains("index 9"));
 }
 
 }  // namespace
--- a/tests/scale/flat_hollow_log.cpp
+++ b/tests/scale/flat_hollow_log.cpp
@@ -18,16 +18,16 @@
 // A sign of life of every member at rest; with its view of `hosts` hosts of an open work, if `views`.
 BoardEntry beats_of(std::size_t members, bool views, std::size_t hosts) {
   BoardEntry out;
-  out.kind = BoardEntry::Kind::beats;
+  out.kind = BoardEntry::Kind::heartbeats;
   out.reason = "{}";
   for (std::size_t i = 0; i < members; ++i) {
     Beat beat{member_name(i), kLife, kNow.count() + 0.123 * static_cast<double>(i), 123456, {}, std::nullopt};
     if (views) {
-      beat.view.emplace();
-      beat.view->listed = static_cast<int>(std::max<std::size_t>(hosts, 12));
-      for (std::size_t h = 0; h < hosts; ++h) beat.view->cost[host_name(h)] = 1.25;
+      beat.observations.emplace();
+      beat.observations->listed_hosts = static_cast<int>(std::max<std::size_t>(hosts, 12));
+      for (std::size_t h = 0; h < hosts; ++h) beat.observations->serving_value[host_name(h)] = 1.25;
     }
-    out.beats.push_back(std::move(beat));
+    out.heartbeats.push_back(std::move(beat));
   }
   return out;
 }
@@ -39,7 +39,7 @@
     BoardEntry join;
     join.kind = BoardEntry::Kind::join;
     join.member = member_name(i);
-    join.life = kLife;
+    join.incarnation = kLife;
     out.apply(++index, join, kNow);
   }
   return out;
@@ -78,10 +78,10 @@
   const int times = members > 3000 ? 5 : 9;
   const BoardEntry entry = beats_of(members, views, hosts);
   std::string wording;
-  costs.point("word_us", microseconds(times, [&] { wording = works::worded(entry); }));
+  costs.point("word_us", microseconds(times, [&] { wording = works::encode_entry(entry); }));
   costs.point("entry_bytes", {static_cast<double>(wording.size())});
   std::optional<BoardEntry> read;
-  const auto reading = microseconds(times, [&] { read = works::read_entry(wording); });
+  const auto reading = microseconds(times, [&] { read = works::parse_entry(wording); });
   costs.verdict("read_back", read.has_value());  // if not, the program stands aside for good
   if (read) costs.point("read_us", reading);
 
@@ -125,7 +125,7 @@
     std::size_t fits = 1, too_many = 16000;
     while (too_many - fits > 1) {
       const std::size_t middle = (fits + too_many) / 2;
-      const bool read = works::read_entry(works::worded(beats_of(middle, views, 0))).has_value();
+      const bool read = works::parse_entry(works::encode_entry(beats_of(middle, views, 0))).has_value();
       (read ? fits : too_many) = middle;
     }
     print({"board_limit", fits, "member", views ? "members_with_views" : "members_without_views", 0, {}},
@@ -137,12 +137,12 @@
   Costs costs{"epochs", "members", {}, {}, 0, 0};
   for (const std::size_t members : {100, 300, 1000, 3000, 10000, 16000}) {
     costs.at = static_cast<double>(costs.members = members);
-    shares::Entry part;
-    for (std::size_t i = 0; i < members; ++i) part.sharers.emplace(member_name(i), kLife);
+    shares::LogEntry part;
+    for (std::size_t i = 0; i < members; ++i) part.holders.emplace(member_name(i), kLife);
     std::string wording;
-    costs.point("word_us", microseconds(9, [&] { wording = shares::worded(part); }));
+    costs.point("word_us", microseconds(9, [&] { wording = shares::encode_entry(part); }));
     costs.point("entry_bytes", {static_cast<double>(wording.size())});
-    costs.point("read_us", microseconds(9, [&] { REQUIRE(shares::read_entry(wording)); }));
+    costs.point("read_us", microseconds(9, [&] { REQUIRE(shares::parse_entry(wording)); }));
     Epochs epochs;
     const bool taken = epochs.apply(1, part);
     costs.verdict("taken", taken);  // more than 1,024 sharers are not
@@ -151,9 +151,9 @@
   costs.fits(kTargetMembers);
 }
 
-compliance::Entry certificate(std::size_t i) {
-  compliance::Entry out;
-  out.kind = compliance::Entry::Kind::certify;
+compliance::LogEntry certificate(std::size_t i) {
+  compliance::LogEntry out;
+  out.kind = compliance::LogEntry::Kind::certify;
   out.certificate = {"certificate" + std::to_string(i), host_name(i), "r", view::Millis(1),
                      view::Millis(4e12)};
   return out;
@@ -166,30 +166,30 @@
     costs.at = costs.given["certificates"] = static_cast<double>(certificates);
     const double before = allocated_bytes();
     Book book;
-    compliance::Entry regime, tenant;
+    compliance::LogEntry regime, tenant;
     regime.regime = {"r", "", false};
-    tenant.kind = compliance::Entry::Kind::tenant;
+    tenant.kind = compliance::LogEntry::Kind::put_tenant;
     tenant.tenant = "t";
     tenant.regimes = {"r"};
     REQUIRE(book.apply(1, regime).done);
     REQUIRE(book.apply(2, tenant).done);
     for (std::size_t i = 0; i < certificates; ++i) REQUIRE(book.apply(3 + i, certificate(i)).done);
     costs.point("state_bytes", {allocated_bytes() - before});
-    const compliance::Place last{host_name(certificates - 1), "", 0};
+    const compliance::HostLocation last{host_name(certificates - 1), "", 0};
     costs.point("may_us",
-                microseconds(9, [&] { REQUIRE(book.may("t", last, true, kNow, view::Millis(1000)).may); }));
+                microseconds(9, [&] { REQUIRE(book.check("t", last, true, kNow, view::Millis(1000)).allowed); }));
     std::string snapshot;
     costs.point("snapshot_us", microseconds(9, [&] { snapshot = book.snapshot().dump(); }));
     costs.point("snapshot_bytes", {static_cast<double>(snapshot.size())});
     costs.point("entry_bytes",
-                {static_cast<double>(compliance::worded(certificate(certificates - 1)).size())});
+                {static_cast<double>(compliance::encode_entry(certificate(certificates - 1)).size())});
   }
   costs.fits(certificates_most);
 }
 
 TEST_CASE("entries of signs of life grow linearly", "[scale-short]") {
   const auto bytes = [](std::size_t members, bool views) {
-    return static_cast<double>(works::worded(beats_of(members, views, 0)).size());
+    return static_cast<double>(works::encode_entry(beats_of(members, views, 0)).size());
   };
   for (const bool views : {false, true}) {
     const double one = (bytes(400, views) - bytes(200, views)) / 200;
--- a/tests/scale/flat_hollow_sweep.cpp
+++ b/tests/scale/flat_hollow_sweep.cpp
@@ -83,7 +83,7 @@
 
  private:
   Millis now_{1000};
-  core::Module module_;
+  core::PolicyDriver module_;
   std::uint64_t calls_ = 0, answered_ = 0;
   double call_seconds_ = 0;
 
--- a/tests/scale/hollow_fleet.cpp
+++ b/tests/scale/hollow_fleet.cpp
@@ -44,7 +44,7 @@
 }
 
 DriftingClock HollowFleet::draw_clock() {
-  return DriftingClock(uniform(kClockSpread, 2 * kClockSpread), uniform(1, 1 + options_.terms.drift));
+  return DriftingClock(uniform(kClockSpread, 2 * kClockSpread), uniform(1, 1 + options_.terms.clock_drift));
 }
 
 void HollowFleet::add_node(std::size_t number) {
--- a/tests/scale/hollow_fleet_invokers.cpp
+++ b/tests/scale/hollow_fleet_invokers.cpp
@@ -48,7 +48,7 @@
   double settled_at = now();
   if (invoker.lease_until.count() > 0) {
     const double began = std::min(now(), invoker.lease_end());
-    const double longest = invoker.clock.true_span(options_.terms.last_call);
+    const double longest = invoker.clock.true_span(options_.terms.max_attempt_time);
     invoker.calls.push_back({before, began + uniform(0, longest)});
   }
   for (const auto& calls : invoker.calls) settled_at = std::max(settled_at, calls.until);
@@ -134,7 +134,7 @@
 // Calls that began under a lease which is given up stay at their hosts for a while.
 void HollowFleet::leave_calls(HollowInvoker& invoker, double lease_end) {
   if (lease_end <= 0) return;
-  const double longest = invoker.clock.true_span(options_.terms.last_call);
+  const double longest = invoker.clock.true_span(options_.terms.max_attempt_time);
   invoker.calls.push_back({invoker.position, std::min(now(), lease_end) + longest});
 }
 
--- a/tests/scale/hollow_view.h
+++ b/tests/scale/hollow_view.h
@@ -26,22 +26,22 @@
 class HollowView {
  public:
   explicit HollowView(const HollowShape& shape) : shape_(shape), random_(kSeed) {
-    pace_.members_most = shape.members + 1;  // above the program's 1024, or larger fleets are refused
-    list_.kind = view::Message::Kind::reply;
+    pace_.max_members = shape.members + 1;  // above the program's 1024, or larger fleets are refused
+    list_.kind = view::Message::Kind::sync_reply;
     for (std::size_t i = 0; i < shape.members; ++i) {
-      list_.peers.push_back(peer(i));
-      by_address_[list_.peers.back().address] = i;
+      list_.members.push_back(peer(i));
+      by_address_[list_.members.back().address] = i;
     }
-    list_.self = list_.peers.front();
+    list_.self = list_.members.front();
     const std::size_t observers = shape.members - shape.dead;
     for (std::size_t h = 0; h < shape.hosts; ++h) {
       for (std::size_t i = 0; i < observers; ++i)
-        list_.facts.push_back({host(h), 0, name(i), kLife, h + 1, true});
+        list_.observations.push_back({host(h), 0, name(i), kLife, h + 1, true});
     }
     reply_ = worded_parcel(list_);
     view::Message asking = list_;
-    asking.kind = view::Message::Kind::exchange;
-    asking.self = list_.peers[std::min(shape.whole, observers - 1)];
+    asking.kind = view::Message::Kind::sync;
+    asking.self = list_.members[std::min(shape.whole, observers - 1)];
     asked_ = worded_parcel(std::move(asking));
     before_members_ = allocated_bytes();
     for (std::size_t i = 0; i < shape.whole; ++i) start(i);
@@ -88,7 +88,7 @@
   static constexpr double kDelay = 20;                   // milliseconds a message takes, on average
   enum class What { tick, message, stand_in };
   struct Node {
-    std::unique_ptr<view::Swim> swim;
+    std::unique_ptr<view::SwimProtocol> swim;
     double ticked_at = -1;  // when its next tick is planned; -1: none is
     int periods = 0;        // of the stand-ins that ask it
   };
@@ -107,7 +107,7 @@
   };
   HollowShape shape_;
   std::mt19937_64 random_;
-  view::Pace pace_;
+  view::GossipTiming pace_;
   view::Message list_;    // what every member knows
   Parcel reply_, asked_;  // the same, as an answer of a stand-in's and as its question
   std::vector<Node> nodes_;
@@ -121,11 +121,11 @@
 
   static std::string name(std::size_t i) { return "m" + std::to_string(i); }
   static std::string host(std::size_t h) { return "h" + std::to_string(h); }
-  view::Peer peer(std::size_t i) const {
+  view::MemberRecord peer(std::size_t i) const {
     const std::string address =
         "10.0." + std::to_string(i / 250) + '.' + std::to_string(i % 250 + 1) + ":7400";
     const bool gone = i >= shape_.members - shape_.dead;
-    return {name(i), address, kLife, 0, gone ? view::Standing::dead : view::Standing::alive, {}};
+    return {name(i), address, kLife, 0, gone ? view::MemberStatus::dead : view::MemberStatus::alive, {}};
   }
   double chance() { return static_cast<double>(random_() % 100000) / 100000; }
   void plan(Event event) {
@@ -133,17 +133,17 @@
     events_.push(std::move(event));
   }
   void start(std::size_t i) {
-    view::Peer self = list_.peers[i];
-    self.standing = view::Standing::joining;
+    view::MemberRecord self = list_.members[i];
+    self.status = view::MemberStatus::joining;
     const view::Millis begins(now_ + chance() * pace_.period.count());
     nodes_.emplace_back();
     auto& swim = nodes_.back().swim;
-    swim = std::make_unique<view::Swim>(self, std::vector<std::string>{list_.self.address}, pace_, random_(),
+    swim = std::make_unique<view::SwimProtocol>(self, std::vector<std::string>{list_.self.address}, pace_, random_(),
                                         begins);
     swim->serve(begins);
-    for (std::size_t h = 0; h < shape_.hosts; ++h) swim->see(host(h), 0, true);
+    for (std::size_t h = 0; h < shape_.hosts; ++h) swim->observe(host(h), 0, true);
     swim->receive(begins, list_);
-    swim->take_out();
+    swim->take_outgoing();
     swim->take_changes();
     plan({begins.count(), 0, What::tick, i, {}});
     nodes_.back().ticked_at = begins.count();
@@ -167,25 +167,25 @@
     if (!words_ || !event.parcel.body) return node.swim->receive(now, *event.parcel.message);
     const std::string& body = *event.parcel.body;
     totals_.received += static_cast<double>(body.size());
-    if (const auto read = view::read_message(body))
+    if (const auto read = view::decode_message(body))
       node.swim->receive(now, *read);
     else
       ++totals_.unreadable;
   }
   static Parcel worded_parcel(view::Message message) {
-    auto body = std::make_shared<const std::string>(view::worded(message));
+    auto body = std::make_shared<const std::string>(view::encode_message(message));
     return {std::make_shared<const view::Message>(std::move(message)), std::move(body)};
   }
   void carry_out(std::size_t from) {
     Node& node = nodes_[from];
-    for (auto& out : node.swim->take_out()) deliver(from, std::move(out));
+    for (auto& out : node.swim->take_outgoing()) deliver(from, std::move(out));
     node.swim->take_changes();
-    const double due = node.swim->due().count();
+    const double due = node.swim->next_deadline().count();
     if (node.ticked_at >= 0 && node.ticked_at <= due) return;
     node.ticked_at = std::max(due, now_);
     plan({node.ticked_at, 0, What::tick, from, {}});
   }
-  void deliver(std::size_t from, view::Swim::Outgoing&& out) {
+  void deliver(std::size_t from, view::SwimProtocol::OutgoingMessage&& out) {
     const std::size_t to = by_address_.at(out.address);
     const auto kind = out.message.kind;
     const std::uint64_t number = out.message.number;
@@ -198,7 +198,7 @@
     const double at = now_ + kDelay * (0.5 + chance());
     if (to >= shape_.members - shape_.dead) return;
     if (to < shape_.whole) return plan({at, 0, What::message, to, parcel});
-    if (kind == view::Message::Kind::exchange) return plan({at + kDelay, 0, What::message, from, reply_});
+    if (kind == view::Message::Kind::sync) return plan({at + kDelay, 0, What::message, from, reply_});
     if (kind == view::Message::Kind::ping)
       plan_from_stand_in(at + kDelay, from, to, view::Message::Kind::ack, number);
   }
@@ -210,8 +210,8 @@
     view::Message message;
     message.kind = kind;
     message.number = number;
-    message.self = list_.peers[stand_in];
-    if (kind == view::Message::Kind::ack) message.about = message.self.name;
+    message.self = list_.members[stand_in];
+    if (kind == view::Message::Kind::ack) message.subject = message.self.name;
     plan({at, 0, What::message, to, worded_parcel(std::move(message))});
   }
   // Each member is asked once in a period on average, and for a full exchange as often as it asks for one.
@@ -219,7 +219,7 @@
     const std::size_t alive = shape_.members - shape_.dead;
     const std::size_t stand_in = shape_.whole + random_() % (alive - shape_.whole);
     plan_from_stand_in(now_, to, stand_in, view::Message::Kind::ping, ++order_);
-    if (++nodes_[to].periods % pace_.exchange_every == 0) plan({now_, 0, What::message, to, asked_});
+    if (++nodes_[to].periods % pace_.full_sync_periods == 0) plan({now_, 0, What::message, to, asked_});
     plan({now_ + pace_.period.count(), 0, What::stand_in, to, {}});
   }
 };
--- a/tests/scale/leader_stand_in.cpp
+++ b/tests/scale/leader_stand_in.cpp
@@ -15,7 +15,7 @@
 Proof LeaderStandIn::conclude(Index last, Millis now) {
   Proof found{last, last};
   for (const auto& [number, node] : nodes_) {
-    if (now - node.agreed_at >= terms_.silent()) continue;
+    if (now - node.agreed_at >= terms_.presumed_dead_after()) continue;
     found.applied = std::min(found.applied, node.latest.floors.applied);
     found.settled = std::min(found.settled, node.latest.floors.settled);
   }
--- a/tests/scale/session_reader.h
+++ b/tests/scale/session_reader.h
@@ -31,9 +31,9 @@
   }
 
  private:
-  struct Request final : net::Stream {
+  struct Request final : net::BufferedConnection {
     Request(ProcessFleet& among, const std::string& address)
-        : Stream(among.world().loop, among.world().pool, net::connect_to(address).socket, true), fleet(among) {
+        : BufferedConnection(among.world().loop, among.world().pool, net::connect_to(address).socket, true), fleet(among) {
       write(std::string("GET ") + kSessionPath + " HTTP/1.1\r\nHost: x\r\n\r\n");
     }
     ProcessFleet& fleet;
@@ -41,9 +41,9 @@
     double ended_at = 0;
 
    private:
-    void connected() override { loop().flush_later(*this); }
-    void received(std::string_view bytes) override { answer += bytes; }
-    void ended() override { ended_at = fleet.now(); }
+    void on_connected() override { loop().flush_later(*this); }
+    void on_received(std::string_view bytes) override { answer += bytes; }
+    void on_closed() override { ended_at = fleet.now(); }
   };
 
   static ShownSession shown_in(const Request& request) {
--- a/tests/scale/tier.h
+++ b/tests/scale/tier.h
@@ -8,12 +8,12 @@
 
 namespace lotusyard::scale {
 
-using Board = works::Board;
-using BoardEntry = works::Entry;
-using Beat = works::Beat;
-using BoardView = works::View;
-using Epochs = shares::Epochs;
-using Book = compliance::Book;
+using Board = works::MaintenanceState;
+using BoardEntry = works::LogEntry;
+using Beat = works::Heartbeat;
+using BoardView = works::HostObservations;
+using Epochs = shares::QuotaEpochs;
+using Book = compliance::CertificateState;
 
 constexpr const char* kReadyPath = "/-/ready";
 constexpr const char* kProposeRegulation = "/-/compliance/propose/";
--- a/tests/scale/tier_breaks.cpp
+++ b/tests/scale/tier_breaks.cpp
@@ -2,4 +2,4 @@
 #include "../lotusyard/breaks_here.h"
 #include "core/breaks.h"
 
-bool lotusyard::breaks(const char* rule) { return rule_is_broken(rule); }
+bool lotusyard::fault_injected(const char* rule) { return rule_is_broken(rule); }
--- a/tests/scale/tier_checker.cpp
+++ b/tests/scale/tier_checker.cpp
@@ -73,7 +73,7 @@
 // Calls that began while the replica was below `needed`, or may begin there now.
 bool TierChecker::busy_below(const HollowInvoker& invoker, Index needed, double now) const {
   const bool behind = invoker.up() && invoker.position < needed && invoker.lease_until.count() > 0;
-  const double last_call = invoker.clock.true_span(fleet_.options().terms.last_call);
+  const double last_call = invoker.clock.true_span(fleet_.options().terms.max_attempt_time);
   if (behind && invoker.lease_end() + last_call > now) return true;
   return std::any_of(invoker.calls.begin(), invoker.calls.end(), [&](const HollowInvoker::Calls& calls) {
     return calls.position < needed && calls.until > now;
--- a/tests/wall_clock/answers_test.cpp
+++ b/tests/wall_clock/answers_test.cpp
@@ -18,12 +18,12 @@
   Opened(const ScratchFile& file, Millis now, const Bounds& bounds = {})
       : store(file.path, bounds, now, counters, [](const std::string&) {}) {}
   core::Counters counters;
-  SqliteStore store;
+  SqliteResultStore store;
 
   // What is done with a call that comes again, published then, at the only consumer.
   Decision redelivered(const std::string& id, Millis published, Millis now = kTrue) {
-    std::optional<Record> known;
-    Trust trust;
+    std::optional<ResultRecord> known;
+    StoreTrust trust;
     trust.healthy = store.find(id, known);
     trust.sole_consumer = true;
     trust.complete_from = store.complete_from();
@@ -32,8 +32,8 @@
   }
 };
 
-Record record(Stage stage, Millis at) {
-  Record out;
+ResultRecord record(ResultStage stage, Millis at) {
+  ResultRecord out;
   out.stage = stage;
   out.at = at;
   return out;
@@ -48,11 +48,11 @@
   const Millis wrong = kTrue - kHour;
   Opened opened(file, wrong, bounds);
   for (const char* id : {"booked", "other"}) {
-    REQUIRE(opened.store.put(id, record(Stage::sent, wrong)));
-    REQUIRE(opened.store.put(id, record(Stage::answered, wrong + Millis(id == std::string("other")))));
+    REQUIRE(opened.store.put(id, record(ResultStage::sent, wrong)));
+    REQUIRE(opened.store.put(id, record(ResultStage::answered, wrong + Millis(id == std::string("other")))));
     opened.store.prune(wrong + Millis(2));
   }
-  std::optional<Record> found;
+  std::optional<ResultRecord> found;
   REQUIRE(opened.store.find("booked", found));
   REQUIRE_FALSE(found.has_value());
   CHECK(opened.redelivered("booked", kTrue - Millis(10)) == Decision::fail_may_have_run);
@@ -74,9 +74,9 @@
   ScratchFile file("kept");
   {
     Opened opened(file, kTrue);
-    REQUIRE(opened.store.put("sent", record(Stage::sent, kTrue)));
-    REQUIRE(opened.store.put("booked", record(Stage::sent, kTrue)));
-    REQUIRE(opened.store.put("booked", record(Stage::answered, kTrue)));
+    REQUIRE(opened.store.put("sent", record(ResultStage::sent, kTrue)));
+    REQUIRE(opened.store.put("booked", record(ResultStage::sent, kTrue)));
+    REQUIRE(opened.store.put("booked", record(ResultStage::answered, kTrue)));
   }
   Opened opened(file, kTrue + step);
   opened.store.prune(kTrue + step);
@@ -99,7 +99,7 @@
   ScratchFile file("behind");
   {
     Opened opened(file, kTrue);
-    REQUIRE(opened.store.put("sent", record(Stage::sent, kTrue)));
+    REQUIRE(opened.store.put("sent", record(ResultStage::sent, kTrue)));
   }
   {
     Opened opened(file, kTrue - kYear);
@@ -120,8 +120,8 @@
   bounds.most = 1;
   Opened opened(file, kTrue, bounds);
   // Written by the same process before its clock was known to be wrong.
-  REQUIRE(opened.store.put("a", record(Stage::answered, kTrue + kYear)));
-  REQUIRE(opened.store.put("b", record(Stage::answered, kTrue + kYear + Millis(1))));
+  REQUIRE(opened.store.put("a", record(ResultStage::answered, kTrue + kYear)));
+  REQUIRE(opened.store.put("b", record(ResultStage::answered, kTrue + kYear + Millis(1))));
   opened.store.prune(kTrue);
   CHECK(opened.store.size() == 1);
   CHECK(opened.store.complete_from() <= kTrue + kHour);
--- a/tests/wall_clock/fleet_test.cpp
+++ b/tests/wall_clock/fleet_test.cpp
@@ -17,8 +17,8 @@
 struct Wired {
   World world;
   core::Settings s = settings();
-  membership::Membership membership{[](const core::MemberList&, core::ListKind) {}};
-  Wiring wiring{world.loop,
+  membership::EndpointStates membership{[](const core::HostListUpdate&, core::ListKind) {}};
+  InvokerServices wiring{world.loop,
                 world.counters,
                 membership,
                 world.fleet,
@@ -26,9 +26,9 @@
                 [](double) {},
                 "a"};
   explicit Wired(net::Clocks clocks) : world(1, settings(), World::limits(), std::move(clocks)) {
-    core::Member member;
+    core::ListedHost member;
     member.entry.worker = "h0";
-    membership.list({true, {member}}, core::ListKind::full);
+    membership.apply_list({true, {member}}, core::ListKind::full);
   }
 };
 
@@ -36,8 +36,8 @@
 struct Certified {
   SteppedClock clock;
   Wired wired;
-  compliance::Book book;
-  compliance::Enforcer enforcer{wired.wiring, book, [] { return true; }, &ignore};
+  compliance::CertificateState book;
+  compliance::ComplianceFilter enforcer{wired.wiring, book, [] { return true; }, &ignore};
   Certified(Millis at_start, Millis from, Millis until) : clock{at_start}, wired(clock.clocks()) {
     say(1, {{"t", "regime"}, {"regime", {{"name", "export"}}}});
     say(2, {{"t", "tenant"}, {"tenant", "mill"}, {"regimes", {"export"}}});
@@ -51,9 +51,9 @@
               {"outlives_start", true}}}});
   }
   void say(std::uint64_t index, const json& entry) {
-    REQUIRE(book.apply(index, compliance::read_entry(entry)).done);
+    REQUIRE(book.apply(index, compliance::parse_entry(entry)).done);
   }
-  bool may() { return enforcer.may("mill", "h0").may; }
+  bool may() { return enforcer.check("mill", "h0").allowed; }
 };
 
 constexpr Millis kMinute{60e3};
@@ -86,8 +86,8 @@
   Wired wired;
   group::Config config;
   group::Lease lease;
-  works::Coordinator coordinator;
-  group::Member member;
+  works::MaintenanceReplica coordinator;
+  group::RaftReplica member;
 
   static group::Config founded(const ScratchFile& file) {
     group::Config out;
@@ -99,7 +99,7 @@
     out.members = {{"a", out.address, true}};
     out.election = Millis(50);
     out.terms.lease = Millis(400);
-    group::Member::found(out);
+    group::RaftReplica::bootstrap(out);
     return out;
   }
   explicit LoneMember(const group::Config& c, Millis at_start = Millis(0))
@@ -115,11 +115,11 @@
   bool soon(const Until& until) {
     const Millis end = wired.world.loop.now() + Millis(8000);
     while (!until() && wired.world.loop.now() < end)
-      wired.world.loop.turn(wired.world.loop.now() + Millis(5), [] {});
+      wired.world.loop.run_once(wired.world.loop.now() + Millis(5), [] {});
     return until();
   }
   bool leased() {
-    return soon([&] { return coordinator.leased(); });
+    return soon([&] { return coordinator.is_leased(); });
   }
 };
 
@@ -131,28 +131,28 @@
     LoneMember first(config);
     REQUIRE(first.leased());
     first.clock.step = step;
-    const std::uint64_t index = first.coordinator.board().index();
-    REQUIRE(first.soon([&] { return first.coordinator.board().index() > index + 3; }));
-    CHECK(first.coordinator.leased());
+    const std::uint64_t index = first.coordinator.state().index();
+    REQUIRE(first.soon([&] { return first.coordinator.state().index() > index + 3; }));
+    CHECK(first.coordinator.is_leased());
   }
   LoneMember second(config, step);
   CHECK_FALSE(
-      second.coordinator.leased());  // the first one's lease is not this one's, whatever its stamps say
+      second.coordinator.is_leased());  // the first one's lease is not this one's, whatever its stamps say
   CHECK(second.leased());
 }
 
 TEST_CASE("a member that lost its store under a clock set back is let in with a life past its earlier one") {
   ScratchFile file("life");
   LoneMember lone(LoneMember::founded(file));
-  REQUIRE(lone.soon([&] { return lone.member.leads(); }));
+  REQUIRE(lone.soon([&] { return lone.member.is_leader(); }));
   // As the log would hold it: the earlier life was taken from a clock that was ahead.
-  works::Entry join;
-  join.kind = works::Entry::Kind::join;
+  works::LogEntry join;
+  join.kind = works::LogEntry::Kind::join;
   join.member = "a";
-  join.life = static_cast<std::uint64_t>((lone.clock.wall() + kHour).count());
-  REQUIRE(lone.member.propose(lone.coordinator, works::worded(join)));
+  join.incarnation = static_cast<std::uint64_t>((lone.clock.wall() + kHour).count());
+  REQUIRE(lone.member.propose(lone.coordinator, works::encode_entry(join)));
   CHECK(lone.leased());
-  CHECK(lone.member.life() > join.life);
+  CHECK(lone.member.incarnation() > join.incarnation);
 }
 
 TEST_CASE("the log tells a member that its clock was set back between two processes") {
--- a/tests/wall_clock/loop_test.cpp
+++ b/tests/wall_clock/loop_test.cpp
@@ -13,57 +13,57 @@
 
 TEST_CASE("the loop's time goes on through a step of the wall clock") {
   ManualClock clock;
-  net::Loop loop(clock.clocks());
+  net::EventLoop loop(clock.clocks());
   const Millis began = loop.now();
   CHECK(began == clock.wall);
   clock.wall += any_step();
   CHECK(loop.now() == began);
   clock.pass(Millis(250));
-  loop.turn(loop.now(), [] {});
+  loop.run_once(loop.now(), [] {});
   CHECK(loop.now() - began == Millis(250));
-  CHECK(loop.turn_began() == loop.now());
+  CHECK(loop.iteration_started() == loop.now());
 }
 
 TEST_CASE("a timer rings when its span has passed, through a step of the wall clock") {
   ManualClock clock;
-  net::Loop loop(clock.clocks());
+  net::EventLoop loop(clock.clocks());
   bool rung = false;
-  loop.at(loop.now() + Millis(100), [&] { rung = true; });
+  loop.schedule_at(loop.now() + Millis(100), [&] { rung = true; });
   clock.wall += any_step();
   clock.pass(Millis(99));
-  loop.turn(loop.now(), [] {});
+  loop.run_once(loop.now(), [] {});
   CHECK_FALSE(rung);
   clock.pass(Millis(1));
-  loop.turn(loop.now(), [] {});
+  loop.run_once(loop.now(), [] {});
   CHECK(rung);
 }
 
 TEST_CASE("a lease, the last call and a key's window keep their spans through a step of the wall clock") {
   ManualClock clock;
-  net::Loop loop(clock.clocks());
-  const group::Terms terms;
+  net::EventLoop loop(clock.clocks());
+  const group::LeaseTerms terms;
   group::Lease lease(terms, loop.now());
-  lease.agreed(loop.now().count());
-  core::Keys keys;
+  lease.renew(loop.now().count());
+  core::IdempotencyKeys keys;
   core::Call call;
   call.key = "k";
   core::KeyRule rule;
   rule.window = Millis(3000);
-  REQUIRE(keys.begin(call, rule, loop.now()) == core::Keys::Word::taken);
-  keys.went_out(call, {}, {}, loop.now());
+  REQUIRE(keys.begin(call, rule, loop.now()) == core::IdempotencyKeys::KeyDecision::accepted);
+  keys.record_send(call, {}, {}, loop.now());
   clock.wall += any_step();
   clock.pass(Millis(1999));
-  CHECK(lease.holds(loop.now()));
-  CHECK_FALSE(lease.earlier_ended(loop.now()));
-  CHECK(keys.may_go(call, rule, {}, loop.now()));
+  CHECK(lease.is_held(loop.now()));
+  CHECK_FALSE(lease.earlier_attempts_ended(loop.now()));
+  CHECK(keys.may_send_to(call, rule, {}, loop.now()));
   clock.pass(Millis(1001));
-  CHECK_FALSE(lease.holds(loop.now()));
-  CHECK(lease.earlier_ended(loop.now()));
-  CHECK_FALSE(keys.may_go(call, rule, {}, loop.now()));
+  CHECK_FALSE(lease.is_held(loop.now()));
+  CHECK(lease.earlier_attempts_ended(loop.now()));
+  CHECK_FALSE(keys.may_send_to(call, rule, {}, loop.now()));
 }
 
 struct Waiting final : core::Front {
-  explicit Waiting(net::Loop& loop) : loop_(loop) {}
+  explicit Waiting(net::EventLoop& loop) : loop_(loop) {}
   void answer(core::CallId, core::Answer&& answer) override {
     verdict = answer.verdict;
     answered_at = loop_.now();
@@ -72,7 +72,7 @@
   Millis answered_at{0};
 
  private:
-  net::Loop& loop_;
+  net::EventLoop& loop_;
 };
 
 TEST_CASE("a call is answered when its time is over, through a step of the wall clock") {
@@ -88,7 +88,7 @@
   call.arrived = world.loop.now();
   call.allow = Millis(400);
   const Millis arrived = call.arrived;
-  REQUIRE(world.dispatcher.take(world.dispatcher.next_id(), std::move(call), front));
+  REQUIRE(world.dispatcher.admit(world.dispatcher.allocate_call_id(), std::move(call), front));
   REQUIRE(world.turn_until([&] { return world.host[0]->execs == 1; }, 20000));
   clock.step = any_step();
   REQUIRE(world.turn_until([&] { return front.verdict.has_value(); }, 20000));
@@ -98,7 +98,7 @@
 
 TEST_CASE("both settings of the wall clock count until the size of its step has passed") {
   ManualClock clock;
-  net::Loop loop(clock.clocks());
+  net::EventLoop loop(clock.clocks());
   const Millis step = any_step();
   const Millis before = clock.wall;
   clock.wall += step;
@@ -116,11 +116,11 @@
 
 TEST_CASE("a clock that slews does not step, and no setting is doubted for ever") {
   ManualClock clock;
-  net::Loop loop(clock.clocks());
+  net::EventLoop loop(clock.clocks());
   for (int i = 0; i < 1000; ++i) {
     clock.pass(Millis(100));
     clock.wall += Millis(0.05);
-    loop.turn(loop.now(), [] {});
+    loop.run_once(loop.now(), [] {});
   }
   CHECK_FALSE(loop.wall_has_stepped());
   CHECK(loop.wall().earliest == clock.wall);
--- a/tests/wall_clock/membership_test.cpp
+++ b/tests/wall_clock/membership_test.cpp
@@ -11,24 +11,24 @@
 namespace {
 
 using core::WorkerState;
-using membership::Membership;
+using membership::EndpointStates;
 
 struct Listed {
   ManualClock clock;
-  net::Loop loop{clock.clocks()};
+  net::EventLoop loop{clock.clocks()};
   std::map<std::string, Millis> started;  // as the core believes
-  Membership membership{[this](const core::MemberList& list, core::ListKind) {
-                          for (const auto& m : list.members) started[m.entry.worker] = m.entry.started;
+  EndpointStates membership{[this](const core::HostListUpdate& list, core::ListKind) {
+                          for (const auto& m : list.hosts) started[m.entry.worker] = m.entry.started;
                         },
                         [this] {
-                          return Membership::Sight{loop.now(), loop.wall_has_stepped()};
+                          return EndpointStates::Sight{loop.now(), loop.wall_has_stepped()};
                         }};
   void list(const std::string& id, Millis stamp, bool complete = false) {
-    core::Member member;
+    core::ListedHost member;
     member.entry.worker = id;
     member.entry.state = WorkerState::ready;
     member.entry.started = stamp;
-    membership.list({complete, {member}}, complete ? core::ListKind::full : core::ListKind::delta);
+    membership.apply_list({complete, {member}}, complete ? core::ListKind::full : core::ListKind::delta);
   }
   Millis age(const std::string& id) { return loop.now() - started.at(id); }
 };
@@ -85,23 +85,23 @@
 }
 
 TEST_CASE("a host out for a work that starts anew is seen to, also with a smaller stamp") {
-  works::Board board;
-  works::Entry add;
-  add.kind = works::Entry::Kind::add;
-  add.added = works::Work{"w", {{"h", "", ""}}, {}, works::Work::State::running};
+  works::MaintenanceState board;
+  works::LogEntry add;
+  add.kind = works::LogEntry::Kind::add_job;
+  add.added_job = works::MaintenanceJob{"w", {{"h", "", ""}}, {}, works::MaintenanceJob::State::running};
   REQUIRE(board.apply(1, add, Millis(0)).done);
   auto out = board.snapshot();
-  out["hosts"][0]["stage"] = static_cast<int>(works::Stage::out);
+  out["hosts"][0]["stage"] = static_cast<int>(works::HostStage::out_of_service);
   REQUIRE(board.restore(out, Millis(0)));
-  core::Member host;
+  core::ListedHost host;
   host.entry.worker = "h";
   host.entry.state = WorkerState::ready;
   host.entry.started = Millis(1e12);
-  works::Leaving leaving;
-  leaving.follow(board, true, {{"h", host}});
-  CHECK(leaving.see(board, {}, {{"h", host}}, {}, Millis(1)).reborn.empty());
+  works::DrainTracker leaving;
+  leaving.update(board, true, {{"h", host}});
+  CHECK(leaving.observe(board, {}, {{"h", host}}, {}, Millis(1)).restarted.empty());
   host.entry.started -= kHour;
-  CHECK(leaving.see(board, {}, {{"h", host}}, {}, Millis(1)).reborn.count("h") == 1);
+  CHECK(leaving.observe(board, {}, {{"h", host}}, {}, Millis(1)).restarted.count("h") == 1);
 }
 
 }  // namespace
--- a/tests/wall_clock/triggers_test.cpp
+++ b/tests/wall_clock/triggers_test.cpp
@@ -85,7 +85,7 @@
 TEST_CASE("keyed calls run again once a step is older than its size and the window") {
   constexpr Millis kWindow{15000};
   ManualClock clock;
-  net::Loop loop(clock.clocks());
+  net::EventLoop loop(clock.clocks());
   const auto age_of = [&](Millis published) {
     amqp::Properties p;
     p.timestamp = static_cast<std::uint64_t>(published.count() / 1000);
