--- a/include/robinfold/policy.h
+++ b/include/robinfold/policy.h
@@ -12,7 +12,7 @@
 #include <variant>
 #include <vector>
 
-namespace robinfold {
+namespace lotusyard::policy {
 
 using Millis = std::chrono::duration<double, std::milli>;  // a span, or a time on the caller's clock
 
@@ -214,4 +214,4 @@
   std::unique_ptr<State> state_;
 };
 
-}  // namespace robinfold
+}  // namespace lotusyard::policy
--- a/src/amqp/front.cpp
+++ b/src/amqp/front.cpp
@@ -35,7 +35,7 @@
 }  // namespace
 
 Front::Front(net::EventLoop& loop, net::BufferPool& pool, core::Dispatcher& dispatcher, core::Counters& counters,
-             const core::Settings& settings, Broker broker, Limits limits, answers::ResultStore* store)
+             const core::Settings& settings, Broker broker, Limits limits, idempotency::ResultStore* store)
     : loop_(loop),
       pool_(pool),
       dispatcher_(dispatcher),
@@ -130,7 +130,7 @@
   out.lanes = static_cast<int>(at_once.value_or(1));
   // The id stands for the same call however often it comes, as a key does.
   const std::string key = text_of(headers, "key");
-  if (cls->semantics == robinfold::Semantics::keyed)
+  if (cls->semantics == policy::Semantics::keyed)
     out.key = key.empty() ? delivery.properties.message_id : key;
   out.arrived = loop_.came_since();
   out.allow = allowed ? Millis(static_cast<double>(*allowed)) : cls->deadline;
@@ -166,8 +166,8 @@
     return answer_delivery(id, tag, address, delivery.redelivered);
   }
   const auto* cls = core::class_named(settings_, call.class_name);
-  const bool once = cls->semantics == robinfold::Semantics::once;
-  const bool keyed = cls->semantics == robinfold::Semantics::keyed;
+  const bool once = cls->semantics == policy::Semantics::once;
+  const bool keyed = cls->semantics == policy::Semantics::keyed;
   const auto age = age_at_most(p, loop_.wall(cls->key_window));
   if (out_of_time(p, call)) {
     refuse_call(id, once, Verdict::refused, "amqp.expired");
@@ -209,27 +209,27 @@
 
 // True if what the store tells ends this delivery, answered.
 bool Front::settled_by_store(const std::string& id, const Delivery& delivery, const Address& address) {
-  std::optional<answers::ResultRecord> known;
-  answers::StoreTrust trust;
+  std::optional<idempotency::ResultRecord> known;
+  idempotency::StoreTrust trust;
   trust.healthy = store_->find(id, known);
   trust.sole_consumer = limits_.sole_consumer;
   trust.complete_from = store_->complete_from();
   trust.now = loop_.now();
-  answers::DeliveryFacts arrival{delivery.redelivered, std::nullopt};
+  idempotency::DeliveryFacts arrival{delivery.redelivered, std::nullopt};
   const auto& timestamp = delivery.properties.timestamp;
   if (timestamp) arrival.published = Millis(static_cast<double>(*timestamp) * 1000);
-  switch (answers::decide(known, arrival, trust)) {
-    case answers::Decision::run: return false;
-    case answers::Decision::fail_may_have_run:
+  switch (idempotency::decide(known, arrival, trust)) {
+    case idempotency::Decision::run: return false;
+    case idempotency::Decision::fail_may_have_run:
       refuse_call(id, true, Verdict::failed, "amqp.may_have_run");
       break;
-    case answers::Decision::refuse_unrecorded:
+    case idempotency::Decision::refuse_unrecorded:
       refuse_call(id, true, Verdict::refused, "amqp.unrecorded");
       break;
-    case answers::Decision::answer:
+    case idempotency::Decision::answer:
       counters_.add("amqp.answered_from_store");
       Remembered& remembered = memory_.begin(id, true);
-      if (known->stage == answers::ResultStage::confirmed && known->address == address.text())
+      if (known->stage == idempotency::ResultStage::confirmed && known->address == address.text())
         remembered.confirmed.push_back(address);
       memory_.end(id, std::move(known->answer));
   }
@@ -237,8 +237,8 @@
   return true;
 }
 
-bool Front::record(const std::string& id, answers::ResultStage stage, const core::Answer& answer) {
-  answers::ResultRecord entry;
+bool Front::record(const std::string& id, idempotency::ResultStage stage, const core::Answer& answer) {
+  idempotency::ResultRecord entry;
   entry.stage = stage;
   entry.answer = answer;
   entry.at = loop_.now();
@@ -248,7 +248,7 @@
 bool Front::before_attempt(core::CallId call) {
   const auto found = running_.find(call);
   if (store_ == nullptr || found == running_.end() || !found->second.once) return true;
-  if (!record(found->second.id, answers::ResultStage::sent, core::Answer())) return false;
+  if (!record(found->second.id, idempotency::ResultStage::sent, core::Answer())) return false;
   return found->second.recorded = true;
 }
 
@@ -256,7 +256,7 @@
   const auto found = running_.find(call);
   if (store_ == nullptr || found == running_.end() || !found->second.recorded) return;
   // If this is not taken the call counts as one that may have run: the safe side.
-  record(found->second.id, answers::ResultStage::cleared, core::Answer());
+  record(found->second.id, idempotency::ResultStage::cleared, core::Answer());
 }
 
 // With its connection a delivery goes back to its queue: nothing begins for a call until it is delivered here
@@ -282,7 +282,7 @@
   const std::string& id = running.id;
   running_.erase(found);
   // First: once the broker has it the answer must stand here too.
-  if (running.recorded) record(id, answers::ResultStage::answered, answer);
+  if (running.recorded) record(id, idempotency::ResultStage::answered, answer);
   Remembered* known = memory_.find(id);
   if (known == nullptr) return;
   const auto waiters = std::move(known->waiters);
@@ -349,10 +349,10 @@
     if (Remembered* known = memory_.find(publishing.id)) {
       if (known->confirmed.size() >= kAddressesKept) known->confirmed.erase(known->confirmed.begin());
       known->confirmed.push_back(publishing.address);
-      std::optional<answers::ResultRecord> entry;
+      std::optional<idempotency::ResultRecord> entry;
       if (store_ != nullptr && known->once && store_->find(publishing.id, entry) && entry &&
-          entry->stage >= answers::ResultStage::answered) {
-        entry->stage = answers::ResultStage::confirmed;
+          entry->stage >= idempotency::ResultStage::answered) {
+        entry->stage = idempotency::ResultStage::confirmed;
         entry->at = loop_.now();
         entry->address = publishing.address.text();
         store_->put(publishing.id, *entry);
--- a/src/amqp/front.h
+++ b/src/amqp/front.h
@@ -23,7 +23,7 @@
     bool sole_consumer = false;  // nobody else consumes these queues
   };
   Front(net::EventLoop& loop, net::BufferPool& pool, core::Dispatcher& dispatcher, core::Counters& counters,
-        const core::Settings& settings, Broker broker, Limits limits, answers::ResultStore* store = nullptr);
+        const core::Settings& settings, Broker broker, Limits limits, idempotency::ResultStore* store = nullptr);
   ~Front() override;
 
   void start() { connect(); }
@@ -57,7 +57,7 @@
   Limits limits_;
   Memory memory_;
   std::shared_ptr<Channel> channel_;
-  answers::ResultStore* store_;  // of calls that must not run twice; none: this process's memory is all there is
+  idempotency::ResultStore* store_;  // of calls that must not run twice; none: this process's memory is all there is
   std::unordered_map<core::CallId, Running> running_;
   std::map<std::uint64_t, Publishing> unconfirmed_;
   std::deque<Publishing> unsent_;  // refused by the broker, or it has asked for a pause
@@ -75,7 +75,7 @@
   bool settled_by_store(const std::string& id, const Delivery& delivery, const Address& address);
   bool out_of_time(const Properties& properties, core::Call& call);
   void prune_later();
-  bool record(const std::string& id, answers::ResultStage stage, const core::Answer& answer);
+  bool record(const std::string& id, idempotency::ResultStage stage, const core::Answer& answer);
   void refuse_call(const std::string& id, bool once, core::Verdict verdict, const char* why);
   void answer_delivery(const std::string& id, std::uint64_t tag, const Address& address, bool redelivered);
   void publish(Publishing&& publishing);
--- a/src/answers/ledger.cpp
+++ b/src/answers/ledger.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace lotusyard::answers {
+namespace lotusyard::idempotency {
 
 bool proves_not_run(const ResultRecord& record) {
   if (record.stage == ResultStage::cleared) return true;
@@ -57,4 +57,4 @@
   return out;
 }
 
-}  // namespace lotusyard::answers
+}  // namespace lotusyard::idempotency
--- a/src/answers/ledger.h
+++ b/src/answers/ledger.h
@@ -7,7 +7,7 @@
 
 #include "core/types.h"
 
-namespace lotusyard::answers {
+namespace lotusyard::idempotency {
 
 using core::Millis;
 
@@ -74,4 +74,4 @@
 Millis bounded_mark(Millis mark, Millis now);
 Pruning prune(const Size& size, std::size_t answered, const Bounds& bounds, Millis now);
 
-}  // namespace lotusyard::answers
+}  // namespace lotusyard::idempotency
--- a/src/answers/sqlite_store.cpp
+++ b/src/answers/sqlite_store.cpp
@@ -5,7 +5,7 @@
 
 #include "sqlite/query.h"
 
-namespace lotusyard::answers {
+namespace lotusyard::idempotency {
 namespace {
 
 using sqlite::Query;
@@ -169,7 +169,7 @@
     counters_.add("answers.guard_stage");
     return false;
   }
-  if (!before && answers::prune(size_, answered_, bounds_, record.at).full) {
+  if (!before && idempotency::prune(size_, answered_, bounds_, record.at).full) {
     counters_.add("answers.store_bound");
     return false;
   }
@@ -196,7 +196,7 @@
 // are younger can be shown not to have.
 void SqliteResultStore::prune(Millis now) {
   if (!is_ready()) return;
-  const Pruning due = answers::prune(size_, answered_, bounds_, now);
+  const Pruning due = idempotency::prune(size_, answered_, bounds_, now);
   const std::string excess = std::to_string(due.excess);
   const std::string which =
       "at < ?1 OR id IN (SELECT id FROM calls WHERE stage >= 3 ORDER BY at LIMIT " + excess + ")";
@@ -224,4 +224,4 @@
 
 void SqliteResultStore::limit_pages(int most) { run(("PRAGMA max_page_count = " + std::to_string(most)).c_str()); }
 
-}  // namespace lotusyard::answers
+}  // namespace lotusyard::idempotency
--- a/src/answers/sqlite_store.h
+++ b/src/answers/sqlite_store.h
@@ -12,7 +12,7 @@
 struct sqlite3;
 struct sqlite3_stmt;
 
-namespace lotusyard::answers {
+namespace lotusyard::idempotency {
 
 class SqliteResultStore final : public ResultStore {
  public:
@@ -71,4 +71,4 @@
   bool measure();
 };
 
-}  // namespace lotusyard::answers
+}  // namespace lotusyard::idempotency
--- a/src/answers/store.h
+++ b/src/answers/store.h
@@ -7,7 +7,7 @@
 
 #include "answers/ledger.h"
 
-namespace lotusyard::answers {
+namespace lotusyard::idempotency {
 
 class ResultStore {
  public:
@@ -20,4 +20,4 @@
   virtual void prune(Millis now) = 0;
 };
 
-}  // namespace lotusyard::answers
+}  // namespace lotusyard::idempotency
--- a/src/app/app.h
+++ b/src/app/app.h
@@ -17,14 +17,14 @@
 namespace lotusyard {
 
 // How the durable answers are opened, where a program keeps any.
-using ResultStoreFactory = std::function<std::unique_ptr<answers::ResultStore>(const config::AmqpConfig&, core::Millis now,
+using ResultStoreFactory = std::function<std::unique_ptr<idempotency::ResultStore>(const config::AmqpConfig&, core::Millis now,
                                                                  core::Counters&)>;
 
 // The parts of an invoker that something more in the process may work with. All outlive it.
 struct InvokerServices {
   net::EventLoop& loop;
   core::Counters& counters;
-  membership::EndpointStates& endpoint_states;
+  endpoints::EndpointStates& endpoint_states;
   hosts::HostConnectionPool& host_connections;
   std::function<const core::Settings&()> settings;  // those in force
   std::function<void(double)> set_share;            // this process's part of what all may send a cold host
@@ -39,12 +39,12 @@
   // The last look before anything new goes to a host: a call, a load of the function, or what names neither.
   virtual bool may_send(const std::string& host, const core::Call* call, std::uint64_t function) = 0;
   // Which hosts a call may go to at all; asked by the module for each. None: to all.
-  virtual robinfold::HostFilter* host_filter() { return nullptr; }
+  virtual policy::HostFilter* host_filter() { return nullptr; }
   virtual void before_writes() = 0;  // in each turn, once all is decided
   virtual void attempt_ended(const std::string& host, const core::Call& call, core::Outcome outcome) = 0;
   virtual void on_rejected(const core::Call&) {}  // a call that never went out
   virtual void drain() {}  // the process has been told to end, and answers what it has taken
-  virtual std::optional<console::Response> handle_request(const console::Request& request) = 0;  // at the admin endpoint
+  virtual std::optional<admin::Response> handle_request(const admin::Request& request) = 0;  // at the admin endpoint
 };
 using ExtensionFactory = std::function<std::unique_ptr<InvokerExtension>(const InvokerServices&, const nlohmann::json& file)>;
 
--- a/src/app/invoker.cpp
+++ b/src/app/invoker.cpp
@@ -46,7 +46,7 @@
   const std::string base = environment("TMPDIR");
   const bool needed = !config.console.empty() || config.listen_fd >= 0;
   if (!needed || base.empty()) return {};
-  return base + "/lotusyard." + membership::DisabledHostFiles::file_name(config.name);
+  return base + "/lotusyard." + endpoints::DisabledHostFiles::file_name(config.name);
 }
 
 }  // namespace
@@ -72,7 +72,7 @@
             dispatcher_.update_endpoints(std::move(entries));
           },
           [this] {
-            return membership::EndpointStates::Sight{loop_.now(), loop_.wall_has_stepped()};
+            return endpoints::EndpointStates::Sight{loop_.now(), loop_.wall_has_stepped()};
           }),
       front_(loop_, pool_, dispatcher_, counters_, front_limits()) {
   loop_.count_errors([this](const char* name) { counters_.add(name); });
--- a/src/app/invoker.h
+++ b/src/app/invoker.h
@@ -23,7 +23,7 @@
 
 namespace lotusyard {
 
-class Invoker final : private console::AdminOperations {
+class Invoker final : private admin::AdminOperations {
  public:
   Invoker(std::string file, const ResultStoreFactory& make_store, const ExtensionFactory& make_companion);
   ~Invoker() override;
@@ -42,15 +42,15 @@
   net::BufferPool pool_;
   hosts::HostConnectionPool host_connections_;
   core::Dispatcher dispatcher_;
-  membership::DisabledHostFiles disabled_host_files_;
-  membership::EndpointStates endpoint_states_;
+  endpoints::DisabledHostFiles disabled_host_files_;
+  endpoints::EndpointStates endpoint_states_;
   std::optional<discovery::Discovery> discovery_;
   std::optional<xds::HostFile> host_file_;
   resp::Front front_;
-  std::unique_ptr<answers::ResultStore> store_;
+  std::unique_ptr<idempotency::ResultStore> store_;
   std::optional<amqp::Front> triggers_;
   std::unique_ptr<InvokerExtension> extension_;
-  std::optional<console::AdminEndpoint> admin_endpoint_;
+  std::optional<admin::AdminEndpoint> admin_endpoint_;
   net::EventLoop::TimerId poll_timer_{};
   core::Millis shutdown_started_at_{0};
 
@@ -70,9 +70,9 @@
   bool shutdown_complete();
 
   bool ready() const override;
-  console::OperationResult disable(const std::string& host) override;
-  console::OperationResult enable(const std::string& host) override;
-  std::optional<console::Response> handle_request(const console::Request& request) override;
+  admin::OperationResult disable(const std::string& host) override;
+  admin::OperationResult enable(const std::string& host) override;
+  std::optional<admin::Response> handle_request(const admin::Request& request) override;
 };
 
 }  // namespace lotusyard
--- a/src/app/invoker_admin_endpoint.cpp
+++ b/src/app/invoker_admin_endpoint.cpp
@@ -7,7 +7,7 @@
 
 void Invoker::open_admin_endpoint() {
   if (config_->console.empty()) return;
-  admin_endpoint_.emplace(loop_, counters_, static_cast<console::AdminOperations&>(*this), resource_shares().callers);
+  admin_endpoint_.emplace(loop_, counters_, static_cast<admin::AdminOperations&>(*this), resource_shares().callers);
   if (!admin_endpoint_->listen(config_->console)) {
     throw config::ConfigError("configuration: console: cannot listen on " + config_->console);
   }
@@ -20,24 +20,24 @@
   return front_.listening() && !is_shutting_down() && (!extension_ || extension_->ready());
 }
 
-std::optional<console::Response> Invoker::handle_request(const console::Request& request) {
+std::optional<admin::Response> Invoker::handle_request(const admin::Request& request) {
   return extension_ ? extension_->handle_request(request) : std::nullopt;
 }
 
-console::OperationResult Invoker::disable(const std::string& host) {
-  if (!endpoint_states_.is_known(host)) return console::OperationResult::unknown_host;
-  if (!disabled_host_files_.add(host)) return console::OperationResult::not_persisted;
+admin::OperationResult Invoker::disable(const std::string& host) {
+  if (!endpoint_states_.is_known(host)) return admin::OperationResult::unknown_host;
+  if (!disabled_host_files_.add(host)) return admin::OperationResult::not_persisted;
   endpoint_states_.disable(host);
   std::cout << "lotusyard " << config_->name << ": host " << host << " is out by hand" << std::endl;
-  return console::OperationResult::done;
+  return admin::OperationResult::done;
 }
 
-console::OperationResult Invoker::enable(const std::string& host) {
-  if (!endpoint_states_.is_known(host)) return console::OperationResult::unknown_host;
-  if (!disabled_host_files_.remove(host)) return console::OperationResult::not_persisted;
+admin::OperationResult Invoker::enable(const std::string& host) {
+  if (!endpoint_states_.is_known(host)) return admin::OperationResult::unknown_host;
+  if (!disabled_host_files_.remove(host)) return admin::OperationResult::not_persisted;
   endpoint_states_.enable(host, loop_.now());
   std::cout << "lotusyard " << config_->name << ": host " << host << " may be used again" << std::endl;
-  return console::OperationResult::done;
+  return admin::OperationResult::done;
 }
 
 }  // namespace lotusyard
--- a/src/average.h
+++ b/src/average.h
@@ -5,7 +5,7 @@
 #include <cstdint>
 #include <string>
 
-namespace robinfold {
+namespace lotusyard::policy {
 
 // A moving average: the plain mean at first, then with the given gain; a sample counts at most `outlier`
 // times it.
@@ -32,4 +32,4 @@
   return mix(hash);
 }
 
-}  // namespace robinfold
+}  // namespace lotusyard::policy
--- a/src/compliance/book.h
+++ b/src/compliance/book.h
@@ -13,7 +13,7 @@
 
 namespace lotusyard::compliance {
 
-using robinfold::Millis;
+using policy::Millis;
 
 struct Regime {
   std::string name, zone;  // zone: its hosts stand there; empty: anywhere
--- a/src/compliance/officer.cpp
+++ b/src/compliance/officer.cpp
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-ComplianceReplica::ComplianceReplica(const InvokerServices& wiring, const group::Config& config, works::MaintenanceReplica& coordinator,
+ComplianceReplica::ComplianceReplica(const InvokerServices& wiring, const raft::Config& config, maintenance::MaintenanceReplica& coordinator,
                  LogSink note)
     : services_(wiring),
       config_(config),
@@ -22,7 +22,7 @@
       filter_(
           wiring, state_, [this] { return maintenance_.is_leased(); }, log_) {}
 
-void ComplianceReplica::attach(group::RaftReplica& member) {
+void ComplianceReplica::attach(raft::RaftReplica& member) {
   replica_ = &member;
   update();
   run_periodic();
@@ -123,10 +123,10 @@
           {"regimes", regimes},       {"certificates", certificates}, {"tenants", state_.tenants()}};
 }
 
-std::optional<console::Response> ComplianceReplica::handle_request(const console::Request& request) {
+std::optional<admin::Response> ComplianceReplica::handle_request(const admin::Request& request) {
   const bool get = request.method == "GET";
   if (request.path == "/-/compliance")
-    return get ? console::Response{200, status_to_json().dump()} : console::Response{405, "GET"};
+    return get ? admin::Response{200, status_to_json().dump()} : admin::Response{405, "GET"};
   if (request.path.compare(0, kPath.size(), kPath) != 0) return std::nullopt;
   const std::string rest = request.path.substr(kPath.size());
   const auto slash = rest.find('/');
@@ -134,24 +134,24 @@
                     what = slash == std::string::npos ? "" : rest.substr(slash + 1);
   if (verb == "outcome") {
     const auto* outcome = state_.find_outcome(what);
-    if (outcome == nullptr) return console::Response{404, "not known here"};
-    return console::Response{200, json{{"done", outcome->done}, {"why", outcome->why}}.dump()};
+    if (outcome == nullptr) return admin::Response{404, "not known here"};
+    return admin::Response{200, json{{"done", outcome->done}, {"why", outcome->why}}.dump()};
   }
   if (verb != "propose") return std::nullopt;
-  if (get) return console::Response{405, "POST"};
+  if (get) return admin::Response{405, "POST"};
   try {
     LogEntry entry = parse_entry(json::parse(what));
     if (entry.kind > LogEntry::Kind::revoke)
-      return console::Response{400, "t: no proposal that an operator can make"};
-    if (entry.proposal.empty()) return console::Response{400, "id: 1 to 128 bytes are needed"};
+      return admin::Response{400, "t: no proposal that an operator can make"};
+    if (entry.proposal.empty()) return admin::Response{400, "id: 1 to 128 bytes are needed"};
     if (entry.kind == LogEntry::Kind::certify) {
       const auto listed = services_.endpoint_states.find_listed(entry.certificate.host);
-      if (!listed) return console::Response{400, "host: unknown host " + entry.certificate.host};
+      if (!listed) return admin::Response{400, "host: unknown host " + entry.certificate.host};
       entry.certificate.host_incarnation = listed->entry.started.count();
     }
     const bool went = replica_->send_to_leader(*this, encode_entry(entry));
-    return went ? console::Response{202, "taken"} : console::Response{503, "nobody is known to lead"};
-  } catch (const std::exception& fault) { return console::Response{400, fault.what()}; }
+    return went ? admin::Response{202, "taken"} : admin::Response{503, "nobody is known to lead"};
+  } catch (const std::exception& fault) { return admin::Response{400, fault.what()}; }
 }
 
 }  // namespace lotusyard::compliance
--- a/src/compliance/officer.h
+++ b/src/compliance/officer.h
@@ -9,13 +9,13 @@
 
 namespace lotusyard::compliance {
 
-class ComplianceReplica final : public group::ReplicatedStateMachine {
+class ComplianceReplica final : public raft::ReplicatedStateMachine {
  public:
   using LogSink = std::function<void(const std::string& text)>;
   // The coordinator outlives it: its signs of life and its lease are what a member's knowledge goes by.
-  ComplianceReplica(const InvokerServices& wiring, const group::Config& config, works::MaintenanceReplica& coordinator, LogSink note);
+  ComplianceReplica(const InvokerServices& wiring, const raft::Config& config, maintenance::MaintenanceReplica& coordinator, LogSink note);
   ~ComplianceReplica() override { services_.loop.cancel(periodic_timer_); }
-  void attach(group::RaftReplica& member);
+  void attach(raft::RaftReplica& member);
   void update();  // the lease may have come or gone
 
   ComplianceFilter& filter() { return filter_; }
@@ -24,7 +24,7 @@
   using SessionsQuiesced = std::function<bool(std::uint64_t index)>;
   void set_sessions_quiesced(SessionsQuiesced others_settled) { sessions_quiesced_ = std::move(others_settled); }
   std::uint64_t version() const { return version_; }  // grows whenever the book may have changed
-  std::optional<console::Response> handle_request(const console::Request& request);
+  std::optional<admin::Response> handle_request(const admin::Request& request);
   const CertificateState& state() const { return state_; }
 
   const char* name() const override { return "compliance"; }
@@ -36,10 +36,10 @@
 
  private:
   InvokerServices services_;
-  const group::Config config_;
-  works::MaintenanceReplica& maintenance_;
+  const raft::Config config_;
+  maintenance::MaintenanceReplica& maintenance_;
   LogSink log_;
-  group::RaftReplica* replica_ = nullptr;
+  raft::RaftReplica* replica_ = nullptr;
   CertificateState state_;
   ComplianceFilter filter_;
   SessionsQuiesced sessions_quiesced_;
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -199,7 +199,7 @@
       fault("settings.Classes[].Name", "a word without blanks, commas and equals signs is needed");
     }
     if (!(c.deadline.count() > 0)) fault(path + ".HardLimit", "must be a number above 0");
-    const auto same = [&](const robinfold::ClassSettings& other) { return other.name == c.name; };
+    const auto same = [&](const policy::ClassSettings& other) { return other.name == c.name; };
     const auto& all = config.settings.classes;
     if (std::count_if(all.begin(), all.end(), same) > 1) fault(path, "stands twice");
   }
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -34,7 +34,7 @@
 // Envoy's list of hosts, in place of the change log.
 struct XdsConfig {
   std::string file, cluster;
-  robinfold::Millis reread{500};
+  policy::Millis reread{500};
 };
 
 struct Config {
@@ -47,8 +47,8 @@
   std::size_t memory_mb = 192, sockets = 1024;
   std::uint64_t known_seq = 0;
   nlohmann::json known_events = nlohmann::json::array();
-  robinfold::Settings settings;
-  robinfold::Millis connection_idle{15000};
+  policy::Settings settings;
+  policy::Millis connection_idle{15000};
   std::size_t attempts_a_link = 32;
   std::vector<std::string> report_fields;
 };
--- a/src/config/json_read.h
+++ b/src/config/json_read.h
@@ -13,7 +13,7 @@
 namespace lotusyard::config {
 
 using nlohmann::json;
-using robinfold::Millis;
+using policy::Millis;
 
 inline const json& absent() {
   static const json null_value;
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -4,7 +4,7 @@
 
 namespace lotusyard::config {
 
-using namespace robinfold;
+using namespace lotusyard::policy;
 
 namespace {
 
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -8,6 +8,6 @@
 
 namespace lotusyard::config {
 
-robinfold::Settings read_settings(const nlohmann::json& env, std::uint64_t seed);
+policy::Settings read_settings(const nlohmann::json& env, std::uint64_t seed);
 
 }  // namespace lotusyard::config
--- a/src/console/admin_endpoint.cpp
+++ b/src/console/admin_endpoint.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace lotusyard::console {
+namespace lotusyard::admin {
 namespace {
 
 using net::Millis;
@@ -165,4 +165,4 @@
   callers_.erase(caller.place);
 }
 
-}  // namespace lotusyard::console
+}  // namespace lotusyard::admin
--- a/src/console/admin_endpoint.h
+++ b/src/console/admin_endpoint.h
@@ -12,7 +12,7 @@
 #include "net/loop.h"
 #include "net/stream.h"
 
-namespace lotusyard::console {
+namespace lotusyard::admin {
 
 enum class OperationResult { done, unknown_host, not_persisted };
 
@@ -55,4 +55,4 @@
   void connection_closed(AdminConnection& caller);
 };
 
-}  // namespace lotusyard::console
+}  // namespace lotusyard::admin
--- a/src/console/parser.cpp
+++ b/src/console/parser.cpp
@@ -7,7 +7,7 @@
 
 #include "net/fields.h"
 
-namespace lotusyard::console {
+namespace lotusyard::admin {
 namespace {
 
 constexpr int kBadRequest = 400, kTooLarge = 413, kUriTooLong = 414, kHeadTooLong = 431,
@@ -187,4 +187,4 @@
   return state_;
 }
 
-}  // namespace lotusyard::console
+}  // namespace lotusyard::admin
--- a/src/console/parser.h
+++ b/src/console/parser.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <string_view>
 
-namespace lotusyard::console {
+namespace lotusyard::admin {
 
 struct Request {
   std::string method, path;  // path: decoded, without its query
@@ -44,4 +44,4 @@
   State chunk_size();
 };
 
-}  // namespace lotusyard::console
+}  // namespace lotusyard::admin
--- a/src/control/change.cpp
+++ b/src/control/change.cpp
@@ -5,10 +5,10 @@
 namespace lotusyard::control {
 namespace {
 
-using group::put32;
-using group::put8;
-using group::put_bytes;
-using group::Reader;
+using raft::put32;
+using raft::put8;
+using raft::put_bytes;
+using raft::Reader;
 
 enum class Operation : std::uint8_t { set = 1, remove = 2 };
 
--- a/src/control/config.cpp
+++ b/src/control/config.cpp
@@ -123,12 +123,12 @@
 }
 
 Millis offline(const json& from) {
-  return Millis(number(from, "offline_ms", group::LeaseTerms().max_offline.count(), 0, 1e9));
+  return Millis(number(from, "offline_ms", raft::LeaseTerms().max_offline.count(), 0, 1e9));
 }
 
-group::LeaseTerms read_terms(const json& from, Millis longest_deadline) {
+raft::LeaseTerms read_terms(const json& from, Millis longest_deadline) {
   const double longest = longest_deadline.count();
-  group::LeaseTerms out;
+  raft::LeaseTerms out;
   out.lease = Millis(number(from, "lease_ms", out.lease.count(), 200, 600000));
   out.clock_drift = number(from, "drift", out.clock_drift, 0, 0.2);
   // The nodes count on it that no call here outlasts it.
@@ -139,7 +139,7 @@
 
 }  // namespace
 
-std::optional<NodeConfig> read_node_config(const json& file, const group::Config& group) {
+std::optional<NodeConfig> read_node_config(const json& file, const raft::Config& group) {
   const json& from = control_part(file);
   if (from.is_null()) return std::nullopt;
   check_keys(from, "",
--- a/src/control/config.h
+++ b/src/control/config.h
@@ -18,17 +18,17 @@
   NodeAddress self;                // under the member's name; `address`: where invokers reach this node
   std::vector<NodeAddress> nodes;  // the others
   SessionTable::Limits sessions;
-  Millis offline = group::LeaseTerms().max_offline;
+  Millis offline = raft::LeaseTerms().max_offline;
 };
 
 struct InvokerConfig {
   std::string cluster, zone, region;
   std::vector<NodeAddress> nodes;  // where to begin
-  group::LeaseTerms terms;              // must equal the nodes'
+  raft::LeaseTerms terms;              // must equal the nodes'
 };
 
 // Both throw config::ConfigError naming the key; nothing: the file does not give the process that role.
-std::optional<NodeConfig> read_node_config(const nlohmann::json& file, const group::Config& group);
+std::optional<NodeConfig> read_node_config(const nlohmann::json& file, const raft::Config& group);
 // `longest_deadline`: of the invoker's own calls.
 std::optional<InvokerConfig> read_invoker_config(const nlohmann::json& file, Millis longest_deadline);
 
--- a/src/control/control_node.cpp
+++ b/src/control/control_node.cpp
@@ -17,7 +17,7 @@
 constexpr Index kSkippedByFault = 7;  // a planted fault leaves out every seventh index
 
 bool same_duration(Millis one, Millis other) { return std::abs((one - other).count()) < kDurationUnit; }
-bool same_terms(const group::LeaseTerms& one, const group::LeaseTerms& other) {
+bool same_terms(const raft::LeaseTerms& one, const raft::LeaseTerms& other) {
   return same_duration(one.lease, other.lease) && same_duration(one.max_attempt_time, other.max_attempt_time) &&
          same_duration(one.max_offline, other.max_offline) && std::abs(one.clock_drift - other.clock_drift) < kDriftUnit;
 }
--- a/src/control/control_node.h
+++ b/src/control/control_node.h
@@ -33,7 +33,7 @@
     std::string cluster;
     NodeAddress self;
     std::uint64_t life = 0;
-    group::LeaseTerms terms;
+    raft::LeaseTerms terms;
     SessionTable::Limits sessions;
     ChangeLog::Limits changes;
     std::size_t snapshot_chunk = 32U << 10;
--- a/src/control/message.cpp
+++ b/src/control/message.cpp
@@ -6,16 +6,16 @@
 namespace lotusyard::control {
 namespace {
 
-using group::put32;
-using group::put64;
-using group::put8;
-using group::put_bytes;
+using raft::put32;
+using raft::put64;
+using raft::put8;
+using raft::put_bytes;
 
 void put_text(std::string& out, const std::string& text) { put_bytes(out, text.data(), text.size()); }
 void put_duration(std::string& out, Millis duration) {
   put64(out, duration.count() <= 0 ? 0 : static_cast<std::uint64_t>(duration.count() * duration_units));
 }
-void put_terms(std::string& out, const group::LeaseTerms& terms) {
+void put_terms(std::string& out, const raft::LeaseTerms& terms) {
   put_duration(out, terms.lease);
   put64(out, static_cast<std::uint64_t>(terms.clock_drift * static_cast<double>(drift_units) + 0.5));
   put_duration(out, terms.max_attempt_time);
--- a/src/control/message.h
+++ b/src/control/message.h
@@ -15,7 +15,7 @@
 
 namespace lotusyard::control {
 
-using robinfold::Millis;
+using policy::Millis;
 
 // An index of the agreed log. A replica at index N has every change up to N and none after it.
 using Index = std::uint64_t;
@@ -41,7 +41,7 @@
   std::string cluster, invoker, zone;
   std::uint64_t incarnation = 0;  // chosen anew by each process; the same on all its connections
   Index position = 0;             // what its replica holds; 0: nothing
-  group::LeaseTerms terms;             // must equal the node's
+  raft::LeaseTerms terms;             // must equal the node's
 };
 
 // Node to invoker: the session is open. `nodes` are others that it may move to.
--- a/src/control/message_reader.cpp
+++ b/src/control/message_reader.cpp
@@ -6,7 +6,7 @@
 namespace lotusyard::control {
 namespace {
 
-using group::Reader;
+using raft::Reader;
 
 constexpr double kLongestDuration = 1e9;  // in milliseconds; longer ones are malformed
 
@@ -27,8 +27,8 @@
     if (out > kLongestDuration) valid_ = false;
     return Millis(out);
   }
-  group::LeaseTerms terms() {
-    group::LeaseTerms out;
+  raft::LeaseTerms terms() {
+    raft::LeaseTerms out;
     out.lease = duration();
     out.clock_drift = static_cast<double>(number(8)) / static_cast<double>(drift_units);
     out.max_attempt_time = duration();
--- a/src/control/offline_floor.cpp
+++ b/src/control/offline_floor.cpp
@@ -9,7 +9,7 @@
 
 }  // namespace
 
-OfflineFloor::OfflineFloor(const group::LeaseTerms& terms, Millis accounted_from)
+OfflineFloor::OfflineFloor(const raft::LeaseTerms& terms, Millis accounted_from)
     : offline_(terms.max_offline * (1 + terms.clock_drift)),
       accounted_from_(accounted_from),
       unaccounted_until_(accounted_from + offline_) {}
--- a/src/control/offline_floor.h
+++ b/src/control/offline_floor.h
@@ -14,7 +14,7 @@
  public:
   // `accounted_from`: leases that are not known of here, of an earlier process of the node, may have lasted
   // until then.
-  OfflineFloor(const group::LeaseTerms& terms, Millis accounted_from);
+  OfflineFloor(const raft::LeaseTerms& terms, Millis accounted_from);
 
   // A session whose lease ended then is forgotten, and its invoker did not say that it ends.
   void vanished(Millis lease_ended);
--- a/src/control/session.h
+++ b/src/control/session.h
@@ -34,7 +34,7 @@
     std::string cluster, invoker, zone, region;
     std::uint64_t incarnation = 0;
     std::vector<NodeAddress> nodes;  // where to begin; more are learnt from the nodes
-    group::LeaseTerms terms;
+    raft::LeaseTerms terms;
     Pacing pacing;
   };
 
--- a/src/control/session_table.cpp
+++ b/src/control/session_table.cpp
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-SessionTable::SessionTable(const group::LeaseTerms& terms, Limits limits, const ChangeLog& log, Millis started)
+SessionTable::SessionTable(const raft::LeaseTerms& terms, Limits limits, const ChangeLog& log, Millis started)
     : terms_(terms),
       limits_(limits),
       log_(log),
--- a/src/control/session_table.h
+++ b/src/control/session_table.h
@@ -44,7 +44,7 @@
 
   // `started`: when this process did. Sessions of an earlier process of this node may hold leases until
   // (lease + last call) later, so that nothing is reported before.
-  SessionTable(const group::LeaseTerms& terms, Limits limits, const ChangeLog& log, Millis started);
+  SessionTable(const raft::LeaseTerms& terms, Limits limits, const ChangeLog& log, Millis started);
 
   // A connection asks for a session. The same incarnation of an invoker continues its earlier one; if that
   // has a connection still, the caller ends it without a call of `disconnected`.
@@ -79,7 +79,7 @@
     Index applied = 0, settled = 0;
     std::optional<Millis> lease_until;  // nothing: it never had one
   };
-  group::LeaseTerms terms_;
+  raft::LeaseTerms terms_;
   Limits limits_;
   const ChangeLog& log_;
   Millis started_;
--- a/src/core/dispatcher.cpp
+++ b/src/core/dispatcher.cpp
@@ -47,7 +47,7 @@
   if (found == open.in_flight.end()) return std::nullopt;
   InFlightAttempt out = std::move(*found);
   open.in_flight.erase(found);
-  if (!robinfold::proves_never_ran(outcome)) {
+  if (!policy::proves_never_ran(outcome)) {
     open.may_have_run = true;
   } else {
     if (open.keyed()) keys_.record_not_run(open.call, out.attempt);
@@ -114,7 +114,7 @@
 void Dispatcher::update_endpoints(HostList&& list) {
   if (list.kind != ListKind::delta) places_.clear();
   for (const auto& entry : list.entries) {
-    if (entry.state == robinfold::WorkerState::gone) {
+    if (entry.state == policy::WorkerState::gone) {
       places_.erase(entry.worker);
     } else {
       places_[entry.worker] = {entry.zone, entry.cell};
--- a/src/core/dispatcher.h
+++ b/src/core/dispatcher.h
@@ -52,7 +52,7 @@
   // Told of each call that is refused and never went out, where set.
   using RejectionObserver = std::function<void(const Call& call)>;
   void observe_rejections(RejectionObserver refused) { rejection_observer_ = std::move(refused); }
-  void set_host_filter(robinfold::HostFilter* gate) { module_.set_host_filter(gate); }  // which hosts a call may go to at all
+  void set_host_filter(policy::HostFilter* gate) { module_.set_host_filter(gate); }  // which hosts a call may go to at all
   const Settings& settings() const { return *settings_; }
 
   void tick();
@@ -69,11 +69,11 @@
     Call call;
     Front* front = nullptr;
     std::shared_ptr<const Settings> rules;
-    const robinfold::ClassSettings* cls = nullptr;  // in `rules`
+    const policy::ClassSettings* cls = nullptr;  // in `rules`
     bool may_have_run = false;                      // one of those that have ended
     int attempts = 0;
     std::vector<InFlightAttempt> in_flight;
-    bool keyed() const { return cls->semantics == robinfold::Semantics::keyed; }
+    bool keyed() const { return cls->semantics == policy::Semantics::keyed; }
   };
   struct Deadline {
     Millis at{0};
--- a/src/core/dispatcher_sends.cpp
+++ b/src/core/dispatcher_sends.cpp
@@ -20,9 +20,9 @@
   if (std::any_of(open.in_flight.begin(), open.in_flight.end(), there)) return false;
   if (open.attempts >= open.rules->max_attempts) return false;
   switch (open.cls->semantics) {
-    case robinfold::Semantics::repeatable: return true;
-    case robinfold::Semantics::once: return !open.may_have_run && open.in_flight.empty();
-    case robinfold::Semantics::keyed: break;
+    case policy::Semantics::repeatable: return true;
+    case policy::Semantics::once: return !open.may_have_run && open.in_flight.empty();
+    case policy::Semantics::keyed: break;
   }
   const auto place = places_.find(host);
   return place != places_.end() && keys_.may_send_to(open.call, key_rule(*open.cls), place->second, clock_());
--- a/src/core/dispatcher_takes.cpp
+++ b/src/core/dispatcher_takes.cpp
@@ -24,7 +24,7 @@
   };
   const auto* cls = class_named(*settings_, call.class_name);
   if (cls == nullptr) return "calls.unknown_class";
-  if (cls->semantics == robinfold::Semantics::keyed && call.key.empty()) return "calls.no_key";
+  if (cls->semantics == policy::Semantics::keyed && call.key.empty()) return "calls.no_key";
   if (!call.key.empty() && !IdempotencyKeys::is_valid(call.key)) return "calls.bad_key";
   const auto& tenants = settings_->tenants;
   if (!call.tenant.empty() && !tenants.empty() &&
@@ -67,7 +67,7 @@
     return false;
   }
   const auto* cls = class_named(*settings_, call.class_name);
-  if (cls->semantics == robinfold::Semantics::keyed) {
+  if (cls->semantics == policy::Semantics::keyed) {
     static const char* const faults[] = {nullptr, "calls.key_of_another", "calls.key_window_over",
                                          "calls.keys_full"};
     if (const char* fault = faults[static_cast<int>(keys_.begin(call, key_rule(*cls), clock_()))]) {
--- a/src/core/keys.cpp
+++ b/src/core/keys.cpp
@@ -60,10 +60,10 @@
   const auto since = first_send(found->second);
   if (!since) return true;
   if (now - *since >= rule.window || found->second.sent.size() >= max_sends_per_key) return false;
-  if (rule.scope == robinfold::KeyScope::all) return true;
+  if (rule.scope == policy::KeyScope::all) return true;
   if (found->second.before) return false;  // nobody knows where that was
   return std::all_of(found->second.sent.begin(), found->second.sent.end(), [&](const Sent& sent) {
-    return rule.scope == robinfold::KeyScope::zone ? sent.at.zone == to.zone : sent.at.cell == to.cell;
+    return rule.scope == policy::KeyScope::zone ? sent.at.zone == to.zone : sent.at.cell == to.cell;
   });
 }
 
--- a/src/core/keys.h
+++ b/src/core/keys.h
@@ -20,12 +20,12 @@
 };
 
 struct KeyRule {  // of a class, as the settings give it
-  robinfold::KeyScope scope = robinfold::KeyScope::all;
+  policy::KeyScope scope = policy::KeyScope::all;
   Millis window{0};      // from the send of the first attempt that may have run; 0: nothing drops repeats
   Millis hard_limit{0};  // a client's longest wait over all of its tries
 };
 
-inline KeyRule key_rule(const robinfold::ClassSettings& c) { return {c.scope, c.key_window, c.deadline}; }
+inline KeyRule key_rule(const policy::ClassSettings& c) { return {c.scope, c.key_window, c.deadline}; }
 
 class IdempotencyKeys {
  public:
--- a/src/core/module.cpp
+++ b/src/core/module.cpp
@@ -5,10 +5,10 @@
 namespace lotusyard::core {
 namespace {
 
-namespace event = robinfold::event;
-namespace action = robinfold::action;
+namespace event = policy::event;
+namespace action = policy::action;
 
-robinfold::Event event_of(const AttemptOutcome& o) {
+policy::Event event_of(const AttemptOutcome& o) {
   event::Answer e;
   e.id = std::to_string(o.attempt.call);
   e.worker = o.host;
@@ -20,15 +20,15 @@
   e.report = o.report;
   return e;
 }
-robinfold::Event event_of(const LoadOutcome& o) {
+policy::Event event_of(const LoadOutcome& o) {
   return event::Loaded{o.host, o.function, o.outcome, o.elapsed, o.copies};
 }
-robinfold::Event event_of(const ProbeOutcome& o) {
+policy::Event event_of(const ProbeOutcome& o) {
   return event::Probed{o.host, o.outcome, o.elapsed, o.report};
 }
-robinfold::Event event_of(const ClientDisconnected& o) { return event::Left{std::to_string(o.call)}; }
-robinfold::Event event_of(const NewSettings& o) { return event::Retune{o.settings}; }
-robinfold::Event event_of(const HostList& o) { return event::List{o.kind, o.entries}; }
+policy::Event event_of(const ClientDisconnected& o) { return event::Left{std::to_string(o.call)}; }
+policy::Event event_of(const NewSettings& o) { return event::Retune{o.settings}; }
+policy::Event event_of(const HostList& o) { return event::List{o.kind, o.entries}; }
 
 CallId call_of(const std::string& id) { return std::stoull(id); }  // ids are ours: see pick
 
@@ -70,8 +70,8 @@
   return due_.empty() ? Millis(std::numeric_limits<double>::infinity()) : due_.top().at;
 }
 
-Steps PolicyDriver::handle(Millis now, const robinfold::Event& event) {
-  std::vector<robinfold::Action> actions;
+Steps PolicyDriver::handle(Millis now, const policy::Event& event) {
+  std::vector<policy::Action> actions;
   policy_.handle(now, event, actions);
   Steps steps;
   for (const auto& any : actions) {
--- a/src/core/module.h
+++ b/src/core/module.h
@@ -84,7 +84,7 @@
   Steps report(Millis now, const PolicyInput& what);
   Steps tick(Millis now);  // everything that is due
   Millis next_tick() const;
-  void set_host_filter(robinfold::HostFilter* gate) { policy_.set_host_filter(gate); }
+  void set_host_filter(policy::HostFilter* gate) { policy_.set_host_filter(gate); }
 
  private:
   struct TimerDeadline {
@@ -92,11 +92,11 @@
     std::uint64_t order = 0, token = 0;
     bool operator>(const TimerDeadline& o) const { return std::tie(at, order) > std::tie(o.at, o.order); }
   };
-  robinfold::Policy policy_;
+  policy::Policy policy_;
   std::priority_queue<TimerDeadline, std::vector<TimerDeadline>, std::greater<>> due_;
   std::uint64_t timers_set_ = 0;
 
-  Steps handle(Millis now, const robinfold::Event& event);
+  Steps handle(Millis now, const policy::Event& event);
 };
 
 }  // namespace lotusyard::core
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -13,18 +13,18 @@
 
 namespace lotusyard::core {
 
-using robinfold::ListKind;
-using robinfold::Millis;
-using robinfold::Outcome;
-using robinfold::Report;
-using robinfold::Settings;
-using robinfold::WorkerEntry;
-using robinfold::WorkerState;
+using policy::ListKind;
+using policy::Millis;
+using policy::Outcome;
+using policy::Report;
+using policy::Settings;
+using policy::WorkerEntry;
+using policy::WorkerState;
 
 using CallId = std::uint64_t;
 
 // Nothing if the settings know no such class.
-inline const robinfold::ClassSettings* class_named(const Settings& settings, const std::string& name) {
+inline const policy::ClassSettings* class_named(const Settings& settings, const std::string& name) {
   for (const auto& c : settings.classes) {
     if (c.name == name) return &c;
   }
--- a/src/full/main.cpp
+++ b/src/full/main.cpp
@@ -13,18 +13,18 @@
 namespace lotusyard {
 namespace {
 
-answers::Bounds bounds_of(const config::AmqpConfig& from) {
-  answers::Bounds bounds;
+idempotency::Bounds bounds_of(const config::AmqpConfig& from) {
+  idempotency::Bounds bounds;
   bounds.longest = core::Millis(static_cast<double>(from.store_days) * 24 * 3600e3);
   bounds.most = from.store_records;
   bounds.most_bytes = from.store_mb << 20;
   return bounds;
 }
 
-std::unique_ptr<answers::SqliteResultStore> open_store(const config::AmqpConfig& from, core::Millis now,
+std::unique_ptr<idempotency::SqliteResultStore> open_store(const config::AmqpConfig& from, core::Millis now,
                                                  core::Counters& counters) {
   const auto log = [](const std::string& line) { std::cerr << "lotusyard: " << line << std::endl; };
-  return std::make_unique<answers::SqliteResultStore>(from.store, bounds_of(from), now, counters, log);
+  return std::make_unique<idempotency::SqliteResultStore>(from.store, bounds_of(from), now, counters, log);
 }
 
 config::Config read(const std::string& file) {
@@ -34,7 +34,7 @@
 // What the process would be to a group, by the parts `group` and `control`. Throws config::ConfigError.
 std::string role_in_group(const nlohmann::json& file, const config::Config& config) {
   const auto longest_deadline = core::longest_deadline(config.settings);
-  if (const auto group = group::parse_config(file, config.name, longest_deadline)) {
+  if (const auto group = raft::parse_config(file, config.name, longest_deadline)) {
     const auto node = control::read_node_config(file, *group);
     const std::string member = "member " + group->member + " of group " + group->cluster;
     return node ? member + ", a control node at " + node->self.address : member;
@@ -63,8 +63,8 @@
   const auto store = open_store(*config.amqp, core::Millis(0), counters);
   static const char* const stages[] = {"", "may_have_run", "not_run", "answered", "confirmed"};
   static const char* const words[] = {"OK", "BUSY", "FAILED"};
-  store->for_each([&](const std::string& id, const answers::ResultRecord& record) {
-    const bool answered = record.stage >= answers::ResultStage::answered;
+  store->for_each([&](const std::string& id, const idempotency::ResultRecord& record) {
+    const bool answered = record.stage >= idempotency::ResultStage::answered;
     std::cout << static_cast<std::int64_t>(record.at.count()) << ' ' << stages[static_cast<int>(record.stage)]
               << ' ' << (answered ? words[static_cast<std::size_t>(record.answer.verdict)] : "-") << ' '
               << record.answer.body.size() << ' ' << id << '\n';
--- a/src/full/operate.cpp
+++ b/src/full/operate.cpp
@@ -275,9 +275,9 @@
 int found(const Asked& asked) {
   const auto file = config::read_json_file(asked.file);
   const auto config = config::read_config(file, read_environment());
-  const auto group = group::parse_config(file, config.name, core::longest_deadline(config.settings));
+  const auto group = raft::parse_config(file, config.name, core::longest_deadline(config.settings));
   if (!group) throw config::ConfigError("configuration: group: not set");
-  group::RaftReplica::bootstrap(*group);
+  raft::RaftReplica::bootstrap(*group);
   std::cout << "member " << group->member << " of group " << group->cluster << " may start" << std::endl;
   return 0;
 }
@@ -289,11 +289,11 @@
     if (!in) throw std::runtime_error(path + ": cannot be read");
     for (std::string line; std::getline(in, line);) lines.push_back(line);
   }
-  const auto events = works::parse_timeline(lines);
-  std::cout << works::render_table(events) << std::flush;
+  const auto events = maintenance::parse_timeline(lines);
+  std::cout << maintenance::render_table(events) << std::flush;
   if (asked.svg.empty()) return 0;
   std::ofstream out(asked.svg);
-  out << works::render_svg(events);
+  out << maintenance::render_svg(events);
   out.close();
   if (!out) throw std::runtime_error(asked.svg + ": cannot be written");
   return 0;
--- a/src/group/admission.cpp
+++ b/src/group/admission.cpp
@@ -4,7 +4,7 @@
 
 #include "group/member.h"
 
-namespace lotusyard::group {
+namespace lotusyard::raft {
 namespace {
 
 using nlohmann::json;
@@ -82,7 +82,7 @@
   try {
     identity_ = {config_.cluster, config_.member, std::stoull(rest), 1};
     // Larger than any that an earlier store of this member counted up to. If the clock was set back since,
-    // the log tells, and a larger one is taken before the member joins (Coordinator::beat).
+    // the log tells, and a larger one is taken before the member joins (MaintenanceReplica::beat).
     identity_.incarnation = static_cast<std::uint64_t>(loop_.now().count());
     store_.initialize(identity_);
     transport_.set_own_id(identity_.id);
@@ -96,4 +96,4 @@
   } catch (const std::exception& fault) { on_store_failure(fault.what()); }
 }
 
-}  // namespace lotusyard::group
+}  // namespace lotusyard::raft
--- a/src/group/bytes.h
+++ b/src/group/bytes.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <string_view>
 
-namespace lotusyard::group {
+namespace lotusyard::raft {
 
 inline void put8(std::string& out, unsigned value) { out += static_cast<char>(value & 0xff); }
 inline void put32(std::string& out, std::uint32_t value) {
@@ -48,4 +48,4 @@
   bool sound_ = true;
 };
 
-}  // namespace lotusyard::group
+}  // namespace lotusyard::raft
--- a/src/group/config.cpp
+++ b/src/group/config.cpp
@@ -6,7 +6,7 @@
 #include "config/json_read.h"
 #include "net/socket.h"
 
-namespace lotusyard::group {
+namespace lotusyard::raft {
 namespace {
 
 using nlohmann::json;
@@ -59,7 +59,7 @@
 
 }  // namespace
 
-std::optional<Config> parse_config(const json& file, const std::string& name, robinfold::Millis last_call) {
+std::optional<Config> parse_config(const json& file, const std::string& name, policy::Millis last_call) {
   const json& from = config::key(file, "group");
   if (from.is_null()) return std::nullopt;
   if (!from.is_object()) throw config::ConfigError("configuration: group: an object is needed");
@@ -95,10 +95,10 @@
   if (votes % 2 == 0) fault("members", "an odd number of them must vote, so that a half is no majority");
   if (votes > 7) fault("members", "at most 7 may vote");
   out.address = address(from, "address", "address", &mine);
-  out.terms.lease = robinfold::Millis(number(from, "lease_ms", 3000, 200, 600000));
+  out.terms.lease = policy::Millis(number(from, "lease_ms", 3000, 200, 600000));
   out.terms.clock_drift = number(from, "drift", out.terms.clock_drift, 0, 0.2);
   out.terms.max_attempt_time = last_call;
-  out.election = robinfold::Millis(number(from, "election_ms", 1000, 50, 60000));
+  out.election = policy::Millis(number(from, "election_ms", 1000, 50, 60000));
   if (out.election > out.terms.lease)
     fault("election_ms", "longer than lease_ms: no lease would outlive a leader");
   out.serves = flag(from, "serves", "serves", true);
@@ -112,8 +112,8 @@
   if (!period.is_null() &&
       !(period.is_number() && period.get<double>() >= 50 && period.get<double>() <= 60000))
     fault("view.period_ms", "must lie between 50 and 60000");
-  out.view = robinfold::Millis(config::number(period, 500));
+  out.view = policy::Millis(config::number(period, 500));
   return out;
 }
 
-}  // namespace lotusyard::group
+}  // namespace lotusyard::raft
--- a/src/group/config.h
+++ b/src/group/config.h
@@ -8,7 +8,7 @@
 
 #include "group/lease.h"
 
-namespace lotusyard::group {
+namespace lotusyard::raft {
 
 struct PeerAddress {
   std::string name, address;
@@ -20,13 +20,13 @@
   std::vector<PeerAddress> members;  // with whom the group is founded; whoever joins later asks these
   bool serves = true;         // takes calls; else it only votes and learns
   LeaseTerms terms;
-  robinfold::Millis election{1000};
-  std::optional<robinfold::Millis> view;  // the period of the fleet's view; nothing: none is kept
+  policy::Millis election{1000};
+  std::optional<policy::Millis> view;  // the period of the fleet's view; nothing: none is kept
 };
 
 // Throws config::ConfigError naming the key; nothing: the file has no such part. `last_call`: the longest
 // limit of a call.
 std::optional<Config> parse_config(const nlohmann::json& file, const std::string& name,
-                                  robinfold::Millis last_call);
+                                  policy::Millis last_call);
 
-}  // namespace lotusyard::group
+}  // namespace lotusyard::raft
--- a/src/group/consensus.cpp
+++ b/src/group/consensus.cpp
@@ -6,7 +6,7 @@
 #include "group/raft_buffer.h"
 #include "group/raft_wire.h"
 
-namespace lotusyard::group {
+namespace lotusyard::raft {
 namespace {
 
 constexpr unsigned kSnapshotEvery = 1024, kTrailing = 256;  // entries
@@ -67,7 +67,7 @@
   if (!running_ || closing_) return;
   last_servers_ = servers();
   closing_ = true;
-  raft_close(&raft_, [](raft* r) { static_cast<RaftCore*>(r->data)->halted(); });
+  raft_close(&raft_, [](::raft* r) { static_cast<RaftCore*>(r->data)->halted(); });
 }
 
 void RaftCore::halted() {
@@ -160,7 +160,7 @@
   if (!is_available()) return {};
   raft_id id = 0;
   const char* address = nullptr;
-  raft_leader(const_cast<raft*>(&raft_), &id, &address);
+  raft_leader(const_cast<::raft*>(&raft_), &id, &address);
   return {id, address == nullptr ? std::string() : std::string(address), RAFT_VOTER};
 }
 
@@ -229,4 +229,4 @@
                 std::move(done));
 }
 
-}  // namespace lotusyard::group
+}  // namespace lotusyard::raft
--- a/src/group/consensus.h
+++ b/src/group/consensus.h
@@ -19,9 +19,9 @@
 #include "group/store.h"
 #include "sqlite/result.h"
 
-namespace lotusyard::group {
+namespace lotusyard::raft {
 
-using robinfold::Millis;
+using policy::Millis;
 
 class RaftCore {
  public:
@@ -48,7 +48,7 @@
                     const std::vector<Server>& servers);  // the first entry of a new group's log
 
   void receive(std::uint64_t from, const std::string& address, raft_message&& message);
-  bool is_leader() const { return is_available() && raft_state(const_cast<raft*>(&raft_)) == RAFT_LEADER; }
+  bool is_leader() const { return is_available() && raft_state(const_cast<::raft*>(&raft_)) == RAFT_LEADER; }
   Server leader() const;  // id 0: not known
   std::uint64_t term() const { return store_.term(); }
   std::vector<Server> servers() const;
@@ -68,7 +68,7 @@
   const std::uint64_t id_;
   const std::string address_;
   const Millis election_;
-  raft raft_{};
+  struct ::raft raft_{};
   raft_io io_{};
   raft_fsm fsm_{};
   std::mt19937_64 random_;
@@ -105,4 +105,4 @@
   bool change(const std::function<int(raft_change*)>& start, std::function<void(bool)> done);
 };
 
-}  // namespace lotusyard::group
+}  // namespace lotusyard::raft
--- a/src/group/consensus_io.cpp
+++ b/src/group/consensus_io.cpp
@@ -4,7 +4,7 @@
 #include "group/consensus.h"
 #include "group/raft_buffer.h"
 
-namespace lotusyard::group {
+namespace lotusyard::raft {
 namespace {
 
 RaftCore& of(const raft_io* io) { return *static_cast<RaftCore*>(io->impl); }
@@ -214,4 +214,4 @@
   fsm_.restore = LibraftCallbacks::restore;
 }
 
-}  // namespace lotusyard::group
+}  // namespace lotusyard::raft
--- a/src/group/lease.h
+++ b/src/group/lease.h
@@ -6,9 +6,9 @@
 
 #include "robinfold/policy.h"
 
-namespace lotusyard::group {
+namespace lotusyard::raft {
 
-using robinfold::Millis;
+using policy::Millis;
 
 // What the group's members have in common; a member with other figures is turned away.
 struct LeaseTerms {
@@ -42,4 +42,4 @@
   Millis started_, expires_at_{0};
 };
 
-}  // namespace lotusyard::group
+}  // namespace lotusyard::raft
--- a/src/group/links.cpp
+++ b/src/group/links.cpp
@@ -3,12 +3,12 @@
 #include <algorithm>
 #include <vector>
 
-namespace lotusyard::group {
+namespace lotusyard::raft {
 namespace {
 
-using robinfold::Millis;
+using policy::Millis;
 
-constexpr robinfold::Millis kAcceptPause{100};
+constexpr policy::Millis kAcceptPause{100};
 constexpr std::size_t kBlocks = 1024;   // of 16 KB: what may wait on all links
 constexpr Millis kAgain{100};           // between two connections to one address
 constexpr Millis kHeardPace{200};       // how often a link's other end says that something has come
@@ -235,4 +235,4 @@
   return !link.is_closing();
 }
 
-}  // namespace lotusyard::group
+}  // namespace lotusyard::raft
--- a/src/group/links.h
+++ b/src/group/links.h
@@ -15,7 +15,7 @@
 #include "net/loop.h"
 #include "net/stream.h"
 
-namespace lotusyard::group {
+namespace lotusyard::raft {
 
 class PeerTransport final : private net::EventHandler {
  public:
@@ -45,7 +45,7 @@
   net::BufferPool pool_;
   net::Socket listener_;
   std::map<std::string, std::shared_ptr<OutgoingConnection>> outgoing_;      // by address and id
-  std::map<std::string, robinfold::Millis> reconnect_not_before_;  // likewise, since the last link there ended
+  std::map<std::string, policy::Millis> reconnect_not_before_;  // likewise, since the last link there ended
   std::list<std::shared_ptr<IncomingConnection>> incoming_;
   std::set<std::string> logged_;
   net::EventLoop::TimerId accept_timer_{};
@@ -57,4 +57,4 @@
   void log_once(const std::string& line);
 };
 
-}  // namespace lotusyard::group
+}  // namespace lotusyard::raft
--- a/src/group/match_tracker.h
+++ b/src/group/match_tracker.h
@@ -12,7 +12,7 @@
 
 #include "group/raft_c.h"
 
-namespace lotusyard::group {
+namespace lotusyard::raft {
 
 class MatchTracker {
  public:
@@ -55,4 +55,4 @@
   }
 };
 
-}  // namespace lotusyard::group
+}  // namespace lotusyard::raft
--- a/src/group/member.cpp
+++ b/src/group/member.cpp
@@ -5,7 +5,7 @@
 #include "config/config.h"
 #include "group/raft_wire.h"
 
-namespace lotusyard::group {
+namespace lotusyard::raft {
 namespace {
 
 Hello hello_of(const Config& config, const Identity& identity) {
@@ -204,4 +204,4 @@
   log_("the store takes writes again: takes part");
 }
 
-}  // namespace lotusyard::group
+}  // namespace lotusyard::raft
--- a/src/group/member.h
+++ b/src/group/member.h
@@ -12,7 +12,7 @@
 #include "group/links.h"
 #include "group/part.h"
 
-namespace lotusyard::group {
+namespace lotusyard::raft {
 
 class RaftReplica final : private RaftCore::Delegate {
  public:
@@ -89,4 +89,4 @@
   void available() override;
 };
 
-}  // namespace lotusyard::group
+}  // namespace lotusyard::raft
--- a/src/group/part.cpp
+++ b/src/group/part.cpp
@@ -2,7 +2,7 @@
 
 #include <nlohmann/json.hpp>
 
-namespace lotusyard::group {
+namespace lotusyard::raft {
 namespace {
 
 constexpr const char* kFirst = "works";  // the one part that there was before there were kinds
@@ -39,4 +39,4 @@
   return out;
 }
 
-}  // namespace lotusyard::group
+}  // namespace lotusyard::raft
--- a/src/group/part.h
+++ b/src/group/part.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <utility>
 
-namespace lotusyard::group {
+namespace lotusyard::raft {
 
 // Calls come from the loop, one at a time; `restore` also while the member is being made.
 class ReplicatedStateMachine {
@@ -30,4 +30,4 @@
 std::string encode_snapshots(const std::map<std::string, std::string>& snapshots);
 std::optional<std::map<std::string, std::string>> decode_snapshots(const std::string& snapshot);
 
-}  // namespace lotusyard::group
+}  // namespace lotusyard::raft
--- a/src/group/raft_buffer.h
+++ b/src/group/raft_buffer.h
@@ -6,7 +6,7 @@
 
 #include "group/raft_c.h"
 
-namespace lotusyard::group {
+namespace lotusyard::raft {
 
 // Made with raft_malloc; null: there is no memory.
 inline void* copied(const std::string& data) {
@@ -19,4 +19,4 @@
   return buffer.len == 0 ? std::string() : std::string(static_cast<const char*>(buffer.base), buffer.len);
 }
 
-}  // namespace lotusyard::group
+}  // namespace lotusyard::raft
--- a/src/group/raft_wire.cpp
+++ b/src/group/raft_wire.cpp
@@ -6,7 +6,7 @@
 
 #include "group/bytes.h"
 
-namespace lotusyard::group {
+namespace lotusyard::raft {
 namespace {
 
 constexpr std::size_t kAligned = 8;  // the library reads words out of its entries
@@ -185,4 +185,4 @@
   }
 }
 
-}  // namespace lotusyard::group
+}  // namespace lotusyard::raft
--- a/src/group/raft_wire.h
+++ b/src/group/raft_wire.h
@@ -6,11 +6,11 @@
 
 #include "group/raft_c.h"
 
-namespace lotusyard::group {
+namespace lotusyard::raft {
 
 std::string encode_hello(const raft_message& message);
 // What it points to is made with raft_malloc; whoever gets it hands it to the library or gives it back.
 std::optional<raft_message> decode_message(const std::string& body);
 void give_back(raft_message& message);
 
-}  // namespace lotusyard::group
+}  // namespace lotusyard::raft
--- a/src/group/scheduler.h
+++ b/src/group/scheduler.h
@@ -5,7 +5,7 @@
 
 #include "net/loop.h"
 
-namespace lotusyard::group {
+namespace lotusyard::raft {
 
 class Scheduler {
  public:
@@ -28,4 +28,4 @@
   net::EventLoop& loop_;
 };
 
-}  // namespace lotusyard::group
+}  // namespace lotusyard::raft
--- a/src/group/store.cpp
+++ b/src/group/store.cpp
@@ -4,7 +4,7 @@
 
 #include "sqlite/query.h"
 
-namespace lotusyard::group {
+namespace lotusyard::raft {
 namespace {
 
 constexpr int kFormat = 1;  // of the file's tables
@@ -220,4 +220,4 @@
   return static_cast<std::size_t>(pages.whole(0) * size.whole(0));
 }
 
-}  // namespace lotusyard::group
+}  // namespace lotusyard::raft
--- a/src/group/store.h
+++ b/src/group/store.h
@@ -15,7 +15,7 @@
 class Query;
 }
 
-namespace lotusyard::group {
+namespace lotusyard::raft {
 
 // Final unless `transient`: then the disk or the machine failed, nothing shows that the file is damaged, and
 // the same may succeed later.
@@ -96,4 +96,4 @@
   void load_index_range();
 };
 
-}  // namespace lotusyard::group
+}  // namespace lotusyard::raft
--- a/src/group/wire.cpp
+++ b/src/group/wire.cpp
@@ -4,7 +4,7 @@
 
 #include "group/bytes.h"
 
-namespace lotusyard::group {
+namespace lotusyard::raft {
 namespace {
 
 constexpr std::size_t kHead = 5;
@@ -62,4 +62,4 @@
   } catch (const nlohmann::json::exception&) { return std::nullopt; }
 }
 
-}  // namespace lotusyard::group
+}  // namespace lotusyard::raft
--- a/src/group/wire.h
+++ b/src/group/wire.h
@@ -9,7 +9,7 @@
 #include <string_view>
 #include <vector>
 
-namespace lotusyard::group {
+namespace lotusyard::raft {
 
 constexpr std::uint32_t protocol_version = 2;
 constexpr std::size_t max_frame_bytes = 4U << 20;
@@ -40,4 +40,4 @@
 std::string encode_hello(const Hello& hello);
 std::optional<Hello> decode_hello(const std::string& body);
 
-}  // namespace lotusyard::group
+}  // namespace lotusyard::raft
--- a/src/hosts/fleet.cpp
+++ b/src/hosts/fleet.cpp
@@ -45,7 +45,7 @@
   dispatcher.set_host_filter(gate(nullptr));
 }
 
-robinfold::HostFilter* HostConnectionPool::gate(robinfold::HostFilter* next) {
+policy::HostFilter* HostConnectionPool::gate(policy::HostFilter* next) {
   reachable_hosts_.ask_too(next);
   return &reachable_hosts_;
 }
--- a/src/hosts/fleet.h
+++ b/src/hosts/fleet.h
@@ -39,7 +39,7 @@
   ~HostConnectionPool() override;
   void attach(core::Dispatcher& dispatcher);
   // Which hosts a call may go to, as far as connections tell, and as `next` says beside that, where set.
-  robinfold::HostFilter* gate(robinfold::HostFilter* next);
+  policy::HostFilter* gate(policy::HostFilter* next);
 
   void update_endpoints(const core::HostListUpdate& list);
   // Nothing that was decided for this host and is not with the kernel yet goes out any more.
@@ -88,15 +88,15 @@
     HostConnection* link = nullptr;
     bool local_trouble = false;  // there is none for this machine's sake, and soon there may be one
   };
-  class ReachableHosts final : public robinfold::HostFilter {
+  class ReachableHosts final : public policy::HostFilter {
    public:
     explicit ReachableHosts(const HostConnectionPool& fleet) : fleet_(fleet) {}
-    void ask_too(robinfold::HostFilter* next) { next_ = next; }
+    void ask_too(policy::HostFilter* next) { next_ = next; }
     bool allows(const std::string& tenant, std::uint64_t function, const std::string& id) override;
 
    private:
     const HostConnectionPool& fleet_;
-    robinfold::HostFilter* next_ = nullptr;
+    policy::HostFilter* next_ = nullptr;
   };
   ReachableHosts reachable_hosts_{*this};
   ConnectBackoff backoff_;
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -4,7 +4,7 @@
 #include <utility>
 #include <vector>
 
-namespace lotusyard::membership {
+namespace lotusyard::endpoints {
 
 using core::WorkerState;
 
@@ -130,4 +130,4 @@
   }
 }
 
-}  // namespace lotusyard::membership
+}  // namespace lotusyard::endpoints
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -11,7 +11,7 @@
 
 #include "core/member.h"
 
-namespace lotusyard::membership {
+namespace lotusyard::endpoints {
 
 class EndpointStates {
  public:
@@ -69,4 +69,4 @@
   void forget_removed(const std::string& id);
 };
 
-}  // namespace lotusyard::membership
+}  // namespace lotusyard::endpoints
--- a/src/membership/out_files.cpp
+++ b/src/membership/out_files.cpp
@@ -10,7 +10,7 @@
 
 #include "net/socket.h"
 
-namespace lotusyard::membership {
+namespace lotusyard::endpoints {
 namespace {
 
 constexpr std::size_t kLongestName = 200;
@@ -83,4 +83,4 @@
   return out;
 }
 
-}  // namespace lotusyard::membership
+}  // namespace lotusyard::endpoints
--- a/src/membership/out_files.h
+++ b/src/membership/out_files.h
@@ -5,7 +5,7 @@
 #include <set>
 #include <string>
 
-namespace lotusyard::membership {
+namespace lotusyard::endpoints {
 
 // Each change is one system call, so that neither a kill nor another process finds half of one.
 class DisabledHostFiles {
@@ -21,4 +21,4 @@
   std::string folder_;
 };
 
-}  // namespace lotusyard::membership
+}  // namespace lotusyard::endpoints
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -17,7 +17,7 @@
 
 namespace lotusyard::net {
 
-using robinfold::Millis;
+using policy::Millis;
 
 class EventHandler {
  public:
@@ -102,7 +102,7 @@
   void serve_urgent(bool at_once);
 };
 
-// Book what went wrong in a call of connect_to or accept_from.
+// CertificateState what went wrong in a call of connect_to or accept_from.
 void count_connect_error(const EventLoop& loop, const ConnectResult& result);
 void count_accept_errors(const EventLoop& loop, const AcceptResult& result);
 
--- a/src/net/wall_clock.h
+++ b/src/net/wall_clock.h
@@ -10,7 +10,7 @@
 
 namespace lotusyard::net {
 
-using robinfold::Millis;
+using policy::Millis;
 
 // The system's clocks, or those of a test. A `wall` reading is in Unix milliseconds.
 struct Clocks {
--- a/src/node/control_role.cpp
+++ b/src/node/control_role.cpp
@@ -12,7 +12,7 @@
 
 const std::string kViews = "works";  // the part for which sessions forward what they see
 
-control::ControlNode::Config node_config(const group::Config& group, const control::NodeConfig& config,
+control::ControlNode::Config node_config(const raft::Config& group, const control::NodeConfig& config,
                                          std::uint64_t life) {
   control::ControlNode::Config out;
   out.cluster = group.cluster;
@@ -26,9 +26,9 @@
 
 }  // namespace
 
-ControlRole::ControlRole(const InvokerServices& wiring, const group::Config& group, const control::NodeConfig& config,
-                         group::RaftReplica& member, works::MaintenanceReplica& coordinator, compliance::ComplianceReplica& officer,
-                         const group::Lease& lease, LogSink note)
+ControlRole::ControlRole(const InvokerServices& wiring, const raft::Config& group, const control::NodeConfig& config,
+                         raft::RaftReplica& member, maintenance::MaintenanceReplica& coordinator, compliance::ComplianceReplica& officer,
+                         const raft::Lease& lease, LogSink note)
     : services_(wiring),
       maintenance_(coordinator),
       compliance_(officer),
@@ -38,12 +38,12 @@
   control::ControlNode& node = server_.node();
   node.set_nodes(config.nodes);
   node.when_forwarded([this](auto session, const control::Forward& word) { handle_forward(session, word); });
-  node.divide_by([this](auto session, works::Millis until) { return share_of(session, until); });
+  node.divide_by([this](auto session, maintenance::Millis until) { return share_of(session, until); });
   if (!server_.listen(config.listen))
     throw config::ConfigError("configuration: control.listen: cannot listen on " + config.listen);
   member.set_observer(this);
   maintenance_.set_aggregate_source([this] { return aggregate_sessions(); },
-                         [this](works::HostObservations own) { return views_.merged(std::move(own)); });
+                         [this](maintenance::HostObservations own) { return views_.merged(std::move(own)); });
   compliance_.set_sessions_quiesced([this](std::uint64_t index) { return floors_.settled >= index; });
   log_("sessions are taken on " + server_.address());
 }
@@ -70,7 +70,7 @@
 
 void ControlRole::update_lease() {
   const bool holds = !maintenance_.has_failed() && lease_.is_held(now());
-  server_.node().set_lease(holds ? lease_.expires_at() : works::Millis(0));
+  server_.node().set_lease(holds ? lease_.expires_at() : maintenance::Millis(0));
 }
 
 // Danger: a smaller part holds from the entry on that is being applied now, which is not counted as applied
@@ -81,12 +81,12 @@
 }
 
 std::optional<double> ControlRole::share_of(control::SessionTable::SessionId session,
-                                            works::Millis lease_until) {
+                                            maintenance::Millis lease_until) {
   if (!shares_told_) return std::nullopt;
   return allotment_.grant(session, server_.node().sessions().connected(), lease_until, now());
 }
 
-works::MaintenanceReplica::SessionAggregate ControlRole::aggregate_sessions() {
+maintenance::MaintenanceReplica::SessionAggregate ControlRole::aggregate_sessions() {
   const auto known = [this](SessionObservations::SessionId id) { return server_.node().sessions().known(id); };
   views_.retain(known);
   floors_ = server_.node().floors(now());
--- a/src/node/control_role.h
+++ b/src/node/control_role.h
@@ -17,13 +17,13 @@
 
 namespace lotusyard::node {
 
-class ControlRole final : public group::RaftReplica::Observer {
+class ControlRole final : public raft::RaftReplica::Observer {
  public:
   using LogSink = std::function<void(const std::string& text)>;
   // All that it is given outlives it. Throws config::ConfigError if it cannot listen.
-  ControlRole(const InvokerServices& wiring, const group::Config& group, const control::NodeConfig& config,
-              group::RaftReplica& member, works::MaintenanceReplica& coordinator, compliance::ComplianceReplica& officer,
-              const group::Lease& lease, LogSink note);
+  ControlRole(const InvokerServices& wiring, const raft::Config& group, const control::NodeConfig& config,
+              raft::RaftReplica& member, maintenance::MaintenanceReplica& coordinator, compliance::ComplianceReplica& officer,
+              const raft::Lease& lease, LogSink note);
   ~ControlRole() override;
 
   // From the member: an entry of the log has been applied, or the whole state was replaced.
@@ -37,9 +37,9 @@
 
  private:
   InvokerServices services_;
-  works::MaintenanceReplica& maintenance_;
+  maintenance::MaintenanceReplica& maintenance_;
   compliance::ComplianceReplica& compliance_;
-  const group::Lease& lease_;
+  const raft::Lease& lease_;
   LogSink log_;
   control::NodeServer server_;
   SessionObservations views_;
@@ -50,11 +50,11 @@
   bool shares_told_ = false;
   control::Floors floors_;
 
-  works::Millis now() const { return services_.loop.now(); }
+  maintenance::Millis now() const { return services_.loop.now(); }
   std::uint64_t version() const { return maintenance_.version() + compliance_.version(); }
-  works::MaintenanceReplica::SessionAggregate aggregate_sessions();
+  maintenance::MaintenanceReplica::SessionAggregate aggregate_sessions();
   void handle_forward(control::SessionTable::SessionId session, const control::Forward& forward);
-  std::optional<double> share_of(control::SessionTable::SessionId session, works::Millis lease_until);
+  std::optional<double> share_of(control::SessionTable::SessionId session, maintenance::Millis lease_until);
 };
 
 }  // namespace lotusyard::node
--- a/src/node/lines.cpp
+++ b/src/node/lines.cpp
@@ -5,7 +5,7 @@
 
 namespace lotusyard::node {
 
-void write_event(const std::string& part, robinfold::Millis at, const std::string& member,
+void write_event(const std::string& part, policy::Millis at, const std::string& member,
                 const std::string& text) {
   static const auto out = [] {
     auto made = spdlog::stdout_logger_st("lines");
--- a/src/node/lines.h
+++ b/src/node/lines.h
@@ -8,7 +8,7 @@
 namespace lotusyard::node {
 
 // `part at=<Unix ms> member=<member> <text>`
-void write_event(const std::string& part, robinfold::Millis at, const std::string& member,
+void write_event(const std::string& part, policy::Millis at, const std::string& member,
                 const std::string& text);
 
 }  // namespace lotusyard::node
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-ClusterMember::ClusterMember(const InvokerServices& wiring, const group::Config& config,
+ClusterMember::ClusterMember(const InvokerServices& wiring, const raft::Config& config,
            const std::optional<control::NodeConfig>& control)
     : services_(wiring),
       config_(config),
@@ -91,15 +91,15 @@
   maintenance_.attempt_ended(host, call, outcome);
 }
 
-std::optional<console::Response> ClusterMember::handle_request(const console::Request& request) {
+std::optional<admin::Response> ClusterMember::handle_request(const admin::Request& request) {
   if (request.path == "/-/group")
-    return request.method == "GET" ? console::Response{200, group_to_json().dump()} : console::Response{405, "GET"};
+    return request.method == "GET" ? admin::Response{200, group_to_json().dump()} : admin::Response{405, "GET"};
   if (request.path == "/-/view" && gossip_) {
-    if (request.method != "GET") return console::Response{405, "GET"};
+    if (request.method != "GET") return admin::Response{405, "GET"};
     nlohmann::json shown = gossip_->status_to_json();
     shown["part"] = quota_.share();
     shown["sharers"] = quota_.epochs().current_holders();
-    return console::Response{200, shown.dump()};
+    return admin::Response{200, shown.dump()};
   }
   if (auto said = compliance_.handle_request(request)) return said;
   return maintenance_.handle_request(request);
@@ -135,7 +135,7 @@
 
 std::unique_ptr<InvokerExtension> make_extension(const InvokerServices& wiring, const json& file) {
   const auto longest_deadline = core::longest_deadline(wiring.settings());
-  if (const auto config = group::parse_config(file, wiring.name, longest_deadline))
+  if (const auto config = raft::parse_config(file, wiring.name, longest_deadline))
     return std::make_unique<ClusterMember>(wiring, *config, control::read_node_config(file, *config));
   if (const auto config = control::read_invoker_config(file, longest_deadline))
     return std::make_unique<SessionInvoker>(wiring, *config);
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -15,31 +15,31 @@
 
 namespace lotusyard::node {
 
-class ClusterMember final : public InvokerExtension, private robinfold::HostFilter {
+class ClusterMember final : public InvokerExtension, private policy::HostFilter {
  public:
   // `control`: this member is a control node, too.
-  ClusterMember(const InvokerServices& wiring, const group::Config& config, const std::optional<control::NodeConfig>& control);
+  ClusterMember(const InvokerServices& wiring, const raft::Config& config, const std::optional<control::NodeConfig>& control);
 
   bool ready() const override { return maintenance_.ready(); }
   bool may_send(const std::string& host, const core::Call* call, std::uint64_t function) override;
-  robinfold::HostFilter* host_filter() override { return this; }
+  policy::HostFilter* host_filter() override { return this; }
   bool allows(const std::string& tenant, std::uint64_t function, const std::string& host) override;
   void on_rejected(const core::Call& call) override { compliance_.filter().on_rejected(call); }
   void drain() override;
   void before_writes() override { maintenance_.before_writes(); }
   void attempt_ended(const std::string& host, const core::Call& call, core::Outcome outcome) override;
-  std::optional<console::Response> handle_request(const console::Request& request) override;
+  std::optional<admin::Response> handle_request(const admin::Request& request) override;
 
  private:
   InvokerServices services_;
-  const group::Config config_;
-  group::Lease lease_;
+  const raft::Config config_;
+  raft::Lease lease_;
   bool constructed_ = false;
-  works::MaintenanceReplica maintenance_;
-  shares::QuotaReplica quota_;
+  maintenance::MaintenanceReplica maintenance_;
+  quota::QuotaReplica quota_;
   compliance::ComplianceReplica compliance_;
-  group::RaftReplica replica_;  // it calls the parts from its construction on
-  std::optional<view::GossipService> gossip_;
+  raft::RaftReplica replica_;  // it calls the parts from its construction on
+  std::optional<gossip::GossipService> gossip_;
   std::optional<ControlRole> control_role_;
 
   void update_lease();
--- a/src/node/records.cpp
+++ b/src/node/records.cpp
@@ -37,7 +37,7 @@
 
 }  // namespace
 
-control::Records records_of(const works::MaintenanceState& board, const compliance::CertificateState& book) {
+control::Records records_of(const maintenance::MaintenanceState& board, const compliance::CertificateState& book) {
   control::Records out;
   const json agreed = board.snapshot();
   add_rows(out, kHosts, agreed.at("hosts"), "id");
@@ -49,13 +49,13 @@
   return out;
 }
 
-std::optional<works::MaintenanceState> maintenance_state_from(const control::Records& records, control::Index index,
-                                     works::Millis now) {
+std::optional<maintenance::MaintenanceState> maintenance_state_from(const control::Records& records, control::Index index,
+                                     maintenance::Millis now) {
   try {
     const json snapshot = {
         {"index", index},           {"hosts", rows_of(records, kHosts)}, {"works", rows_of(records, kWorks)},
         {"members", json::array()}, {"lives", json::object()},           {"outcomes", json::array()}};
-    works::MaintenanceState out;
+    maintenance::MaintenanceState out;
     if (!out.restore(snapshot, now)) return std::nullopt;
     return out;
   } catch (const json::exception&) { return std::nullopt; }
--- a/src/node/records.h
+++ b/src/node/records.h
@@ -11,11 +11,11 @@
 
 namespace lotusyard::node {
 
-control::Records records_of(const works::MaintenanceState& board, const compliance::CertificateState& book);
+control::Records records_of(const maintenance::MaintenanceState& board, const compliance::CertificateState& book);
 
 // Nothing: the records are of another version of the program.
-std::optional<works::MaintenanceState> maintenance_state_from(const control::Records& records, control::Index index,
-                                     works::Millis now);
+std::optional<maintenance::MaintenanceState> maintenance_state_from(const control::Records& records, control::Index index,
+                                     maintenance::Millis now);
 std::optional<compliance::CertificateState> certificate_state_from(const control::Records& records, control::Index index);
 
 }  // namespace lotusyard::node
--- a/src/node/session_member.cpp
+++ b/src/node/session_member.cpp
@@ -80,9 +80,9 @@
   update_host_access();
 }
 
-works::StateFreshness SessionInvoker::freshness() const {
+maintenance::StateFreshness SessionInvoker::freshness() const {
   const control::Session& session = client_.session();
-  works::StateFreshness out;
+  maintenance::StateFreshness out;
   out.is_leased = is_leased() || (fault_injected("lease") && session.ever_held());
   const bool too_old = now() >= session.lease_until() + config_.terms.max_offline;
   out.must_suspend = failed_ || !session.ever_held() || too_old;
@@ -90,7 +90,7 @@
 }
 
 void SessionInvoker::update_host_access() {
-  const works::StateFreshness known = freshness();
+  const maintenance::StateFreshness known = freshness();
   if (known.must_suspend != suspended_ && known.must_suspend)
     log_event("works", "without a lease for too long: no host is used");
   suspended_ = known.must_suspend;
@@ -103,7 +103,7 @@
 void SessionInvoker::before_writes() {
   if (freshness().is_leased != host_access_.leased()) update_host_access();
   apply_share();
-  const works::Millis until = client_.session().lease_until();
+  const maintenance::Millis until = client_.session().lease_until();
   if (until == armed_for_) return;
   armed_for_ = until;
   services_.loop.cancel(lease_timer_);
@@ -152,10 +152,10 @@
   if (client_.session().forward("works", view)) last_sent_observations_ = std::move(view);
 }
 
-std::optional<console::Response> SessionInvoker::handle_request(const console::Request& request) {
+std::optional<admin::Response> SessionInvoker::handle_request(const admin::Request& request) {
   if (request.path != "/-/session") return std::nullopt;
-  if (request.method != "GET") return console::Response{405, "GET"};
-  return console::Response{200, status_to_json().dump()};
+  if (request.method != "GET") return admin::Response{405, "GET"};
+  return admin::Response{200, status_to_json().dump()};
 }
 
 json SessionInvoker::status_to_json() const {
--- a/src/node/session_member.h
+++ b/src/node/session_member.h
@@ -14,38 +14,38 @@
 
 namespace lotusyard::node {
 
-class SessionInvoker final : public InvokerExtension, private robinfold::HostFilter {
+class SessionInvoker final : public InvokerExtension, private policy::HostFilter {
  public:
   SessionInvoker(const InvokerServices& wiring, const control::InvokerConfig& config);
   ~SessionInvoker() override;
 
   bool ready() const override { return client_.session().ever_held() && !failed_; }
   bool may_send(const std::string& host, const core::Call* call, std::uint64_t function) override;
-  robinfold::HostFilter* host_filter() override { return this; }
+  policy::HostFilter* host_filter() override { return this; }
   bool allows(const std::string& tenant, std::uint64_t function, const std::string& host) override;
   void on_rejected(const core::Call& call) override { compliance_filter_.on_rejected(call); }
   void before_writes() override;
   void attempt_ended(const std::string& host, const core::Call& call, core::Outcome outcome) override;
-  std::optional<console::Response> handle_request(const console::Request& request) override;
+  std::optional<admin::Response> handle_request(const admin::Request& request) override;
 
  private:
   InvokerServices services_;
   const control::InvokerConfig config_;
-  works::MaintenanceState maintenance_;
+  maintenance::MaintenanceState maintenance_;
   compliance::CertificateState certificates_;
-  works::HostAccess host_access_;
+  maintenance::HostAccess host_access_;
   compliance::ComplianceFilter compliance_filter_;
   QuiescenceTracker quiescence_;
   control::SessionClient client_;
   net::EventLoop::TimerId report_timer_{}, lease_timer_{};
-  works::Millis armed_for_{0};  // the end of the lease at which `lease_ends_` rings
+  maintenance::Millis armed_for_{0};  // the end of the lease at which `lease_ends_` rings
   std::string last_sent_observations_;
   std::optional<double> applied_share_;
   bool failed_ = false, suspended_ = true;
 
-  works::Millis now() const { return services_.loop.now(); }
+  maintenance::Millis now() const { return services_.loop.now(); }
   bool is_leased() const { return !failed_ && client_.session().holds(now()); }
-  works::StateFreshness freshness() const;
+  maintenance::StateFreshness freshness() const;
   void replicate();
   void update_host_access();
   void send_report();
--- a/src/node/session_views.cpp
+++ b/src/node/session_views.cpp
@@ -8,7 +8,7 @@
 
 using nlohmann::json;
 
-void merge(works::HostObservations& into, const works::HostObservations& view) {
+void merge(maintenance::HostObservations& into, const maintenance::HostObservations& view) {
   for (const auto& [host, cost] : view.serving_value) into.serving_value[host] += cost;
   into.down.insert(view.down.begin(), view.down.end());
   into.restarted.insert(view.restarted.begin(), view.restarted.end());
@@ -21,17 +21,17 @@
 
 }  // namespace
 
-std::string SessionObservations::encode(const std::string& invoker, const works::HostObservations& view) {
-  const works::Heartbeat beat{invoker, 0, 0, 0, {}, view};
-  return works::heartbeat_to_json(beat).dump(-1, ' ', false, json::error_handler_t::replace);
+std::string SessionObservations::encode(const std::string& invoker, const maintenance::HostObservations& view) {
+  const maintenance::Heartbeat beat{invoker, 0, 0, 0, {}, view};
+  return maintenance::heartbeat_to_json(beat).dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
 bool SessionObservations::update(SessionId session, const std::string& word) {
   const json read = json::parse(word, nullptr, false);
   if (!read.is_object()) return false;
-  auto beat = works::parse_heartbeat(read);
+  auto beat = maintenance::parse_heartbeat(read);
   if (!beat || !beat->observations) return false;
-  const works::HostObservations& view = *beat->observations;
+  const maintenance::HostObservations& view = *beat->observations;
   const std::size_t largest =
       std::max({view.serving_value.size(), view.down.size(), view.restarted.size(), view.served.size()});
   if (largest > max_hosts) return false;
@@ -45,7 +45,7 @@
   }
 }
 
-works::HostObservations SessionObservations::merged(works::HostObservations own) const {
+maintenance::HostObservations SessionObservations::merged(maintenance::HostObservations own) const {
   for (const auto& [session, view] : views_) merge(own, view);
   return own;
 }
--- a/src/node/session_views.h
+++ b/src/node/session_views.h
@@ -16,7 +16,7 @@
   static constexpr std::size_t max_hosts = 4096;  // named in one session's view
 
   // The wording in which an invoker sends its view, and back.
-  static std::string encode(const std::string& invoker, const works::HostObservations& view);
+  static std::string encode(const std::string& invoker, const maintenance::HostObservations& view);
   // False: the word is malformed or too large; the session's earlier view stays.
   bool update(SessionId session, const std::string& word);
   // Forgets the sessions that are over.
@@ -24,11 +24,11 @@
 
   // With the node's own view of the list. A host is down, has started anew or has served if any session says
   // so; costs and calls are added up.
-  works::HostObservations merged(works::HostObservations own) const;
+  maintenance::HostObservations merged(maintenance::HostObservations own) const;
   std::size_t size() const { return views_.size(); }
 
  private:
-  std::map<SessionId, works::HostObservations> views_;
+  std::map<SessionId, maintenance::HostObservations> views_;
 };
 
 }  // namespace lotusyard::node
--- a/src/node/settled.cpp
+++ b/src/node/settled.cpp
@@ -8,10 +8,10 @@
 
 constexpr control::Index kAll = std::numeric_limits<control::Index>::max();
 
-control::Index before_used_hosts(const works::MaintenanceState& board, const QuiescenceTracker::HostIsFree& free) {
+control::Index before_used_hosts(const maintenance::MaintenanceState& board, const QuiescenceTracker::HostIsFree& free) {
   control::Index out = kAll;
   for (const auto& [id, host] : board.hosts()) {
-    const bool forbidden = host.stage == works::HostStage::draining || host.stage == works::HostStage::out_of_service;
+    const bool forbidden = host.stage == maintenance::HostStage::draining || host.stage == maintenance::HostStage::out_of_service;
     if (forbidden && !free(id)) out = std::min(out, host.selected_at_index - 1);
   }
   return out;
@@ -20,14 +20,14 @@
 }  // namespace
 
 // A revoked certificate is used no more once every call that may have gone out under it has run out of time.
-control::Index QuiescenceTracker::before_revocations(const compliance::CertificateState& book, works::Millis now) {
+control::Index QuiescenceTracker::before_revocations(const compliance::CertificateState& book, maintenance::Millis now) {
   control::Index out = kAll;
-  std::map<Revocation, works::Millis> ending;
+  std::map<Revocation, maintenance::Millis> ending;
   for (const auto& [name, certificate] : book.certificates()) {
     if (certificate.state != compliance::Certificate::State::revoking) continue;
     const Revocation revocation{name, certificate.revoked_at_index};
     const auto known = revoked_since_.find(revocation);
-    const works::Millis since = known == revoked_since_.end() ? now : known->second;
+    const maintenance::Millis since = known == revoked_since_.end() ? now : known->second;
     ending[revocation] = since;
     if (now - since < max_attempt_time_) out = std::min(out, certificate.revoked_at_index - 1);
   }
@@ -35,8 +35,8 @@
   return out;
 }
 
-control::Index QuiescenceTracker::quiesced_index(const works::MaintenanceState& board, const compliance::CertificateState& book,
-                                       control::Index position, const HostIsFree& free, works::Millis now) {
+control::Index QuiescenceTracker::quiesced_index(const maintenance::MaintenanceState& board, const compliance::CertificateState& book,
+                                       control::Index position, const HostIsFree& free, maintenance::Millis now) {
   return std::min({position, before_used_hosts(board, free), before_revocations(book, now)});
 }
 
--- a/src/node/settled.h
+++ b/src/node/settled.h
@@ -17,18 +17,18 @@
  public:
   using HostIsFree = std::function<bool(const std::string& host)>;  // no call of this process is there
   // `last_call`: no call stays at a host for longer after it went out.
-  explicit QuiescenceTracker(works::Millis last_call) : max_attempt_time_(last_call) {}
+  explicit QuiescenceTracker(maintenance::Millis last_call) : max_attempt_time_(last_call) {}
 
   // `position`: what board and book are as of.
-  control::Index quiesced_index(const works::MaintenanceState& board, const compliance::CertificateState& book, control::Index position,
-                         const HostIsFree& free, works::Millis now);
+  control::Index quiesced_index(const maintenance::MaintenanceState& board, const compliance::CertificateState& book, control::Index position,
+                         const HostIsFree& free, maintenance::Millis now);
 
  private:
   using Revocation = std::pair<std::string, control::Index>;  // a certificate, and when it was revoked
-  works::Millis max_attempt_time_;
-  std::map<Revocation, works::Millis> revoked_since_;  // that this process knows of each
+  maintenance::Millis max_attempt_time_;
+  std::map<Revocation, maintenance::Millis> revoked_since_;  // that this process knows of each
 
-  control::Index before_revocations(const compliance::CertificateState& book, works::Millis now);
+  control::Index before_revocations(const compliance::CertificateState& book, maintenance::Millis now);
 };
 
 }  // namespace lotusyard::node
--- a/src/places.h
+++ b/src/places.h
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <vector>
 
-namespace robinfold {
+namespace lotusyard::policy {
 
 // Gives each of `wanted` a place in `known`: the one where it stands unchanged, else one that is neither
 // wanted nor `used`, else a new one. What stands in a used place stays, so that whoever holds its number can
@@ -30,4 +30,4 @@
   return places;
 }
 
-}  // namespace robinfold
+}  // namespace lotusyard::policy
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -4,7 +4,7 @@
 #include "places.h"
 #include "policy/routing.h"
 
-namespace robinfold {
+namespace lotusyard::policy {
 
 using namespace decisions;
 
@@ -248,4 +248,4 @@
 void Policy::set_host_filter(HostFilter* gate) { state_->gate_ = gate; }
 void Policy::handle(Millis now, const Event& e, std::vector<Action>& out) { state_->handle(now, e, out); }
 
-}  // namespace robinfold
+}  // namespace lotusyard::policy
--- a/src/policy/answers.h
+++ b/src/policy/answers.h
@@ -3,7 +3,7 @@
 
 #include "policy/hosts.h"
 
-namespace robinfold::decisions {
+namespace lotusyard::policy::decisions {
 
 constexpr double kEasy = 2;           // a stretch up to this is chance: service times vary
 constexpr double kLateKept = 0.5;   // a late answer worth this part or more is waited for
@@ -74,4 +74,4 @@
   }
 };
 
-}  // namespace robinfold::decisions
+}  // namespace lotusyard::policy::decisions
--- a/src/policy/copies.h
+++ b/src/policy/copies.h
@@ -3,7 +3,7 @@
 
 #include "policy/answers.h"
 
-namespace robinfold::decisions {
+namespace lotusyard::policy::decisions {
 
 constexpr Millis kSweep{20};          // pace of upkeep: well under any aim, cheap in CPU
 constexpr Millis kDemandLeast{1000};  // arrivals are averaged over at least this: a first second tells little
@@ -157,4 +157,4 @@
   }
 };
 
-}  // namespace robinfold::decisions
+}  // namespace lotusyard::policy::decisions
--- a/src/policy/hosts.h
+++ b/src/policy/hosts.h
@@ -3,7 +3,7 @@
 
 #include "policy/records.h"
 
-namespace robinfold::decisions {
+namespace lotusyard::policy::decisions {
 
 constexpr Millis kRateTau{4000};      // memory of a worker's served work: some cold windows
 constexpr Millis kStretchTau{2000};   // a worker's stretch is old news after this
@@ -244,4 +244,4 @@
   }
 };
 
-}  // namespace robinfold::decisions
+}  // namespace lotusyard::policy::decisions
--- a/src/policy/records.h
+++ b/src/policy/records.h
@@ -12,7 +12,7 @@
 #include <random>
 #include <unordered_map>
 
-namespace robinfold::decisions {
+namespace lotusyard::policy::decisions {
 
 constexpr Millis kDemandTau{10000};   // memory of a function's arrivals: about a keep-alive
 constexpr double kFewGain = 0.3;      // EWMA gain where samples are few: L, a host's stretch, calls met
@@ -184,4 +184,4 @@
   }
 };
 
-}  // namespace robinfold::decisions
+}  // namespace lotusyard::policy::decisions
--- a/src/policy/routing.h
+++ b/src/policy/routing.h
@@ -3,7 +3,7 @@
 
 #include "policy/copies.h"
 
-namespace robinfold::decisions {
+namespace lotusyard::policy::decisions {
 
 constexpr double kFurther = 0.25;  // each further place of a function counts as so many runs' wait
 
@@ -148,4 +148,4 @@
   }
 };
 
-}  // namespace robinfold::decisions
+}  // namespace lotusyard::policy::decisions
--- a/src/shares/epochs.cpp
+++ b/src/shares/epochs.cpp
@@ -4,7 +4,7 @@
 
 #include "core/breaks.h"
 
-namespace lotusyard::shares {
+namespace lotusyard::quota {
 namespace {
 
 using nlohmann::json;
@@ -80,7 +80,7 @@
 }
 
 std::optional<LogEntry> next_entry(const QuotaEpochs& epochs, const std::map<std::string, HolderProgress>& signs,
-                          const group::LeaseTerms& terms, Millis parted, Millis now) {
+                          const raft::LeaseTerms& terms, Millis parted, Millis now) {
   const auto silent = [&](const std::string& member, std::uint64_t life) {
     const auto found = signs.find(member);
     const bool same = found != signs.end() && found->second.incarnation == life;
@@ -107,4 +107,4 @@
   return out;
 }
 
-}  // namespace lotusyard::shares
+}  // namespace lotusyard::quota
--- a/src/shares/epochs.h
+++ b/src/shares/epochs.h
@@ -12,9 +12,9 @@
 
 #include "group/lease.h"
 
-namespace lotusyard::shares {
+namespace lotusyard::quota {
 
-using group::Millis;
+using raft::Millis;
 using QuotaHolders = std::map<std::string, std::uint64_t>;  // members and their lives
 
 struct LogEntry {
@@ -61,6 +61,6 @@
 // What the one that leads is to propose; nothing: all is as it should be, or waits. `parted`: since when it
 // knows of the parting that is not open yet, by its own clock.
 std::optional<LogEntry> next_entry(const QuotaEpochs& epochs, const std::map<std::string, HolderProgress>& signs,
-                          const group::LeaseTerms& terms, Millis parted, Millis now);
+                          const raft::LeaseTerms& terms, Millis parted, Millis now);
 
-}  // namespace lotusyard::shares
+}  // namespace lotusyard::quota
--- a/src/shares/sharing.cpp
+++ b/src/shares/sharing.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace lotusyard::shares {
+namespace lotusyard::quota {
 namespace {
 
 constexpr double kNothing = 1e-9;  // of a share: to the module 0 would mean that none is set
@@ -10,7 +10,7 @@
 
 }  // namespace
 
-QuotaReplica::QuotaReplica(const InvokerServices& wiring, const group::Config& config, works::MaintenanceReplica& coordinator,
+QuotaReplica::QuotaReplica(const InvokerServices& wiring, const raft::Config& config, maintenance::MaintenanceReplica& coordinator,
                  LogSink note)
     : services_(wiring),
       config_(config),
@@ -18,7 +18,7 @@
       log_(std::move(note)),
       epoch_began_at_(wiring.loop.now()) {}
 
-void QuotaReplica::attach(group::RaftReplica& member) {
+void QuotaReplica::attach(raft::RaftReplica& member) {
   replica_ = &member;
   update(0);
   run_leader();
@@ -67,4 +67,4 @@
   services_.set_share(std::max(part, kNothing));
 }
 
-}  // namespace lotusyard::shares
+}  // namespace lotusyard::quota
--- a/src/shares/sharing.h
+++ b/src/shares/sharing.h
@@ -7,15 +7,15 @@
 #include "shares/epochs.h"
 #include "works/coordinator.h"
 
-namespace lotusyard::shares {
+namespace lotusyard::quota {
 
-class QuotaReplica final : public group::ReplicatedStateMachine {
+class QuotaReplica final : public raft::ReplicatedStateMachine {
  public:
   using LogSink = std::function<void(const std::string& text)>;
   // The coordinator outlives it: its signs of life and its lease are what parts go by.
-  QuotaReplica(const InvokerServices& wiring, const group::Config& config, works::MaintenanceReplica& coordinator, LogSink note);
+  QuotaReplica(const InvokerServices& wiring, const raft::Config& config, maintenance::MaintenanceReplica& coordinator, LogSink note);
   ~QuotaReplica() override { services_.loop.cancel(leader_timer_); }
-  void attach(group::RaftReplica& member);
+  void attach(raft::RaftReplica& member);
   void update(
       std::size_t seen);  // whatever a part hangs on may have changed; `seen`: members that the view holds
   double share() const { return share_; }
@@ -32,10 +32,10 @@
 
  private:
   InvokerServices services_;
-  const group::Config config_;
-  works::MaintenanceReplica& maintenance_;
+  const raft::Config config_;
+  maintenance::MaintenanceReplica& maintenance_;
   LogSink log_;
-  group::RaftReplica* replica_ = nullptr;
+  raft::RaftReplica* replica_ = nullptr;
   QuotaEpochs epochs_;
   net::EventLoop::TimerId leader_timer_{};
   Millis epoch_began_at_{0}, proposed_{0};
@@ -45,4 +45,4 @@
   void run_leader();
 };
 
-}  // namespace lotusyard::shares
+}  // namespace lotusyard::quota
--- a/src/simhost/main.cpp
+++ b/src/simhost/main.cpp
@@ -6,7 +6,7 @@
 
 int main() {
   std::ios::sync_with_stdio(false);
-  robinfold::simhost::Host host;
+  lotusyard::simulator_adapter::Host host;
   std::string line;
   while (std::getline(std::cin, line)) {
     if (line.empty()) continue;
--- a/src/simhost/wire.cpp
+++ b/src/simhost/wire.cpp
@@ -7,7 +7,7 @@
 #include "config/json_read.h"
 #include "config/settings.h"
 
-namespace robinfold::simhost {
+namespace lotusyard::simulator_adapter {
 namespace {
 
 using namespace lotusyard::config;
@@ -198,4 +198,4 @@
                                                                       json::error_handler_t::replace);
 }
 
-}  // namespace robinfold::simhost
+}  // namespace lotusyard::simulator_adapter
--- a/src/simhost/wire.h
+++ b/src/simhost/wire.h
@@ -12,7 +12,7 @@
 #include "config/settings.h"
 #include "robinfold/policy.h"
 
-namespace robinfold::simhost {
+namespace lotusyard::simulator_adapter {
 
 struct WireError : std::runtime_error {
   using std::runtime_error::runtime_error;
@@ -38,4 +38,4 @@
 using lotusyard::config::read_settings;
 nlohmann::json write_action(const Action& action);
 
-}  // namespace robinfold::simhost
+}  // namespace lotusyard::simulator_adapter
--- a/src/view/facts.cpp
+++ b/src/view/facts.cpp
@@ -4,7 +4,7 @@
 
 #include "core/breaks.h"
 
-namespace lotusyard::view {
+namespace lotusyard::gossip {
 
 MemberMetadata::MergeResult MemberMetadata::merge(const HostObservation& fact) {
   if (hosts_.size() >= max_hosts && hosts_.count(fact.host) == 0) return MergeResult::rejected;
@@ -52,4 +52,4 @@
       std::count_if(by.begin(), by.end(), [](const auto& entry) { return !entry.second.usable; }));
 }
 
-}  // namespace lotusyard::view
+}  // namespace lotusyard::gossip
--- a/src/view/facts.h
+++ b/src/view/facts.h
@@ -9,7 +9,7 @@
 
 #include "view/record.h"
 
-namespace lotusyard::view {
+namespace lotusyard::gossip {
 
 struct HostObservation {
   std::string host;
@@ -44,4 +44,4 @@
   std::map<std::string, Host> hosts_;
 };
 
-}  // namespace lotusyard::view
+}  // namespace lotusyard::gossip
--- a/src/view/gossip.h
+++ b/src/view/gossip.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-namespace lotusyard::view {
+namespace lotusyard::gossip {
 
 class DisseminationQueue {
  public:
@@ -48,4 +48,4 @@
   std::map<std::string, int> transmissions_;
 };
 
-}  // namespace lotusyard::view
+}  // namespace lotusyard::gossip
--- a/src/view/member_table.cpp
+++ b/src/view/member_table.cpp
@@ -2,7 +2,7 @@
 
 #include <limits>
 
-namespace lotusyard::view {
+namespace lotusyard::gossip {
 
 const MemberRecord* MemberTable::find(const std::string& name) const {
   const auto found = all_.find(name);
@@ -87,4 +87,4 @@
   }
 }
 
-}  // namespace lotusyard::view
+}  // namespace lotusyard::gossip
--- a/src/view/member_table.h
+++ b/src/view/member_table.h
@@ -10,7 +10,7 @@
 #include "view/pace.h"
 #include "view/record.h"
 
-namespace lotusyard::view {
+namespace lotusyard::gossip {
 
 class MemberTable {
  public:
@@ -45,4 +45,4 @@
   bool make_room();
 };
 
-}  // namespace lotusyard::view
+}  // namespace lotusyard::gossip
--- a/src/view/message.cpp
+++ b/src/view/message.cpp
@@ -5,7 +5,7 @@
 
 #include "net/socket.h"
 
-namespace lotusyard::view {
+namespace lotusyard::gossip {
 namespace {
 
 using nlohmann::json;
@@ -84,4 +84,4 @@
   return out;
 }
 
-}  // namespace lotusyard::view
+}  // namespace lotusyard::gossip
--- a/src/view/message.h
+++ b/src/view/message.h
@@ -9,7 +9,7 @@
 #include "view/facts.h"
 #include "view/record.h"
 
-namespace lotusyard::view {
+namespace lotusyard::gossip {
 
 struct Message {
   enum class Kind : std::uint8_t {
@@ -30,4 +30,4 @@
 std::string encode_message(const Message& message);
 std::optional<Message> decode_message(const std::string& body);
 
-}  // namespace lotusyard::view
+}  // namespace lotusyard::gossip
--- a/src/view/pace.h
+++ b/src/view/pace.h
@@ -7,7 +7,7 @@
 
 #include "view/record.h"
 
-namespace lotusyard::view {
+namespace lotusyard::gossip {
 
 struct GossipTiming {
   Millis period{500};            // one member is asked for a sign in each
@@ -33,4 +33,4 @@
   }
 };
 
-}  // namespace lotusyard::view
+}  // namespace lotusyard::gossip
--- a/src/view/record.h
+++ b/src/view/record.h
@@ -7,9 +7,9 @@
 
 #include "robinfold/policy.h"
 
-namespace lotusyard::view {
+namespace lotusyard::gossip {
 
-using robinfold::Millis;
+using policy::Millis;
 
 // In the order in which one outdoes the other where all else is the same.
 enum class MemberStatus : std::uint8_t { joining, alive, suspect, dead, left };
@@ -31,4 +31,4 @@
 // idempotent: order, repetition and loss of messages change nothing in the end.
 inline bool supersedes(const MemberRecord& a, const MemberRecord& b) { return b.order() < a.order(); }
 
-}  // namespace lotusyard::view
+}  // namespace lotusyard::gossip
--- a/src/view/swim.cpp
+++ b/src/view/swim.cpp
@@ -4,7 +4,7 @@
 
 #include "core/breaks.h"
 
-namespace lotusyard::view {
+namespace lotusyard::gossip {
 namespace {
 
 constexpr double kStalled = 2.5;  // periods without a tick: this process did not run, others were not silent
@@ -181,4 +181,4 @@
   if (!same) merge_record(HostObservation{host, host_life, self_.name, self_.incarnation, ++stamp_, usable});
 }
 
-}  // namespace lotusyard::view
+}  // namespace lotusyard::gossip
--- a/src/view/swim.h
+++ b/src/view/swim.h
@@ -15,7 +15,7 @@
 #include "view/message.h"
 #include "view/pace.h"
 
-namespace lotusyard::view {
+namespace lotusyard::gossip {
 
 class SwimProtocol {
  public:
@@ -95,4 +95,4 @@
   void answer(const Message& to, Millis now);
 };
 
-}  // namespace lotusyard::view
+}  // namespace lotusyard::gossip
--- a/src/view/swim_hears.cpp
+++ b/src/view/swim_hears.cpp
@@ -4,7 +4,7 @@
 #include "core/breaks.h"
 #include "view/swim.h"
 
-namespace lotusyard::view {
+namespace lotusyard::gossip {
 namespace {
 
 constexpr std::size_t kErrandsMost = 256;
@@ -137,4 +137,4 @@
   send(errand.address, Message::Kind::ack, errand.requester_number, errand.subject, about);
 }
 
-}  // namespace lotusyard::view
+}  // namespace lotusyard::gossip
--- a/src/view/viewer.cpp
+++ b/src/view/viewer.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <random>
 
-namespace lotusyard::view {
+namespace lotusyard::gossip {
 namespace {
 
 constexpr Millis kLookPace{1000}, kBeginPace{200};
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-GossipService::GossipService(const InvokerServices& wiring, const group::Config& config, group::RaftReplica& member, SeesFailure fails,
+GossipService::GossipService(const InvokerServices& wiring, const raft::Config& config, raft::RaftReplica& member, SeesFailure fails,
                LogSink note)
     : services_(wiring), config_(config), replica_(member), sees_failure_(std::move(fails)), log_(std::move(note)) {
   replica_.set_gossip_handler([this](const std::string& from, const std::string& body) { handle_message(from, body); });
@@ -130,4 +130,4 @@
           {"hosts", hosts}};
 }
 
-}  // namespace lotusyard::view
+}  // namespace lotusyard::gossip
--- a/src/view/viewer.h
+++ b/src/view/viewer.h
@@ -8,14 +8,14 @@
 #include "group/member.h"
 #include "view/swim.h"
 
-namespace lotusyard::view {
+namespace lotusyard::gossip {
 
 class GossipService {
  public:
   using LogSink = std::function<void(const std::string& text)>;
   // What this member itself sees of its hosts; asked now and then.
   using SeesFailure = std::function<bool(const std::string& host)>;  // whether it is seen to fail
-  GossipService(const InvokerServices& wiring, const group::Config& config, group::RaftReplica& member, SeesFailure fails, LogSink note);
+  GossipService(const InvokerServices& wiring, const raft::Config& config, raft::RaftReplica& member, SeesFailure fails, LogSink note);
   ~GossipService();
 
   void serve();              // this member takes calls
@@ -26,8 +26,8 @@
 
  private:
   InvokerServices services_;
-  const group::Config config_;
-  group::RaftReplica& replica_;
+  const raft::Config config_;
+  raft::RaftReplica& replica_;
   SeesFailure sees_failure_;
   LogSink log_;
   std::optional<SwimProtocol> swim_;  // none: this member has no place in the group yet
@@ -43,4 +43,4 @@
   void send_outgoing();
 };
 
-}  // namespace lotusyard::view
+}  // namespace lotusyard::gossip
--- a/src/works/admin_endpoint.cpp
+++ b/src/works/admin_endpoint.cpp
@@ -4,7 +4,7 @@
 
 #include "config/json_read.h"
 
-namespace lotusyard::works {
+namespace lotusyard::maintenance {
 namespace {
 
 using nlohmann::json;
@@ -83,4 +83,4 @@
   return {{}, std::move(entry)};
 }
 
-}  // namespace lotusyard::works
+}  // namespace lotusyard::maintenance
--- a/src/works/admin_endpoint.h
+++ b/src/works/admin_endpoint.h
@@ -8,16 +8,16 @@
 #include "core/member.h"
 #include "works/board.h"
 
-namespace lotusyard::works {
+namespace lotusyard::maintenance {
 
 nlohmann::json jobs_to_json(const MaintenanceState& board, const std::string& member);
 nlohmann::json outcome_to_json(const MaintenanceState::ProposalOutcome& outcome);
 
 struct OperatorProposal {
-  console::Response rejection;       // holds where there is no entry
+  admin::Response rejection;       // holds where there is no entry
   std::optional<LogEntry> entry;  // for whoever leads
 };
 // An operator's wording, checked against the hosts that this member sees.
 OperatorProposal parse_proposal(const std::string& wording, const std::map<std::string, core::ListedHost>& listed);
 
-}  // namespace lotusyard::works
+}  // namespace lotusyard::maintenance
--- a/src/works/board.cpp
+++ b/src/works/board.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-namespace lotusyard::works {
+namespace lotusyard::maintenance {
 namespace {
 
 using nlohmann::json;
@@ -354,4 +354,4 @@
   } catch (const std::exception&) { return false; }
 }
 
-}  // namespace lotusyard::works
+}  // namespace lotusyard::maintenance
--- a/src/works/board.h
+++ b/src/works/board.h
@@ -6,7 +6,7 @@
 
 #include "works/entry.h"
 
-namespace lotusyard::works {
+namespace lotusyard::maintenance {
 
 enum class HostStage { waiting, selected, draining, out_of_service, slow_start, returned };
 const char* name_of(HostStage stage);
@@ -86,4 +86,4 @@
   void remember_outcome(const std::string& proposal, const ProposalOutcome& outcome);
 };
 
-}  // namespace lotusyard::works
+}  // namespace lotusyard::maintenance
--- a/src/works/coordinator.cpp
+++ b/src/works/coordinator.cpp
@@ -8,7 +8,7 @@
 #include "core/breaks.h"
 #include "works/admin_endpoint.h"
 
-namespace lotusyard::works {
+namespace lotusyard::maintenance {
 namespace {
 
 using nlohmann::json;
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-MaintenanceReplica::MaintenanceReplica(const InvokerServices& wiring, const group::Config& config, group::Lease& lease, LogSink note)
+MaintenanceReplica::MaintenanceReplica(const InvokerServices& wiring, const raft::Config& config, raft::Lease& lease, LogSink note)
     : services_(wiring),
       config_(config),
       lease_(lease),
@@ -31,7 +31,7 @@
   for (const auto& timer : {heartbeat_timer_, leader_timer_, lease_timer_, lives_}) services_.loop.cancel(timer);
 }
 
-void MaintenanceReplica::attach(group::RaftReplica& member) {
+void MaintenanceReplica::attach(raft::RaftReplica& member) {
   replica_ = &member;
   update_host_access();
   heartbeat_timer_ = services_.loop.schedule_at(now(), [this] { send_heartbeat(); });
@@ -181,7 +181,7 @@
 
 // It was taken for gone for good, and is not.
 void MaintenanceReplica::begin_new_incarnation() {
-  lease_ = group::Lease(config_.terms, now());
+  lease_ = raft::Lease(config_.terms, now());
   take_new_life();
 }
 
@@ -189,7 +189,7 @@
 void MaintenanceReplica::take_new_life() {
   try {
     log_("life=" + std::to_string(replica_->begin_new_incarnation()) + " starts: this member was said to be gone");
-  } catch (const group::LogStoreError& fault) {
+  } catch (const raft::LogStoreError& fault) {
     if (!fault.transient()) return on_store_failure(fault.what());
     services_.loop.cancel(lives_);
     lives_ = services_.loop.schedule_at(now() + config_.terms.heartbeat_interval(), [this] { take_new_life(); });
@@ -216,28 +216,28 @@
 
 // ---- What operators ask ----
 
-std::optional<console::Response> MaintenanceReplica::handle_request(const console::Request& request) {
+std::optional<admin::Response> MaintenanceReplica::handle_request(const admin::Request& request) {
   const bool get = request.method == "GET", post = request.method == "POST";
   if (request.path == "/-/works")
-    return get ? console::Response{200, jobs_to_json(state_, member_name()).dump()} : console::Response{405, "GET"};
+    return get ? admin::Response{200, jobs_to_json(state_, member_name()).dump()} : admin::Response{405, "GET"};
   if (request.path.compare(0, kPath.size(), kPath) != 0) return std::nullopt;
   const std::string rest = request.path.substr(kPath.size());
   const auto slash = rest.find('/');
   const std::string verb = rest.substr(0, slash),
                     what = slash == std::string::npos ? "" : rest.substr(slash + 1);
   if (verb == "propose") {
-    if (!post) return console::Response{405, "POST"};
+    if (!post) return admin::Response{405, "POST"};
     const OperatorProposal read = parse_proposal(what, services_.endpoint_states.listed_hosts());
     if (!read.entry) return read.rejection;
     const bool told = replica_->send_to_leader(*this, json{{"e", encode_entry(*read.entry)}}.dump());
-    return told ? console::Response{202, "taken"} : console::Response{503, "nobody is known to lead"};
+    return told ? admin::Response{202, "taken"} : admin::Response{503, "nobody is known to lead"};
   }
   if (verb != "outcome") return std::nullopt;
-  if (!get) return console::Response{405, "GET"};
+  if (!get) return admin::Response{405, "GET"};
   const auto* outcome = state_.find_outcome(what);
   if (outcome == nullptr)
-    return console::Response{404, "not known here, as of index " + std::to_string(state_.index())};
-  return console::Response{200, outcome_to_json(*outcome).dump()};
+    return admin::Response{404, "not known here, as of index " + std::to_string(state_.index())};
+  return admin::Response{200, outcome_to_json(*outcome).dump()};
 }
 
-}  // namespace lotusyard::works
+}  // namespace lotusyard::maintenance
--- a/src/works/coordinator.h
+++ b/src/works/coordinator.h
@@ -12,21 +12,21 @@
 #include "works/host_use.h"
 #include "works/order.h"
 
-namespace lotusyard::works {
+namespace lotusyard::maintenance {
 
-class MaintenanceReplica final : public group::ReplicatedStateMachine {
+class MaintenanceReplica final : public raft::ReplicatedStateMachine {
  public:
   using LogSink = std::function<void(const std::string& text)>;
   // `lease` outlives it.
-  MaintenanceReplica(const InvokerServices& wiring, const group::Config& config, group::Lease& lease, LogSink note);
+  MaintenanceReplica(const InvokerServices& wiring, const raft::Config& config, raft::Lease& lease, LogSink note);
   ~MaintenanceReplica() override;
-  void attach(group::RaftReplica& member);  // once, before the loop's next turn
+  void attach(raft::RaftReplica& member);  // once, before the loop's next turn
 
   bool ready() const { return !config_.serves || (lease_.was_ever_held() && !failed_); }
   bool may_send(const std::string& host);
   void before_writes();
   void attempt_ended(const std::string& host, const core::Call& call, core::Outcome outcome);
-  std::optional<console::Response> handle_request(const console::Request& request);
+  std::optional<admin::Response> handle_request(const admin::Request& request);
   const MaintenanceState& state() const { return state_; }
   bool sees_down(const std::string& host) const { return host_access_.sees_down(host); }
   bool is_leased() const { return !failed_ && lease_.is_held(now()); }
@@ -59,10 +59,10 @@
 
  private:
   InvokerServices services_;
-  const group::Config config_;
-  group::Lease& lease_;
+  const raft::Config config_;
+  raft::Lease& lease_;
   LogSink log_;
-  group::RaftReplica* replica_ = nullptr;
+  raft::RaftReplica* replica_ = nullptr;
   MaintenanceState state_;
   MaintenanceScheduler scheduler_;
   HostAccess host_access_;
@@ -93,4 +93,4 @@
   void log_applied_entry(const LogEntry& entry, const MaintenanceState::ProposalOutcome& outcome);
 };
 
-}  // namespace lotusyard::works
+}  // namespace lotusyard::maintenance
--- a/src/works/coordinator_leads.cpp
+++ b/src/works/coordinator_leads.cpp
@@ -3,7 +3,7 @@
 #include "works/coordinator.h"
 #include "works/gather.h"
 
-namespace lotusyard::works {
+namespace lotusyard::maintenance {
 namespace {
 
 using nlohmann::json;
@@ -75,4 +75,4 @@
   if (next) propose(*next);
 }
 
-}  // namespace lotusyard::works
+}  // namespace lotusyard::maintenance
--- a/src/works/entry.cpp
+++ b/src/works/entry.cpp
@@ -4,7 +4,7 @@
 #include <cmath>
 #include <stdexcept>
 
-namespace lotusyard::works {
+namespace lotusyard::maintenance {
 namespace {
 
 using nlohmann::json;
@@ -223,4 +223,4 @@
   return out;
 }
 
-}  // namespace lotusyard::works
+}  // namespace lotusyard::maintenance
--- a/src/works/entry.h
+++ b/src/works/entry.h
@@ -12,9 +12,9 @@
 
 #include "robinfold/policy.h"
 
-namespace lotusyard::works {
+namespace lotusyard::maintenance {
 
-using robinfold::Millis;
+using policy::Millis;
 
 // A host as a work names it: where it stands and of what kind it is decide which bounds it counts for.
 struct HostKey {
@@ -103,4 +103,4 @@
 nlohmann::json heartbeat_to_json(const Heartbeat& beat);
 std::optional<Heartbeat> parse_heartbeat(const nlohmann::json& from);
 
-}  // namespace lotusyard::works
+}  // namespace lotusyard::maintenance
--- a/src/works/gather.cpp
+++ b/src/works/gather.cpp
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-namespace lotusyard::works {
+namespace lotusyard::maintenance {
 namespace {
 
 LogEntry entry_with(const std::string& reason) {
@@ -37,4 +37,4 @@
   return out;
 }
 
-}  // namespace lotusyard::works
+}  // namespace lotusyard::maintenance
--- a/src/works/gather.h
+++ b/src/works/gather.h
@@ -7,7 +7,7 @@
 
 #include "works/entry.h"
 
-namespace lotusyard::works {
+namespace lotusyard::maintenance {
 
 struct AggregatedHeartbeats {
   std::vector<LogEntry> entries;
@@ -18,4 +18,4 @@
 // `reason`. At least one entry.
 AggregatedHeartbeats aggregate_heartbeats(std::map<std::string, Heartbeat>&& heard, const std::string& reason);
 
-}  // namespace lotusyard::works
+}  // namespace lotusyard::maintenance
--- a/src/works/host_use.cpp
+++ b/src/works/host_use.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-namespace lotusyard::works {
+namespace lotusyard::maintenance {
 namespace {
 
 constexpr double kLeastSeconds = 0.001;  // over which calls are counted
@@ -54,4 +54,4 @@
   return out;
 }
 
-}  // namespace lotusyard::works
+}  // namespace lotusyard::maintenance
--- a/src/works/host_use.h
+++ b/src/works/host_use.h
@@ -10,7 +10,7 @@
 #include "works/leaving.h"
 #include "works/watch.h"
 
-namespace lotusyard::works {
+namespace lotusyard::maintenance {
 
 // What a process may take for granted about its knowledge of the board.
 struct StateFreshness {
@@ -46,4 +46,4 @@
   void log_lease_change(bool leased);
 };
 
-}  // namespace lotusyard::works
+}  // namespace lotusyard::maintenance
--- a/src/works/leaving.cpp
+++ b/src/works/leaving.cpp
@@ -2,10 +2,10 @@
 
 #include <cmath>
 
-namespace lotusyard::works {
+namespace lotusyard::maintenance {
 namespace {
 
-bool usable(const core::ListedHost& m) { return m.entry.state == robinfold::WorkerState::ready; }
+bool usable(const core::ListedHost& m) { return m.entry.state == policy::WorkerState::ready; }
 
 const core::ListedHost* find(const DrainTracker::Listed& listed, const std::string& host) {
   const auto found = listed.find(host);
@@ -63,4 +63,4 @@
   return out;
 }
 
-}  // namespace lotusyard::works
+}  // namespace lotusyard::maintenance
--- a/src/works/leaving.h
+++ b/src/works/leaving.h
@@ -11,7 +11,7 @@
 #include "works/board.h"
 #include "works/watch.h"
 
-namespace lotusyard::works {
+namespace lotusyard::maintenance {
 
 class DrainTracker {
  public:
@@ -37,4 +37,4 @@
   std::set<std::string> released_to_operators_;
 };
 
-}  // namespace lotusyard::works
+}  // namespace lotusyard::maintenance
--- a/src/works/order.cpp
+++ b/src/works/order.cpp
@@ -4,7 +4,7 @@
 #include <cmath>
 #include <cstdio>
 
-namespace lotusyard::works {
+namespace lotusyard::maintenance {
 namespace {
 
 using Kind = LogEntry::Kind;
@@ -218,4 +218,4 @@
   return std::nullopt;
 }
 
-}  // namespace lotusyard::works
+}  // namespace lotusyard::maintenance
--- a/src/works/order.h
+++ b/src/works/order.h
@@ -6,11 +6,11 @@
 #include "group/lease.h"
 #include "works/board.h"
 
-namespace lotusyard::works {
+namespace lotusyard::maintenance {
 
 class MaintenanceScheduler {
  public:
-  explicit MaintenanceScheduler(group::LeaseTerms terms) : terms_(terms) {}
+  explicit MaintenanceScheduler(raft::LeaseTerms terms) : terms_(terms) {}
 
   // The one entry that is due now; nothing: all is as it should be, or waits. To be called again once what it
   // gave is agreed upon or lost.
@@ -19,7 +19,7 @@
   const std::map<std::string, std::string>& waiting_reasons() const { return waiting_reasons_; }
 
  private:
-  group::LeaseTerms terms_;
+  raft::LeaseTerms terms_;
   std::map<std::string, std::string> waiting_reasons_;
   double usual_failed_share_ = 0;  // share of calls that is lost, as it is usually
   Millis usual_at_{0};
@@ -35,4 +35,4 @@
   std::optional<double> serving_value(const MaintenanceState& board, const std::string& host, Millis now) const;
 };
 
-}  // namespace lotusyard::works
+}  // namespace lotusyard::maintenance
--- a/src/works/timeline.cpp
+++ b/src/works/timeline.cpp
@@ -6,7 +6,7 @@
 #include <cstdlib>
 #include <set>
 
-namespace lotusyard::works {
+namespace lotusyard::maintenance {
 namespace {
 
 constexpr double kWide = 960, kLeft = 120, kRow = 18, kCalls = 120;
@@ -188,4 +188,4 @@
   return out + "</svg>\n";
 }
 
-}  // namespace lotusyard::works
+}  // namespace lotusyard::maintenance
--- a/src/works/timeline.h
+++ b/src/works/timeline.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-namespace lotusyard::works {
+namespace lotusyard::maintenance {
 
 struct AppliedEntry {  // one agreed entry, as the member wrote it that applied it first
   double at = 0;    // Unix milliseconds
@@ -29,4 +29,4 @@
 std::string render_table(const Timeline& course);
 std::string render_svg(const Timeline& course);  // SVG
 
-}  // namespace lotusyard::works
+}  // namespace lotusyard::maintenance
--- a/src/works/watch.cpp
+++ b/src/works/watch.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-namespace lotusyard::works {
+namespace lotusyard::maintenance {
 namespace {
 
 constexpr Millis kTau{10000};      // memory of rates: about a keep-alive, like the module's of demand
@@ -69,4 +69,4 @@
   return found == hosts_.end() ? Millis(0) : found->second.served;
 }
 
-}  // namespace lotusyard::works
+}  // namespace lotusyard::maintenance
--- a/src/works/watch.h
+++ b/src/works/watch.h
@@ -8,9 +8,9 @@
 
 #include "robinfold/policy.h"
 
-namespace lotusyard::works {
+namespace lotusyard::maintenance {
 
-using robinfold::Millis;
+using policy::Millis;
 
 class HostObserver {
  public:
@@ -42,4 +42,4 @@
   void make_room();
 };
 
-}  // namespace lotusyard::works
+}  // namespace lotusyard::maintenance
--- a/tests/cold_test.cpp
+++ b/tests/cold_test.cpp
@@ -7,7 +7,7 @@
 
 #include "rig.h"
 
-namespace robinfold::test {
+namespace lotusyard::policy::test {
 namespace {
 
 constexpr double kWork = 100, kCores = 2, kStart = 4000, kEnd = 16000;
@@ -133,4 +133,4 @@
 }
 
 }  // namespace
-}  // namespace robinfold::test
+}  // namespace lotusyard::policy::test
--- a/tests/control/config_test.cpp
+++ b/tests/control/config_test.cpp
@@ -14,8 +14,8 @@
 
 constexpr Millis kLongestDeadline{1500};
 
-group::Config member_config() {
-  group::Config out;
+raft::Config member_config() {
+  raft::Config out;
   out.cluster = "yard";
   out.member = "a";
   return out;
@@ -124,7 +124,7 @@
 }
 
 TEST_CASE("a cluster's name that no invoker could send is refused at a control node") {
-  group::Config group = member_config();
+  raft::Config group = member_config();
   group.cluster = std::string(129, 'y');
   CHECK_THAT(fault_of([&] { control::read_node_config(node_file(), group); }),
              Catch::StartsWith("configuration: group.cluster: "));
@@ -132,7 +132,7 @@
 }
 
 TEST_CASE("a member that serves nothing has no lease, and is refused as a control node") {
-  group::Config group = member_config();
+  raft::Config group = member_config();
   group.serves = false;
   CHECK_THAT(fault_of([&] { control::read_node_config(node_file(), group); }),
              Catch::StartsWith("configuration: group.serves: "));
@@ -145,8 +145,8 @@
   CHECK(least->cluster == "yard");
   CHECK(least->nodes == std::vector<NodeAddress>{{"a", "127.0.0.1:7100", "", ""}});
   CHECK((least->zone.empty() && least->region.empty()));
-  CHECK(least->terms.lease == group::LeaseTerms().lease);
-  CHECK(least->terms.clock_drift == group::LeaseTerms().clock_drift);
+  CHECK(least->terms.lease == raft::LeaseTerms().lease);
+  CHECK(least->terms.clock_drift == raft::LeaseTerms().clock_drift);
   CHECK(least->terms.max_attempt_time == kLongestDeadline);
 
   json file = invoker_file();
--- a/tests/control/control_node_test.cpp
+++ b/tests/control/control_node_test.cpp
@@ -79,7 +79,7 @@
   rig.welcome(1, NodeRig::opening(10));
   rig.receive(1, Renew{1, 10, 10});
   const auto grant = rig.transport.next<Grant>(1);
-  CHECK((grant.sequence == 1 && grant.duration == group::LeaseTerms().lease));
+  CHECK((grant.sequence == 1 && grant.duration == raft::LeaseTerms().lease));
   rig.change(11);
   rig.receive(1, Renew{2, 11, 10});
   CHECK(rig.transport.next<Delta>(1).index == 11);
--- a/tests/control/course_process.h
+++ b/tests/control/course_process.h
@@ -11,7 +11,7 @@
 
 constexpr double kRounding = 1e-6;
 constexpr double kCourseDrift = 0.01;
-inline const group::LeaseTerms kCourseTerms{Millis(3000), kCourseDrift, Millis(2000)};
+inline const raft::LeaseTerms kCourseTerms{Millis(3000), kCourseDrift, Millis(2000)};
 constexpr Index kEarlyPosition = 7;  // of the invokers that an earlier process of the node had
 
 struct Call {
--- a/tests/control/lease_rules.cpp
+++ b/tests/control/lease_rules.cpp
@@ -108,7 +108,7 @@
   double touched_at = 0;
 };
 
-std::vector<Taking> touched_takings(const works::Timeline& course) {
+std::vector<Taking> touched_takings(const maintenance::Timeline& course) {
   std::map<std::string, std::uint64_t> taken;
   std::vector<Taking> out;
   for (const auto& happening : course.entries) {
@@ -133,7 +133,7 @@
 }  // namespace
 
 std::string broken_lease_rule(const std::vector<std::string>& lines, const std::vector<Absence>& absences) {
-  const works::Timeline course = works::parse_timeline(lines);
+  const maintenance::Timeline course = maintenance::parse_timeline(lines);
   std::vector<TouchedSpan> spans;
   touched_spans(course, std::numeric_limits<int>::max(), spans);
   const std::vector<Taking> takings = touched_takings(course);
--- a/tests/control/offline_floor_test.cpp
+++ b/tests/control/offline_floor_test.cpp
@@ -6,7 +6,7 @@
 #include "control/session_table.h"
 
 using namespace lotusyard::control;
-using lotusyard::group::LeaseTerms;
+using lotusyard::raft::LeaseTerms;
 
 namespace {
 
--- a/tests/control/session_table_test.cpp
+++ b/tests/control/session_table_test.cpp
@@ -13,7 +13,7 @@
 using control::SessionTable;
 
 constexpr double kDrift = 0.01;
-const group::LeaseTerms kTerms{Millis(3000), kDrift, Millis(2000)};
+const raft::LeaseTerms kTerms{Millis(3000), kDrift, Millis(2000)};
 const Millis kEarlierOver = kTerms.presumed_dead_after();  // nothing of an earlier process counts from then on
 const Millis kFarAway(1e7);
 
--- a/tests/control/session_world.h
+++ b/tests/control/session_world.h
@@ -88,7 +88,7 @@
   };
   History history_;
   std::mt19937_64 random_;
-  group::LeaseTerms terms_;
+  raft::LeaseTerms terms_;
   control::Replica replica_;
   core::Counters counters_;
   std::unique_ptr<Session> session_;
--- a/tests/control/tier.h
+++ b/tests/control/tier.h
@@ -103,7 +103,7 @@
 
   net::EventLoop loop;
   core::Counters counters;  // of all nodes
-  group::LeaseTerms terms;
+  raft::LeaseTerms terms;
   control::Records records = {{"first", "record"}};
   control::Index index = 1;
   std::vector<std::unique_ptr<control::NodeServer>> nodes;  // null: killed
--- a/tests/control/tier_faults_test.cpp
+++ b/tests/control/tier_faults_test.cpp
@@ -54,7 +54,7 @@
   REQUIRE(tier.add("w", kTaken));
   tier.wait(1000);
   const auto touched = [&] {
-    const auto course = works::parse_timeline(tier.lines());
+    const auto course = maintenance::parse_timeline(tier.lines());
     return std::count_if(course.entries.begin(), course.entries.end(),
                          [](const auto& happening) { return happening.what == "touch"; });
   };
--- a/tests/example.cpp
+++ b/tests/example.cpp
@@ -4,7 +4,7 @@
 #include "robinfold/policy.h"
 
 int main() {
-  using namespace robinfold;
+  using namespace lotusyard::policy;
   Policy policy;
   std::vector<Action> actions;
 
--- a/tests/gate_test.cpp
+++ b/tests/gate_test.cpp
@@ -3,7 +3,7 @@
 
 #include "rig.h"
 
-namespace robinfold::test {
+namespace lotusyard::policy::test {
 namespace {
 
 struct Only final : HostFilter {
@@ -101,4 +101,4 @@
 }
 
 }  // namespace
-}  // namespace robinfold::test
+}  // namespace lotusyard::policy::test
--- a/tests/golden/admin_golden.cpp
+++ b/tests/golden/admin_golden.cpp
@@ -6,21 +6,21 @@
 namespace lotusyard::golden {
 namespace {
 
-class SampleOperations final : public console::AdminOperations {
+class SampleOperations final : public admin::AdminOperations {
  public:
   bool is_ready = true, can_keep = true;
   bool ready() const override { return is_ready; }
-  console::OperationResult disable(const std::string& host) override { return change(host); }
-  console::OperationResult enable(const std::string& host) override { return change(host); }
-  std::optional<console::Response> handle_request(const console::Request& request) override {
+  admin::OperationResult disable(const std::string& host) override { return change(host); }
+  admin::OperationResult enable(const std::string& host) override { return change(host); }
+  std::optional<admin::Response> handle_request(const admin::Request& request) override {
     if (request.path != "/-/other") return std::nullopt;
-    return console::Response{202, R"({"done":false,"why":"","index":0})"};
+    return admin::Response{202, R"({"done":false,"why":"","index":0})"};
   }
 
  private:
-  console::OperationResult change(const std::string& host) const {
-    if (host != "h1") return console::OperationResult::unknown_host;
-    return can_keep ? console::OperationResult::done : console::OperationResult::not_persisted;
+  admin::OperationResult change(const std::string& host) const {
+    if (host != "h1") return admin::OperationResult::unknown_host;
+    return can_keep ? admin::OperationResult::done : admin::OperationResult::not_persisted;
   }
 };
 
@@ -41,7 +41,7 @@
 
  private:
   test::World world_{0};
-  console::AdminEndpoint endpoint_;
+  admin::AdminEndpoint endpoint_;
 };
 
 void add_faulty(Endpoint& endpoint, std::vector<Sample>& out) {
--- a/tests/golden/gossip_golden.cpp
+++ b/tests/golden/gossip_golden.cpp
@@ -5,19 +5,19 @@
 namespace lotusyard::golden {
 namespace {
 
-using view::Message;
-using view::MemberStatus;
+using gossip::Message;
+using gossip::MemberStatus;
 
 std::string reencode_message(const std::string& bytes) {
-  return view::encode_message(decoded(view::decode_message(bytes)));
+  return gossip::encode_message(decoded(gossip::decode_message(bytes)));
 }
 
-const std::vector<view::MemberRecord> kPeers = {{"member-1", "127.0.0.1:7300", 1ULL << 60, 2, MemberStatus::joining, ""},
+const std::vector<gossip::MemberRecord> kPeers = {{"member-1", "127.0.0.1:7300", 1ULL << 60, 2, MemberStatus::joining, ""},
                                         {"member-2", "127.0.0.1:7301", 2, 0, MemberStatus::alive, ""},
                                         {"member-3", "127.0.0.1:7302", 3, 9, MemberStatus::suspect, "member-1"},
                                         {"member-4", "127.0.0.1:7303", 4, 1, MemberStatus::dead, "member-2"},
                                         {"member-5", "127.0.0.1:7304", 5, 1, MemberStatus::left, ""}};
-const std::vector<view::HostObservation> kFacts = {{"h1", 1700000000000.5, "member-1", 1ULL << 60, 12, false},
+const std::vector<gossip::HostObservation> kFacts = {{"h1", 1700000000000.5, "member-1", 1ULL << 60, 12, false},
                                         {"h2", 0, "member-2", 2, 1, true}};
 
 Message message(Message::Kind kind) { return {kind, 1234567890123, kPeers[1], "member-3", kPeers, kFacts}; }
@@ -30,9 +30,9 @@
       {"nack", Message::Kind::nack}, {"exchange", Message::Kind::sync}, {"reply", Message::Kind::sync_reply}};
   Part out{"gossip", {}};
   for (const auto& [name, kind] : kinds)
-    out.samples.push_back({name, view::encode_message(message(kind)), reencode_message});
+    out.samples.push_back({name, gossip::encode_message(message(kind)), reencode_message});
   const Message least{Message::Kind::ping, 0, kPeers[0], "", {}, {}};
-  out.samples.push_back({"least", view::encode_message(least), reencode_message});
+  out.samples.push_back({"least", gossip::encode_message(least), reencode_message});
   return out;
 }
 
--- a/tests/golden/maintenance_golden.cpp
+++ b/tests/golden/maintenance_golden.cpp
@@ -6,24 +6,24 @@
 namespace lotusyard::golden {
 namespace {
 
-using works::LogEntry;
+using maintenance::LogEntry;
 using Kind = LogEntry::Kind;
 
 std::string reencode_entry(const std::string& bytes) {
-  return works::encode_entry(decoded(works::parse_entry(bytes)));
+  return maintenance::encode_entry(decoded(maintenance::parse_entry(bytes)));
 }
 
 std::string reencode_heartbeat(const std::string& bytes) {
-  return works::heartbeat_to_json(decoded(works::parse_heartbeat(nlohmann::json::parse(bytes)))).dump();
+  return maintenance::heartbeat_to_json(decoded(maintenance::parse_heartbeat(nlohmann::json::parse(bytes)))).dump();
 }
 
 std::string reencode_job(const std::string& bytes) {
-  return works::job_to_json(works::parse_job(nlohmann::json::parse(bytes))).dump();
+  return maintenance::job_to_json(maintenance::parse_job(nlohmann::json::parse(bytes))).dump();
 }
 
 std::string reencode_snapshot(const std::string& bytes) {
-  works::MaintenanceState state;
-  if (!state.restore(nlohmann::json::parse(bytes), works::Millis(5000)))
+  maintenance::MaintenanceState state;
+  if (!state.restore(nlohmann::json::parse(bytes), maintenance::Millis(5000)))
     throw std::runtime_error("the snapshot can't be restored");
   return state.snapshot().dump();
 }
@@ -35,21 +35,21 @@
     listed[id].entry.zone = "zone-a";
     listed[id].entry.kind = "kind-a";
   }
-  const works::OperatorProposal read = works::parse_proposal(text, listed);
-  return read.entry ? works::encode_entry(*read.entry)
+  const maintenance::OperatorProposal read = maintenance::parse_proposal(text, listed);
+  return read.entry ? maintenance::encode_entry(*read.entry)
                     : std::to_string(read.rejection.status) + " " + read.rejection.text;
 }
 
 void add_entries(std::vector<Sample>& out) {
   for (const auto& [name, entry] : sample_maintenance_entries())
-    out.push_back({"entry " + name, works::encode_entry(entry), reencode_entry});
+    out.push_back({"entry " + name, maintenance::encode_entry(entry), reencode_entry});
 }
 
 void add_answers(std::vector<Sample>& out) {
-  const works::MaintenanceState state = sample_maintenance_state();
-  out.push_back({"admin jobs", works::jobs_to_json(state, "member-1").dump(), {}});
-  out.push_back({"admin outcome done", works::outcome_to_json({true, "", 7}).dump(), {}});
-  out.push_back({"admin outcome refused", works::outcome_to_json({false, "id: known already", 8}).dump(), {}});
+  const maintenance::MaintenanceState state = sample_maintenance_state();
+  out.push_back({"admin jobs", maintenance::jobs_to_json(state, "member-1").dump(), {}});
+  out.push_back({"admin outcome done", maintenance::outcome_to_json({true, "", 7}).dump(), {}});
+  out.push_back({"admin outcome refused", maintenance::outcome_to_json({false, "id: known already", 8}).dump(), {}});
   const std::string job = R"({"t":"add","id":"p9","added":{"id":"job-9","select":{"zones":["zone-a"]},)"
                           R"("bounds":{"out":2,"usable":0.25}}})";
   out.push_back({"admin proposal job", proposal(job), {}});
@@ -67,12 +67,12 @@
 Part maintenance_part() {
   Part out{"maintenance", {}};
   add_entries(out.samples);
-  const works::Heartbeat least{"member-2", 3, 1500.25, 17, {}, std::nullopt, std::nullopt};
-  out.samples.push_back({"heartbeat least", works::heartbeat_to_json(least).dump(), reencode_heartbeat});
+  const maintenance::Heartbeat least{"member-2", 3, 1500.25, 17, {}, std::nullopt, std::nullopt};
+  out.samples.push_back({"heartbeat least", maintenance::heartbeat_to_json(least).dump(), reencode_heartbeat});
   out.samples.push_back(
-      {"heartbeat full", works::heartbeat_to_json(sample_heartbeat()).dump(), reencode_heartbeat});
-  out.samples.push_back({"job", works::job_to_json(sample_job()).dump(), reencode_job});
-  out.samples.push_back({"snapshot empty", works::MaintenanceState().snapshot().dump(), reencode_snapshot});
+      {"heartbeat full", maintenance::heartbeat_to_json(sample_heartbeat()).dump(), reencode_heartbeat});
+  out.samples.push_back({"job", maintenance::job_to_json(sample_job()).dump(), reencode_job});
+  out.samples.push_back({"snapshot empty", maintenance::MaintenanceState().snapshot().dump(), reencode_snapshot});
   out.samples.push_back({"snapshot", sample_maintenance_state().snapshot().dump(), reencode_snapshot});
   add_answers(out.samples);
   return out;
--- a/tests/golden/maintenance_samples.cpp
+++ b/tests/golden/maintenance_samples.cpp
@@ -3,9 +3,9 @@
 namespace lotusyard::golden {
 namespace {
 
-using works::LogEntry;
-using works::Millis;
-using works::MaintenanceJob;
+using maintenance::LogEntry;
+using maintenance::Millis;
+using maintenance::MaintenanceJob;
 using Kind = LogEntry::Kind;
 
 LogEntry entry(Kind kind) {
@@ -31,7 +31,7 @@
 
 LogEntry alteration(MaintenanceJob::State state) {
   LogEntry out = entry(Kind::change_job_state);
-  out.proposal = "proposal-" + std::string(works::name_of(state));
+  out.proposal = "proposal-" + std::string(maintenance::name_of(state));
   out.job = "job-2";
   out.state = state;
   return out;
@@ -63,7 +63,7 @@
   LogEntry out = entry(Kind::change_bounds);
   out.proposal = "proposal-bounds";
   out.job = "job-2";
-  out.bounds = works::DisruptionBounds{3, 2, 1, 0.125, Millis(90000.5), Millis(250), true};
+  out.bounds = maintenance::DisruptionBounds{3, 2, 1, 0.125, Millis(90000.5), Millis(250), true};
   return out;
 }
 
@@ -85,8 +85,8 @@
   return out;
 }
 
-works::Heartbeat sample_heartbeat() {
-  works::HostObservations view;
+maintenance::Heartbeat sample_heartbeat() {
+  maintenance::HostObservations view;
   view.serving_value = {{"h1", 0.5}, {"h2", 12.25}};
   view.down = {"h3"};
   view.restarted = {"h1"};
@@ -123,8 +123,8 @@
           {"text that is no UTF-8", selection({"h\xc3\xa9", "\xff"})}};
 }
 
-works::MaintenanceState sample_maintenance_state() {
-  works::MaintenanceState out;
+maintenance::MaintenanceState sample_maintenance_state() {
+  maintenance::MaintenanceState out;
   std::uint64_t index = 0;
   const auto apply = [&](const LogEntry& e) {
     ++index;
--- a/tests/golden/maintenance_samples.h
+++ b/tests/golden/maintenance_samples.h
@@ -10,11 +10,11 @@
 
 namespace lotusyard::golden {
 
-works::MaintenanceJob sample_job();
-works::Heartbeat sample_heartbeat();
-std::vector<std::pair<std::string, works::LogEntry>> sample_maintenance_entries();
+maintenance::MaintenanceJob sample_job();
+maintenance::Heartbeat sample_heartbeat();
+std::vector<std::pair<std::string, maintenance::LogEntry>> sample_maintenance_entries();
 // With jobs in several states and a host in each stage.
-works::MaintenanceState sample_maintenance_state();
+maintenance::MaintenanceState sample_maintenance_state();
 
 std::vector<std::pair<std::string, compliance::LogEntry>> sample_compliance_entries();
 compliance::CertificateState sample_compliance_state();
--- a/tests/golden/quota_golden.cpp
+++ b/tests/golden/quota_golden.cpp
@@ -5,11 +5,11 @@
 namespace lotusyard::golden {
 namespace {
 
-using shares::LogEntry;
-using shares::QuotaEpochs;
+using quota::LogEntry;
+using quota::QuotaEpochs;
 
 std::string reencode_entry(const std::string& bytes) {
-  return shares::encode_entry(decoded(shares::parse_entry(bytes)));
+  return quota::encode_entry(decoded(quota::parse_entry(bytes)));
 }
 
 std::string reencode_snapshot(const std::string& bytes) {
@@ -32,8 +32,8 @@
   state.apply(6, kOpen);
   state.apply(7, kSecond);
   return {"quota",
-          {{"entry part", shares::encode_entry(kSecond), reencode_entry},
-           {"entry open", shares::encode_entry(kOpen), reencode_entry},
+          {{"entry part", quota::encode_entry(kSecond), reencode_entry},
+           {"entry open", quota::encode_entry(kOpen), reencode_entry},
            {"snapshot empty", empty, reencode_snapshot},
            {"snapshot", state.snapshot().dump(), reencode_snapshot}}};
 }
--- a/tests/golden/raft_golden.cpp
+++ b/tests/golden/raft_golden.cpp
@@ -8,7 +8,7 @@
 namespace lotusyard::golden {
 namespace {
 
-using namespace group;
+using namespace raft;
 
 std::string reencode_frame(const std::string& bytes) {
   FrameParser parser;
--- a/tests/golden/records_golden.cpp
+++ b/tests/golden/records_golden.cpp
@@ -16,7 +16,7 @@
 // By way of the states that an invoker makes of them.
 std::string reencode_states(const std::string& bytes) {
   const control::Records records = decoded(control::decode_records(bytes));
-  const auto jobs = node::maintenance_state_from(records, kIndex, works::Millis(5000));
+  const auto jobs = node::maintenance_state_from(records, kIndex, maintenance::Millis(5000));
   const auto certificates = node::certificate_state_from(records, kIndex);
   return control::encode_records(node::records_of(decoded(jobs), decoded(certificates)));
 }
@@ -32,7 +32,7 @@
 Part records_part() {
   const control::Records records = node::records_of(sample_maintenance_state(), sample_compliance_state());
   const control::Records odd = {{"", ""}, {"key", std::string("\0\xff", 2)}};
-  const works::HostObservations view = *sample_heartbeat().observations;
+  const maintenance::HostObservations view = *sample_heartbeat().observations;
   Part out{"records", {}};
   for (const auto& [key, value] : records) out.samples.push_back({"record " + key, value, {}});
   out.samples.push_back({"all records", control::encode_records(records), reencode_states});
--- a/tests/golden/stores_golden.cpp
+++ b/tests/golden/stores_golden.cpp
@@ -14,8 +14,8 @@
 namespace lotusyard::golden {
 namespace {
 
-using answers::ResultRecord;
-using answers::ResultStage;
+using idempotency::ResultRecord;
+using idempotency::ResultStage;
 using core::Millis;
 using sqlite::Query;
 
@@ -83,7 +83,7 @@
 
 std::string dump_of(const TemporaryFile& file) { return Database(file.path()).dump(); }
 
-void fill_log_store(group::LogStore& store) {
+void fill_log_store(raft::LogStore& store) {
   store.initialize({"yard-1", "member-1", 1ULL << 60, 7});
   store.set_term(4);
   store.set_vote(2);
@@ -95,13 +95,13 @@
 std::string log_store() {
   const TemporaryFile file;
   {
-    group::LogStore store(file.path());
+    raft::LogStore store(file.path());
     fill_log_store(store);
   }
   return dump_of(file);
 }
 
-void copy_log_store(const group::LogStore& from, group::LogStore& to) {
+void copy_log_store(const raft::LogStore& from, raft::LogStore& to) {
   to.initialize(from.identity());
   to.set_term(from.term());
   to.set_vote(from.vote());
@@ -113,8 +113,8 @@
   const TemporaryFile stored, copied;
   Database(stored.path()).execute(sql);
   {
-    const group::LogStore from(stored.path());
-    group::LogStore to(copied.path());
+    const raft::LogStore from(stored.path());
+    raft::LogStore to(copied.path());
     copy_log_store(from, to);
   }
   return dump_of(copied);
@@ -130,7 +130,7 @@
 }
 
 // By way of the stages that must come before the record's.
-void put(answers::SqliteResultStore& store, const std::string& id, const ResultRecord& last) {
+void put(idempotency::SqliteResultStore& store, const std::string& id, const ResultRecord& last) {
   for (const ResultStage stage : {ResultStage::sent, ResultStage::answered}) {
     if (stage >= last.stage) break;
     ResultRecord before = last;
@@ -145,7 +145,7 @@
   const TemporaryFile file;
   core::Counters counters;
   {
-    answers::SqliteResultStore store(file.path(), {}, Millis(1690000000000.5), counters, [](const auto&) {});
+    idempotency::SqliteResultStore store(file.path(), {}, Millis(1690000000000.5), counters, [](const auto&) {});
     put(store, "sent", record(ResultStage::sent, core::Verdict::failed, ""));
     put(store, "cleared", record(ResultStage::cleared, core::Verdict::failed, ""));
     put(store, "answered", record(ResultStage::answered, core::Verdict::served, std::string("\0\xff", 2)));
@@ -160,8 +160,8 @@
   Database(stored.path()).execute(sql);
   core::Counters counters;
   {
-    answers::SqliteResultStore from(stored.path(), {}, Millis(0), counters, [](const auto&) {});
-    answers::SqliteResultStore to(copied.path(), {}, from.complete_from(), counters, [](const auto&) {});
+    idempotency::SqliteResultStore from(stored.path(), {}, Millis(0), counters, [](const auto&) {});
+    idempotency::SqliteResultStore to(copied.path(), {}, from.complete_from(), counters, [](const auto&) {});
     from.for_each([&to](const std::string& id, const ResultRecord& one) { put(to, id, one); });
   }
   return dump_of(copied);
--- a/tests/lotusyard/answers_test.cpp
+++ b/tests/lotusyard/answers_test.cpp
@@ -12,7 +12,7 @@
 namespace lotusyard::test {
 namespace {
 
-using namespace answers;
+using namespace idempotency;
 using core::Verdict;
 
 constexpr double kNow = 1e12;
--- a/tests/lotusyard/clubs_test.cpp
+++ b/tests/lotusyard/clubs_test.cpp
@@ -107,9 +107,9 @@
   core::Settings s = keyed_settings(kWindow - Millis(100));  // from a send; a host counts from its arrival
   for (auto& c : s.classes) c.aim = Millis(150), c.deadline = Millis(500);
   s.miss_is_answered = s.probes = false;
-  s.reports = robinfold::ReportMode::answers;
-  s.report_fields = {robinfold::ReportField::inflight, robinfold::ReportField::pinned,
-                     robinfold::ReportField::loading};
+  s.reports = lotusyard::policy::ReportMode::answers;
+  s.report_fields = {lotusyard::policy::ReportField::inflight, lotusyard::policy::ReportField::pinned,
+                     lotusyard::policy::ReportField::loading};
   hosts::Limits limits;
   limits.report_fields = {"inflight", "x0", "x1"};
   limits.liveness = hosts::LivenessProbe::order;
--- a/tests/lotusyard/console_test.cpp
+++ b/tests/lotusyard/console_test.cpp
@@ -7,15 +7,15 @@
 namespace lotusyard::test {
 namespace {
 
-using console::OperationResult;
-using console::Parser;
+using admin::OperationResult;
+using admin::Parser;
 
 // The parser's status: 0 if more is to come, 200 once whole, else what the caller is owed.
 int status_of(const Parser& parser) {
   if (parser.state() == Parser::State::faulty) return parser.fault();
   return parser.state() == Parser::State::whole ? 200 : 0;
 }
-int read_cut(Random& random, const std::string& bytes, console::Request* out = nullptr) {
+int read_cut(Random& random, const std::string& bytes, admin::Request* out = nullptr) {
   Parser parser;
   for (std::size_t at = 0; at < bytes.size() && parser.state() == Parser::State::more;) {
     const std::size_t part = std::min(bytes.size() - at, 1 + below(random, 1 + below(random, 40)));
@@ -38,7 +38,7 @@
           "Transfer-Encoding: Chunked\r\n\r\n4;a=b\r\nwxyz\r\n1\r\n!\r\n0\r\nTrailer: t\r\n\r\n"};
   for (const auto& call : calls) {
     for (int i = 0; i < 200; ++i) {
-      console::Request read;
+      admin::Request read;
       REQUIRE(read_cut(random, call, &read) == 200);
       CHECK((read.method == "POST" && read.path == "/-/hosts/s-1/disable"));
       CHECK(read_cut(random, call.substr(0, call.size() - 1)) == 0);  // half a call is no call
@@ -108,7 +108,7 @@
   void on_closed() override { closed = true; }
 };
 
-struct Office final : console::AdminOperations {
+struct Office final : admin::AdminOperations {
   bool takes = true, keeps = true;
   std::vector<std::string> told;
   bool ready() const override { return takes; }
@@ -128,7 +128,7 @@
 struct Desk {
   World world{0};
   Office office;
-  console::AdminEndpoint admin_endpoint;
+  admin::AdminEndpoint admin_endpoint;
   explicit Desk(std::size_t callers = 4) : admin_endpoint(world.loop, world.counters, office, callers) {
     REQUIRE(admin_endpoint.listen("127.0.0.1:0"));
   }
--- a/tests/lotusyard/core_test.cpp
+++ b/tests/lotusyard/core_test.cpp
@@ -109,7 +109,7 @@
         const auto outcome = static_cast<core::Outcome>(below(random, 9));
         if (outcome == core::Outcome::timeout || outcome == core::Outcome::cancelled) continue;
         b.desk.attempts[attempt].out = false;
-        if (!robinfold::proves_never_ran(outcome)) ++may_have_run[attempt.call];
+        if (!lotusyard::policy::proves_never_ran(outcome)) ++may_have_run[attempt.call];
         b.dispatcher.attempt_ended(attempt, {outcome, 0, std::nullopt, o.body});
       }
       if (below(random, 10) == 0 && !deadline.empty()) {
@@ -212,9 +212,9 @@
   const auto old_check = b.call("bin-check", "0000000000000001");
   core::Settings next = settings();
   next.max_attempts = 1;
-  next.classes[0].semantics = robinfold::Semantics::once;
+  next.classes[0].semantics = lotusyard::policy::Semantics::once;
   next.classes[1].name = "bin-weigh";
-  next.classes[1].semantics = robinfold::Semantics::repeatable;
+  next.classes[1].semantics = lotusyard::policy::Semantics::repeatable;
   b.dispatcher.apply_settings(next);
   const auto sent = [&](core::CallId id) {
     return std::count_if(b.desk.attempts.begin(), b.desk.attempts.end(),
--- a/tests/lotusyard/gather_test.cpp
+++ b/tests/lotusyard/gather_test.cpp
@@ -4,7 +4,7 @@
 #include <catch2/catch.hpp>
 #include <set>
 
-using namespace lotusyard::works;
+using namespace lotusyard::maintenance;
 
 namespace {
 
--- a/tests/lotusyard/group_relay.h
+++ b/tests/lotusyard/group_relay.h
@@ -13,8 +13,8 @@
 
 namespace lotusyard::test {
 
-using group::Frame;
-using group::FrameParser;
+using raft::Frame;
+using raft::FrameParser;
 
 // Stands before one member: what others send it comes through here, and can be cut, delayed and reset.
 class GroupRelay {
@@ -58,7 +58,7 @@
       if (from.empty()) {
         std::vector<Frame> frames;
         if (!parser_.feed(bytes, frames)) return over();
-        if (!frames.empty()) from = group::decode_hello(frames[0].body).value_or(group::Hello()).member;
+        if (!frames.empty()) from = raft::decode_hello(frames[0].body).value_or(raft::Hello()).member;
       }
       if (relay_.cut.count(from) != 0) dead = true;  // whatever comes is lost, and nobody is told
       if (dead) return;
--- a/tests/lotusyard/group_test.cpp
+++ b/tests/lotusyard/group_test.cpp
@@ -15,9 +15,9 @@
 namespace lotusyard::test {
 namespace {
 
-using group::LogStore;
-using group::StoredEntry;
-using group::LogStoreError;
+using raft::LogStore;
+using raft::StoredEntry;
+using raft::LogStoreError;
 
 // ---- The store ----
 
@@ -155,20 +155,20 @@
   raft_message m{};
   m.type = RAFT_IO_APPEND_ENTRIES;
   m.append_entries = {9, 8, 7, 6, entries, 3};
-  const std::string body = group::encode_hello(m);
+  const std::string body = raft::encode_hello(m);
   const std::string bytes =
-      group::encode_frame(Frame::Kind::consensus, body) + group::encode_frame(Frame::Kind::message, "t{}");
+      raft::encode_frame(Frame::Kind::consensus, body) + raft::encode_frame(Frame::Kind::message, "t{}");
   for (int i = 0; i < 50; ++i) {
     bool sound = false;
     const auto frames = parse_cut<FrameParser, Frame>(random, bytes, sound);
     REQUIRE(sound);
     REQUIRE(frames.size() == 2);
-    auto read = group::decode_message(frames[0].body);
+    auto read = raft::decode_message(frames[0].body);
     REQUIRE(read);
     REQUIRE(read->append_entries.n_entries == 3);
     CHECK(read->append_entries.prev_log_index == 8);
     CHECK(std::string(static_cast<const char*>(read->append_entries.entries[1].buf.base), 70000) == data[1]);
-    group::give_back(*read);
+    raft::give_back(*read);
   }
   for (int i = 0; i < 3000; ++i) {
     std::string spoilt = body.substr(0, 120);
@@ -176,11 +176,11 @@
       spoilt.resize(below(random, spoilt.size()));
     else
       spoilt[below(random, spoilt.size())] = static_cast<char>(random());
-    if (auto read = group::decode_message(spoilt)) group::give_back(*read);
+    if (auto read = raft::decode_message(spoilt)) raft::give_back(*read);
     FrameParser parser;
     std::vector<Frame> out;
     parser.feed(garbage(random, std::string("\0\0\0\x01\x02\x03", 6)), out);
-    group::decode_hello(garbage(random, "{}:,\"abc1"));
+    raft::decode_hello(garbage(random, "{}:,\"abc1"));
   }
   FrameParser parser;
   std::vector<Frame> out;
@@ -190,24 +190,24 @@
 TEST_CASE("a member of another group, version, lease or id is turned away with a reason") {
   net::EventLoop loop;
   core::Counters counters;
-  group::Hello mine;
+  raft::Hello mine;
   mine.cluster = "yard";
   mine.member = "a";
   mine.from = 1;
   mine.lease = 1000;
   std::vector<std::string> got, notes;
-  group::PeerTransport links(
-      loop, counters, mine, [&](const group::Hello& from, Frame&& f) { got.push_back(from.member + f.body); },
+  raft::PeerTransport links(
+      loop, counters, mine, [&](const raft::Hello& from, Frame&& f) { got.push_back(from.member + f.body); },
       [&](const std::string& line) { notes.push_back(line); });
   REQUIRE(links.listen("127.0.0.1:0"));
-  const auto tell = [&](const std::function<void(group::Hello&)>& change) {
-    group::Hello other = mine;
+  const auto tell = [&](const std::function<void(raft::Hello&)>& change) {
+    raft::Hello other = mine;
     other.member = "b";
     other.from = 2;
     change(other);
     std::vector<std::string> told;
-    group::PeerTransport peer(
-        loop, counters, other, [](const group::Hello&, Frame&&) {},
+    raft::PeerTransport peer(
+        loop, counters, other, [](const raft::Hello&, Frame&&) {},
         [&](const std::string& line) { told.push_back(line); });
     peer.send(1, links.address(), Frame::Kind::message, "hello");
     const std::size_t before = got.size();
@@ -215,11 +215,11 @@
       loop.run_once(loop.now() + Millis(5), [] {});
     return told.empty() ? std::string("let in") : told.back();
   };
-  CHECK(tell([](group::Hello&) {}) == "let in");
-  CHECK_THAT(tell([](group::Hello& h) { h.cluster = "other"; }), Catch::EndsWith("another group"));
-  CHECK_THAT(tell([](group::Hello& h) { ++h.version; }), Catch::EndsWith("another version of the protocol"));
-  CHECK_THAT(tell([](group::Hello& h) { h.lease = 2; }), Catch::Contains("another lease"));
-  CHECK_THAT(tell([](group::Hello& h) { h.from = 1; }), Catch::EndsWith("this member's own id"));
+  CHECK(tell([](raft::Hello&) {}) == "let in");
+  CHECK_THAT(tell([](raft::Hello& h) { h.cluster = "other"; }), Catch::EndsWith("another group"));
+  CHECK_THAT(tell([](raft::Hello& h) { ++h.version; }), Catch::EndsWith("another version of the protocol"));
+  CHECK_THAT(tell([](raft::Hello& h) { h.lease = 2; }), Catch::Contains("another lease"));
+  CHECK_THAT(tell([](raft::Hello& h) { h.from = 1; }), Catch::EndsWith("this member's own id"));
   CHECK(got == std::vector<std::string>{"bhello"});
   CHECK(counters.value("group.refused") == 4);
 }
@@ -270,7 +270,7 @@
   Cluster::Member& away = *cluster.members[2];
   const auto touches = [&] {
     int out = 0;
-    for (const auto& h : works::parse_timeline(cluster.lines()).entries) out += h.what == "touch";
+    for (const auto& h : maintenance::parse_timeline(cluster.lines()).entries) out += h.what == "touch";
     return out;
   };
   double checked = 0;
--- a/tests/lotusyard/helper.h
+++ b/tests/lotusyard/helper.h
@@ -51,7 +51,7 @@
   core::Settings s;
   s.classes.resize(2);
   s.classes[0].name = "bin-check";
-  s.classes[0].semantics = robinfold::Semantics::repeatable;
+  s.classes[0].semantics = lotusyard::policy::Semantics::repeatable;
   s.classes[1].name = "bin-record";
   for (auto& c : s.classes) c.aim = c.deadline = Millis(1500);
   s.tick = Millis(4);
@@ -73,7 +73,7 @@
   core::Settings s = settings();
   s.classes.push_back(s.classes[0]);
   s.classes[2].name = "booking";
-  s.classes[2].semantics = robinfold::Semantics::keyed;
+  s.classes[2].semantics = lotusyard::policy::Semantics::keyed;
   s.classes[2].key_window = window;
   s.second_copies = true;
   s.max_attempts = 3;
@@ -201,10 +201,10 @@
     loop.count_errors([this](const char* name) { counters.add(name); });
     fleet.attach(dispatcher);
     for (std::size_t i = 0; i < hosts; ++i) host.push_back(std::make_unique<StandInHost>(loop, pool));
-    tell(robinfold::WorkerState::ready);
+    tell(lotusyard::policy::WorkerState::ready);
   }
   // The whole list anew; the given state is that of all hosts, or of one.
-  void tell(robinfold::WorkerState state, double started = 0, std::size_t one = SIZE_MAX) {
+  void tell(lotusyard::policy::WorkerState state, double started = 0, std::size_t one = SIZE_MAX) {
     states.resize(host.size());
     core::HostListUpdate list{true, {}};
     core::HostList entries{core::ListKind::full, {}};
@@ -238,7 +238,7 @@
     return l;
   }
   struct Told {
-    robinfold::WorkerState state = robinfold::WorkerState::gone;
+    lotusyard::policy::WorkerState state = lotusyard::policy::WorkerState::gone;
     Millis started{0}, at{0};
   };
   net::EventLoop loop;
--- a/tests/lotusyard/host_deadline_test.cpp
+++ b/tests/lotusyard/host_deadline_test.cpp
@@ -177,7 +177,7 @@
   p.world.host.push_back(std::make_unique<StandInHost>(host_loop, p.world.pool));
   StandInHost& host = *p.world.host[0];
   narrow_sockets_of(host.server.address());
-  p.world.tell(robinfold::WorkerState::ready);
+  p.world.tell(lotusyard::policy::WorkerState::ready);
   Excess excess;
   excess.watch(host_loop, host);
   const auto both_turn = [&] {
--- a/tests/lotusyard/keys_test.cpp
+++ b/tests/lotusyard/keys_test.cpp
@@ -9,7 +9,7 @@
 using core::Attempt;
 using core::IdempotencyKeys;
 using core::HostLocation;
-using robinfold::KeyScope;
+using lotusyard::policy::KeyScope;
 
 core::Call keyed(const std::string& key, const std::string& body = "b", Millis allow = Millis(1000)) {
   core::Call c;
@@ -208,7 +208,7 @@
         const auto outcome = static_cast<core::Outcome>(below(random, 9));
         if (outcome == core::Outcome::timeout || outcome == core::Outcome::cancelled) continue;
         desk.attempts.at(attempt).out = false;
-        if (robinfold::proves_never_ran(outcome)) never_ran.insert(attempt);
+        if (lotusyard::policy::proves_never_ran(outcome)) never_ran.insert(attempt);
         dispatcher->attempt_ended(attempt, {outcome, 0, std::nullopt, {}});
       }
       if (below(random, 12) == 0 && cls.count(last) != 0 && desk.answers.count(last) == 0) {
--- a/tests/lotusyard/last_look_test.cpp
+++ b/tests/lotusyard/last_look_test.cpp
@@ -136,7 +136,7 @@
   REQUIRE(usual.answer("1") != nullptr);
   Bytes client(p);
   client.say(call(2, "bin-record", "second"));
-  const auto state = GENERATE(robinfold::WorkerState::draining, robinfold::WorkerState::gone);
+  const auto state = GENERATE(lotusyard::policy::WorkerState::draining, lotusyard::policy::WorkerState::gone);
   const int orders = p.world.host[0]->orders;
   turn_with(p, [&] {
     REQUIRE(p.world.dispatcher.open_calls() == 1);
--- a/tests/lotusyard/listeners_test.cpp
+++ b/tests/lotusyard/listeners_test.cpp
@@ -8,10 +8,10 @@
 namespace lotusyard::test {
 namespace {
 
-struct NoOperations final : console::AdminOperations {
+struct NoOperations final : admin::AdminOperations {
   bool ready() const override { return true; }
-  console::OperationResult disable(const std::string&) override { return console::OperationResult::done; }
-  console::OperationResult enable(const std::string&) override { return console::OperationResult::done; }
+  admin::OperationResult disable(const std::string&) override { return admin::OperationResult::done; }
+  admin::OperationResult enable(const std::string&) override { return admin::OperationResult::done; }
 };
 
 // Turns for so long; the number of accepts that were tried meanwhile.
@@ -38,7 +38,7 @@
   SECTION("the admin endpoint") {
     World world(0);
     NoOperations operations;
-    console::AdminEndpoint endpoint(world.loop, world.counters, operations, 4);
+    admin::AdminEndpoint endpoint(world.loop, world.counters, operations, 4);
     REQUIRE(endpoint.listen("127.0.0.1:0"));
     const net::Socket caller = net::connect_to(endpoint.address()).socket;
     CHECK(few(accepts_while_short(world.loop, error, [&] { world.turn(); })));
@@ -46,7 +46,7 @@
   }
   SECTION("the group's links") {
     World world(0);
-    group::PeerTransport links(
+    raft::PeerTransport links(
         world.loop, world.counters, {}, [](const auto&, auto&&) {}, [](const auto&) {});
     REQUIRE(links.listen("127.0.0.1:0"));
     const net::Socket caller = net::connect_to(links.address()).socket;
--- a/tests/lotusyard/local_connect_test.cpp
+++ b/tests/lotusyard/local_connect_test.cpp
@@ -93,7 +93,7 @@
     client->call("1", "bin-check", "gone");
     run_for(p, Millis(50));
     if (cancels) client->say({"CANCEL", "1"});
-    if (!cancels) p.world.tell(robinfold::WorkerState::draining);
+    if (!cancels) p.world.tell(lotusyard::policy::WorkerState::draining);
     run_for(p, Millis(50));
   }
   run_for(p, Millis(300));
--- a/tests/lotusyard/log_store_faults_test.cpp
+++ b/tests/lotusyard/log_store_faults_test.cpp
@@ -7,9 +7,9 @@
 namespace lotusyard::test {
 namespace {
 
-using group::LogStore;
-using group::StoredEntry;
-using group::LogStoreError;
+using raft::LogStore;
+using raft::StoredEntry;
+using raft::LogStoreError;
 
 // ---- The store alone ----
 
--- a/tests/lotusyard/membership_test.cpp
+++ b/tests/lotusyard/membership_test.cpp
@@ -12,8 +12,8 @@
 namespace {
 
 using core::WorkerState;
-using membership::EndpointStates;
-using membership::DisabledHostFiles;
+using endpoints::EndpointStates;
+using endpoints::DisabledHostFiles;
 
 core::ListedHost member(const std::string& id, WorkerState state, double started = 0) {
   core::ListedHost out;
--- a/tests/lotusyard/part_test.cpp
+++ b/tests/lotusyard/part_test.cpp
@@ -6,7 +6,7 @@
 namespace lotusyard::test {
 namespace {
 
-struct Fake final : group::ReplicatedStateMachine {
+struct Fake final : raft::ReplicatedStateMachine {
   explicit Fake(const char* name) : name_(name) {}
   const char* name() const override { return name_; }
   void apply(std::uint64_t, const std::string& entry) override { got.push_back(entry); }
@@ -28,7 +28,7 @@
   Folder folder;
   net::EventLoop loop;
   core::Counters counters;
-  group::Config config;
+  raft::Config config;
   Alone() {
     const net::Socket free = net::listen_on("127.0.0.1:0");
     config.cluster = "yard";
@@ -37,7 +37,7 @@
     config.listen = config.address = net::bound_address(free);
     config.members = {{"a", config.address, true}};
     config.election = Millis(50);
-    group::RaftReplica::bootstrap(config);
+    raft::RaftReplica::bootstrap(config);
   }
   template <typename Until>
   bool until(const Until& done) {
@@ -49,7 +49,7 @@
 TEST_CASE("parts share one log, and each gets what is its own") {
   Alone alone;
   Fake works("works"), view("other");
-  group::RaftReplica member(alone.loop, alone.counters, alone.config, {&works, &view}, [](const auto&) {});
+  raft::RaftReplica member(alone.loop, alone.counters, alone.config, {&works, &view}, [](const auto&) {});
   REQUIRE(alone.until([&] { return member.is_leader(); }));
   REQUIRE(member.propose(view, "{\"a\":1}"));
   REQUIRE(member.propose(works, "w"));
@@ -63,12 +63,12 @@
 TEST_CASE("an entry of a kind that a member does not know stops it, and is not skipped") {
   Alone alone;
   {
-    group::LogStore store(alone.config.store);
-    store.append({{1, RAFT_COMMAND, group::tag_entry("later", "{}")}});
+    raft::LogStore store(alone.config.store);
+    store.append({{1, RAFT_COMMAND, raft::tag_entry("later", "{}")}});
     store.append({{1, RAFT_COMMAND, "{\"t\":\"ask\"}"}});  // as written before there were kinds
   }
   Fake works("works"), other("other");
-  group::RaftReplica member(alone.loop, alone.counters, alone.config, {&works, &other}, [](const auto&) {});
+  raft::RaftReplica member(alone.loop, alone.counters, alone.config, {&works, &other}, [](const auto&) {});
   REQUIRE(alone.until([&] { return !works.fault.empty() && !works.got.empty(); }));
   CHECK_THAT(works.fault, Catch::Contains("does not know: later"));
   CHECK(other.fault == works.fault);
@@ -78,13 +78,13 @@
 
 TEST_CASE("snapshots hold every part's state, and one from before there were parts is read as works") {
   const std::map<std::string, std::string> parts = {{"works", "{\"index\":3}"}, {"other", "x"}};
-  CHECK(group::decode_snapshots(group::encode_snapshots(parts)) == parts);
-  const auto old = group::decode_snapshots("{\"index\":7}");
+  CHECK(raft::decode_snapshots(raft::encode_snapshots(parts)) == parts);
+  const auto old = raft::decode_snapshots("{\"index\":7}");
   REQUIRE(old);
   CHECK(old->at("works") == "{\"index\":7}");
-  CHECK_FALSE(group::decode_snapshots("nonsense"));
-  CHECK_FALSE(group::decode_snapshots("{\"parts\":{\"a\":3}}"));
-  CHECK(group::untag_entry("no mark") == std::make_pair(std::string("works"), std::string("no mark")));
+  CHECK_FALSE(raft::decode_snapshots("nonsense"));
+  CHECK_FALSE(raft::decode_snapshots("{\"parts\":{\"a\":3}}"));
+  CHECK(raft::untag_entry("no mark") == std::make_pair(std::string("works"), std::string("no mark")));
 }
 
 }  // namespace
--- a/tests/lotusyard/platform_test.cpp
+++ b/tests/lotusyard/platform_test.cpp
@@ -397,7 +397,7 @@
   Client c(p.world, p.front.address());
   c.call("1", "bin-check", "x");
   REQUIRE(c.answer("1") != nullptr);
-  p.world.tell(robinfold::WorkerState::draining);
+  p.world.tell(lotusyard::policy::WorkerState::draining);
   c.call("2", "bin-check", "y", 300);
   REQUIRE(c.answer("2") != nullptr);
   CHECK(c.answer("2")->at(1) == "BUSY");
@@ -442,7 +442,7 @@
   c.call("1", "bin-check", "x");
   REQUIRE(c.answer("1") != nullptr);
   const auto opened = p.world.counters.value("hosts.links_opened");
-  p.world.tell(robinfold::WorkerState::ready, p.world.loop.now().count() - 20000);
+  p.world.tell(lotusyard::policy::WorkerState::ready, p.world.loop.now().count() - 20000);
   c.call("2", "bin-check", "y");
   REQUIRE(c.answer("2") != nullptr);
   CHECK(c.answer("2")->at(1) == "OK");
@@ -565,7 +565,7 @@
   host.react = [](const std::string&) { return Reaction{Kind::silence, ""}; };
   call_out(world);
   REQUIRE(world.turn_until([&] { return host.execs == 1; }, 2000));
-  world.tell(robinfold::WorkerState::draining);
+  world.tell(lotusyard::policy::WorkerState::draining);
   const Millis began = world.loop.now();
   world.turn_until([&] { return world.loop.now() - began > Millis(1500); }, 20000);
   CHECK(host.asks == 0);
--- a/tests/lotusyard/process_rig.h
+++ b/tests/lotusyard/process_rig.h
@@ -172,7 +172,7 @@
   // Says to a member that whatever may be touched and has been for a while is back.
   void give_back(double after) {
     std::map<std::string, double> out;
-    for (const auto& h : works::parse_timeline(lines()).entries) {
+    for (const auto& h : maintenance::parse_timeline(lines()).entries) {
       if (h.what == "touch") out[h.host] = h.at;
       if (h.what == "returned") out.erase(h.host);
     }
--- a/tests/lotusyard/replica_restart_test.cpp
+++ b/tests/lotusyard/replica_restart_test.cpp
@@ -10,7 +10,7 @@
 constexpr std::uint64_t kTerm = 1, kLeader = 2;
 constexpr Millis kElection{60000};  // never in this test
 
-struct Follower final : group::RaftCore::Delegate {
+struct Follower final : raft::RaftCore::Delegate {
   std::vector<std::uint64_t> indexes;
   int unavailable_times = 0, available_times = 0;
   std::string failure;
@@ -32,13 +32,13 @@
   FaultVfs vfs;
   FaultDisk& disk = vfs.make_disk("d", 1);
   VirtualScheduler scheduler;
-  group::LogStore store("d:log");
+  raft::LogStore store("d:log");
   store.initialize({"yard", "a", 1, 0});
-  group::RaftCore::bootstrap(store, {{1, "a", RAFT_VOTER}, {kLeader, "b", RAFT_VOTER}});
-  std::vector<group::StoredEntry> entries(kEntries - 1, {kTerm, RAFT_COMMAND, "entry"});
+  raft::RaftCore::bootstrap(store, {{1, "a", RAFT_VOTER}, {kLeader, "b", RAFT_VOTER}});
+  std::vector<raft::StoredEntry> entries(kEntries - 1, {kTerm, RAFT_COMMAND, "entry"});
   store.append(entries);
   Follower user;
-  group::RaftCore replica(scheduler, store, user, 1, "a", kElection, 1);
+  raft::RaftCore replica(scheduler, store, user, 1, "a", kElection, 1);
   const auto run = [&](Millis span) {
     const Millis until = scheduler.now() + span;
     while (scheduler.run_next(until)) {}
@@ -73,13 +73,13 @@
 TEST_CASE("replicas: a follower does not vouch for entries that its leader never had") {
   FaultVfs vfs;
   VirtualScheduler scheduler;
-  group::LogStore store("d:log");
+  raft::LogStore store("d:log");
   store.initialize({"yard", "a", 1, 0});
-  group::RaftCore::bootstrap(store, {{1, "a", RAFT_VOTER}, {kLeader, "b", RAFT_VOTER}});
+  raft::RaftCore::bootstrap(store, {{1, "a", RAFT_VOTER}, {kLeader, "b", RAFT_VOTER}});
   store.set_term(2);
   store.append({{1, RAFT_COMMAND, "agreed"}, {2, RAFT_COMMAND, "of a leader that is gone"}});
   Follower user;
-  group::RaftCore replica(scheduler, store, user, 1, "a", kElection, 1);
+  raft::RaftCore replica(scheduler, store, user, 1, "a", kElection, 1);
   raft_message message{};
   message.type = RAFT_IO_APPEND_ENTRIES;
   message.append_entries = {3, 2, 1, 1, nullptr, 0};
--- a/tests/lotusyard/replica_world.h
+++ b/tests/lotusyard/replica_world.h
@@ -73,12 +73,12 @@
   static constexpr int kReplicas = 3;
   static constexpr Millis kElection{200}, kDelay{3}, kRestart{150};
 
-  struct Replica final : group::RaftCore::Delegate {
+  struct Replica final : raft::RaftCore::Delegate {
     ReplicaWorld* world = nullptr;
     std::uint64_t id = 0;
     FaultDisk* disk = nullptr;
-    std::unique_ptr<group::LogStore> store;
-    std::unique_ptr<group::RaftCore> consensus;
+    std::unique_ptr<raft::LogStore> store;
+    std::unique_ptr<raft::RaftCore> consensus;
     std::vector<std::string> state;
     std::uint64_t last = 0;
     int unavailable_times = 0;
@@ -108,7 +108,7 @@
     }
     void send(std::uint64_t to, const std::string&, const raft_message& message) override {
       world->checker.sent(id, to, message);
-      world->deliver_later(id, to, group::encode_hello(message));
+      world->deliver_later(id, to, raft::encode_hello(message));
     }
     void on_store_failure(const std::string& why) override { failure = why; }
     void unavailable(sqlite::ResultKind, const std::string&) override { ++unavailable_times; }
@@ -121,12 +121,12 @@
       r.world = this;
       r.id = static_cast<std::uint64_t>(i) + 1;
       r.disk = &vfs.make_disk("r" + std::to_string(r.id), seed * kReplicas + r.id);
-      group::LogStore store(r.path());
+      raft::LogStore store(r.path());
       store.initialize({"yard", std::to_string(r.id), r.id, 0});
-      std::vector<group::StoredServer> servers;
+      std::vector<raft::StoredServer> servers;
       for (std::uint64_t s = 1; s <= kReplicas; ++s)
         servers.push_back({s, "r" + std::to_string(s), RAFT_VOTER});
-      group::RaftCore::bootstrap(store, servers);
+      raft::RaftCore::bootstrap(store, servers);
     }
     for (auto& r : replicas) start(r);
   }
@@ -144,10 +144,10 @@
 
   void start(Replica& r) {
     try {
-      r.store = std::make_unique<group::LogStore>(r.path());
-      r.consensus = std::make_unique<group::RaftCore>(scheduler, *r.store, r, r.id,
+      r.store = std::make_unique<raft::LogStore>(r.path());
+      r.consensus = std::make_unique<raft::RaftCore>(scheduler, *r.store, r, r.id,
                                                        "r" + std::to_string(r.id), kElection, random());
-    } catch (const group::LogStoreError& fault) {
+    } catch (const raft::LogStoreError& fault) {
       if (!fault.transient()) checker.fault(std::string("damaged by trouble that passed: ") + fault.what());
       stop(r);
     }
@@ -214,9 +214,9 @@
     if (to == 0 || to > kReplicas || below(random, 100) < loss) return;
     scheduler.at(scheduler.now() + kDelay, [this, from, to, body] {
       Replica& r = replicas[to - 1];
-      auto message = group::decode_message(body);
+      auto message = raft::decode_message(body);
       if (!message) return checker.fault("a message that cannot be read");
-      if (!r.consensus) return group::give_back(*message);
+      if (!r.consensus) return raft::give_back(*message);
       r.consensus->receive(from, "r" + std::to_string(from), std::move(*message));
     });
   }
--- a/tests/lotusyard/session_member_test.cpp
+++ b/tests/lotusyard/session_member_test.cpp
@@ -8,23 +8,23 @@
 #include "node/settled.h"
 
 using namespace lotusyard;
-using works::Millis;
+using maintenance::Millis;
 
 namespace {
 
-nlohmann::json host_row(const std::string& id, works::HostStage stage, std::uint64_t round) {
+nlohmann::json host_row(const std::string& id, maintenance::HostStage stage, std::uint64_t round) {
   return {{"id", id},       {"zone", "z"},    {"kind", "k"},   {"work", "w"},     {"reason", "because"},
           {"stage", stage}, {"round", round}, {"late", false}, {"touched", false}};
 }
 
-works::MaintenanceState board_with(const nlohmann::json& hosts, std::uint64_t index) {
-  works::MaintenanceJob work;
+maintenance::MaintenanceState board_with(const nlohmann::json& hosts, std::uint64_t index) {
+  maintenance::MaintenanceJob work;
   work.id = "w";
   work.hosts = {{"h1", "z", "k"}};
-  works::MaintenanceState out;
+  maintenance::MaintenanceState out;
   REQUIRE(out.restore({{"index", index},
                        {"hosts", hosts},
-                       {"works", nlohmann::json::array({works::job_to_json(work)})},
+                       {"works", nlohmann::json::array({maintenance::job_to_json(work)})},
                        {"members", nlohmann::json::array()},
                        {"lives", nlohmann::json::object()},
                        {"outcomes", nlohmann::json::array()}},
@@ -62,7 +62,7 @@
 }  // namespace
 
 TEST_CASE("records made from the agreed state give the same state again, and change only where it changes") {
-  const works::MaintenanceState board = board_with(nlohmann::json::array({host_row("h1", works::HostStage::selected, 4)}), 9);
+  const maintenance::MaintenanceState board = board_with(nlohmann::json::array({host_row("h1", maintenance::HostStage::selected, 4)}), 9);
   compliance::CertificateState book = book_with_certificate();
   const control::Records records = node::records_of(board, book);
   const auto board_again = node::maintenance_state_from(records, 9, Millis(0));
@@ -82,7 +82,7 @@
 }
 
 TEST_CASE("records of another version are refused whole") {
-  control::Records records = node::records_of(works::MaintenanceState(), book_with_certificate());
+  control::Records records = node::records_of(maintenance::MaintenanceState(), book_with_certificate());
   records["compliance/regime/later"] = R"({"name":"later","kind":7})";
   CHECK_FALSE(node::certificate_state_from(records, 9).has_value());
   records = {{"maintenance/host/h1", "no JSON"}};
@@ -90,8 +90,8 @@
 }
 
 TEST_CASE("nothing is settled past a host's leaving while a call is there") {
-  const works::MaintenanceState board =
-      board_with({host_row("h1", works::HostStage::draining, 7), host_row("h2", works::HostStage::selected, 5)}, 9);
+  const maintenance::MaintenanceState board =
+      board_with({host_row("h1", maintenance::HostStage::draining, 7), host_row("h2", maintenance::HostStage::selected, 5)}, 9);
   node::QuiescenceTracker tracker(Millis(2000));
   bool free = false;
   const auto is_free = [&free](const std::string& host) { return host != "h1" || free; };
@@ -113,7 +113,7 @@
 
 TEST_CASE("views of sessions are merged until their sessions are over; malformed words change nothing") {
   node::SessionObservations views;
-  works::HostObservations one, two;
+  maintenance::HostObservations one, two;
   one.serving_value = {{"h1", 2}};
   one.served = {"h3"};
   one.calls_per_second = 10;
@@ -127,9 +127,9 @@
   CHECK_FALSE(views.update(2, "{}"));
   CHECK_FALSE(views.update(2, "[1]"));
   CHECK_FALSE(views.update(3, std::string(1000, '[')));
-  works::HostObservations own;
+  maintenance::HostObservations own;
   own.listed_hosts = 13;
-  const works::HostObservations merged = views.merged(own);
+  const maintenance::HostObservations merged = views.merged(own);
   CHECK(merged.serving_value.at("h1") == 5);
   CHECK(merged.down == std::set<std::string>{"h2"});
   CHECK(merged.served == std::set<std::string>{"h3"});
--- a/tests/lotusyard/shares_test.cpp
+++ b/tests/lotusyard/shares_test.cpp
@@ -11,9 +11,9 @@
 namespace lotusyard::test {
 namespace {
 
-using shares::LogEntry;
-using shares::QuotaEpochs;
-using shares::Millis;
+using quota::LogEntry;
+using quota::QuotaEpochs;
+using quota::Millis;
 
 struct Table {
   struct Person {
@@ -21,7 +21,7 @@
     std::uint64_t life = 1;
     QuotaEpochs epochs;
     std::size_t follows = 0;
-    std::optional<group::Lease> lease;
+    std::optional<raft::Lease> lease;
     bool up = true, cut = false;
     double speed = 1;
   };
@@ -33,11 +33,11 @@
     std::map<std::string, std::size_t> has;
   };
   std::mt19937_64 random;
-  group::LeaseTerms terms;
+  raft::LeaseTerms terms;
   std::vector<Person> people;
   std::deque<Line> log;
   std::size_t leader = 0, lead_from = 0, led_to = 0;
-  std::map<std::string, shares::HolderProgress> signs;  // as the leader knows them
+  std::map<std::string, quota::HolderProgress> signs;  // as the leader knows them
   Millis parted{0};
   double now = 1000;
   double most = 0;
@@ -79,8 +79,8 @@
     }
     log.push_back(std::move(line));
     if (p.follows < lead_from) return;
-    if (const auto entry = shares::next_entry(p.epochs, signs, terms, parted, clock(p)))
-      log.push_back({shares::parse_entry(shares::encode_entry(*entry)), {}, {}});
+    if (const auto entry = quota::next_entry(p.epochs, signs, terms, parted, clock(p)))
+      log.push_back({quota::parse_entry(quota::encode_entry(*entry)), {}, {}});
   }
   void elect() {
     const std::size_t next = random() % people.size();
@@ -168,7 +168,7 @@
   REQUIRE(read.restore(p.epochs.snapshot()));
   CHECK(read.share_of("b", 1, true, 4) == Approx(0.25));
   CHECK_FALSE(read.restore(nlohmann::json::array()));
-  CHECK_FALSE(shares::parse_entry("{\"t\":\"other\"}"));
+  CHECK_FALSE(quota::parse_entry("{\"t\":\"other\"}"));
 }
 
 }  // namespace
--- a/tests/lotusyard/store_faults_test.cpp
+++ b/tests/lotusyard/store_faults_test.cpp
@@ -9,7 +9,7 @@
 namespace lotusyard::test {
 namespace {
 
-using namespace answers;
+using namespace idempotency;
 using core::Verdict;
 
 constexpr double kStart = 1e12;
--- a/tests/lotusyard/system_call_storm_test.cpp
+++ b/tests/lotusyard/system_call_storm_test.cpp
@@ -132,10 +132,10 @@
   });
 }
 
-struct AlwaysReady final : console::AdminOperations {
+struct AlwaysReady final : admin::AdminOperations {
   bool ready() const override { return true; }
-  console::OperationResult disable(const std::string&) override { return console::OperationResult::done; }
-  console::OperationResult enable(const std::string&) override { return console::OperationResult::done; }
+  admin::OperationResult disable(const std::string&) override { return admin::OperationResult::done; }
+  admin::OperationResult enable(const std::string&) override { return admin::OperationResult::done; }
 };
 
 class AdminCaller final : public net::BufferedConnection {
@@ -157,7 +157,7 @@
   in_each_weather([](std::uint64_t, const auto& begin) {
     World world(0);
     AlwaysReady operations;
-    console::AdminEndpoint endpoint(world.loop, world.counters, operations, 4);
+    admin::AdminEndpoint endpoint(world.loop, world.counters, operations, 4);
     REQUIRE(endpoint.listen("127.0.0.1:0"));
     begin();
     for (int i = 0; i < 20; ++i) {
--- a/tests/lotusyard/triggers.h
+++ b/tests/lotusyard/triggers.h
@@ -10,7 +10,7 @@
 class Triggers {
  public:
   explicit Triggers(std::size_t hosts, std::uint64_t seed = 1, amqp::Front::Limits limits = {},
-                    const core::Settings& s = settings(), answers::ResultStore* store = nullptr,
+                    const core::Settings& s = settings(), idempotency::ResultStore* store = nullptr,
                     std::vector<std::string> before = {}, amqp::Topology topology = {},
                     net::Clocks clocks = net::Clocks::system())
       : world(hosts, s, World::limits(), std::move(clocks)), broker(world.loop, world.pool, seed) {
@@ -65,7 +65,7 @@
   for (std::size_t i = 0; i < t.world.host.size(); ++i) {
     t.world.host[i]->react = [&, i](const std::string&) {
       const auto& told = t.world.states[i];
-      const bool drained = told.state != robinfold::WorkerState::ready;
+      const bool drained = told.state != lotusyard::policy::WorkerState::ready;
       if (drained && t.world.loop.now() - told.at > s.drain_grace) ++tally.after_drain;
       const std::size_t dice = below(random, 1000);
       if (dice < 10) return Reaction{Reaction::silence, ""};
@@ -100,8 +100,8 @@
     // One host drains at a time, and comes back reborn when the next one goes.
     next_drain += 100;
     const std::size_t back = tally.drains++ % t.world.host.size();
-    t.world.tell(robinfold::WorkerState::ready, t.world.loop.now().count(), back);
-    t.world.tell(robinfold::WorkerState::draining, 0, tally.drains % t.world.host.size());
+    t.world.tell(lotusyard::policy::WorkerState::ready, t.world.loop.now().count(), back);
+    t.world.tell(lotusyard::policy::WorkerState::draining, 0, tally.drains % t.world.host.size());
   }
   tally.settled = t.settled();
   for (std::size_t i = 0; i < tally.sent; ++i) {
--- a/tests/lotusyard/triggers_test.cpp
+++ b/tests/lotusyard/triggers_test.cpp
@@ -129,7 +129,7 @@
 
 TEST_CASE("a keyed call goes out under its key or its id; redelivered, only while its window is open") {
   core::Settings s = settings();
-  s.classes[0].semantics = robinfold::Semantics::keyed;
+  s.classes[0].semantics = lotusyard::policy::Semantics::keyed;
   s.classes[0].key_window = Millis(15000);
   Triggers t(1, 1, {}, s);
   t.broker.send("plain", "bin-check", "x");
--- a/tests/lotusyard/view_net.h
+++ b/tests/lotusyard/view_net.h
@@ -11,10 +11,10 @@
 
 namespace lotusyard::test {
 
-using view::Millis;
-using view::MemberRecord;
-using view::MemberStatus;
-using view::SwimProtocol;
+using gossip::Millis;
+using gossip::MemberRecord;
+using gossip::MemberStatus;
+using gossip::SwimProtocol;
 
 struct ViewNet {
   struct Node {
@@ -22,7 +22,7 @@
     std::unique_ptr<SwimProtocol> swim;  // none: it is down
     std::uint64_t life = 0;
     double stalled_until = 0;
-    std::vector<view::Message> while_stalled;
+    std::vector<gossip::Message> while_stalled;
     std::uint64_t sent = 0, bytes = 0;
     double due = 0;  // when its swim wants to be ticked
   };
@@ -30,7 +30,7 @@
     double at;
     std::uint64_t order;
     std::size_t from, to;
-    view::Message message;
+    gossip::Message message;
     bool operator>(const Flight& o) const { return std::tie(at, order) > std::tie(o.at, o.order); }
   };
   std::vector<Node> nodes;
@@ -38,7 +38,7 @@
   std::priority_queue<Flight, std::vector<Flight>, std::greater<>> flights;
   std::set<std::pair<std::size_t, std::size_t>> cut;  // from, to
   std::mt19937_64 random;
-  view::GossipTiming pace;
+  gossip::GossipTiming pace;
   double now = 1000, loss = 0, delay = 20;
   std::uint64_t order = 0;
   bool measure_bytes = false;
@@ -108,7 +108,7 @@
     nodes[i].due = nodes[i].swim->next_deadline().count();
     for (auto& out : nodes[i].swim->take_outgoing()) {
       ++nodes[i].sent;
-      if (measure_bytes) nodes[i].bytes += view::encode_message(out.message).size();
+      if (measure_bytes) nodes[i].bytes += gossip::encode_message(out.message).size();
       const auto to = by_address.find(out.address);
       if (to == by_address.end() || cut.count({i, to->second}) != 0 || chance() < loss) continue;
       flights.push({now + delay * (0.5 + chance()), ++order, i, to->second, std::move(out.message)});
--- a/tests/lotusyard/view_test.cpp
+++ b/tests/lotusyard/view_test.cpp
@@ -141,7 +141,7 @@
 
 // ---- Merges ----
 
-view::HostObservation some_fact() {
+gossip::HostObservation some_fact() {
   const auto few = [](int most) { return *rc::gen::inRange(0, most); };
   return {std::string(1, static_cast<char>('h' + few(2))),
           static_cast<double>(few(3)),
@@ -150,7 +150,7 @@
           static_cast<std::uint64_t>(few(4)),
           few(2) == 0};
 }
-std::string state_of(const view::MemberMetadata& facts) {
+std::string state_of(const gossip::MemberMetadata& facts) {
   std::string out;
   for (const auto& f : facts.all())
     out += f.host + std::to_string(f.host_incarnation) + f.observer + std::to_string(f.observer_incarnation) + "." +
@@ -172,9 +172,9 @@
 bool order_matters() {
   return !holds("facts merge alike in any order, repeated or not", 300, [] {
     const auto count = *rc::gen::inRange<std::size_t>(0, 12);
-    std::vector<view::HostObservation> all;
+    std::vector<gossip::HostObservation> all;
     for (std::size_t i = 0; i < count; ++i) all.push_back(some_fact());
-    view::MemberMetadata one, other;
+    gossip::MemberMetadata one, other;
     for (const auto& f : all) one.merge(f);
     std::mt19937_64 random(*rc::gen::arbitrary<std::uint64_t>());
     for (int twice = 0; twice < 2; ++twice) {
@@ -192,42 +192,42 @@
 }
 
 TEST_CASE("records of an earlier life of a host, and of observers that are gone, go") {
-  view::MemberMetadata facts;
+  gossip::MemberMetadata facts;
   facts.merge({"h", 10, "a", 1, 1, false});
   facts.merge({"h", 20, "b", 1, 1, true});
-  CHECK(facts.merge({"h", 10, "c", 1, 1, false}) == view::MemberMetadata::MergeResult::unchanged);
+  CHECK(facts.merge({"h", 10, "c", 1, 1, false}) == gossip::MemberMetadata::MergeResult::unchanged);
   CHECK(facts.all().size() == 1);
   CHECK(facts.failure_reports("h") == 0);
   facts.retain({"h"}, {"a"});
   CHECK(facts.all().empty());
-  CHECK(facts.merge({"h", 10, "a", 1, 1, false}) == view::MemberMetadata::MergeResult::unchanged);  // its life is remembered
+  CHECK(facts.merge({"h", 10, "a", 1, 1, false}) == gossip::MemberMetadata::MergeResult::unchanged);  // its life is remembered
   facts.retain({}, {"a"});
   CHECK(facts.hosts() == 0);
   Breaks::Rule broken("earlier-life");
-  view::MemberMetadata faulty;
+  gossip::MemberMetadata faulty;
   faulty.merge({"h", 20, "b", 1, 1, true});
-  CHECK(faulty.merge({"h", 10, "c", 1, 1, false}) != view::MemberMetadata::MergeResult::unchanged);
+  CHECK(faulty.merge({"h", 10, "c", 1, 1, false}) != gossip::MemberMetadata::MergeResult::unchanged);
 }
 
 TEST_CASE("messages are read whole or not at all, however they are spoilt") {
   std::mt19937_64 random(3);
-  view::Message m;
+  gossip::Message m;
   m.self = {"a", "127.0.0.1:1", 3, 4, MemberStatus::alive, {}};
   m.members = {{"b", "127.0.0.1:2", 1, 0, MemberStatus::suspect, "c"}};
   m.observations = {{"h", 1.5, "a", 3, 9, false}};
-  const std::string body = view::encode_message(m);
-  const auto read = view::decode_message(body);
+  const std::string body = gossip::encode_message(m);
+  const auto read = gossip::decode_message(body);
   REQUIRE(read);
   CHECK((read->members[0].suspected_by == "c" && read->observations[0].sequence == 9 && read->self.refutation == 4));
   for (int i = 0; i < 4000; ++i) {
     std::string spoilt = body;
     if (i % 2 == 0) spoilt.resize(random() % spoilt.size());
     spoilt[random() % (spoilt.size() + 1)] = static_cast<char>(random());
-    view::decode_message(spoilt);
+    gossip::decode_message(spoilt);
   }
-  CHECK_FALSE(view::decode_message(std::string(1U << 20, '[')));
+  CHECK_FALSE(gossip::decode_message(std::string(1U << 20, '[')));
   m.self.refutation = ~0ULL;
-  CHECK_FALSE(view::decode_message(view::encode_message(m)));  // an incarnation that jumps
+  CHECK_FALSE(gossip::decode_message(gossip::encode_message(m)));  // an incarnation that jumps
 }
 
 // ---- Schedules ----
@@ -314,20 +314,20 @@
 }
 
 TEST_CASE("tables are bounded, and those gone longest give their places") {
-  view::GossipTiming pace;
+  gossip::GossipTiming pace;
   pace.max_members = 10;
-  view::MemberTable member_table(pace);
+  gossip::MemberTable member_table(pace);
   for (int i = 0; i < 10; ++i)
     member_table.merge(
         {"m" + std::to_string(i), "127.0.0.1:1", 1, 0, i < 2 ? MemberStatus::dead : MemberStatus::alive, {}},
         Millis(i));
   CHECK(member_table.merge({"x", "127.0.0.1:1", 1, 0, MemberStatus::alive, {}}, Millis(20)) ==
-        view::MemberTable::MergeResult::updated);
+        gossip::MemberTable::MergeResult::updated);
   CHECK(member_table.find("m0") == nullptr);
   CHECK(member_table.merge({"y", "127.0.0.1:1", 1, 0, MemberStatus::alive, {}}, Millis(20)) ==
-        view::MemberTable::MergeResult::updated);
+        gossip::MemberTable::MergeResult::updated);
   CHECK(member_table.merge({"z", "127.0.0.1:1", 1, 0, MemberStatus::alive, {}}, Millis(20)) ==
-        view::MemberTable::MergeResult::rejected);
+        gossip::MemberTable::MergeResult::rejected);
   CHECK(member_table.present_count() == 10);
 }
 
--- a/tests/lotusyard/virtual_scheduler.h
+++ b/tests/lotusyard/virtual_scheduler.h
@@ -9,9 +9,9 @@
 
 namespace lotusyard::test {
 
-class VirtualScheduler final : public group::Scheduler {
+class VirtualScheduler final : public raft::Scheduler {
  public:
-  using Millis = group::Scheduler::Millis;
+  using Millis = raft::Scheduler::Millis;
   Millis now() const override { return now_; }
   TimerId at(Millis when, std::function<void()> ring) override {
     const TimerId id{std::max(when, now_).count(), ++serial_};
--- a/tests/lotusyard/work_rig.h
+++ b/tests/lotusyard/work_rig.h
@@ -24,7 +24,7 @@
         [&] {
           const auto running = std::find_if(operated.begin(), operated.end(), runs);
           if (running != operated.end()) propose(**running, work);
-          const auto course = works::parse_timeline(lines());
+          const auto course = maintenance::parse_timeline(lines());
           return std::any_of(course.entries.begin(), course.entries.end(),
                              [&](const auto& h) { return h.what == "add"; });
         },
@@ -32,7 +32,7 @@
   }
   // Every host has been out and is back.
   bool done() const {
-    const auto course = works::parse_timeline(lines());
+    const auto course = maintenance::parse_timeline(lines());
     std::map<std::string, int> back;
     for (const auto& h : course.entries) back[h.host] += h.what == "back";
     int all = 0;
--- a/tests/lotusyard/work_rules.h
+++ b/tests/lotusyard/work_rules.h
@@ -26,7 +26,7 @@
 };
 
 // Fails with the rule that the order of the steps breaks, else gives the spans.
-inline std::string touched_spans(const works::Timeline& course, int most_out, std::vector<TouchedSpan>& spans) {
+inline std::string touched_spans(const maintenance::Timeline& course, int most_out, std::vector<TouchedSpan>& spans) {
   std::set<std::string> out;
   std::map<std::string, double> touched;
   for (const auto& h : course.entries) {
@@ -75,7 +75,7 @@
 // Every rule, from all members' lines and all hosts' counts. Empty: none is broken.
 inline std::string broken_work_rule(const std::vector<std::string>& lines, const Executions& executions,
                                     int most_out) {
-  const auto course = works::parse_timeline(lines);
+  const auto course = maintenance::parse_timeline(lines);
   if (!course.fault.empty()) return "members disagree: " + course.fault;
   std::vector<TouchedSpan> spans;
   std::string broken = touched_spans(course, most_out, spans);
--- a/tests/lotusyard/works_measure.cpp
+++ b/tests/lotusyard/works_measure.cpp
@@ -26,7 +26,7 @@
 }
 
 double first(const Cluster& cluster, const std::string& what) {
-  for (const auto& h : works::parse_timeline(cluster.lines()).entries) {
+  for (const auto& h : maintenance::parse_timeline(cluster.lines()).entries) {
     if (h.what == what) return h.at;
   }
   return 0;
@@ -63,7 +63,7 @@
     cluster.until(
         [&] {
           cluster.give_back(0);
-          for (const auto& h : works::parse_timeline(cluster.lines()).entries) {
+          for (const auto& h : maintenance::parse_timeline(cluster.lines()).entries) {
             if (next == 0 && h.at > died && (h.what == "returned" || h.what == "take")) next = h.at;
           }
           return next > 0;
@@ -106,7 +106,7 @@
             [&] {
               cluster.give_back(400);
               int back = 0;
-              for (const auto& h : works::parse_timeline(cluster.lines()).entries) back += h.what == "back";
+              for (const auto& h : maintenance::parse_timeline(cluster.lines()).entries) back += h.what == "back";
               return back == 3;
             },
             40);
