--- a/tests/lotusyard/works_test.cpp
+++ b/tests/lotusyard/works_test.cpp
@@ -13,11 +13,11 @@
 namespace lotusyard::test {
 namespace {
 
-using works::MaintenanceState;
-using works::LogEntry;
-using works::HostStage;
-using works::MaintenanceJob;
-using Kind = works::LogEntry::Kind;
+using maintenance::MaintenanceState;
+using maintenance::LogEntry;
+using maintenance::HostStage;
+using maintenance::MaintenanceJob;
+using Kind = maintenance::LogEntry::Kind;
 
 MaintenanceJob work_of(int hosts, int out, double usable = 0.5) {
   MaintenanceJob w;
@@ -46,12 +46,12 @@
   e.incarnation = life;
   return e;
 }
-works::Heartbeat beat_of(const std::string& member, std::uint64_t life, std::uint64_t has, int listed) {
-  works::Heartbeat b{member, life, 0, has, {}, works::HostObservations()};
+maintenance::Heartbeat beat_of(const std::string& member, std::uint64_t life, std::uint64_t has, int listed) {
+  maintenance::Heartbeat b{member, life, 0, has, {}, maintenance::HostObservations()};
   b.observations->listed_hosts = listed;
   return b;
 }
-LogEntry beats(std::vector<works::Heartbeat> all) {
+LogEntry beats(std::vector<maintenance::Heartbeat> all) {
   LogEntry e = about(Kind::heartbeats);
   e.heartbeats = std::move(all);
   return e;
@@ -68,7 +68,7 @@
     std::string name;
     std::uint64_t life = 1;
     MaintenanceState board;
-    std::optional<group::Lease> lease;
+    std::optional<raft::Lease> lease;
     double clock = 1, ahead = 0;  // its clock: true time * clock + ahead
     bool up = true, reachable = true;
     std::size_t follows = 0;                // entries of the log
@@ -81,13 +81,13 @@
   };
   Random random;
   Bug bug;
-  group::LeaseTerms terms;
+  raft::LeaseTerms terms;
   double now = 1000;
   std::vector<LogEntry> log;
   std::vector<Person> people;
   std::size_t leader = 0;
-  std::optional<works::MaintenanceScheduler> order;
-  std::map<std::string, works::Heartbeat> heard;
+  std::optional<maintenance::MaintenanceScheduler> order;
+  std::map<std::string, maintenance::Heartbeat> heard;
   std::size_t led_from = 0;
   int hosts = 0, most_out = 0, touched = 0;
   std::string broken;
@@ -114,7 +114,7 @@
   }
   void append(const LogEntry& e) {
     // The wording is what goes through the log.
-    const auto read = works::parse_entry(works::encode_entry(e));
+    const auto read = maintenance::parse_entry(maintenance::encode_entry(e));
     REQUIRE(read);
     log.push_back(*read);
   }
@@ -171,7 +171,7 @@
       if (people[leader].board.last_incarnation(p.name) < p.life) append(joins(p.name, p.life));
       return;
     }
-    works::Heartbeat b = beat_of(p.name, p.life, p.board.index(), hosts);
+    maintenance::Heartbeat b = beat_of(p.name, p.life, p.board.index(), hosts);
     b.sent_at = clock(p).count();
     for (const auto& [id, h] : p.board.hosts()) {
       const bool gone = h.stage == HostStage::draining || h.stage == HostStage::out_of_service;
@@ -186,7 +186,7 @@
     Person& p = people[leader];
     if (!p.up || !p.reachable || p.follows < led_from) return;
     if (!heard.empty()) {
-      std::vector<works::Heartbeat> all;
+      std::vector<maintenance::Heartbeat> all;
       for (auto& [name, b] : heard) all.push_back(b);
       heard.clear();
       append(beats(all));
@@ -284,7 +284,7 @@
   MaintenanceState::ProposalOutcome apply(const LogEntry& e) { return board.apply(++index, e, now); }
   // One member that follows and has let go of what leaves.
   void follows(std::set<std::string> drained = {}, std::set<std::string> served = {}) {
-    works::Heartbeat b = beat_of("a", 1, index, 10);
+    maintenance::Heartbeat b = beat_of("a", 1, index, 10);
     b.drained_hosts = std::move(drained);
     b.observations->served = std::move(served);
     apply(beats({b}));
@@ -366,7 +366,7 @@
   CHECK_THAT(t.apply(adds(work_of(4, 1, 0.95))).why, Catch::StartsWith("usable: "));
   const auto faulty = [](const char* text) {
     try {
-      works::parse_job(nlohmann::json::parse(text));
+      maintenance::parse_job(nlohmann::json::parse(text));
     } catch (const std::invalid_argument& fault) { return std::string(fault.what()); }
     return std::string("taken");
   };
@@ -414,14 +414,14 @@
     const auto read = nlohmann::json::parse(spoilt, nullptr, false);
     MaintenanceState other;
     if (!read.is_object() || !other.restore(read, Millis(0))) CHECK(other.jobs().empty());
-    works::parse_entry(spoilt);  // neither ends the process
+    maintenance::parse_entry(spoilt);  // neither ends the process
   }
 }
 
 TEST_CASE("the one that leads names its reasons and waits for what holds up a work") {
   Table t;
-  group::LeaseTerms terms;
-  works::MaintenanceScheduler order(terms);
+  raft::LeaseTerms terms;
+  maintenance::MaintenanceScheduler order(terms);
   t.apply(joins("a", 1));
   t.apply(joins("b", 1));
   MaintenanceJob w = work_of(4, 1);
@@ -429,7 +429,7 @@
   w.bounds.max_time_out = Millis(60000);
   t.apply(adds(w));
   const auto both = [&](double cost0, double cost1, std::set<std::string> down = {}, double lost = 0) {
-    works::Heartbeat a = beat_of("a", 1, t.index, 10), b = beat_of("b", 1, t.index, 10);
+    maintenance::Heartbeat a = beat_of("a", 1, t.index, 10), b = beat_of("b", 1, t.index, 10);
     a.observations->serving_value = {{"h0", cost0}, {"h1", cost1}};
     a.observations->down = std::move(down);
     a.observations->calls_per_second = 100;
@@ -439,7 +439,7 @@
   const auto step = [&](Kind kind, const std::string& host) {
     const auto next = order.next_entry(t.board, t.now);
     REQUIRE(next);
-    CHECK(works::name_of(next->kind) == std::string(works::name_of(kind)));
+    CHECK(maintenance::name_of(next->kind) == std::string(maintenance::name_of(kind)));
     CHECK(next->host == host);
     REQUIRE(t.apply(*next).done);
     return next->reason;
@@ -465,7 +465,7 @@
   both(3, 1);
   CHECK(idle());
   CHECK_THAT(order.waiting_reasons().at("w"), Catch::Contains("still used, or may be, by a, b"));
-  works::Heartbeat a = beat_of("a", 1, t.index, 10);
+  maintenance::Heartbeat a = beat_of("a", 1, t.index, 10);
   a.drained_hosts = {"h1"};
   t.apply(beats({a}));
   CHECK(idle());
@@ -493,7 +493,7 @@
 }
 
 TEST_CASE("a host is worth what it serves, and more where it serves a function alone") {
-  works::HostObserver watch;
+  maintenance::HostObserver watch;
   for (int i = 0; i < 100; ++i) {
     const Millis at(i * 100);
     watch.record_success("busy", 1, 1, at);
@@ -511,7 +511,7 @@
   CHECK(watch.is_down("busy", now));
   watch.record_success("busy", 1, 1, now);
   CHECK_FALSE(watch.is_down("busy", now));
-  for (std::uint64_t f = 0; f < 3 * works::HostObserver::max_functions; ++f) watch.record_success("busy", f, 1, now);
+  for (std::uint64_t f = 0; f < 3 * maintenance::HostObserver::max_functions; ++f) watch.record_success("busy", f, 1, now);
 }
 
 TEST_CASE("a work's course is read from the members' logs, and members that disagree are found") {
@@ -520,15 +520,15 @@
       "works at=1010 member=b term=1 index=7 take work=w host=h1 reason=\"its absence costs least\"",
       "works at=1200 member=a term=1 index=9 touch work=w host=h1 reason=\"all members are done with it\"",
       "works at=1100 member=a term=1 index=8 calls asked=50 lost=2"};
-  auto course = works::parse_timeline(lines);
+  auto course = maintenance::parse_timeline(lines);
   REQUIRE(course.entries.size() == 2);
   CHECK(course.entries[0].members.size() == 2);
   CHECK(course.fault.empty());
-  CHECK_THAT(works::render_table(course), Catch::Contains("its absence costs least"));
-  CHECK_THAT(works::render_svg(course), Catch::Contains("h1 leaving") && Catch::EndsWith("</svg>\n"));
+  CHECK_THAT(maintenance::render_table(course), Catch::Contains("its absence costs least"));
+  CHECK_THAT(maintenance::render_svg(course), Catch::Contains("h1 leaving") && Catch::EndsWith("</svg>\n"));
   auto other = lines;
   other.push_back("works at=1300 member=b term=1 index=9 touch work=w host=h2 reason=\"\"");
-  CHECK_THAT(works::parse_timeline(other).fault, Catch::Contains("index 9"));
+  CHECK_THAT(maintenance::parse_timeline(other).fault, Catch::Contains("index 9"));
 }
 
 }  // namespace
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -5,7 +5,7 @@
 
 #include "rig.h"
 
-namespace robinfold::test {
+namespace lotusyard::policy::test {
 namespace {
 
 std::string id(const char* stem, int n) { return stem + std::to_string(n); }
@@ -1054,4 +1054,4 @@
 }
 
 }  // namespace
-}  // namespace robinfold::test
+}  // namespace lotusyard::policy::test
--- a/tests/rig.h
+++ b/tests/rig.h
@@ -8,7 +8,7 @@
 
 #include "robinfold/policy.h"
 
-namespace robinfold::test {
+namespace lotusyard::policy::test {
 
 inline Settings settings() {
   Settings s;
@@ -142,4 +142,4 @@
   std::multimap<double, std::uint64_t> timers;
 };
 
-}  // namespace robinfold::test
+}  // namespace lotusyard::policy::test
--- a/tests/scale/event_queue.h
+++ b/tests/scale/event_queue.h
@@ -12,7 +12,7 @@
 
 namespace lotusyard::test {
 
-using robinfold::Millis;
+using lotusyard::policy::Millis;
 
 // Events run in the order of their times; those of one time in the order in which they were added.
 class EventQueue {
--- a/tests/scale/flat_hollow_log.cpp
+++ b/tests/scale/flat_hollow_log.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::uint64_t kLife = 1764650000000;  // as that of a member that joined later
 constexpr double kMicroseconds = 1e6;
-const view::Millis kNow{1.7e12};
+const gossip::Millis kNow{1.7e12};
 
 std::string member_name(std::size_t i) { return "m" + std::to_string(i); }
 std::string host_name(std::size_t i) { return "h" + std::to_string(i); }
@@ -32,8 +32,8 @@
   return out;
 }
 
-Board board_of(std::size_t members) {
-  Board out;
+MaintenanceState board_of(std::size_t members) {
+  MaintenanceState out;
   std::uint64_t index = 0;
   for (std::size_t i = 0; i < members; ++i) {
     BoardEntry join;
@@ -78,22 +78,22 @@
   const int times = members > 3000 ? 5 : 9;
   const BoardEntry entry = beats_of(members, views, hosts);
   std::string wording;
-  costs.point("word_us", microseconds(times, [&] { wording = works::encode_entry(entry); }));
+  costs.point("word_us", microseconds(times, [&] { wording = maintenance::encode_entry(entry); }));
   costs.point("entry_bytes", {static_cast<double>(wording.size())});
   std::optional<BoardEntry> read;
-  const auto reading = microseconds(times, [&] { read = works::parse_entry(wording); });
+  const auto reading = microseconds(times, [&] { read = maintenance::parse_entry(wording); });
   costs.verdict("read_back", read.has_value());  // if not, the program stands aside for good
   if (read) costs.point("read_us", reading);
 
   const double before = allocated_bytes();
-  Board board = board_of(members);
+  MaintenanceState board = board_of(members);
   std::uint64_t index = members;
   costs.point("apply_us", microseconds(times, [&] { board.apply(++index, entry, kNow); }));
   costs.point("state_bytes", {allocated_bytes() - before});
   std::string snapshot;
   costs.point("snapshot_us", microseconds(times, [&] { snapshot = board.snapshot().dump(); }));
   costs.point("snapshot_bytes", {static_cast<double>(snapshot.size())});
-  Board restored;
+  MaintenanceState restored;
   const auto restore = [&] { REQUIRE(restored.restore(nlohmann::json::parse(snapshot), kNow)); };
   costs.point("restore_us", microseconds(times, restore));
 }
@@ -125,7 +125,7 @@
     std::size_t fits = 1, too_many = 16000;
     while (too_many - fits > 1) {
       const std::size_t middle = (fits + too_many) / 2;
-      const bool read = works::parse_entry(works::encode_entry(beats_of(middle, views, 0))).has_value();
+      const bool read = maintenance::parse_entry(maintenance::encode_entry(beats_of(middle, views, 0))).has_value();
       (read ? fits : too_many) = middle;
     }
     print({"board_limit", fits, "member", views ? "members_with_views" : "members_without_views", 0, {}},
@@ -137,12 +137,12 @@
   Costs costs{"epochs", "members", {}, {}, 0, 0};
   for (const std::size_t members : {100, 300, 1000, 3000, 10000, 16000}) {
     costs.at = static_cast<double>(costs.members = members);
-    shares::LogEntry part;
+    quota::LogEntry part;
     for (std::size_t i = 0; i < members; ++i) part.holders.emplace(member_name(i), kLife);
     std::string wording;
-    costs.point("word_us", microseconds(9, [&] { wording = shares::encode_entry(part); }));
+    costs.point("word_us", microseconds(9, [&] { wording = quota::encode_entry(part); }));
     costs.point("entry_bytes", {static_cast<double>(wording.size())});
-    costs.point("read_us", microseconds(9, [&] { REQUIRE(shares::parse_entry(wording)); }));
+    costs.point("read_us", microseconds(9, [&] { REQUIRE(quota::parse_entry(wording)); }));
     Epochs epochs;
     const bool taken = epochs.apply(1, part);
     costs.verdict("taken", taken);  // more than 1,024 sharers are not
@@ -154,8 +154,8 @@
 compliance::LogEntry certificate(std::size_t i) {
   compliance::LogEntry out;
   out.kind = compliance::LogEntry::Kind::certify;
-  out.certificate = {"certificate" + std::to_string(i), host_name(i), "r", view::Millis(1),
-                     view::Millis(4e12)};
+  out.certificate = {"certificate" + std::to_string(i), host_name(i), "r", gossip::Millis(1),
+                     gossip::Millis(4e12)};
   return out;
 }
 
@@ -165,7 +165,7 @@
   for (const std::size_t certificates : {10, 100, 1000, 4000}) {
     costs.at = costs.given["certificates"] = static_cast<double>(certificates);
     const double before = allocated_bytes();
-    Book book;
+    CertificateState book;
     compliance::LogEntry regime, tenant;
     regime.regime = {"r", "", false};
     tenant.kind = compliance::LogEntry::Kind::put_tenant;
@@ -177,7 +177,7 @@
     costs.point("state_bytes", {allocated_bytes() - before});
     const compliance::HostLocation last{host_name(certificates - 1), "", 0};
     costs.point("may_us",
-                microseconds(9, [&] { REQUIRE(book.check("t", last, true, kNow, view::Millis(1000)).allowed); }));
+                microseconds(9, [&] { REQUIRE(book.check("t", last, true, kNow, gossip::Millis(1000)).allowed); }));
     std::string snapshot;
     costs.point("snapshot_us", microseconds(9, [&] { snapshot = book.snapshot().dump(); }));
     costs.point("snapshot_bytes", {static_cast<double>(snapshot.size())});
@@ -189,7 +189,7 @@
 
 TEST_CASE("entries of signs of life grow linearly", "[scale-short]") {
   const auto bytes = [](std::size_t members, bool views) {
-    return static_cast<double>(works::encode_entry(beats_of(members, views, 0)).size());
+    return static_cast<double>(maintenance::encode_entry(beats_of(members, views, 0)).size());
   };
   for (const bool views : {false, true}) {
     const double one = (bytes(400, views) - bytes(200, views)) / 200;
@@ -197,7 +197,7 @@
     CHECK(one < (views ? 200 : 80));
     CHECK(bytes(800, views) == Approx(bytes(400, views) + 400 * one).epsilon(0.02));
   }
-  const Board few = board_of(100), many = board_of(400);
+  const MaintenanceState few = board_of(100), many = board_of(400);
   const double ratio =
       static_cast<double>(many.snapshot().dump().size()) / static_cast<double>(few.snapshot().dump().size());
   CHECK(ratio == Approx(4).epsilon(0.05));
--- a/tests/scale/flat_hollow_sweep.cpp
+++ b/tests/scale/flat_hollow_sweep.cpp
@@ -22,7 +22,7 @@
   core::Settings s;
   s.classes.resize(1);
   s.classes[0].name = "check";
-  s.classes[0].semantics = robinfold::Semantics::repeatable;
+  s.classes[0].semantics = lotusyard::policy::Semantics::repeatable;
   s.classes[0].aim = s.classes[0].deadline = Millis(1500);
   s.tick = Millis(4);
   s.keep_alive = keep_alive;
--- a/tests/scale/hollow_fleet.h
+++ b/tests/scale/hollow_fleet.h
@@ -15,7 +15,7 @@
   std::uint64_t seed = 1;
   std::size_t invokers = 300, nodes = 5;
   int zones = 3, regions = 2;
-  group::LeaseTerms terms;
+  raft::LeaseTerms terms;
   control::Session::Pacing pacing;
   control::SessionTable::Limits sessions;
   control::ChangeLog::Limits changes;
--- a/tests/scale/hollow_view.h
+++ b/tests/scale/hollow_view.h
@@ -27,7 +27,7 @@
  public:
   explicit HollowView(const HollowShape& shape) : shape_(shape), random_(kSeed) {
     pace_.max_members = shape.members + 1;  // above the program's 1024, or larger fleets are refused
-    list_.kind = view::Message::Kind::sync_reply;
+    list_.kind = gossip::Message::Kind::sync_reply;
     for (std::size_t i = 0; i < shape.members; ++i) {
       list_.members.push_back(peer(i));
       by_address_[list_.members.back().address] = i;
@@ -39,8 +39,8 @@
         list_.observations.push_back({host(h), 0, name(i), kLife, h + 1, true});
     }
     reply_ = worded_parcel(list_);
-    view::Message asking = list_;
-    asking.kind = view::Message::Kind::sync;
+    gossip::Message asking = list_;
+    asking.kind = gossip::Message::Kind::sync;
     asking.self = list_.members[std::min(shape.whole, observers - 1)];
     asked_ = worded_parcel(std::move(asking));
     before_members_ = allocated_bytes();
@@ -88,13 +88,13 @@
   static constexpr double kDelay = 20;                   // milliseconds a message takes, on average
   enum class What { tick, message, stand_in };
   struct Node {
-    std::unique_ptr<view::SwimProtocol> swim;
+    std::unique_ptr<gossip::SwimProtocol> swim;
     double ticked_at = -1;  // when its next tick is planned; -1: none is
     int periods = 0;        // of the stand-ins that ask it
   };
   // What is under way to one member: the message, and its wording where that is measured.
   struct Parcel {
-    std::shared_ptr<const view::Message> message;
+    std::shared_ptr<const gossip::Message> message;
     std::shared_ptr<const std::string> body;
   };
   struct Event {
@@ -107,8 +107,8 @@
   };
   HollowShape shape_;
   std::mt19937_64 random_;
-  view::GossipTiming pace_;
-  view::Message list_;    // what every member knows
+  gossip::GossipTiming pace_;
+  gossip::Message list_;    // what every member knows
   Parcel reply_, asked_;  // the same, as an answer of a stand-in's and as its question
   std::vector<Node> nodes_;
   std::unordered_map<std::string, std::size_t> by_address_;
@@ -121,11 +121,11 @@
 
   static std::string name(std::size_t i) { return "m" + std::to_string(i); }
   static std::string host(std::size_t h) { return "h" + std::to_string(h); }
-  view::MemberRecord peer(std::size_t i) const {
+  gossip::MemberRecord peer(std::size_t i) const {
     const std::string address =
         "10.0." + std::to_string(i / 250) + '.' + std::to_string(i % 250 + 1) + ":7400";
     const bool gone = i >= shape_.members - shape_.dead;
-    return {name(i), address, kLife, 0, gone ? view::MemberStatus::dead : view::MemberStatus::alive, {}};
+    return {name(i), address, kLife, 0, gone ? gossip::MemberStatus::dead : gossip::MemberStatus::alive, {}};
   }
   double chance() { return static_cast<double>(random_() % 100000) / 100000; }
   void plan(Event event) {
@@ -133,12 +133,12 @@
     events_.push(std::move(event));
   }
   void start(std::size_t i) {
-    view::MemberRecord self = list_.members[i];
-    self.status = view::MemberStatus::joining;
-    const view::Millis begins(now_ + chance() * pace_.period.count());
+    gossip::MemberRecord self = list_.members[i];
+    self.status = gossip::MemberStatus::joining;
+    const gossip::Millis begins(now_ + chance() * pace_.period.count());
     nodes_.emplace_back();
     auto& swim = nodes_.back().swim;
-    swim = std::make_unique<view::SwimProtocol>(self, std::vector<std::string>{list_.self.address}, pace_, random_(),
+    swim = std::make_unique<gossip::SwimProtocol>(self, std::vector<std::string>{list_.self.address}, pace_, random_(),
                                         begins);
     swim->serve(begins);
     for (std::size_t h = 0; h < shape_.hosts; ++h) swim->observe(host(h), 0, true);
@@ -151,7 +151,7 @@
   }
   void take(const Event& event) {
     Node& node = nodes_[event.to];
-    const view::Millis now(now_);
+    const gossip::Millis now(now_);
     if (event.what == What::stand_in) return stand_in_asks(event.to);
     if (event.what == What::tick) {
       if (event.at != node.ticked_at) return;  // another was planned since
@@ -163,18 +163,18 @@
     carry_out(event.to);
   }
   void receive(Node& node, const Event& event) {
-    const view::Millis now(now_);
+    const gossip::Millis now(now_);
     if (!words_ || !event.parcel.body) return node.swim->receive(now, *event.parcel.message);
     const std::string& body = *event.parcel.body;
     totals_.received += static_cast<double>(body.size());
-    if (const auto read = view::decode_message(body))
+    if (const auto read = gossip::decode_message(body))
       node.swim->receive(now, *read);
     else
       ++totals_.unreadable;
   }
-  static Parcel worded_parcel(view::Message message) {
-    auto body = std::make_shared<const std::string>(view::encode_message(message));
-    return {std::make_shared<const view::Message>(std::move(message)), std::move(body)};
+  static Parcel worded_parcel(gossip::Message message) {
+    auto body = std::make_shared<const std::string>(gossip::encode_message(message));
+    return {std::make_shared<const gossip::Message>(std::move(message)), std::move(body)};
   }
   void carry_out(std::size_t from) {
     Node& node = nodes_[from];
@@ -185,7 +185,7 @@
     node.ticked_at = std::max(due, now_);
     plan({node.ticked_at, 0, What::tick, from, {}});
   }
-  void deliver(std::size_t from, view::SwimProtocol::OutgoingMessage&& out) {
+  void deliver(std::size_t from, gossip::SwimProtocol::OutgoingMessage&& out) {
     const std::size_t to = by_address_.at(out.address);
     const auto kind = out.message.kind;
     const std::uint64_t number = out.message.number;
@@ -198,27 +198,27 @@
     const double at = now_ + kDelay * (0.5 + chance());
     if (to >= shape_.members - shape_.dead) return;
     if (to < shape_.whole) return plan({at, 0, What::message, to, parcel});
-    if (kind == view::Message::Kind::sync) return plan({at + kDelay, 0, What::message, from, reply_});
-    if (kind == view::Message::Kind::ping)
-      plan_from_stand_in(at + kDelay, from, to, view::Message::Kind::ack, number);
+    if (kind == gossip::Message::Kind::sync) return plan({at + kDelay, 0, What::message, from, reply_});
+    if (kind == gossip::Message::Kind::ping)
+      plan_from_stand_in(at + kDelay, from, to, gossip::Message::Kind::ack, number);
   }
-  static Parcel unworded(view::Message message) {
-    return {std::make_shared<const view::Message>(std::move(message)), nullptr};
+  static Parcel unworded(gossip::Message message) {
+    return {std::make_shared<const gossip::Message>(std::move(message)), nullptr};
   }
-  void plan_from_stand_in(double at, std::size_t to, std::size_t stand_in, view::Message::Kind kind,
+  void plan_from_stand_in(double at, std::size_t to, std::size_t stand_in, gossip::Message::Kind kind,
                           std::uint64_t number) {
-    view::Message message;
+    gossip::Message message;
     message.kind = kind;
     message.number = number;
     message.self = list_.members[stand_in];
-    if (kind == view::Message::Kind::ack) message.subject = message.self.name;
+    if (kind == gossip::Message::Kind::ack) message.subject = message.self.name;
     plan({at, 0, What::message, to, worded_parcel(std::move(message))});
   }
   // Each member is asked once in a period on average, and for a full exchange as often as it asks for one.
   void stand_in_asks(std::size_t to) {
     const std::size_t alive = shape_.members - shape_.dead;
     const std::size_t stand_in = shape_.whole + random_() % (alive - shape_.whole);
-    plan_from_stand_in(now_, to, stand_in, view::Message::Kind::ping, ++order_);
+    plan_from_stand_in(now_, to, stand_in, gossip::Message::Kind::ping, ++order_);
     if (++nodes_[to].periods % pace_.full_sync_periods == 0) plan({now_, 0, What::message, to, asked_});
     plan({now_ + pace_.period.count(), 0, What::stand_in, to, {}});
   }
--- a/tests/scale/leader_stand_in.h
+++ b/tests/scale/leader_stand_in.h
@@ -16,7 +16,7 @@
 
 class LeaderStandIn {
  public:
-  explicit LeaderStandIn(const group::LeaseTerms& terms) : terms_(terms) {}
+  explicit LeaderStandIn(const raft::LeaseTerms& terms) : terms_(terms) {}
 
   // A report has arrived; it counts from when it is in the log.
   void heard(const NodeReport& report) { waiting_.push_back(report); }
@@ -32,7 +32,7 @@
     NodeReport latest;
     Millis agreed_at{0};
   };
-  group::LeaseTerms terms_;
+  raft::LeaseTerms terms_;
   std::vector<NodeReport> waiting_;
   std::map<std::size_t, Node> nodes_;
   Proof proof_;
--- a/tests/scale/tier.h
+++ b/tests/scale/tier.h
@@ -8,12 +8,12 @@
 
 namespace lotusyard::scale {
 
-using Board = works::MaintenanceState;
-using BoardEntry = works::LogEntry;
-using Beat = works::Heartbeat;
-using BoardView = works::HostObservations;
-using Epochs = shares::QuotaEpochs;
-using Book = compliance::CertificateState;
+using MaintenanceState = maintenance::MaintenanceState;
+using BoardEntry = maintenance::LogEntry;
+using Beat = maintenance::Heartbeat;
+using BoardView = maintenance::HostObservations;
+using Epochs = quota::QuotaEpochs;
+using CertificateState = compliance::CertificateState;
 
 constexpr const char* kReadyPath = "/-/ready";
 constexpr const char* kProposeRegulation = "/-/compliance/propose/";
--- a/tests/slow_start_day.h
+++ b/tests/slow_start_day.h
@@ -8,7 +8,7 @@
 #include "rig.h"
 #include "slow_start_scenarios.h"
 
-namespace robinfold::test {
+namespace lotusyard::policy::test {
 
 class SlowStartDay {
  public:
@@ -241,4 +241,4 @@
   Worst worst_;
 };
 
-}  // namespace robinfold::test
+}  // namespace lotusyard::policy::test
--- a/tests/slow_start_scenarios.h
+++ b/tests/slow_start_scenarios.h
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <vector>
 
-namespace robinfold::test {
+namespace lotusyard::policy::test {
 
 constexpr double kMeanWork = 100, kColdFor = 8000, kColdFrom = 0.25, kStart = 1600, kEnd = 6000, kStep = 4;
 constexpr int kHosts = 6, kFunctions = 30;
@@ -59,4 +59,4 @@
   std::vector<double> sent{};  // since it started, by notified processes
 };
 
-}  // namespace robinfold::test
+}  // namespace lotusyard::policy::test
--- a/tests/slow_start_test.cpp
+++ b/tests/slow_start_test.cpp
@@ -7,7 +7,7 @@
 
 #include "slow_start_day.h"
 
-namespace robinfold::test {
+namespace lotusyard::policy::test {
 namespace {
 
 class SlowStart : public testing::TestWithParam<Scenario> {};
@@ -115,4 +115,4 @@
 }
 
 }  // namespace
-}  // namespace robinfold::test
+}  // namespace lotusyard::policy::test
--- a/tests/wall_clock/answers_test.cpp
+++ b/tests/wall_clock/answers_test.cpp
@@ -8,7 +8,7 @@
 namespace lotusyard::test {
 namespace {
 
-using namespace answers;
+using namespace idempotency;
 
 constexpr Millis kTrue{1e12};  // what a right clock reads when a test begins
 constexpr Millis kMinute{60e3};
--- a/tests/wall_clock/fleet_test.cpp
+++ b/tests/wall_clock/fleet_test.cpp
@@ -17,7 +17,7 @@
 struct Wired {
   World world;
   core::Settings s = settings();
-  membership::EndpointStates membership{[](const core::HostListUpdate&, core::ListKind) {}};
+  endpoints::EndpointStates membership{[](const core::HostListUpdate&, core::ListKind) {}};
   InvokerServices wiring{world.loop,
                 world.counters,
                 membership,
@@ -84,13 +84,13 @@
 struct LoneMember {
   SteppedClock clock;
   Wired wired;
-  group::Config config;
-  group::Lease lease;
-  works::MaintenanceReplica coordinator;
-  group::RaftReplica member;
+  raft::Config config;
+  raft::Lease lease;
+  maintenance::MaintenanceReplica coordinator;
+  raft::RaftReplica member;
 
-  static group::Config founded(const ScratchFile& file) {
-    group::Config out;
+  static raft::Config founded(const ScratchFile& file) {
+    raft::Config out;
     const net::Socket free = net::listen_on("127.0.0.1:0");
     out.cluster = "yard";
     out.member = "a";
@@ -99,10 +99,10 @@
     out.members = {{"a", out.address, true}};
     out.election = Millis(50);
     out.terms.lease = Millis(400);
-    group::RaftReplica::bootstrap(out);
+    raft::RaftReplica::bootstrap(out);
     return out;
   }
-  explicit LoneMember(const group::Config& c, Millis at_start = Millis(0))
+  explicit LoneMember(const raft::Config& c, Millis at_start = Millis(0))
       : clock{at_start},
         wired(clock.clocks()),
         config(c),
@@ -146,11 +146,11 @@
   LoneMember lone(LoneMember::founded(file));
   REQUIRE(lone.soon([&] { return lone.member.is_leader(); }));
   // As the log would hold it: the earlier life was taken from a clock that was ahead.
-  works::LogEntry join;
-  join.kind = works::LogEntry::Kind::join;
+  maintenance::LogEntry join;
+  join.kind = maintenance::LogEntry::Kind::join;
   join.member = "a";
   join.incarnation = static_cast<std::uint64_t>((lone.clock.wall() + kHour).count());
-  REQUIRE(lone.member.propose(lone.coordinator, works::encode_entry(join)));
+  REQUIRE(lone.member.propose(lone.coordinator, maintenance::encode_entry(join)));
   CHECK(lone.leased());
   CHECK(lone.member.incarnation() > join.incarnation);
 }
--- a/tests/wall_clock/loop_test.cpp
+++ b/tests/wall_clock/loop_test.cpp
@@ -41,8 +41,8 @@
 TEST_CASE("a lease, the last call and a key's window keep their spans through a step of the wall clock") {
   ManualClock clock;
   net::EventLoop loop(clock.clocks());
-  const group::LeaseTerms terms;
-  group::Lease lease(terms, loop.now());
+  const raft::LeaseTerms terms;
+  raft::Lease lease(terms, loop.now());
   lease.renew(loop.now().count());
   core::IdempotencyKeys keys;
   core::Call call;
--- a/tests/wall_clock/membership_test.cpp
+++ b/tests/wall_clock/membership_test.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 using core::WorkerState;
-using membership::EndpointStates;
+using endpoints::EndpointStates;
 
 struct Listed {
   ManualClock clock;
@@ -85,19 +85,19 @@
 }
 
 TEST_CASE("a host out for a work that starts anew is seen to, also with a smaller stamp") {
-  works::MaintenanceState board;
-  works::LogEntry add;
-  add.kind = works::LogEntry::Kind::add_job;
-  add.added_job = works::MaintenanceJob{"w", {{"h", "", ""}}, {}, works::MaintenanceJob::State::running};
+  maintenance::MaintenanceState board;
+  maintenance::LogEntry add;
+  add.kind = maintenance::LogEntry::Kind::add_job;
+  add.added_job = maintenance::MaintenanceJob{"w", {{"h", "", ""}}, {}, maintenance::MaintenanceJob::State::running};
   REQUIRE(board.apply(1, add, Millis(0)).done);
   auto out = board.snapshot();
-  out["hosts"][0]["stage"] = static_cast<int>(works::HostStage::out_of_service);
+  out["hosts"][0]["stage"] = static_cast<int>(maintenance::HostStage::out_of_service);
   REQUIRE(board.restore(out, Millis(0)));
   core::ListedHost host;
   host.entry.worker = "h";
   host.entry.state = WorkerState::ready;
   host.entry.started = Millis(1e12);
-  works::DrainTracker leaving;
+  maintenance::DrainTracker leaving;
   leaving.update(board, true, {{"h", host}});
   CHECK(leaving.observe(board, {}, {{"h", host}}, {}, Millis(1)).restarted.empty());
   host.entry.started -= kHour;
--- a/tests/wall_clock/triggers_test.cpp
+++ b/tests/wall_clock/triggers_test.cpp
@@ -12,7 +12,7 @@
 
 core::Settings keyed_checks() {
   core::Settings out = settings();
-  out.classes[0].semantics = robinfold::Semantics::keyed;
+  out.classes[0].semantics = lotusyard::policy::Semantics::keyed;
   out.classes[0].key_window = Millis(15000);
   return out;
 }
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -2,7 +2,7 @@
 
 #include <gtest/gtest.h>
 
-namespace robinfold::simhost {
+namespace lotusyard::simulator_adapter {
 namespace {
 
 const char* const kInit =
@@ -74,4 +74,4 @@
 }
 
 }  // namespace
-}  // namespace robinfold::simhost
+}  // namespace lotusyard::simulator_adapter
