--- a/src/console/admin_endpoint.cpp
+++ b/src/admin/admin_endpoint.cpp
@@ -1,4 +1,4 @@
-#include "console/admin_endpoint.h"
+#include "admin/admin_endpoint.h"
 
 #include <algorithm>
 
@@ -34,11 +34,12 @@
 class AdminEndpoint::AdminConnection final : public net::BufferedConnection {
  public:
   AdminConnection(AdminEndpoint& admin_endpoint, net::Socket socket)
-      : BufferedConnection(admin_endpoint.loop_, admin_endpoint.pool_, std::move(socket), false, net::EventLoop::Priority::urgent),
+      : BufferedConnection(admin_endpoint.loop_, admin_endpoint.pool_, std::move(socket), false,
+                           net::EventLoop::Priority::urgent),
         admin_endpoint_(admin_endpoint) {
     // Danger: half a call would hold its place for good.
-    whole_by_ =
-        loop().schedule_at(loop().now() + kWholeMost, [this] { turn_away(408, "the call did not come whole"); });
+    whole_by_ = loop().schedule_at(loop().now() + kWholeMost,
+                                   [this] { turn_away(408, "the call did not come whole"); });
   }
   ~AdminConnection() override { loop().cancel(whole_by_); }
   std::list<std::shared_ptr<AdminConnection>>::iterator place;
@@ -96,7 +97,9 @@
   return static_cast<bool>(listener_);
 }
 
-void AdminEndpoint::watch() { loop_.register_handler(listener_.fd(), *this, POLLIN, net::EventLoop::Priority::urgent); }
+void AdminEndpoint::watch() {
+  loop_.register_handler(listener_.fd(), *this, POLLIN, net::EventLoop::Priority::urgent);
+}
 
 void AdminEndpoint::ready(short) {
   for (std::size_t i = 0; i < kAcceptsATurn; ++i) {
--- a/src/console/admin_endpoint.h
+++ b/src/admin/admin_endpoint.h
@@ -7,10 +7,10 @@
 #include <optional>
 #include <string>
 
-#include "console/parser.h"
+#include "admin/parser.h"
 #include "core/counters.h"
-#include "net/loop.h"
-#include "net/stream.h"
+#include "net/buffered_connection.h"
+#include "net/event_loop.h"
 
 namespace lotusyard::admin {
 
@@ -27,12 +27,15 @@
   virtual bool ready() const = 0;
   virtual OperationResult disable(const std::string& host) = 0;
   virtual OperationResult enable(const std::string& host) = 0;
-  virtual std::optional<Response> handle_request(const Request&) { return std::nullopt; }  // nothing: no such call
+  virtual std::optional<Response> handle_request(const Request&) {
+    return std::nullopt;
+  }  // nothing: no such call
 };
 
 class AdminEndpoint final : private net::EventHandler {
  public:
-  AdminEndpoint(net::EventLoop& loop, core::Counters& counters, AdminOperations& operations, std::size_t callers);
+  AdminEndpoint(net::EventLoop& loop, core::Counters& counters, AdminOperations& operations,
+                std::size_t callers);
   ~AdminEndpoint() override;
   bool listen(const std::string& address);
   std::string address() const { return net::bound_address(listener_); }
--- a/src/console/parser.cpp
+++ b/src/admin/parser.cpp
@@ -1,4 +1,4 @@
-#include "console/parser.h"
+#include "admin/parser.h"
 
 #include <algorithm>
 #include <cctype>
--- a/src/amqp/channel.cpp
+++ b/src/amqp/channel.cpp
@@ -20,7 +20,10 @@
 
 Channel::Channel(net::EventLoop& loop, net::BufferPool& pool, core::Counters& counters, const Broker& broker,
                  Consumer& consumer, net::Socket socket)
-    : BufferedConnection(loop, pool, std::move(socket), true), counters_(counters), broker_(broker), consumer_(consumer) {
+    : BufferedConnection(loop, pool, std::move(socket), true),
+      counters_(counters),
+      broker_(broker),
+      consumer_(consumer) {
   setup_ = loop.schedule_at(loop.now() + kSetupMost, [this] { lost("amqp.setup_late"); });
 }
 
--- a/src/amqp/channel.h
+++ b/src/amqp/channel.h
@@ -9,7 +9,7 @@
 #include "amqp/topology.h"
 #include "amqp/wire.h"
 #include "core/counters.h"
-#include "net/stream.h"
+#include "net/buffered_connection.h"
 
 namespace lotusyard::amqp {
 
--- a/src/amqp/front.cpp
+++ b/src/amqp/front.cpp
@@ -34,8 +34,9 @@
 
 }  // namespace
 
-Front::Front(net::EventLoop& loop, net::BufferPool& pool, core::Dispatcher& dispatcher, core::Counters& counters,
-             const core::Settings& settings, Broker broker, Limits limits, idempotency::ResultStore* store)
+Front::Front(net::EventLoop& loop, net::BufferPool& pool, core::Dispatcher& dispatcher,
+             core::Counters& counters, const core::Settings& settings, Broker broker, Limits limits,
+             idempotency::ResultStore* store)
     : loop_(loop),
       pool_(pool),
       dispatcher_(dispatcher),
@@ -266,7 +267,8 @@
   if (found == running_.end()) return ClientState::disconnected;
   const bool connected = channel_ && channel_->up() && channel_->peer_state() != net::PeerState::disconnected;
   const Remembered* known = memory_.find(found->second.id);
-  return connected && known != nullptr && !known->waiters.empty() ? ClientState::waiting : ClientState::has_unread_input;
+  return connected && known != nullptr && !known->waiters.empty() ? ClientState::waiting
+                                                                  : ClientState::has_unread_input;
 }
 
 void Front::refuse_call(const std::string& id, bool once, Verdict verdict, const char* why) {
--- a/src/amqp/front.h
+++ b/src/amqp/front.h
@@ -9,10 +9,10 @@
 
 #include "amqp/channel.h"
 #include "amqp/memory.h"
-#include "answers/store.h"
 #include "core/counters.h"
 #include "core/dispatcher.h"
-#include "net/loop.h"
+#include "idempotency/result_store.h"
+#include "net/event_loop.h"
 
 namespace lotusyard::amqp {
 
@@ -23,7 +23,8 @@
     bool sole_consumer = false;  // nobody else consumes these queues
   };
   Front(net::EventLoop& loop, net::BufferPool& pool, core::Dispatcher& dispatcher, core::Counters& counters,
-        const core::Settings& settings, Broker broker, Limits limits, idempotency::ResultStore* store = nullptr);
+        const core::Settings& settings, Broker broker, Limits limits,
+        idempotency::ResultStore* store = nullptr);
   ~Front() override;
 
   void start() { connect(); }
@@ -57,7 +58,8 @@
   Limits limits_;
   Memory memory_;
   std::shared_ptr<Channel> channel_;
-  idempotency::ResultStore* store_;  // of calls that must not run twice; none: this process's memory is all there is
+  idempotency::ResultStore*
+      store_;  // of calls that must not run twice; none: this process's memory is all there is
   std::unordered_map<core::CallId, Running> running_;
   std::map<std::uint64_t, Publishing> unconfirmed_;
   std::deque<Publishing> unsent_;  // refused by the broker, or it has asked for a pause
--- a/src/app/app.cpp
+++ b/src/app/app.cpp
@@ -16,7 +16,8 @@
           environment("BALANCER_LISTEN_FD")};
 }
 
-int run(const std::string& file, const ResultStoreFactory& make_store, const ExtensionFactory& make_companion) {
+int run(const std::string& file, const ResultStoreFactory& make_store,
+        const ExtensionFactory& make_companion) {
   Invoker(file, make_store, make_companion).run();
   return 0;
 }
--- a/src/app/app.h
+++ b/src/app/app.h
@@ -5,20 +5,20 @@
 #include <memory>
 #include <string>
 
-#include "answers/store.h"
+#include "admin/admin_endpoint.h"
 #include "config/config.h"
-#include "console/admin_endpoint.h"
 #include "core/counters.h"
 #include "core/dispatcher.h"
-#include "hosts/fleet.h"
-#include "membership/membership.h"
-#include "net/loop.h"
+#include "endpoints/endpoint_states.h"
+#include "hosts/connection_pool.h"
+#include "idempotency/result_store.h"
+#include "net/event_loop.h"
 
 namespace lotusyard {
 
 // How the durable answers are opened, where a program keeps any.
-using ResultStoreFactory = std::function<std::unique_ptr<idempotency::ResultStore>(const config::AmqpConfig&, core::Millis now,
-                                                                 core::Counters&)>;
+using ResultStoreFactory = std::function<std::unique_ptr<idempotency::ResultStore>(
+    const config::AmqpConfig&, core::Millis now, core::Counters&)>;
 
 // The parts of an invoker that something more in the process may work with. All outlive it.
 struct InvokerServices {
@@ -44,12 +44,15 @@
   virtual void attempt_ended(const std::string& host, const core::Call& call, core::Outcome outcome) = 0;
   virtual void on_rejected(const core::Call&) {}  // a call that never went out
   virtual void drain() {}  // the process has been told to end, and answers what it has taken
-  virtual std::optional<admin::Response> handle_request(const admin::Request& request) = 0;  // at the admin endpoint
+  virtual std::optional<admin::Response> handle_request(
+      const admin::Request& request) = 0;  // at the admin endpoint
 };
-using ExtensionFactory = std::function<std::unique_ptr<InvokerExtension>(const InvokerServices&, const nlohmann::json& file)>;
+using ExtensionFactory =
+    std::function<std::unique_ptr<InvokerExtension>(const InvokerServices&, const nlohmann::json& file)>;
 
 std::string environment(const char* name);  // empty if it is not set
 config::Environment read_environment();
-int run(const std::string& file, const ResultStoreFactory& make_store, const ExtensionFactory& make_companion = {});
+int run(const std::string& file, const ResultStoreFactory& make_store,
+        const ExtensionFactory& make_companion = {});
 
 }  // namespace lotusyard
--- a/src/app/bounds.h
+++ b/src/app/bounds.h
@@ -3,7 +3,7 @@
 
 #include "amqp/front.h"
 #include "config/config.h"
-#include "hosts/fleet.h"
+#include "hosts/connection_pool.h"
 #include "hot_restart/shares.h"
 
 namespace lotusyard {
--- a/src/app/invoker.cpp
+++ b/src/app/invoker.cpp
@@ -51,7 +51,8 @@
 
 }  // namespace
 
-Invoker::Invoker(std::string file, const ResultStoreFactory& make_store, const ExtensionFactory& make_companion)
+Invoker::Invoker(std::string file, const ResultStoreFactory& make_store,
+                 const ExtensionFactory& make_companion)
     : file_(std::move(file)),
       signals_(loop_),  // first: no signal may end the program while it starts
       outline_(read_file(file_)),
@@ -66,7 +67,8 @@
       disabled_host_files_(state_folder_),
       endpoint_states_(
           [this](const core::HostListUpdate& list, core::ListKind kind) {
-            host_connections_.update_endpoints(list);  // first: what the module sends next needs the addresses
+            host_connections_.update_endpoints(
+                list);  // first: what the module sends next needs the addresses
             core::HostList entries{kind, {}};
             for (const auto& member : list.hosts) entries.entries.push_back(member.entry);
             dispatcher_.update_endpoints(std::move(entries));
@@ -78,8 +80,8 @@
   loop_.count_errors([this](const char* name) { counters_.add(name); });
   host_connections_.attach(dispatcher_);
   outline_ = config::outline(std::move(outline_));
-  if (!state_folder_.empty()) poll_shared_state();    // before any host is named: none may be used that is out
-  attach_extension(make_companion);  // before any host is named, too
+  if (!state_folder_.empty()) poll_shared_state();  // before any host is named: none may be used that is out
+  attach_extension(make_companion);                 // before any host is named, too
   follow_list();
   listen();
   take_triggers(make_store);
@@ -152,17 +154,20 @@
     next.share = part;
     dispatcher_.apply_settings(next);
   };
-  extension_ = make_companion({loop_, counters_, endpoint_states_, host_connections_, settings, share, config_->name},
-                              read_file(file_));
+  extension_ =
+      make_companion({loop_, counters_, endpoint_states_, host_connections_, settings, share, config_->name},
+                     read_file(file_));
   if (!extension_) return;
   dispatcher_.set_host_filter(host_connections_.gate(extension_->host_filter()));
   dispatcher_.observe_rejections([this](const core::Call& call) { extension_->on_rejected(call); });
-  host_connections_.set_send_filter([this](const std::string& host, const core::Call* call, std::uint64_t function) {
-    return extension_->may_send(host, call, function);
-  });
-  dispatcher_.observe_attempts([this](const std::string& host, const core::Call& call, core::Outcome outcome) {
-    extension_->attempt_ended(host, call, outcome);
-  });
+  host_connections_.set_send_filter(
+      [this](const std::string& host, const core::Call* call, std::uint64_t function) {
+        return extension_->may_send(host, call, function);
+      });
+  dispatcher_.observe_attempts(
+      [this](const std::string& host, const core::Call& call, core::Outcome outcome) {
+        extension_->attempt_ended(host, call, outcome);
+      });
 }
 
 void Invoker::take_triggers(const ResultStoreFactory& make_store) {
@@ -170,7 +175,7 @@
   const auto& amqp = *config_->amqp;
   if (!amqp.store.empty()) {
     if (!make_store)
-      throw config::ConfigError("configuration: amqp.store: this program keeps none; lotusyard_full does");
+      throw config::ConfigError("configuration: amqp.store: this program keeps none; lotusyard_cluster does");
     store_ = make_store(amqp, loop_.now(), counters_);
   }
   triggers_.emplace(
--- a/src/app/invoker.h
+++ b/src/app/invoker.h
@@ -5,19 +5,19 @@
 #include <optional>
 #include <string>
 
+#include "admin/admin_endpoint.h"
 #include "amqp/front.h"
 #include "app/app.h"
 #include "app/signals.h"
 #include "config/config.h"
-#include "console/admin_endpoint.h"
 #include "core/dispatcher.h"
 #include "discovery/discovery.h"
-#include "hosts/fleet.h"
+#include "endpoints/disabled_host_files.h"
+#include "endpoints/endpoint_states.h"
+#include "hosts/connection_pool.h"
 #include "hot_restart/presence.h"
 #include "hot_restart/shares.h"
-#include "membership/membership.h"
-#include "membership/out_files.h"
-#include "net/loop.h"
+#include "net/event_loop.h"
 #include "resp/front.h"
 #include "xds/hosts.h"
 
--- a/src/app/invoker_admin_endpoint.cpp
+++ b/src/app/invoker_admin_endpoint.cpp
@@ -7,7 +7,8 @@
 
 void Invoker::open_admin_endpoint() {
   if (config_->console.empty()) return;
-  admin_endpoint_.emplace(loop_, counters_, static_cast<admin::AdminOperations&>(*this), resource_shares().callers);
+  admin_endpoint_.emplace(loop_, counters_, static_cast<admin::AdminOperations&>(*this),
+                          resource_shares().callers);
   if (!admin_endpoint_->listen(config_->console)) {
     throw config::ConfigError("configuration: console: cannot listen on " + config_->console);
   }
--- a/src/app/signals.h
+++ b/src/app/signals.h
@@ -1,7 +1,7 @@
 // Signals, told to the loop: a handler sets a flag and ends poll(2) at once.
 #pragma once
 
-#include "net/loop.h"
+#include "net/event_loop.h"
 #include "net/socket.h"
 
 namespace lotusyard {
--- a/src/full/main.cpp
+++ b/src/cli/main.cpp
@@ -3,12 +3,12 @@
 #include <CLI/CLI.hpp>
 #include <iostream>
 
-#include "answers/sqlite_store.h"
 #include "app/app.h"
+#include "cli/operate.h"
 #include "control/config.h"
-#include "full/operate.h"
-#include "group/config.h"
-#include "node/node.h"
+#include "idempotency/sqlite_result_store.h"
+#include "node/cluster_member.h"
+#include "raft/config.h"
 
 namespace lotusyard {
 namespace {
@@ -22,7 +22,7 @@
 }
 
 std::unique_ptr<idempotency::SqliteResultStore> open_store(const config::AmqpConfig& from, core::Millis now,
-                                                 core::Counters& counters) {
+                                                           core::Counters& counters) {
   const auto log = [](const std::string& line) { std::cerr << "lotusyard: " << line << std::endl; };
   return std::make_unique<idempotency::SqliteResultStore>(from.store, bounds_of(from), now, counters, log);
 }
--- a/src/full/operate.cpp
+++ b/src/cli/operate.cpp
@@ -1,4 +1,4 @@
-#include "full/operate.h"
+#include "cli/operate.h"
 
 #include <poll.h>
 #include <sys/socket.h>
@@ -15,11 +15,11 @@
 
 #include "app/app.h"
 #include "config/config.h"
-#include "group/config.h"
-#include "group/member.h"
+#include "maintenance/log_entry.h"
+#include "maintenance/timeline.h"
 #include "net/socket.h"
-#include "works/entry.h"
-#include "works/timeline.h"
+#include "raft/config.h"
+#include "raft/raft_replica.h"
 
 namespace lotusyard {
 namespace {
--- a/src/compliance/book.cpp
+++ b/src/compliance/certificate_state.cpp
@@ -1,8 +1,8 @@
-#include "compliance/book.h"
+#include "compliance/certificate_state.h"
 
 #include <algorithm>
 
-#include "core/breaks.h"
+#include "core/fault_injection.h"
 
 namespace lotusyard::compliance {
 
@@ -82,7 +82,8 @@
   return "unknown";
 }
 
-bool CertificateState::has_acknowledged(const std::string& certificate, const std::string& member, std::uint64_t life) const {
+bool CertificateState::has_acknowledged(const std::string& certificate, const std::string& member,
+                                        std::uint64_t life) const {
   const auto found = acknowledged_.find(certificate);
   if (found == acknowledged_.end()) return false;
   const auto mine = found->second.find(member);
@@ -101,16 +102,19 @@
   return found == tenants_.end() || !found->second.empty();
 }
 
-bool CertificateState::has_certificate(const std::string& regime, const HostLocation& host, Millis now, Millis error) const {
+bool CertificateState::has_certificate(const std::string& regime, const HostLocation& host, Millis now,
+                                       Millis error) const {
   return std::any_of(certificates_.begin(), certificates_.end(), [&](const auto& entry) {
     const Certificate& c = entry.second;
-    const bool same_life = c.survives_restart || c.host_incarnation == host.incarnation || fault_injected("certificate-life");
+    const bool same_life =
+        c.survives_restart || c.host_incarnation == host.incarnation || fault_injected("certificate-life");
     return c.host == host.id && c.regime == regime && c.state == State::valid && same_life &&
            now >= c.valid_from + error && now + error < c.valid_until;
   });
 }
 
-FilterResult CertificateState::check(const std::string& tenant, const HostLocation& host, bool knows, Millis now, Millis error) const {
+FilterResult CertificateState::check(const std::string& tenant, const HostLocation& host, bool knows,
+                                     Millis now, Millis error) const {
   if (regimes_.empty()) return {};
   const auto found = tenants_.find(tenant);
   if (found == tenants_.end()) return {false, "regime_unknown", {}};
--- a/src/compliance/book.h
+++ b/src/compliance/certificate_state.h
@@ -9,7 +9,7 @@
 #include <set>
 #include <string>
 
-#include "robinfold/policy.h"
+#include "lotusyard/policy/policy.h"
 
 namespace lotusyard::compliance {
 
@@ -22,21 +22,21 @@
 struct Certificate {
   enum class State { valid, revoking, ended };  // ending: revoked, and some member may still use it
   std::string name, host, regime;
-  Millis valid_from{0}, valid_until{0};     // Unix milliseconds
-  bool survives_restart = false;  // it holds for a host that has started anew, too
-  double host_incarnation = 0;         // when the host started for which it was issued
+  Millis valid_from{0}, valid_until{0};  // Unix milliseconds
+  bool survives_restart = false;         // it holds for a host that has started anew, too
+  double host_incarnation = 0;           // when the host started for which it was issued
   State state = State::valid;
   std::uint64_t revoked_at_index = 0;  // the index at which it was revoked
 };
 
 struct LogEntry {
   enum class Kind {
-    put_regime,   // one is added, or changes
-    put_tenant,   // a tenant is under these regimes from now on; under none, if there are none
-    certify,  // a host gets a certificate
-    revoke,   // a certificate ends
-    acknowledge,     // a member uses a revoked certificate no more
-    finish_revocation     // no member does, or can
+    put_regime,        // one is added, or changes
+    put_tenant,        // a tenant is under these regimes from now on; under none, if there are none
+    certify,           // a host gets a certificate
+    revoke,            // a certificate ends
+    acknowledge,       // a member uses a revoked certificate no more
+    finish_revocation  // no member does, or can
   };
   Kind kind = Kind::put_regime;
   std::string proposal;  // an operator's, by which its outcome can be asked for
@@ -74,7 +74,8 @@
   // Whether a call of the tenant, or a copy for it, may be at the host now. `knows`: this member's lease
   // holds, so that what it has applied is what stands; without it nothing regulated goes anywhere. `error`:
   // by so much any clock may be wrong; what may have expired has.
-  FilterResult check(const std::string& tenant, const HostLocation& host, bool knows, Millis now, Millis error) const;
+  FilterResult check(const std::string& tenant, const HostLocation& host, bool knows, Millis now,
+                     Millis error) const;
   bool is_regulated(const std::string& tenant) const;
   bool empty() const { return regimes_.empty(); }
 
@@ -93,7 +94,8 @@
   std::map<std::string, Regime> regimes_;
   std::map<std::string, std::set<std::string>> tenants_;
   std::map<std::string, Certificate> certificates_;
-  std::map<std::string, std::map<std::string, std::uint64_t>> acknowledged_;  // by certificate: members and lives
+  std::map<std::string, std::map<std::string, std::uint64_t>>
+      acknowledged_;  // by certificate: members and lives
   std::map<std::string, ProposalOutcome> outcomes_;
   std::uint64_t index_ = 0;
 
--- a/src/compliance/enforcer.cpp
+++ b/src/compliance/compliance_filter.cpp
@@ -1,4 +1,4 @@
-#include "compliance/enforcer.h"
+#include "compliance/compliance_filter.h"
 
 #include <utility>
 
@@ -9,7 +9,8 @@
 
 }  // namespace
 
-ComplianceFilter::ComplianceFilter(const InvokerServices& wiring, const CertificateState& book, IsLeased knows, LogSink note)
+ComplianceFilter::ComplianceFilter(const InvokerServices& wiring, const CertificateState& book,
+                                   IsLeased knows, LogSink note)
     : services_(wiring), state_(book), is_leased_(std::move(knows)), log_(std::move(note)) {}
 
 // What was decided while this process knew must not go out after it.
@@ -18,7 +19,8 @@
   const bool ended = std::exchange(was_leased_, knows) && !knows;
   if (!ended || state_.empty()) return;
   log_("lease over: nothing regulated goes out");
-  for (const auto& [name, certificate] : state_.certificates()) services_.host_connections.abort_unsent(certificate.host);
+  for (const auto& [name, certificate] : state_.certificates())
+    services_.host_connections.abort_unsent(certificate.host);
 }
 
 FilterResult ComplianceFilter::check(const std::string& tenant, const std::string& host) const {
@@ -31,7 +33,8 @@
   return state_.check(tenant, place, is_leased_(), middle, kClockError + doubt);
 }
 
-bool ComplianceFilter::allows_host(const std::string& tenant, std::uint64_t function, const std::string& host) {
+bool ComplianceFilter::allows_host(const std::string& tenant, std::uint64_t function,
+                                   const std::string& host) {
   if (state_.empty()) return true;
   if (tenant_of_.size() >= max_functions) tenant_of_.clear();  // the one place where it shrinks
   tenant_of_[function] = tenant;
@@ -43,12 +46,13 @@
   if (verdict.allowed) return true;
   services_.counters.add(std::string("compliance.stopped.") + verdict.reason);
   log_("stopped tenant=" + tenant + " regime=" + verdict.regime + " host=" + host +
-        " reason=" + verdict.reason);
+       " reason=" + verdict.reason);
   return false;
 }
 
 // Danger: between the module's choice and the kernel a lease may have ended, or a revocation have come.
-bool ComplianceFilter::may_send(const std::string& host, const core::Call* call, std::uint64_t function) const {
+bool ComplianceFilter::may_send(const std::string& host, const core::Call* call,
+                                std::uint64_t function) const {
   if (state_.empty()) return true;
   if (call != nullptr) return check_before_write(call->tenant, host);
   if (function == 0) return true;  // it only asks
--- a/src/compliance/enforcer.h
+++ b/src/compliance/compliance_filter.h
@@ -7,7 +7,7 @@
 #include <unordered_map>
 
 #include "app/app.h"
-#include "compliance/book.h"
+#include "compliance/certificate_state.h"
 
 namespace lotusyard::compliance {
 
--- a/src/compliance/officer.cpp
+++ b/src/compliance/compliance_replica.cpp
@@ -1,4 +1,4 @@
-#include "compliance/officer.h"
+#include "compliance/compliance_replica.h"
 
 #include <algorithm>
 
@@ -13,8 +13,8 @@
 
 }  // namespace
 
-ComplianceReplica::ComplianceReplica(const InvokerServices& wiring, const raft::Config& config, maintenance::MaintenanceReplica& coordinator,
-                 LogSink note)
+ComplianceReplica::ComplianceReplica(const InvokerServices& wiring, const raft::Config& config,
+                                     maintenance::MaintenanceReplica& coordinator, LogSink note)
     : services_(wiring),
       config_(config),
       maintenance_(coordinator),
@@ -37,7 +37,7 @@
   } catch (const std::exception& fault) {
     services_.counters.add("compliance.unreadable");
     return maintenance_.on_store_failure("entry " + std::to_string(index) +
-                               " of the log cannot be read: " + fault.what());
+                                         " of the log cannot be read: " + fault.what());
   }
   proposed_ = Millis(0);
   const auto outcome = state_.apply(index, entry);
@@ -59,9 +59,11 @@
 // A certificate is used no more once every call that may have gone out under it has run out of time.
 void ComplianceReplica::run_periodic() {
   const Millis now = services_.loop.now();
-  periodic_timer_ = services_.loop.schedule_at(now + config_.terms.heartbeat_interval() / 2, [this] { run_periodic(); });
+  periodic_timer_ =
+      services_.loop.schedule_at(now + config_.terms.heartbeat_interval() / 2, [this] { run_periodic(); });
   for (const auto& [name, c] : state_.certificates()) {
-    if (c.state != State::revoking || state_.has_acknowledged(name, config_.member, replica_->incarnation())) continue;
+    if (c.state != State::revoking || state_.has_acknowledged(name, config_.member, replica_->incarnation()))
+      continue;
     const Millis since = unused_since_.try_emplace(name, now).first->second;
     if (now - since < config_.terms.max_attempt_time || !config_.serves) continue;
     if (sessions_quiesced_ && !sessions_quiesced_(c.revoked_at_index)) continue;
@@ -78,14 +80,16 @@
     const bool over = found == state_.certificates().end() || found->second.state != State::revoking;
     i = over ? unused_since_.erase(i) : std::next(i);
   }
-  if (maintenance_.is_ready_leader() && now - proposed_ >= config_.terms.heartbeat_interval() / 2 * kAgain) run_leader();
+  if (maintenance_.is_ready_leader() && now - proposed_ >= config_.terms.heartbeat_interval() / 2 * kAgain)
+    run_leader();
 }
 
 std::string ComplianceReplica::members_not_acknowledged(const Certificate& c) const {
   std::string out;
   for (const auto& [name, m] : maintenance_.state().members()) {
     const bool silent = services_.loop.now() - m.last_heartbeat_at >= config_.terms.presumed_dead_after();
-    if (m.serves && !silent && !state_.has_acknowledged(c.name, name, m.incarnation)) out += (out.empty() ? "" : ", ") + name;
+    if (m.serves && !silent && !state_.has_acknowledged(c.name, name, m.incarnation))
+      out += (out.empty() ? "" : ", ") + name;
   }
   return out;
 }
@@ -104,7 +108,9 @@
 void ComplianceReplica::handle_message(const std::string& word) {
   try {
     const LogEntry entry = parse_entry(json::parse(word));
-    if (entry.kind == LogEntry::Kind::acknowledge && state_.has_acknowledged(entry.name, entry.member, entry.incarnation)) return;
+    if (entry.kind == LogEntry::Kind::acknowledge &&
+        state_.has_acknowledged(entry.name, entry.member, entry.incarnation))
+      return;
     if (entry.kind != LogEntry::Kind::finish_revocation) replica_->propose(*this, encode_entry(entry));
   } catch (const std::exception&) { services_.counters.add("compliance.malformed"); }
 }
@@ -119,7 +125,7 @@
                           {"waits_for", c.state == State::revoking ? members_not_acknowledged(c) : ""}};
   json regimes = json::array();
   for (const auto& [name, r] : state_.regimes()) regimes.push_back(name);
-  return {{"member", config_.member}, {"index", state_.index()},       {"knows", maintenance_.is_leased()},
+  return {{"member", config_.member}, {"index", state_.index()},      {"knows", maintenance_.is_leased()},
           {"regimes", regimes},       {"certificates", certificates}, {"tenants", state_.tenants()}};
 }
 
--- a/src/compliance/officer.h
+++ b/src/compliance/compliance_replica.h
@@ -3,9 +3,9 @@
 #pragma once
 
 #include "app/app.h"
-#include "compliance/enforcer.h"
-#include "group/member.h"
-#include "works/coordinator.h"
+#include "compliance/compliance_filter.h"
+#include "maintenance/maintenance_replica.h"
+#include "raft/raft_replica.h"
 
 namespace lotusyard::compliance {
 
@@ -13,7 +13,8 @@
  public:
   using LogSink = std::function<void(const std::string& text)>;
   // The coordinator outlives it: its signs of life and its lease are what a member's knowledge goes by.
-  ComplianceReplica(const InvokerServices& wiring, const raft::Config& config, maintenance::MaintenanceReplica& coordinator, LogSink note);
+  ComplianceReplica(const InvokerServices& wiring, const raft::Config& config,
+                    maintenance::MaintenanceReplica& coordinator, LogSink note);
   ~ComplianceReplica() override { services_.loop.cancel(periodic_timer_); }
   void attach(raft::RaftReplica& member);
   void update();  // the lease may have come or gone
@@ -22,7 +23,9 @@
   // Whether all that this member represents have settled past an index of the log; it speaks for itself alone
   // without one.
   using SessionsQuiesced = std::function<bool(std::uint64_t index)>;
-  void set_sessions_quiesced(SessionsQuiesced others_settled) { sessions_quiesced_ = std::move(others_settled); }
+  void set_sessions_quiesced(SessionsQuiesced others_settled) {
+    sessions_quiesced_ = std::move(others_settled);
+  }
   std::uint64_t version() const { return version_; }  // grows whenever the book may have changed
   std::optional<admin::Response> handle_request(const admin::Request& request);
   const CertificateState& state() const { return state_; }
--- a/src/compliance/entry.cpp
+++ b/src/compliance/log_entry.cpp
@@ -4,7 +4,7 @@
 #include <cmath>
 #include <stdexcept>
 
-#include "compliance/book.h"
+#include "compliance/certificate_state.h"
 
 namespace lotusyard::compliance {
 namespace {
@@ -52,7 +52,9 @@
   }
 }
 
-json encode_entry(const Regime& r) { return {{"name", r.name}, {"zone", r.zone}, {"exclusive", r.exclusive}}; }
+json encode_entry(const Regime& r) {
+  return {{"name", r.name}, {"zone", r.zone}, {"exclusive", r.exclusive}};
+}
 Regime read_regime(const json& from) {
   if (!from.is_object()) fault("regime", "an object is needed");
   only(from, "regime.", {"name", "zone", "exclusive"});
@@ -141,8 +143,8 @@
   for (const auto& [name, r] : regimes_) regimes.push_back(encode_entry(r));
   for (const auto& [name, c] : certificates_) certificates.push_back(encode_entry(c));
   for (const auto& [id, o] : outcomes_) outcomes.push_back({id, o.done, o.why, o.index});
-  return {{"index", index_}, {"regimes", regimes},   {"tenants", tenants_},
-          {"told", acknowledged_},   {"outcomes", outcomes}, {"certificates", certificates}};
+  return {{"index", index_},       {"regimes", regimes},   {"tenants", tenants_},
+          {"told", acknowledged_}, {"outcomes", outcomes}, {"certificates", certificates}};
 }
 
 bool CertificateState::restore(const json& from) {
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "amqp/topology.h"
-#include "robinfold/policy.h"
+#include "lotusyard/policy/policy.h"
 
 namespace lotusyard::config {
 
--- a/src/config/json_read.h
+++ b/src/config/json_read.h
@@ -8,7 +8,7 @@
 #include <nlohmann/json.hpp>
 #include <string>
 
-#include "robinfold/policy.h"
+#include "lotusyard/policy/policy.h"
 
 namespace lotusyard::config {
 
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -4,7 +4,7 @@
 #include <cstdint>
 #include <nlohmann/json.hpp>
 
-#include "robinfold/policy.h"
+#include "lotusyard/policy/policy.h"
 
 namespace lotusyard::config {
 
--- a/src/control/change.cpp
+++ b/src/control/change.cpp
@@ -1,6 +1,6 @@
 #include "control/change.h"
 
-#include "group/bytes.h"
+#include "raft/bytes.h"
 
 namespace lotusyard::control {
 namespace {
--- a/src/control/config.h
+++ b/src/control/config.h
@@ -9,7 +9,7 @@
 
 #include "control/message.h"
 #include "control/session_table.h"
-#include "group/config.h"
+#include "raft/config.h"
 
 namespace lotusyard::control {
 
@@ -24,7 +24,7 @@
 struct InvokerConfig {
   std::string cluster, zone, region;
   std::vector<NodeAddress> nodes;  // where to begin
-  raft::LeaseTerms terms;              // must equal the nodes'
+  raft::LeaseTerms terms;          // must equal the nodes'
 };
 
 // Both throw config::ConfigError naming the key; nothing: the file does not give the process that role.
--- a/src/control/control_node.cpp
+++ b/src/control/control_node.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-#include "core/breaks.h"
+#include "core/fault_injection.h"
 
 namespace lotusyard::control {
 namespace {
@@ -18,8 +18,10 @@
 
 bool same_duration(Millis one, Millis other) { return std::abs((one - other).count()) < kDurationUnit; }
 bool same_terms(const raft::LeaseTerms& one, const raft::LeaseTerms& other) {
-  return same_duration(one.lease, other.lease) && same_duration(one.max_attempt_time, other.max_attempt_time) &&
-         same_duration(one.max_offline, other.max_offline) && std::abs(one.clock_drift - other.clock_drift) < kDriftUnit;
+  return same_duration(one.lease, other.lease) &&
+         same_duration(one.max_attempt_time, other.max_attempt_time) &&
+         same_duration(one.max_offline, other.max_offline) &&
+         std::abs(one.clock_drift - other.clock_drift) < kDriftUnit;
 }
 
 }  // namespace
--- a/src/control/message.cpp
+++ b/src/control/message.cpp
@@ -1,7 +1,7 @@
 #include "control/message.h"
 
 #include "control/message_kind.h"
-#include "group/bytes.h"
+#include "raft/bytes.h"
 
 namespace lotusyard::control {
 namespace {
--- a/src/control/message.h
+++ b/src/control/message.h
@@ -11,7 +11,7 @@
 #include <variant>
 #include <vector>
 
-#include "group/lease.h"
+#include "raft/lease.h"
 
 namespace lotusyard::control {
 
@@ -41,7 +41,7 @@
   std::string cluster, invoker, zone;
   std::uint64_t incarnation = 0;  // chosen anew by each process; the same on all its connections
   Index position = 0;             // what its replica holds; 0: nothing
-  raft::LeaseTerms terms;             // must equal the node's
+  raft::LeaseTerms terms;         // must equal the node's
 };
 
 // Node to invoker: the session is open. `nodes` are others that it may move to.
--- a/src/control/node_server.cpp
+++ b/src/control/node_server.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "net/stream.h"
+#include "net/buffered_connection.h"
 
 namespace lotusyard::control {
 namespace {
@@ -65,7 +65,8 @@
 
   std::uint64_t unsent() const { return send_queue().appended() - send_queue().written(); }
   bool room() const {
-    return !is_closing() && unsent() < server_.limits_.unsent && server_.pool_.bytes_available() >= kLargestFrame;
+    return !is_closing() && unsent() < server_.limits_.unsent &&
+           server_.pool_.bytes_available() >= kLargestFrame;
   }
   bool stalled(Millis now) {
     if (send_queue().empty() || send_queue().written() != written_) {
@@ -101,7 +102,8 @@
   }
 };
 
-NodeServer::NodeServer(net::EventLoop& loop, core::Counters& counters, ControlNode::Config config, Limits limits)
+NodeServer::NodeServer(net::EventLoop& loop, core::Counters& counters, ControlNode::Config config,
+                       Limits limits)
     : loop_(loop),
       counters_(counters),
       limits_(limits),
--- a/src/control/node_server.h
+++ b/src/control/node_server.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "control/control_node.h"
-#include "net/loop.h"
+#include "net/event_loop.h"
 #include "net/socket.h"
 
 namespace lotusyard::control {
@@ -38,7 +38,9 @@
   ControlNode& node() { return node_; }
   const ControlNode& node() const { return node_; }
   std::size_t links() const { return links_.size(); }
-  std::size_t pooled() const { return pool_.blocks_in_use() * net::BufferPool::block_size; }  // bytes held by all links
+  std::size_t pooled() const {
+    return pool_.blocks_in_use() * net::BufferPool::block_size;
+  }  // bytes held by all links
 
   // For the node.
   void send(LinkId link, const std::string& frame) override;
--- a/src/control/replica.cpp
+++ b/src/control/replica.cpp
@@ -1,6 +1,6 @@
 #include "control/replica.h"
 
-#include "core/breaks.h"
+#include "core/fault_injection.h"
 
 namespace lotusyard::control {
 
--- a/src/control/session.cpp
+++ b/src/control/session.cpp
@@ -138,7 +138,9 @@
   return outstanding_.empty() ? kNever : outstanding_.front().sent + config_.terms.lease / 2;
 }
 
-Millis Session::renewal_interval() const { return std::max(config_.terms.heartbeat_interval(), kShortestWait); }
+Millis Session::renewal_interval() const {
+  return std::max(config_.terms.heartbeat_interval(), kShortestWait);
+}
 
 // Danger: the lease counts from this moment. It must be taken before the renewal goes out.
 void Session::renew(Millis now) {
--- a/src/control/session_client.cpp
+++ b/src/control/session_client.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "net/stream.h"
+#include "net/buffered_connection.h"
 
 namespace lotusyard::control {
 namespace {
@@ -15,7 +15,8 @@
  public:
   // Urgent: a lease must be renewed whatever the load of calls is.
   Connection(SessionClient& client, net::Socket socket)
-      : BufferedConnection(client.loop_, client.pool_, std::move(socket), true, net::EventLoop::Priority::urgent),
+      : BufferedConnection(client.loop_, client.pool_, std::move(socket), true,
+                           net::EventLoop::Priority::urgent),
         client_(client) {}
 
   // The session is done with it, perhaps while it is inside `received`.
--- a/src/control/session_client.h
+++ b/src/control/session_client.h
@@ -8,7 +8,7 @@
 
 #include "control/replica.h"
 #include "control/session.h"
-#include "net/loop.h"
+#include "net/event_loop.h"
 
 namespace lotusyard::control {
 
--- a/src/control/session_takes.cpp
+++ b/src/control/session_receive.cpp
@@ -2,7 +2,7 @@
 #include <algorithm>
 
 #include "control/session.h"
-#include "core/breaks.h"
+#include "core/fault_injection.h"
 
 namespace lotusyard::control {
 namespace {
--- a/src/control/session_table.cpp
+++ b/src/control/session_table.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "core/breaks.h"
+#include "core/fault_injection.h"
 
 namespace lotusyard::control {
 namespace {
@@ -33,7 +33,8 @@
   const bool is_new = known == by_invoker_.end();
   if (!is_new && position < sessions_.at(known->second).applied) return {0, true, {}, Millis(0)};
   if (is_new && sessions_.size() >= limits_.sessions) expire(now);
-  if (is_new && sessions_.size() >= limits_.sessions) return refused(RefusalReason::full, terms_.presumed_dead_after());
+  if (is_new && sessions_.size() >= limits_.sessions)
+    return refused(RefusalReason::full, terms_.presumed_dead_after());
   const Millis wait = take_token(now);
   if (wait.count() > 0) return refused(RefusalReason::busy, wait);
 
@@ -128,7 +129,8 @@
   // What was reported stays true, also where the log has lost the changes that showed it.
   reported_ = std::max(reported_, applied);
   // An earlier process of this node may have granted leases until shortly before this one started.
-  const bool may_have_earlier = now < started_ + terms_.presumed_dead_after() && !fault_injected("early-report");
+  const bool may_have_earlier =
+      now < started_ + terms_.presumed_dead_after() && !fault_injected("early-report");
   if (may_have_earlier) return {0, 0, 0, connected_};
   offline_floor_.reported(reported_, now);
   const Index followed = std::min(reported_, offline_floor_.followed(known_floor(), now));
--- a/src/control/session_table.h
+++ b/src/control/session_table.h
@@ -99,7 +99,9 @@
   Millis take_token(Millis now);  // 0: one was to be had; else when to try again
   void forget(std::map<SessionId, Session>::iterator session);
   void require_present(Millis node_lease_until, Millis now);
-  Millis last_call() const { return terms_.max_attempt_time * (1 + terms_.clock_drift); }  // by any member's clock
+  Millis last_call() const {
+    return terms_.max_attempt_time * (1 + terms_.clock_drift);
+  }  // by any member's clock
 };
 
 }  // namespace lotusyard::control
--- a/src/core/dispatcher.cpp
+++ b/src/core/dispatcher.cpp
@@ -41,7 +41,8 @@
   calls_.erase(found);
 }
 
-std::optional<Dispatcher::InFlightAttempt> Dispatcher::remove_attempt(CallId id, OpenCall& open, int number, Outcome outcome) {
+std::optional<Dispatcher::InFlightAttempt> Dispatcher::remove_attempt(CallId id, OpenCall& open, int number,
+                                                                      Outcome outcome) {
   const auto same = [number](const InFlightAttempt& o) { return o.attempt.number == number; };
   const auto found = std::find_if(open.in_flight.begin(), open.in_flight.end(), same);
   if (found == open.in_flight.end()) return std::nullopt;
@@ -74,7 +75,8 @@
 
 void Dispatcher::attempt_ended(const Attempt& attempt, AttemptEnd&& end) {
   OpenCall* open = find_open_call(attempt.call);
-  auto out = open == nullptr ? std::nullopt : remove_attempt(attempt.call, *open, attempt.number, end.outcome);
+  auto out =
+      open == nullptr ? std::nullopt : remove_attempt(attempt.call, *open, attempt.number, end.outcome);
   if (!out) return;
   const Millis now = clock_();
   const bool served = end.outcome == Outcome::ok;
@@ -134,8 +136,8 @@
   std::sort(named.begin(), named.end());  // the order of a hash table tells nothing
   for (const CallId id : named) {
     const OpenCall* open = find_open_call(id);
-    if (open == nullptr || !meant(*open)) continue;  // by what became of the others
-    run(module_.report(clock_(), ClientDisconnected{id}));     // it must not try again what gets its answer now
+    if (open == nullptr || !meant(*open)) continue;         // by what became of the others
+    run(module_.report(clock_(), ClientDisconnected{id}));  // it must not try again what gets its answer now
     execute(RefuseStep{id, Millis(0)});
   }
 }
--- a/src/core/dispatcher.h
+++ b/src/core/dispatcher.h
@@ -11,8 +11,8 @@
 #include <unordered_set>
 
 #include "core/counters.h"
-#include "core/keys.h"
-#include "core/module.h"
+#include "core/idempotency_keys.h"
+#include "core/policy_driver.h"
 #include "core/types.h"
 
 namespace lotusyard::core {
@@ -52,7 +52,9 @@
   // Told of each call that is refused and never went out, where set.
   using RejectionObserver = std::function<void(const Call& call)>;
   void observe_rejections(RejectionObserver refused) { rejection_observer_ = std::move(refused); }
-  void set_host_filter(policy::HostFilter* gate) { module_.set_host_filter(gate); }  // which hosts a call may go to at all
+  void set_host_filter(policy::HostFilter* gate) {
+    module_.set_host_filter(gate);
+  }  // which hosts a call may go to at all
   const Settings& settings() const { return *settings_; }
 
   void tick();
@@ -70,7 +72,7 @@
     Front* front = nullptr;
     std::shared_ptr<const Settings> rules;
     const policy::ClassSettings* cls = nullptr;  // in `rules`
-    bool may_have_run = false;                      // one of those that have ended
+    bool may_have_run = false;                   // one of those that have ended
     int attempts = 0;
     std::vector<InFlightAttempt> in_flight;
     bool keyed() const { return cls->semantics == policy::Semantics::keyed; }
--- a/src/core/dispatcher_sends.cpp
+++ b/src/core/dispatcher_send.cpp
@@ -78,7 +78,8 @@
   if (std::none_of(open->in_flight.begin(), open->in_flight.end(), same)) return;
   counters_.add("attempts.cancelled");
   const Outcome outcome = hosts_.cancel_attempt(step.attempt) ? Outcome::cancelled : Outcome::moot;
-  notify_attempt_ended(*remove_attempt(step.attempt.call, *open, step.attempt.number, outcome), outcome, false);
+  notify_attempt_ended(*remove_attempt(step.attempt.call, *open, step.attempt.number, outcome), outcome,
+                       false);
 }
 
 void Dispatcher::execute(const LoadStep& step) {
--- a/src/core/breaks.h
+++ b/src/core/fault_injection.h
@@ -4,10 +4,10 @@
 
 namespace lotusyard {
 
-#ifdef LOTUSYARD_BREAKABLE
+#ifdef LOTUSYARD_FAULT_INJECTION
 bool fault_injected(const char* rule);  // defined by the tests
 #else
-constexpr bool breaks(const char*) { return false; }
+constexpr bool fault_injected(const char*) { return false; }
 #endif
 
 }  // namespace lotusyard
--- a/src/core/keys.cpp
+++ b/src/core/idempotency_keys.cpp
@@ -1,4 +1,4 @@
-#include "core/keys.h"
+#include "core/idempotency_keys.h"
 
 #include <algorithm>
 #include <functional>
@@ -54,7 +54,8 @@
   return KeyDecision::accepted;
 }
 
-bool IdempotencyKeys::may_send_to(const Call& call, const KeyRule& rule, const HostLocation& to, Millis now) const {
+bool IdempotencyKeys::may_send_to(const Call& call, const KeyRule& rule, const HostLocation& to,
+                                  Millis now) const {
   const auto found = records_.find(name_of(call));
   if (found == records_.end()) return false;
   const auto since = first_send(found->second);
@@ -67,7 +68,8 @@
   });
 }
 
-void IdempotencyKeys::record_send(const Call& call, const Attempt& attempt, const HostLocation& to, Millis now) {
+void IdempotencyKeys::record_send(const Call& call, const Attempt& attempt, const HostLocation& to,
+                                  Millis now) {
   const auto found = records_.find(name_of(call));
   if (found != records_.end()) found->second.sent.push_back({attempt, to, now});
 }
--- a/src/core/keys.h
+++ b/src/core/idempotency_keys.h
@@ -29,10 +29,10 @@
 
 class IdempotencyKeys {
  public:
-  static constexpr std::size_t max_keys = 8192;      // remembered at once; more are not taken
-  static constexpr std::size_t max_key_bytes = 128;    // bytes of a key
+  static constexpr std::size_t max_keys = 8192;         // remembered at once; more are not taken
+  static constexpr std::size_t max_key_bytes = 128;     // bytes of a key
   static constexpr std::size_t max_sends_per_key = 16;  // under one key that may have run; no more go out
-  static bool is_valid(const std::string& key);     // can stand in a host's line, unchanged
+  static bool is_valid(const std::string& key);         // can stand in a host's line, unchanged
 
   enum class KeyDecision { accepted, other_request, window_over, full };
   // A call comes. It is joined to no other: each has an attempt of its own, and hosts drop what repeats.
--- a/src/core/module.cpp
+++ b/src/core/policy_driver.cpp
@@ -1,4 +1,4 @@
-#include "core/module.h"
+#include "core/policy_driver.h"
 
 #include <limits>
 
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -9,7 +9,7 @@
 #include <utility>
 #include <vector>
 
-#include "robinfold/policy.h"
+#include "lotusyard/policy/policy.h"
 
 namespace lotusyard::core {
 
@@ -96,7 +96,8 @@
 class HostTransport {
  public:
   virtual ~HostTransport() = default;
-  virtual void send_attempt(const Attempt& attempt, const std::string& host, const Call& call, Millis patience) = 0;
+  virtual void send_attempt(const Attempt& attempt, const std::string& host, const Call& call,
+                            Millis patience) = 0;
   // Ends the attempt; true if it may have run. No end is told for it afterwards.
   virtual bool cancel_attempt(const Attempt& attempt) = 0;
   virtual void probe(const std::string& host) = 0;
--- a/src/discovery/discovery.cpp
+++ b/src/discovery/discovery.cpp
@@ -127,8 +127,8 @@
   bool current() const { return discovery_.connection_.get() == this; }  // false: the log has moved on
 };
 
-Discovery::Discovery(net::EventLoop& loop, net::BufferPool& pool, core::Counters& counters, std::string address,
-                     Log log, Told told)
+Discovery::Discovery(net::EventLoop& loop, net::BufferPool& pool, core::Counters& counters,
+                     std::string address, Log log, Told told)
     : loop_(loop),
       pool_(pool),
       counters_(counters),
--- a/src/discovery/discovery.h
+++ b/src/discovery/discovery.h
@@ -9,9 +9,9 @@
 #include <vector>
 
 #include "core/counters.h"
-#include "core/member.h"
-#include "net/loop.h"
-#include "net/stream.h"
+#include "core/listed_host.h"
+#include "net/buffered_connection.h"
+#include "net/event_loop.h"
 
 namespace lotusyard::discovery {
 
@@ -42,8 +42,8 @@
 class Discovery {
  public:
   using Told = std::function<void(const core::HostListUpdate&)>;
-  Discovery(net::EventLoop& loop, net::BufferPool& pool, core::Counters& counters, std::string address, Log log,
-            Told told);
+  Discovery(net::EventLoop& loop, net::BufferPool& pool, core::Counters& counters, std::string address,
+            Log log, Told told);
   ~Discovery();
   void start() { connect(); }
   // The log goes on at another address, under the same numbers.
--- a/src/membership/out_files.cpp
+++ b/src/endpoints/disabled_host_files.cpp
@@ -1,4 +1,4 @@
-#include "membership/out_files.h"
+#include "endpoints/disabled_host_files.h"
 
 #include <dirent.h>
 #include <fcntl.h>
--- a/src/membership/membership.cpp
+++ b/src/endpoints/endpoint_states.cpp
@@ -1,4 +1,4 @@
-#include "membership/membership.h"
+#include "endpoints/endpoint_states.h"
 
 #include <algorithm>
 #include <utility>
@@ -90,7 +90,7 @@
 }
 
 void EndpointStates::set_in_maintenance(const std::set<std::string>& out, const std::set<std::string>& anew,
-                       core::Millis now) {
+                                        core::Millis now) {
   const std::set<std::string> before = std::exchange(in_maintenance_, out);
   for (const auto& id : out) {
     if (before.count(id) == 0) notify(id);
--- a/src/membership/membership.h
+++ b/src/endpoints/endpoint_states.h
@@ -9,7 +9,7 @@
 #include <set>
 #include <string>
 
-#include "core/member.h"
+#include "core/listed_host.h"
 
 namespace lotusyard::endpoints {
 
@@ -24,18 +24,22 @@
   };
   using See = std::function<Sight()>;
   // Without `see`, hosts' starts are taken as the list stamps them.
-  explicit EndpointStates(UpdateHandler told, See see = nullptr) : update_handler_(std::move(told)), see_(std::move(see)) {}
+  explicit EndpointStates(UpdateHandler told, See see = nullptr)
+      : update_handler_(std::move(told)), see_(std::move(see)) {}
 
   void apply_list(const core::HostListUpdate& list, core::ListKind kind);
 
-  bool is_known(const std::string& host) const { return hosts_.count(host) != 0 || disabled_.count(host) != 0; }
+  bool is_known(const std::string& host) const {
+    return hosts_.count(host) != 0 || disabled_.count(host) != 0;
+  }
   bool disabled(const std::string& host) const { return disabled_.count(host) != 0; }
   const std::set<std::string>& disabled() const { return disabled_; }
   void disable(const std::string& host);
   void enable(const std::string& host, core::Millis now);
   // Hosts that a group's works leave no use of, in whole. Those of `anew` that are used again are cold from
   // now on; the others were only left alone.
-  void set_in_maintenance(const std::set<std::string>& out, const std::set<std::string>& anew, core::Millis now);
+  void set_in_maintenance(const std::set<std::string>& out, const std::set<std::string>& anew,
+                          core::Millis now);
   void suspend_all(bool held);  // no host is used while it holds
   // As the list names it; nothing: it does not, or says that it is gone.
   std::optional<core::ListedHost> find_listed(const std::string& host) const;
@@ -49,8 +53,8 @@
   static constexpr std::size_t max_removed_hosts = 1024;
   struct Host {
     core::ListedHost listed;
-    core::Millis started{0};  // by this process's clock, and no earlier than it was
-    core::Millis enabled_at{0};     // when the hand last put it back; it is cold from then on
+    core::Millis started{0};     // by this process's clock, and no earlier than it was
+    core::Millis enabled_at{0};  // when the hand last put it back; it is cold from then on
   };
   // A host that comes anew with a stamp so much older than this process is stamped by another clock.
   static constexpr core::Millis untold_most{600e3};
--- a/src/view/viewer.cpp
+++ b/src/gossip/gossip_service.cpp
@@ -1,4 +1,4 @@
-#include "view/viewer.h"
+#include "gossip/gossip_service.h"
 
 #include <algorithm>
 #include <random>
@@ -11,10 +11,15 @@
 
 }  // namespace
 
-GossipService::GossipService(const InvokerServices& wiring, const raft::Config& config, raft::RaftReplica& member, SeesFailure fails,
-               LogSink note)
-    : services_(wiring), config_(config), replica_(member), sees_failure_(std::move(fails)), log_(std::move(note)) {
-  replica_.set_gossip_handler([this](const std::string& from, const std::string& body) { handle_message(from, body); });
+GossipService::GossipService(const InvokerServices& wiring, const raft::Config& config,
+                             raft::RaftReplica& member, SeesFailure fails, LogSink note)
+    : services_(wiring),
+      config_(config),
+      replica_(member),
+      sees_failure_(std::move(fails)),
+      log_(std::move(note)) {
+  replica_.set_gossip_handler(
+      [this](const std::string& from, const std::string& body) { handle_message(from, body); });
   start_protocol();
   observe_hosts();
 }
@@ -37,8 +42,8 @@
   GossipTiming pace;
   pace.period = *config_.view;
   incarnation_ = replica_.incarnation();
-  swim_.emplace(MemberRecord{config_.member, config_.address, incarnation_, 0, MemberStatus::joining, {}}, seed_addresses, pace,
-                std::random_device{}(), now);
+  swim_.emplace(MemberRecord{config_.member, config_.address, incarnation_, 0, MemberStatus::joining, {}},
+                seed_addresses, pace, std::random_device{}(), now);
   if (serving_) swim_->serve(now);
   run_period();
 }
@@ -66,7 +71,8 @@
 }
 
 void GossipService::observe_hosts() {
-  observation_timer_ = services_.loop.schedule_at(services_.loop.now() + kLookPace, [this] { observe_hosts(); });
+  observation_timer_ =
+      services_.loop.schedule_at(services_.loop.now() + kLookPace, [this] { observe_hosts(); });
   if (!swim_) return;
   std::set<std::string> listed, observers;
   for (const auto& [id, member] : services_.endpoint_states.listed_hosts()) {
@@ -96,9 +102,11 @@
   const auto changes = swim_->take_changes();
   for (const auto& peer : changes) {
     services_.counters.add(std::string("view.") + name_of(peer.status));
-    log_("of=" + peer.name + " life=" + std::to_string(peer.incarnation) + " standing=" + name_of(peer.status) +
-          (swim_->is_superseded() && peer.name == config_.member ? " usurped: another process goes by this name"
-                                                           : ""));
+    log_("of=" + peer.name + " life=" + std::to_string(peer.incarnation) +
+         " standing=" + name_of(peer.status) +
+         (swim_->is_superseded() && peer.name == config_.member
+              ? " usurped: another process goes by this name"
+              : ""));
   }
   if (!changes.empty() && change_handler_) change_handler_();
 }
--- a/src/view/viewer.h
+++ b/src/gossip/gossip_service.h
@@ -5,8 +5,8 @@
 #include <optional>
 
 #include "app/app.h"
-#include "group/member.h"
-#include "view/swim.h"
+#include "gossip/swim_protocol.h"
+#include "raft/raft_replica.h"
 
 namespace lotusyard::gossip {
 
@@ -15,11 +15,12 @@
   using LogSink = std::function<void(const std::string& text)>;
   // What this member itself sees of its hosts; asked now and then.
   using SeesFailure = std::function<bool(const std::string& host)>;  // whether it is seen to fail
-  GossipService(const InvokerServices& wiring, const raft::Config& config, raft::RaftReplica& member, SeesFailure fails, LogSink note);
+  GossipService(const InvokerServices& wiring, const raft::Config& config, raft::RaftReplica& member,
+                SeesFailure fails, LogSink note);
   ~GossipService();
 
-  void serve();              // this member takes calls
-  void leave();              // it ends on purpose
+  void serve();                         // this member takes calls
+  void leave();                         // it ends on purpose
   std::size_t present_members() const;  // members that are here, as far as this one knows
   void set_change_handler(std::function<void()> changed) { change_handler_ = std::move(changed); }
   nlohmann::json status_to_json() const;
--- a/src/view/facts.cpp
+++ b/src/gossip/member_metadata.cpp
@@ -1,15 +1,16 @@
-#include "view/facts.h"
+#include "gossip/member_metadata.h"
 
 #include <algorithm>
 
-#include "core/breaks.h"
+#include "core/fault_injection.h"
 
 namespace lotusyard::gossip {
 
 MemberMetadata::MergeResult MemberMetadata::merge(const HostObservation& fact) {
   if (hosts_.size() >= max_hosts && hosts_.count(fact.host) == 0) return MergeResult::rejected;
   Host& host = hosts_[fact.host];
-  if (fact.host_incarnation < host.incarnation && !fault_injected("earlier-life")) return MergeResult::unchanged;
+  if (fact.host_incarnation < host.incarnation && !fault_injected("earlier-life"))
+    return MergeResult::unchanged;
   if (fact.host_incarnation > host.incarnation) {
     host.incarnation = fact.host_incarnation;
     host.by_observer.clear();
--- a/src/view/facts.h
+++ b/src/gossip/member_metadata.h
@@ -7,7 +7,7 @@
 #include <tuple>
 #include <vector>
 
-#include "view/record.h"
+#include "gossip/member_record.h"
 
 namespace lotusyard::gossip {
 
@@ -15,7 +15,8 @@
   std::string host;
   double host_incarnation = 0;  // when it started, as the list says; Unix milliseconds
   std::string observer;
-  std::uint64_t observer_incarnation = 0, sequence = 0;  // the stamp grows with each record of this observer's life
+  std::uint64_t observer_incarnation = 0,
+                sequence = 0;  // the stamp grows with each record of this observer's life
   bool usable = true;
 
   auto order() const { return std::tie(observer_incarnation, sequence, usable); }
--- a/src/view/record.h
+++ b/src/gossip/member_record.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <tuple>
 
-#include "robinfold/policy.h"
+#include "lotusyard/policy/policy.h"
 
 namespace lotusyard::gossip {
 
--- a/src/view/member_table.cpp
+++ b/src/gossip/member_table.cpp
@@ -1,4 +1,4 @@
-#include "view/member_table.h"
+#include "gossip/member_table.h"
 
 #include <limits>
 
@@ -39,7 +39,8 @@
     Member& known = found->second;
     const bool same = !supersedes(known.record, peer) && !supersedes(peer, known.record);
     if (same && peer.status == MemberStatus::suspect && known.accusers.size() <= pace_.accusers)
-      return known.accusers.insert(peer.suspected_by).second ? MergeResult::more_accusers : MergeResult::unchanged;
+      return known.accusers.insert(peer.suspected_by).second ? MergeResult::more_accusers
+                                                             : MergeResult::unchanged;
     if (!supersedes(peer, known.record)) return MergeResult::unchanged;
     book(known, -1);
     known = {peer, now, {}};
--- a/src/view/member_table.h
+++ b/src/gossip/member_table.h
@@ -7,8 +7,8 @@
 #include <string>
 #include <vector>
 
-#include "view/pace.h"
-#include "view/record.h"
+#include "gossip/gossip_timing.h"
+#include "gossip/member_record.h"
 
 namespace lotusyard::gossip {
 
@@ -19,7 +19,12 @@
     Millis since{0};                 // when it came to this standing, as seen here
     std::set<std::string> accusers;  // while it is suspected
   };
-  enum class MergeResult { updated, more_accusers, unchanged, rejected };  // louder: one more member suspects it
+  enum class MergeResult {
+    updated,
+    more_accusers,
+    unchanged,
+    rejected
+  };  // louder: one more member suspects it
 
   explicit MemberTable(const GossipTiming& pace) : pace_(pace) {}
   MergeResult merge(const MemberRecord& peer, Millis now);
--- a/src/view/message.cpp
+++ b/src/gossip/message.cpp
@@ -1,4 +1,4 @@
-#include "view/message.h"
+#include "gossip/message.h"
 
 #include <cmath>
 #include <nlohmann/json.hpp>
@@ -14,7 +14,8 @@
 constexpr std::uint64_t kRoundMost = 1ULL << 40;  // no member refutes so often; a jump there is no round
 
 json row_of(const MemberRecord& p) {
-  return json::array({p.name, p.address, p.incarnation, p.refutation, static_cast<int>(p.status), p.suspected_by});
+  return json::array(
+      {p.name, p.address, p.incarnation, p.refutation, static_cast<int>(p.status), p.suspected_by});
 }
 json row_of(const HostObservation& f) {
   return json::array({f.host, f.host_incarnation, f.observer, f.observer_incarnation, f.sequence, f.usable});
@@ -36,8 +37,9 @@
   const auto standing = row[4].get<std::uint64_t>();
   out.status = static_cast<MemberStatus>(std::min<std::uint64_t>(standing, 4));
   return text(row[0], 1, kNameMost, out.name) && text(row[1], 1, 255, out.address) &&
-         net::valid_address(out.address) && number(row[2], out.incarnation) && number(row[3], out.refutation) &&
-         out.refutation <= kRoundMost && standing <= 4 && text(row[5], 0, kNameMost, out.suspected_by);
+         net::valid_address(out.address) && number(row[2], out.incarnation) &&
+         number(row[3], out.refutation) && out.refutation <= kRoundMost && standing <= 4 &&
+         text(row[5], 0, kNameMost, out.suspected_by);
 }
 
 bool read(const json& row, HostObservation& out) {
--- a/src/view/message.h
+++ b/src/gossip/message.h
@@ -6,23 +6,23 @@
 #include <string>
 #include <vector>
 
-#include "view/facts.h"
-#include "view/record.h"
+#include "gossip/member_metadata.h"
+#include "gossip/member_record.h"
 
 namespace lotusyard::gossip {
 
 struct Message {
   enum class Kind : std::uint8_t {
-    ping,      // are you there?
-    ping_request,       // ping `about` for me
-    ack,       // `about` is there
-    nack,      // I am there; `about` has not answered me yet
-    sync,  // all that I know; say what you know
-    sync_reply      // all that I know
+    ping,          // are you there?
+    ping_request,  // ping `about` for me
+    ack,           // `about` is there
+    nack,          // I am there; `about` has not answered me yet
+    sync,          // all that I know; say what you know
+    sync_reply     // all that I know
   };
   Kind kind = Kind::ping;
   std::uint64_t number = 0;  // of the probe; an answer repeats it
-  MemberRecord self;                 // the sender, as it knows itself
+  MemberRecord self;         // the sender, as it knows itself
   std::string subject;
   std::vector<MemberRecord> members;
   std::vector<HostObservation> observations;
--- a/src/view/swim.cpp
+++ b/src/gossip/swim_protocol.cpp
@@ -1,8 +1,8 @@
-#include "view/swim.h"
+#include "gossip/swim_protocol.h"
 
 #include <algorithm>
 
-#include "core/breaks.h"
+#include "core/fault_injection.h"
 
 namespace lotusyard::gossip {
 namespace {
@@ -16,7 +16,8 @@
   return names[static_cast<std::size_t>(standing)];
 }
 
-SwimProtocol::SwimProtocol(MemberRecord self, std::vector<std::string> seed_addresses, GossipTiming pace, std::uint64_t seed, Millis now)
+SwimProtocol::SwimProtocol(MemberRecord self, std::vector<std::string> seed_addresses, GossipTiming pace,
+                           std::uint64_t seed, Millis now)
     : pace_(pace),
       self_(std::move(self)),
       seed_addresses_(std::move(seed_addresses)),
@@ -29,11 +30,14 @@
   peers_told_.enqueue(self_.name);
 }
 
-void SwimProtocol::raise_health_multiplier(int by) { doubts_ = std::clamp(doubts_ + by, 0, pace_.max_health_multiplier); }
+void SwimProtocol::raise_health_multiplier(int by) {
+  doubts_ = std::clamp(doubts_ + by, 0, pace_.max_health_multiplier);
+}
 
 Millis SwimProtocol::next_deadline() const {
   if (usurped_ || gone_) return Millis(std::numeric_limits<double>::infinity());
-  Millis out = std::min({period_ends_, ticked_ + pace_.period, member_table_.next_suspicion_expiry(stretched_period())});
+  Millis out = std::min(
+      {period_ends_, ticked_ + pace_.period, member_table_.next_suspicion_expiry(stretched_period())});
   if (!probe_.name.empty() && !probe_.answered && !probe_.helped) out = std::min(out, direct_by_);
   return out;
 }
@@ -95,7 +99,8 @@
   const MemberRecord* peer = name.empty() ? nullptr : member_table_.find(name);
   if (peer == nullptr) return;
   probe_ = {name, ++number_, false, false, 0, 0};
-  send(peer->address, Message::Kind::ping, number_, {}, peer->status == MemberStatus::suspect ? peer : nullptr);
+  send(peer->address, Message::Kind::ping, number_, {},
+       peer->status == MemberStatus::suspect ? peer : nullptr);
 }
 
 // Everybody once, in an order of this member's own, before anybody twice: the time until one is asked is
@@ -121,7 +126,9 @@
 // asks nobody there.
 void SwimProtocol::request_full_sync() {
   const auto some_here = random_members(1, {});
-  const auto turn = [this](int every) { return periods_ % every == static_cast<int>(self_.incarnation % every); };
+  const auto turn = [this](int every) {
+    return periods_ % every == static_cast<int>(self_.incarnation % every);
+  };
   // More to tell than messages carry: one is told all of it, as after a cut has healed.
   const bool much = peers_told_.size() > 2 * pace_.max_piggybacked;
   if (!some_here.empty() && (turn(pace_.full_sync_periods) || much || periods_ <= 2))
@@ -171,7 +178,8 @@
   self_.status = MemberStatus::left;
   ++self_.refutation;
   merge_record(self_, now);
-  for (const MemberRecord* other : random_members(pace_.indirect_probes, {})) send(other->address, Message::Kind::nack, 0, {}, &self_);
+  for (const MemberRecord* other : random_members(pace_.indirect_probes, {}))
+    send(other->address, Message::Kind::nack, 0, {}, &self_);
   gone_ = true;
 }
 
--- a/src/view/swim.h
+++ b/src/gossip/swim_protocol.h
@@ -9,11 +9,11 @@
 #include <string>
 #include <vector>
 
-#include "view/facts.h"
-#include "view/gossip.h"
-#include "view/member_table.h"
-#include "view/message.h"
-#include "view/pace.h"
+#include "gossip/dissemination_queue.h"
+#include "gossip/gossip_timing.h"
+#include "gossip/member_metadata.h"
+#include "gossip/member_table.h"
+#include "gossip/message.h"
 
 namespace lotusyard::gossip {
 
@@ -27,7 +27,8 @@
     std::uint64_t refuted = 0, suspected = 0, died = 0, stalls = 0, refused = 0;
   };
   // `seed_addresses`: addresses at which others may be found.
-  SwimProtocol(MemberRecord self, std::vector<std::string> seed_addresses, GossipTiming pace, std::uint64_t seed, Millis now);
+  SwimProtocol(MemberRecord self, std::vector<std::string> seed_addresses, GossipTiming pace,
+               std::uint64_t seed, Millis now);
 
   void tick(Millis now);
   Millis next_deadline() const;  // when `tick` wants to be called, at the latest
--- a/src/view/swim_hears.cpp
+++ b/src/gossip/swim_protocol_receive.cpp
@@ -1,8 +1,8 @@
 // What a member makes of what others say: answers, merges, and what it says against gossip about itself.
 #include <algorithm>
 
-#include "core/breaks.h"
-#include "view/swim.h"
+#include "core/fault_injection.h"
+#include "gossip/swim_protocol.h"
 
 namespace lotusyard::gossip {
 namespace {
@@ -12,7 +12,7 @@
 }  // namespace
 
 void SwimProtocol::send(const std::string& address, Message::Kind kind, std::uint64_t number,
-                const std::string& about, const MemberRecord* about_peer) {
+                        const std::string& about, const MemberRecord* about_peer) {
   Message out;
   out.kind = kind;
   out.number = number;
@@ -31,7 +31,8 @@
     }
     for (const auto& key : facts_told_.take(pace_.max_piggybacked, member_table_.present_count())) {
       const auto at = key.find('\n');
-      if (const HostObservation* fact = facts_.find(key.substr(0, at), key.substr(at + 1))) out.observations.push_back(*fact);
+      if (const HostObservation* fact = facts_.find(key.substr(0, at), key.substr(at + 1)))
+        out.observations.push_back(*fact);
     }
   }
   out_.push_back({address, std::move(out)});
@@ -76,7 +77,8 @@
 // up.
 void SwimProtocol::merge_message(MemberRecord peer, Millis now) {
   const MemberRecord* before = member_table_.find(peer.name);
-  const bool well = before != nullptr && is_present(before->status) && before->incarnation == peer.incarnation;
+  const bool well =
+      before != nullptr && is_present(before->status) && before->incarnation == peer.incarnation;
   if (peer.status == MemberStatus::dead && well && peer.name != self_.name && supersedes(peer, *before)) {
     peer.status = MemberStatus::suspect;
   }
@@ -84,7 +86,8 @@
 }
 
 void SwimProtocol::merge_record(const HostObservation& fact) {
-  if (facts_.merge(fact) == MemberMetadata::MergeResult::updated) facts_told_.enqueue(fact.host + '\n' + fact.observer);
+  if (facts_.merge(fact) == MemberMetadata::MergeResult::updated)
+    facts_told_.enqueue(fact.host + '\n' + fact.observer);
 }
 
 void SwimProtocol::receive(Millis now, const Message& m) {
@@ -128,8 +131,9 @@
     case Message::Kind::ack: break;
   }
   if (m.number == probe_.number && m.subject == probe_.name) probe_.answered = true;
-  const auto mine = std::find_if(errands_.begin(), errands_.end(),
-                                 [&](const IndirectProbe& e) { return e.own_number == m.number && e.subject == m.subject; });
+  const auto mine = std::find_if(errands_.begin(), errands_.end(), [&](const IndirectProbe& e) {
+    return e.own_number == m.number && e.subject == m.subject;
+  });
   if (mine == errands_.end()) return;
   const IndirectProbe errand = *mine;
   errands_.erase(mine);
--- a/src/hosts/fleet.cpp
+++ b/src/hosts/connection_pool.cpp
@@ -1,10 +1,10 @@
-#include "hosts/fleet.h"
+#include "hosts/connection_pool.h"
 
 #include <algorithm>
 #include <set>
 #include <utility>
 
-#include "hosts/link.h"
+#include "hosts/host_connection.h"
 #include "net/fields.h"
 
 namespace lotusyard::hosts {
@@ -26,7 +26,9 @@
 Millis HostConnectionPool::max_silence() const {
   return std::min(std::max(usual_answer_ * kQuietRuns, kQuietLeast), std::max(limits_.quiet, kQuietLeast));
 }
-void HostConnectionPool::record_answer_time(Millis took) { usual_answer_ += kUsualGain * (took - usual_answer_); }
+void HostConnectionPool::record_answer_time(Millis took) {
+  usual_answer_ += kUsualGain * (took - usual_answer_);
+}
 // Danger: each liveness probe is cheap, but calls that wait for a load are silent as well. Asked for whatever
 // is late, a hundred invokers' probes are more than their calls.
 bool HostConnectionPool::take_liveness_probe() {
@@ -36,7 +38,8 @@
   return true;
 }
 
-HostConnectionPool::HostConnectionPool(net::EventLoop& loop, net::BufferPool& pool, core::Counters& counters, Limits limits)
+HostConnectionPool::HostConnectionPool(net::EventLoop& loop, net::BufferPool& pool, core::Counters& counters,
+                                       Limits limits)
     : loop_(loop), pool_(pool), counters_(counters), limits_(std::move(limits)), probes_left_(kProbesMost) {}
 HostConnectionPool::~HostConnectionPool() { loop_.cancel(waiting_timer_); }
 
@@ -54,7 +57,8 @@
   std::set<std::string> named;
   const auto retire = [this](Host& host, bool unsent_too) {
     if (unsent_too) withdraw_waiting(host.member.entry.worker);
-    for (const auto& link : std::vector<std::shared_ptr<HostConnection>>(host.connections)) link->retire(unsent_too);
+    for (const auto& link : std::vector<std::shared_ptr<HostConnection>>(host.connections))
+      link->retire(unsent_too);
   };
   for (const auto& member : list.hosts) {
     const std::string& id = member.entry.worker;
@@ -111,7 +115,8 @@
   return ready && (!send_filter_ || send_filter_(id, call, function));
 }
 
-HostConnectionPool::Host* HostConnectionPool::ready_host(const std::string& id, const core::Call* call, std::uint64_t function) {
+HostConnectionPool::Host* HostConnectionPool::ready_host(const std::string& id, const core::Call* call,
+                                                         std::uint64_t function) {
   if (allows(id, call, function)) return &hosts_.at(id);
   counters_.add("guard.host_not_ready");
   return nullptr;
@@ -136,7 +141,9 @@
   return host == hosts_.end() || !host->second.may_run_cancelled_calls(loop_.now());
 }
 
-void HostConnectionPool::notify_later(std::function<void()> tell) { loop_.schedule_at(loop_.now(), std::move(tell)); }
+void HostConnectionPool::notify_later(std::function<void()> tell) {
+  loop_.schedule_at(loop_.now(), std::move(tell));
+}
 
 void HostConnectionPool::attempt_not_sent(const core::Attempt& attempt) {
   attempts_.erase(attempt);
@@ -146,7 +153,9 @@
 }
 
 void HostConnectionPool::probe_not_sent(const std::string& id) {
-  notify_later([this, id] { dispatcher_->probe_ended({id, Outcome::connect_failed, Millis(0), std::nullopt}); });
+  notify_later([this, id] {
+    dispatcher_->probe_ended({id, Outcome::connect_failed, Millis(0), std::nullopt});
+  });
 }
 
 void HostConnectionPool::load_not_sent(const std::string& id, std::uint64_t function) {
@@ -155,8 +164,8 @@
   });
 }
 
-void HostConnectionPool::send_attempt(const core::Attempt& attempt, const std::string& id, const core::Call& call,
-                 Millis patience) {
+void HostConnectionPool::send_attempt(const core::Attempt& attempt, const std::string& id,
+                                      const core::Call& call, Millis patience) {
   Host* host = ready_host(id, &call, call.function);
   const LinkChoice choice = host == nullptr ? LinkChoice() : connection_for(*host, call.ref);
   if (choice.local_trouble) return wait_for_connection(attempt, id, call, loop_.now() + patience);
@@ -164,7 +173,8 @@
   send_attempt(*choice.link, attempt, call, patience);
 }
 
-void HostConnectionPool::send_attempt(HostConnection& link, const core::Attempt& attempt, const core::Call& call, Millis patience) {
+void HostConnectionPool::send_attempt(HostConnection& link, const core::Attempt& attempt,
+                                      const core::Call& call, Millis patience) {
   attempts_[attempt] = &link;
   Host& host = hosts_.at(link.host());
   const Millis now = loop_.now();
--- a/src/hosts/fleet.h
+++ b/src/hosts/connection_pool.h
@@ -10,10 +10,10 @@
 
 #include "core/counters.h"
 #include "core/dispatcher.h"
-#include "core/member.h"
+#include "core/listed_host.h"
 #include "hosts/connection_wait.h"
-#include "net/loop.h"
-#include "net/stream.h"
+#include "net/buffered_connection.h"
+#include "net/event_loop.h"
 
 namespace lotusyard::hosts {
 
@@ -54,7 +54,7 @@
   void set_limits(const Limits& limits) { limits_ = limits; }  // open connections keep to them from now on
 
   void send_attempt(const core::Attempt& attempt, const std::string& host, const core::Call& call,
-            Millis patience) override;
+                    Millis patience) override;
   bool cancel_attempt(const core::Attempt& attempt) override;
   void probe(const std::string& host) override;
   void load_copies(const std::string& host, std::uint64_t function, int copies) override;
@@ -65,7 +65,7 @@
   struct Host {
     core::ListedHost member;
     std::vector<std::shared_ptr<HostConnection>> connections;
-    Millis calls_expire_at{0};       // when the last call that went there has run out of time
+    Millis calls_expire_at{0};         // when the last call that went there has run out of time
     bool has_cancelled_calls = false;  // one was given up, and may run there till then
     bool may_run_cancelled_calls(Millis now) const { return has_cancelled_calls && calls_expire_at > now; }
   };
@@ -108,7 +108,8 @@
   bool in_local_trouble() const;
   bool has_open_link(const Host& host) const;
   bool is_reachable(const Host& host) const;
-  void send_attempt(HostConnection& link, const core::Attempt& attempt, const core::Call& call, Millis patience);
+  void send_attempt(HostConnection& link, const core::Attempt& attempt, const core::Call& call,
+                    Millis patience);
   void wait(WaitingSend&& send);
   void wait_for_connection(const core::Attempt& attempt, const std::string& host, const core::Call& call,
                            Millis until);
--- a/src/hosts/fleet_connects.cpp
+++ b/src/hosts/fleet_connects.cpp
@@ -1,8 +1,8 @@
 // New connections to hosts, and what waits while this machine cannot make any.
 #include <algorithm>
 
-#include "hosts/fleet.h"
-#include "hosts/link.h"
+#include "hosts/connection_pool.h"
+#include "hosts/host_connection.h"
 
 namespace lotusyard::hosts {
 namespace {
@@ -49,12 +49,15 @@
   }
   counters_.add("hosts.links_opened");
   ++connections_;
-  host.connections.push_back(std::make_shared<HostConnection>(*this, host.member.entry.worker, std::move(connection.socket)));
+  host.connections.push_back(
+      std::make_shared<HostConnection>(*this, host.member.entry.worker, std::move(connection.socket)));
   return {host.connections.back().get(), false};
 }
 
 // Asked for each host that may have a call: without trouble it costs no look at the clock.
-bool HostConnectionPool::in_local_trouble() const { return !backoff_.calm() && backoff_.in_trouble(loop_.now()); }
+bool HostConnectionPool::in_local_trouble() const {
+  return !backoff_.calm() && backoff_.in_trouble(loop_.now());
+}
 
 bool HostConnectionPool::has_open_link(const Host& host) const {
   return std::any_of(host.connections.begin(), host.connections.end(),
@@ -62,7 +65,8 @@
 }
 
 // What can be reached right now goes ahead of what cannot, for whoever may have the call at all.
-bool HostConnectionPool::ReachableHosts::allows(const std::string& tenant, std::uint64_t function, const std::string& id) {
+bool HostConnectionPool::ReachableHosts::allows(const std::string& tenant, std::uint64_t function,
+                                                const std::string& id) {
   const auto allowed = [&](const std::string& host) {
     return next_ == nullptr || next_->allows(tenant, function, host);
   };
@@ -93,8 +97,8 @@
 }
 
 // The attempt keeps its place at the host for a part of the call's time; then the module may choose anew.
-void HostConnectionPool::wait_for_connection(const core::Attempt& attempt, const std::string& host, const core::Call& call,
-                                Millis until) {
+void HostConnectionPool::wait_for_connection(const core::Attempt& attempt, const std::string& host,
+                                             const core::Call& call, Millis until) {
   const Millis now = loop_.now();
   const int attempts_left = std::max(1, dispatcher_->settings().max_attempts - attempt.number);
   WaitingSend send;
@@ -107,7 +111,8 @@
   wait(std::move(send));
 }
 
-void HostConnectionPool::wait_with(WaitingSend::Kind kind, const std::string& host, std::uint64_t function, int copies) {
+void HostConnectionPool::wait_with(WaitingSend::Kind kind, const std::string& host, std::uint64_t function,
+                                   int copies) {
   WaitingSend send;
   send.kind = kind;
   send.host = host;
--- a/src/hosts/link.cpp
+++ b/src/hosts/host_connection.cpp
@@ -1,4 +1,4 @@
-#include "hosts/link.h"
+#include "hosts/host_connection.h"
 
 #include <algorithm>
 #include <cmath>
@@ -29,12 +29,14 @@
 
 }  // namespace
 
-HostConnectionPool::HostConnection::HostConnection(HostConnectionPool& fleet, std::string host, net::Socket socket)
+HostConnectionPool::HostConnection::HostConnection(HostConnectionPool& fleet, std::string host,
+                                                   net::Socket socket)
     : BufferedConnection(fleet.loop_, fleet.pool_, std::move(socket), true),
       fleet_(fleet),
       host_(std::move(host)),
       parser_(fleet.limits_.longest_answer) {
-  timer_ = fleet_.loop_.schedule_at(fleet_.loop_.now() + fleet_.limits_.connect_timeout, [this] { connect_timed_out(); });
+  timer_ = fleet_.loop_.schedule_at(fleet_.loop_.now() + fleet_.limits_.connect_timeout,
+                                    [this] { connect_timed_out(); });
 }
 
 HostConnectionPool::HostConnection::~HostConnection() {
@@ -51,10 +53,12 @@
          past_.count(ref) == 0;
 }
 
-void HostConnectionPool::HostConnection::send_attempt(const core::Attempt& attempt, const core::Call& call, Millis patience) {
+void HostConnectionPool::HostConnection::send_attempt(const core::Attempt& attempt, const core::Call& call,
+                                                      Millis patience) {
   const Millis now = fleet_.loop_.now();
   attempts_.emplace(call.ref, SentAttempt{attempt, now, 0, false, call.function});
-  enqueue_write({PendingWrite::Kind::attempt, call.ref, fields_of(call), call.body, now + patience, call.function});
+  enqueue_write(
+      {PendingWrite::Kind::attempt, call.ref, fields_of(call), call.body, now + patience, call.function});
   arm_idle_timer();
   arm_silence_timer();
 }
@@ -67,8 +71,11 @@
   const SentAttempt sent = found->second;
   attempts_.erase(found);
   if (!sent.written) {
-    const auto same = [&](const PendingWrite& p) { return p.kind == PendingWrite::Kind::attempt && p.name == ref; };
-    pending_writes_.erase(std::remove_if(pending_writes_.begin(), pending_writes_.end(), same), pending_writes_.end());
+    const auto same = [&](const PendingWrite& p) {
+      return p.kind == PendingWrite::Kind::attempt && p.name == ref;
+    };
+    pending_writes_.erase(std::remove_if(pending_writes_.begin(), pending_writes_.end(), same),
+                          pending_writes_.end());
     arm_idle_timer();
     return false;
   }
@@ -87,7 +94,8 @@
   return send_queue().written() >= sent.end_offset;
 }
 
-void HostConnectionPool::HostConnection::load_copies(const std::string& tag, std::uint64_t function, int copies) {
+void HostConnectionPool::HostConnection::load_copies(const std::string& tag, std::uint64_t function,
+                                                     int copies) {
   send_query(tag, Query::Kind::load, function, order_line(tag, function, copies), PendingWrite::Kind::load);
   queries_.at(tag).copies = copies;
 }
@@ -120,18 +128,21 @@
   arm_idle_timer();
 }
 
-void HostConnectionPool::HostConnection::send_query(const std::string& tag, Query::Kind kind, std::uint64_t function,
-                      const std::string& line, PendingWrite::Kind what) {
+void HostConnectionPool::HostConnection::send_query(const std::string& tag, Query::Kind kind,
+                                                    std::uint64_t function, const std::string& line,
+                                                    PendingWrite::Kind what) {
   const Millis now = fleet_.loop_.now();
   queries_[tag] = {kind, function, now, 0, false, {}, 0};
-  queries_[tag].timer = fleet_.loop_.schedule_at(now + fleet_.limits_.order_timeout, [this, tag] { query_timed_out(tag); });
+  queries_[tag].timer =
+      fleet_.loop_.schedule_at(now + fleet_.limits_.order_timeout, [this, tag] { query_timed_out(tag); });
   enqueue_write({what, tag, line + "\r\n", {}, Millis(0), function});
   arm_idle_timer();
   arm_silence_timer();
 }
 
 // Wait: till the next turn, in which it is taken back if its call is over.
-HostConnectionPool::HostConnection::WriteDecision HostConnectionPool::HostConnection::check_before_write(PendingWrite& pending) {
+HostConnectionPool::HostConnection::WriteDecision HostConnectionPool::HostConnection::check_before_write(
+    PendingWrite& pending) {
   if (pending.kind == PendingWrite::Kind::line) return WriteDecision::write;
   const bool exec = pending.kind == PendingWrite::Kind::attempt;
   const SentAttempt sent = exec ? attempts_.at(pending.name) : SentAttempt{};
@@ -181,11 +192,12 @@
 
 void HostConnectionPool::HostConnection::limit_stuck_exec() {
   fleet_.loop_.cancel(stuck_exec_);
-  stuck_exec_ = fleet_.loop_.schedule_at(fleet_.loop_.now() + kStuckExecMost, [this, end = send_queue().appended()] {
-    if (is_closing() || send_queue().written() >= end) return;
-    fleet_.counters_.add("hosts.stuck_calls");
-    close_later();
-  });
+  stuck_exec_ =
+      fleet_.loop_.schedule_at(fleet_.loop_.now() + kStuckExecMost, [this, end = send_queue().appended()] {
+        if (is_closing() || send_queue().written() >= end) return;
+        fleet_.counters_.add("hosts.stuck_calls");
+        close_later();
+      });
 }
 
 void HostConnectionPool::HostConnection::abort_pending_writes() {
--- a/src/hosts/link.h
+++ b/src/hosts/host_connection.h
@@ -7,7 +7,7 @@
 #include <unordered_map>
 #include <utility>
 
-#include "hosts/fleet.h"
+#include "hosts/connection_pool.h"
 #include "hosts/line_parser.h"
 #include "net/fields.h"
 
@@ -45,7 +45,7 @@
     core::Attempt attempt;
     Millis at{0};
     std::uint64_t end_offset = 0;  // offset behind its last byte
-    bool written = false;       // its bytes stand in the outbox or went out
+    bool written = false;          // its bytes stand in the outbox or went out
     std::uint64_t function = 0;
   };
   struct PendingWrite {
@@ -70,7 +70,7 @@
   std::string host_;
   LineParser parser_;
   std::map<std::string, SentAttempt> attempts_;  // by ref
-  std::map<std::string, Query> queries_;    // by tag
+  std::map<std::string, Query> queries_;         // by tag
   std::deque<PendingWrite> pending_writes_;
   std::unordered_map<std::string, bool> past_;  // refs whose attempt here has ended: answered, or dropped
   std::deque<std::pair<Millis, std::string>> past_order_;
@@ -83,7 +83,7 @@
 
   void remember_ended(const std::string& ref, bool answered);
   void send_query(const std::string& tag, Query::Kind kind, std::uint64_t function, const std::string& line,
-           PendingWrite::Kind what);
+                  PendingWrite::Kind what);
   void enqueue_write(PendingWrite&& pending);
   enum class WriteDecision { write, wait, discard };
   WriteDecision check_before_write(PendingWrite& pending);
--- a/src/hosts/link_checks.cpp
+++ b/src/hosts/host_connection_liveness.cpp
@@ -1,7 +1,7 @@
 // Whether a connection is still worth waiting for: late to come up, silent, broken off half-way.
 #include <algorithm>
 
-#include "hosts/link.h"
+#include "hosts/host_connection.h"
 
 namespace lotusyard::hosts {
 namespace {
@@ -33,7 +33,7 @@
   ++probes_unanswered_;
   const std::string tag = "s" + std::to_string(++fleet_.last_tag_);
   send_query(tag, Query::Kind::liveness, function, order ? order_line(tag, function, 0) : "health " + tag,
-      order ? PendingWrite::Kind::load : PendingWrite::Kind::line);
+             order ? PendingWrite::Kind::load : PendingWrite::Kind::line);
 }
 
 // Danger: a link over which nothing comes any more, or never the rest of an answer, holds whatever is out
--- a/src/hosts/link_hears.cpp
+++ b/src/hosts/host_connection_read.cpp
@@ -2,7 +2,7 @@
 #include <algorithm>
 #include <vector>
 
-#include "hosts/link.h"
+#include "hosts/host_connection.h"
 #include "net/fields.h"
 
 namespace lotusyard::hosts {
@@ -44,7 +44,8 @@
   arm_idle_timer();
 }
 
-void HostConnectionPool::HostConnection::finish_query(const Query& asked, Outcome outcome, int copies, core::Report report) {
+void HostConnectionPool::HostConnection::finish_query(const Query& asked, Outcome outcome, int copies,
+                                                      core::Report report) {
   const Millis elapsed = fleet_.loop_.now() - asked.at;
   if (asked.kind == Query::Kind::load) {
     fleet_.dispatcher_->load_ended({host_, asked.function, outcome, elapsed, copies});
@@ -60,7 +61,7 @@
   bool sound = parser_.take(bytes, replies);
   for (auto& reply : replies) {
     if (handle_reply(std::move(reply))) continue;  // also when the connection ends meanwhile: it came whole
-    sound = false;                         // what follows it proves no more than it does
+    sound = false;                                 // what follows it proves no more than it does
     break;
   }
   if (!parser_.begun()) {
@@ -97,8 +98,10 @@
     fleet_.counters_.add("hosts.answers." + reply.word);
     const int crowd = static_cast<int>(net::parse_whole(field(read, "crowd"), 1000000).value_or(0));
     fleet_.dispatcher_->attempt_ended(
-        attempt, {outcome, std::min(crowd, 30), fleet_.parse_report(field(read, "l")), std::move(reply.body)});
-  } else if (const auto answered = queries_.find(reply.id); answered != queries_.end() && answered->second.written) {
+        attempt,
+        {outcome, std::min(crowd, 30), fleet_.parse_report(field(read, "l")), std::move(reply.body)});
+  } else if (const auto answered = queries_.find(reply.id);
+             answered != queries_.end() && answered->second.written) {
     const Query asked = answered->second;
     fleet_.loop_.cancel(asked.timer);
     queries_.erase(answered);
@@ -162,7 +165,8 @@
   for (const auto& [ref, sent] : attempts) fleet_.attempts_.erase(sent.attempt);
   if (!attempts.empty()) fleet_.hosts_.at(host_).has_cancelled_calls = true;
   for (const auto& [ref, sent] : attempts) {
-    fleet_.dispatcher_->attempt_ended(sent.attempt, {outcome(sent.written, sent.end_offset), 0, std::nullopt, {}});
+    fleet_.dispatcher_->attempt_ended(sent.attempt,
+                                      {outcome(sent.written, sent.end_offset), 0, std::nullopt, {}});
   }
   for (const auto& [tag, a] : asked) {
     fleet_.loop_.cancel(a.timer);
--- a/src/hot_restart/shares.cpp
+++ b/src/hot_restart/shares.cpp
@@ -13,7 +13,9 @@
 
 }  // namespace
 
-std::size_t ResourceShares::descriptors() const { return kOwnDescriptors + clients + newcomers + links + callers; }
+std::size_t ResourceShares::descriptors() const {
+  return kOwnDescriptors + clients + newcomers + links + callers;
+}
 
 ResourceShares shares_of(std::size_t memory_mb, std::size_t sockets, ProcessRole standing) {
   const std::size_t processes = standing == ProcessRole::sole ? 1 : 2;
--- a/src/hot_restart/shares.h
+++ b/src/hot_restart/shares.h
@@ -7,9 +7,9 @@
 namespace lotusyard::hot_restart {
 
 enum class ProcessRole {
-  sole,    // no other process of this invoker lives
-  concurrent,   // another one lives, and both take clients
-  draining,  // another one has taken over; what is open here is brought to its end
+  sole,        // no other process of this invoker lives
+  concurrent,  // another one lives, and both take clients
+  draining,    // another one has taken over; what is open here is brought to its end
 };
 
 struct ResourceShares {
--- a/src/answers/ledger.cpp
+++ b/src/idempotency/result_ledger.cpp
@@ -1,4 +1,4 @@
-#include "answers/ledger.h"
+#include "idempotency/result_ledger.h"
 
 #include <algorithm>
 
@@ -9,7 +9,8 @@
   return record.stage != ResultStage::sent && record.answer.verdict == core::Verdict::refused;
 }
 
-Decision decide(const std::optional<ResultRecord>& known, const DeliveryFacts& arrival, const StoreTrust& trust) {
+Decision decide(const std::optional<ResultRecord>& known, const DeliveryFacts& arrival,
+                const StoreTrust& trust) {
   // Danger: a store that cannot be read may hold that it ran. Sent anew, the same id may be a tablet's
   // repeat.
   if (!trust.healthy) return arrival.redelivered ? Decision::fail_may_have_run : Decision::refuse_unrecorded;
@@ -35,7 +36,8 @@
              *from == ResultStage::confirmed;  // the last two: a further try after a refusal
     case ResultStage::cleared: return from && *from == ResultStage::sent;
     case ResultStage::answered: return true;  // a refusal may come before anything was sent
-    case ResultStage::confirmed: return from && (*from == ResultStage::answered || *from == ResultStage::confirmed);
+    case ResultStage::confirmed:
+      return from && (*from == ResultStage::answered || *from == ResultStage::confirmed);
   }
   return false;
 }
--- a/src/answers/ledger.h
+++ b/src/idempotency/result_ledger.h
@@ -45,7 +45,8 @@
 // A publisher's clock and this store's may differ by so much before a publisher's word counts.
 constexpr Millis kClockSkew = kClockStep + Millis(60000);
 
-Decision decide(const std::optional<ResultRecord>& known, const DeliveryFacts& arrival, const StoreTrust& trust);
+Decision decide(const std::optional<ResultRecord>& known, const DeliveryFacts& arrival,
+                const StoreTrust& trust);
 
 // Whether a change of stage keeps what the store has promised; one that does not is a fault of ours.
 bool may_follow(const std::optional<ResultStage>& from, ResultStage to);
--- a/src/answers/store.h
+++ b/src/idempotency/result_store.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "answers/ledger.h"
+#include "idempotency/result_ledger.h"
 
 namespace lotusyard::idempotency {
 
--- a/src/answers/sqlite_store.cpp
+++ b/src/idempotency/sqlite_result_store.cpp
@@ -1,4 +1,4 @@
-#include "answers/sqlite_store.h"
+#include "idempotency/sqlite_result_store.h"
 
 #include <algorithm>
 #include <utility>
@@ -25,8 +25,8 @@
 
 }  // namespace
 
-SqliteResultStore::SqliteResultStore(const std::string& path, const Bounds& bounds, Millis now, core::Counters& counters,
-                         Log log, Clock clock)
+SqliteResultStore::SqliteResultStore(const std::string& path, const Bounds& bounds, Millis now,
+                                     core::Counters& counters, Log log, Clock clock)
     : path_(path),
       created_at_(now),
       clock_(std::move(clock)),
@@ -222,6 +222,8 @@
   check_status(code, "list");
 }
 
-void SqliteResultStore::limit_pages(int most) { run(("PRAGMA max_page_count = " + std::to_string(most)).c_str()); }
+void SqliteResultStore::limit_pages(int most) {
+  run(("PRAGMA max_page_count = " + std::to_string(most)).c_str());
+}
 
 }  // namespace lotusyard::idempotency
--- a/src/answers/sqlite_store.h
+++ b/src/idempotency/sqlite_result_store.h
@@ -5,8 +5,8 @@
 #include <functional>
 #include <memory>
 
-#include "answers/store.h"
 #include "core/counters.h"
+#include "idempotency/result_store.h"
 #include "sqlite/result.h"
 
 struct sqlite3;
@@ -21,8 +21,8 @@
   // The log says of a file that cannot be opened or is damaged; the store takes nothing then. Opening is
   // tried again, with backoff by `clock` (steady, any origin), at the operations that follow, unless it is
   // damaged.
-  SqliteResultStore(const std::string& path, const Bounds& bounds, Millis now, core::Counters& counters, Log log,
-              Clock clock = steady_now);
+  SqliteResultStore(const std::string& path, const Bounds& bounds, Millis now, core::Counters& counters,
+                    Log log, Clock clock = steady_now);
   ~SqliteResultStore() override;
   SqliteResultStore(const SqliteResultStore&) = delete;
   SqliteResultStore& operator=(const SqliteResultStore&) = delete;
--- a/src/works/admin_endpoint.cpp
+++ b/src/maintenance/admin_endpoint.cpp
@@ -1,4 +1,4 @@
-#include "works/admin_endpoint.h"
+#include "maintenance/admin_endpoint.h"
 
 #include <algorithm>
 
@@ -40,9 +40,9 @@
     for (const auto& key : w.hosts) {
       const auto found = board.hosts().find(key.id);
       const bool open = found != board.hosts().end() && found->second.job == w.id;
-      hosts[key.id] = {{"stage", open                           ? name_of(found->second.stage)
+      hosts[key.id] = {{"stage", open                                     ? name_of(found->second.stage)
                                  : w.state == MaintenanceJob::State::done ? "back"
-                                                                : "-"},
+                                                                          : "-"},
                        {"reason", open ? found->second.reason : ""},
                        {"late", open && found->second.overdue}};
     }
@@ -54,9 +54,12 @@
   return {{"member", member}, {"index", board.index()}, {"works", works}};
 }
 
-json outcome_to_json(const MaintenanceState::ProposalOutcome& o) { return {{"done", o.done}, {"why", o.why}, {"index", o.index}}; }
+json outcome_to_json(const MaintenanceState::ProposalOutcome& o) {
+  return {{"done", o.done}, {"why", o.why}, {"index", o.index}};
+}
 
-OperatorProposal parse_proposal(const std::string& wording, const std::map<std::string, core::ListedHost>& listed) {
+OperatorProposal parse_proposal(const std::string& wording,
+                                const std::map<std::string, core::ListedHost>& listed) {
   const auto refused = [](int status, const std::string& why) {
     return OperatorProposal{{status, why}, std::nullopt};
   };
@@ -75,8 +78,9 @@
     if (from.contains("bounds")) (void)parse_bounds(from.at("bounds"));
   } catch (const std::exception& fault) { return refused(400, fault.what()); }
   auto entry = parse_entry(from.dump());
-  static const Kind allowed[] = {Kind::add_job,      Kind::change_job_state, Kind::change_bounds,
-                                 Kind::return_to_service, Kind::leave, Kind::read_barrier};
+  static const Kind allowed[] = {Kind::add_job,       Kind::change_job_state,
+                                 Kind::change_bounds, Kind::return_to_service,
+                                 Kind::leave,         Kind::read_barrier};
   if (!entry || std::find(std::begin(allowed), std::end(allowed), entry->kind) == std::end(allowed))
     return refused(400, "no proposal that an operator can make");
   if (encode_entry(*entry).size() > max_entry_bytes) return refused(413, "too long");
--- a/src/works/admin_endpoint.h
+++ b/src/maintenance/admin_endpoint.h
@@ -4,9 +4,9 @@
 #include <map>
 #include <string>
 
-#include "console/admin_endpoint.h"
-#include "core/member.h"
-#include "works/board.h"
+#include "admin/admin_endpoint.h"
+#include "core/listed_host.h"
+#include "maintenance/maintenance_state.h"
 
 namespace lotusyard::maintenance {
 
@@ -14,10 +14,11 @@
 nlohmann::json outcome_to_json(const MaintenanceState::ProposalOutcome& outcome);
 
 struct OperatorProposal {
-  admin::Response rejection;       // holds where there is no entry
+  admin::Response rejection;      // holds where there is no entry
   std::optional<LogEntry> entry;  // for whoever leads
 };
 // An operator's wording, checked against the hosts that this member sees.
-OperatorProposal parse_proposal(const std::string& wording, const std::map<std::string, core::ListedHost>& listed);
+OperatorProposal parse_proposal(const std::string& wording,
+                                const std::map<std::string, core::ListedHost>& listed);
 
 }  // namespace lotusyard::maintenance
--- a/src/works/leaving.cpp
+++ b/src/maintenance/drain_tracker.cpp
@@ -1,4 +1,4 @@
-#include "works/leaving.h"
+#include "maintenance/drain_tracker.h"
 
 #include <cmath>
 
@@ -31,7 +31,8 @@
   for (const auto& [host, was] : avoided_) {
     if (left.count(host) != 0) continue;
     if (released_to_operators_.erase(host) != 0) out.restart_slow_start.insert(host);
-    out.log_lines.push_back("host=" + host + " is used again" + (out.restart_slow_start.count(host) != 0 ? ", cold" : ""));
+    out.log_lines.push_back("host=" + host + " is used again" +
+                            (out.restart_slow_start.count(host) != 0 ? ", cold" : ""));
   }
   avoided_ = std::move(left);
   for (const auto& [host, h] : board.hosts()) {
@@ -40,12 +41,14 @@
   return out;
 }
 
-HostObservations DrainTracker::observe(const MaintenanceState& board, const HostObserver& watch, const Listed& listed,
-                  const std::set<std::string>& by_hand, Millis now) {
+HostObservations DrainTracker::observe(const MaintenanceState& board, const HostObserver& watch,
+                                       const Listed& listed, const std::set<std::string>& by_hand,
+                                       Millis now) {
   HostObservations out;
   for (const auto& [id, member] : listed) {
     ++out.listed_hosts;
-    if (board.hosts().count(id) != 0) out.serving_value[id] = std::round(watch.serving_value(id, now) * 100) / 100;
+    if (board.hosts().count(id) != 0)
+      out.serving_value[id] = std::round(watch.serving_value(id, now) * 100) / 100;
     const bool bad = !usable(member) || by_hand.count(id) != 0 || watch.is_down(id, now);
     if (!is_avoided(id) && bad) out.down.insert(id);
   }
--- a/src/works/leaving.h
+++ b/src/maintenance/drain_tracker.h
@@ -7,9 +7,9 @@
 #include <string>
 #include <vector>
 
-#include "core/member.h"
-#include "works/board.h"
-#include "works/watch.h"
+#include "core/listed_host.h"
+#include "maintenance/host_observer.h"
+#include "maintenance/maintenance_state.h"
 
 namespace lotusyard::maintenance {
 
@@ -18,15 +18,15 @@
   using Listed = std::map<std::string, core::ListedHost>;
   struct Change {
     std::set<std::string> avoided, restart_slow_start;  // anew: used again from now on, and cold
-    std::vector<std::string> log_lines;   // for the log
+    std::vector<std::string> log_lines;                 // for the log
   };
   // What the board says, with its lease or without.
   Change update(const MaintenanceState& board, bool leased, const Listed& listed);
   bool is_avoided(const std::string& host) const { return avoided_.count(host) != 0; }
 
   // What this member sees of hosts: what each costs, which fail, start anew, serve again.
-  HostObservations observe(const MaintenanceState& board, const HostObserver& watch, const Listed& listed, const std::set<std::string>& by_hand,
-           Millis now);
+  HostObservations observe(const MaintenanceState& board, const HostObserver& watch, const Listed& listed,
+                           const std::set<std::string>& by_hand, Millis now);
 
  private:
   struct AvoidedHost {
--- a/src/works/gather.cpp
+++ b/src/maintenance/heartbeat_aggregator.cpp
@@ -1,4 +1,4 @@
-#include "works/gather.h"
+#include "maintenance/heartbeat_aggregator.h"
 
 #include <utility>
 
@@ -15,7 +15,8 @@
 }  // namespace
 
 // Danger: an entry over the bound is refused by every member that reads it, and each stands aside for good.
-AggregatedHeartbeats aggregate_heartbeats(std::map<std::string, Heartbeat>&& heard, const std::string& reason) {
+AggregatedHeartbeats aggregate_heartbeats(std::map<std::string, Heartbeat>&& heard,
+                                          const std::string& reason) {
   AggregatedHeartbeats out;
   out.entries.push_back(entry_with(reason));
   const std::size_t empty = encode_entry(out.entries.back()).size();
--- a/src/works/gather.h
+++ b/src/maintenance/heartbeat_aggregator.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "works/entry.h"
+#include "maintenance/log_entry.h"
 
 namespace lotusyard::maintenance {
 
@@ -16,6 +16,7 @@
 
 // All that was heard, by member, in as few entries as the bound on an entry's wording allows; each carries
 // `reason`. At least one entry.
-AggregatedHeartbeats aggregate_heartbeats(std::map<std::string, Heartbeat>&& heard, const std::string& reason);
+AggregatedHeartbeats aggregate_heartbeats(std::map<std::string, Heartbeat>&& heard,
+                                          const std::string& reason);
 
 }  // namespace lotusyard::maintenance
--- a/src/works/host_use.cpp
+++ b/src/maintenance/host_access.cpp
@@ -1,4 +1,4 @@
-#include "works/host_use.h"
+#include "maintenance/host_access.h"
 
 #include <algorithm>
 #include <cmath>
@@ -22,7 +22,8 @@
   leased_ = knowledge.is_leased;
   const auto change = drain_tracker_.update(board, leased_, services_.endpoint_states.listed_hosts());
   for (const auto& line : change.log_lines) log_(line);
-  services_.endpoint_states.set_in_maintenance(change.avoided, change.restart_slow_start, services_.loop.now());
+  services_.endpoint_states.set_in_maintenance(change.avoided, change.restart_slow_start,
+                                               services_.loop.now());
   services_.endpoint_states.suspend_all(knowledge.must_suspend);
   if (!ended) return;
   // What was decided while the lease held must not go out after it.
@@ -41,7 +42,9 @@
 
 HostObservations HostAccess::observe(const MaintenanceState& board) {
   const Millis now = services_.loop.now();
-  HostObservations out = drain_tracker_.observe(board, host_observer_, services_.endpoint_states.listed_hosts(), services_.endpoint_states.disabled(), now);
+  HostObservations out =
+      drain_tracker_.observe(board, host_observer_, services_.endpoint_states.listed_hosts(),
+                             services_.endpoint_states.disabled(), now);
   const auto& counters = services_.counters;
   const double taken = static_cast<double>(counters.value("calls.taken"));
   const double lost = static_cast<double>(counters.value("calls.refused") + counters.value("calls.failed"));
--- a/src/works/host_use.h
+++ b/src/maintenance/host_access.h
@@ -7,8 +7,8 @@
 #include <string>
 
 #include "app/app.h"
-#include "works/leaving.h"
-#include "works/watch.h"
+#include "maintenance/drain_tracker.h"
+#include "maintenance/host_observer.h"
 
 namespace lotusyard::maintenance {
 
--- a/src/works/watch.cpp
+++ b/src/maintenance/host_observer.cpp
@@ -1,4 +1,4 @@
-#include "works/watch.h"
+#include "maintenance/host_observer.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/works/watch.h
+++ b/src/maintenance/host_observer.h
@@ -6,7 +6,7 @@
 #include <map>
 #include <string>
 
-#include "robinfold/policy.h"
+#include "lotusyard/policy/policy.h"
 
 namespace lotusyard::maintenance {
 
--- a/src/works/entry.cpp
+++ b/src/maintenance/log_entry.cpp
@@ -1,4 +1,4 @@
-#include "works/entry.h"
+#include "maintenance/log_entry.h"
 
 #include <array>
 #include <cmath>
@@ -72,8 +72,10 @@
 }
 
 json worded_view(const HostObservations& v) {
-  return {{"cost", v.serving_value},   {"down", v.down}, {"reborn", v.restarted}, {"served", v.served},
-          {"asked", v.calls_per_second}, {"lost", v.failed_per_second}, {"listed", v.listed_hosts}};
+  return {{"cost", v.serving_value},     {"down", v.down},
+          {"reborn", v.restarted},       {"served", v.served},
+          {"asked", v.calls_per_second}, {"lost", v.failed_per_second},
+          {"listed", v.listed_hosts}};
 }
 
 HostObservations read_view(const json& from) {
--- a/src/works/coordinator.cpp
+++ b/src/maintenance/maintenance_replica.cpp
@@ -1,12 +1,12 @@
-#include "works/coordinator.h"
+#include "maintenance/maintenance_replica.h"
 
 #include <algorithm>
 #include <cmath>
 #include <iostream>
 
 #include "config/json_read.h"
-#include "core/breaks.h"
-#include "works/admin_endpoint.h"
+#include "core/fault_injection.h"
+#include "maintenance/admin_endpoint.h"
 
 namespace lotusyard::maintenance {
 namespace {
@@ -19,7 +19,8 @@
 
 }  // namespace
 
-MaintenanceReplica::MaintenanceReplica(const InvokerServices& wiring, const raft::Config& config, raft::Lease& lease, LogSink note)
+MaintenanceReplica::MaintenanceReplica(const InvokerServices& wiring, const raft::Config& config,
+                                       raft::Lease& lease, LogSink note)
     : services_(wiring),
       config_(config),
       lease_(lease),
@@ -28,7 +29,8 @@
       host_access_(wiring, log_) {}
 
 MaintenanceReplica::~MaintenanceReplica() {
-  for (const auto& timer : {heartbeat_timer_, leader_timer_, lease_timer_, lives_}) services_.loop.cancel(timer);
+  for (const auto& timer : {heartbeat_timer_, leader_timer_, lease_timer_, lives_})
+    services_.loop.cancel(timer);
 }
 
 void MaintenanceReplica::attach(raft::RaftReplica& member) {
@@ -53,15 +55,18 @@
 
 void MaintenanceReplica::update_host_access() {
   StateFreshness knowledge;
-  knowledge.is_leased = !failed_ && (lease_.is_held(now()) || (fault_injected("lease") && lease_.was_ever_held()));
+  knowledge.is_leased =
+      !failed_ && (lease_.is_held(now()) || (fault_injected("lease") && lease_.was_ever_held()));
   knowledge.must_suspend = config_.serves && !lease_.was_ever_held();
   services_.loop.cancel(lease_timer_);
-  if (lease_.is_held(now())) lease_timer_ = services_.loop.schedule_at(lease_.expires_at(), [this] { update_host_access(); });
+  if (lease_.is_held(now()))
+    lease_timer_ = services_.loop.schedule_at(lease_.expires_at(), [this] { update_host_access(); });
   host_access_.update(state_, knowledge);
   if (change_handler_) change_handler_();
 }
 
-void MaintenanceReplica::attempt_ended(const std::string& host, const core::Call& call, core::Outcome outcome) {
+void MaintenanceReplica::attempt_ended(const std::string& host, const core::Call& call,
+                                       core::Outcome outcome) {
   host_access_.attempt_ended(host, call, outcome);
 }
 
@@ -86,7 +91,12 @@
     return send_to_leader({{"e", encode_entry(join)}});
   }
   has_joined_ = true;
-  Heartbeat out{member_name(), replica_->incarnation(), now().count(), state_.index(), {}, host_access_.observe(state_)};
+  Heartbeat out{member_name(),
+                replica_->incarnation(),
+                now().count(),
+                state_.index(),
+                {},
+                host_access_.observe(state_)};
   const auto others = aggregate_source_ ? std::optional<SessionAggregate>(aggregate_source_()) : std::nullopt;
   if (others) {
     out.applied_index = std::min(out.applied_index, others->applied_index);
@@ -114,8 +124,7 @@
   try {
     const std::uint64_t life = replica_->begin_new_incarnation(last);
     services_.counters.add("works.lives_passed");
-    log_("life=" + std::to_string(life) + " starts: an earlier one is in the log as " +
-          std::to_string(last));
+    log_("life=" + std::to_string(life) + " starts: an earlier one is in the log as " + std::to_string(last));
   } catch (const std::exception& fault) { on_store_failure(fault.what()); }
 }
 
@@ -137,7 +146,8 @@
   const auto entry = parse_entry(wording);
   if (!entry) {
     services_.counters.add("works.unreadable");
-    return on_store_failure("entry " + std::to_string(index) + " of the log is of another version of the program");
+    return on_store_failure("entry " + std::to_string(index) +
+                            " of the log is of another version of the program");
   }
   const auto outcome = state_.apply(index, *entry, now());
   services_.counters.add("works.entries");
@@ -171,12 +181,13 @@
   }
 }
 
-void MaintenanceReplica::log_applied_entry(const LogEntry& e, const MaintenanceState::ProposalOutcome& outcome) {
+void MaintenanceReplica::log_applied_entry(const LogEntry& e,
+                                           const MaintenanceState::ProposalOutcome& outcome) {
   log_(std::string(name_of(e.kind)) + (outcome.done ? "" : " refused") +
-        (e.job.empty() ? "" : " work=" + e.job) + (e.host.empty() ? "" : " host=" + e.host) +
-        (e.added_job ? " work=" + e.added_job->id : "") + (e.member.empty() ? "" : " of=" + e.member) +
-        (e.kind == Kind::change_job_state ? std::string(" state=") + name_of(e.state) : "") + " reason=\"" +
-        (outcome.done ? e.reason : outcome.why) + '"');
+       (e.job.empty() ? "" : " work=" + e.job) + (e.host.empty() ? "" : " host=" + e.host) +
+       (e.added_job ? " work=" + e.added_job->id : "") + (e.member.empty() ? "" : " of=" + e.member) +
+       (e.kind == Kind::change_job_state ? std::string(" state=") + name_of(e.state) : "") + " reason=\"" +
+       (outcome.done ? e.reason : outcome.why) + '"');
 }
 
 // It was taken for gone for good, and is not.
@@ -188,11 +199,13 @@
 // A life that is not kept is not told: a store that fails for now is asked again.
 void MaintenanceReplica::take_new_life() {
   try {
-    log_("life=" + std::to_string(replica_->begin_new_incarnation()) + " starts: this member was said to be gone");
+    log_("life=" + std::to_string(replica_->begin_new_incarnation()) +
+         " starts: this member was said to be gone");
   } catch (const raft::LogStoreError& fault) {
     if (!fault.transient()) return on_store_failure(fault.what());
     services_.loop.cancel(lives_);
-    lives_ = services_.loop.schedule_at(now() + config_.terms.heartbeat_interval(), [this] { take_new_life(); });
+    lives_ =
+        services_.loop.schedule_at(now() + config_.terms.heartbeat_interval(), [this] { take_new_life(); });
   } catch (const std::exception& fault) { on_store_failure(fault.what()); }
 }
 
@@ -219,7 +232,8 @@
 std::optional<admin::Response> MaintenanceReplica::handle_request(const admin::Request& request) {
   const bool get = request.method == "GET", post = request.method == "POST";
   if (request.path == "/-/works")
-    return get ? admin::Response{200, jobs_to_json(state_, member_name()).dump()} : admin::Response{405, "GET"};
+    return get ? admin::Response{200, jobs_to_json(state_, member_name()).dump()}
+               : admin::Response{405, "GET"};
   if (request.path.compare(0, kPath.size(), kPath) != 0) return std::nullopt;
   const std::string rest = request.path.substr(kPath.size());
   const auto slash = rest.find('/');
--- a/src/works/coordinator.h
+++ b/src/maintenance/maintenance_replica.h
@@ -7,10 +7,10 @@
 #include <string>
 
 #include "app/app.h"
-#include "group/member.h"
-#include "works/board.h"
-#include "works/host_use.h"
-#include "works/order.h"
+#include "maintenance/host_access.h"
+#include "maintenance/maintenance_scheduler.h"
+#include "maintenance/maintenance_state.h"
+#include "raft/raft_replica.h"
 
 namespace lotusyard::maintenance {
 
@@ -18,7 +18,8 @@
  public:
   using LogSink = std::function<void(const std::string& text)>;
   // `lease` outlives it.
-  MaintenanceReplica(const InvokerServices& wiring, const raft::Config& config, raft::Lease& lease, LogSink note);
+  MaintenanceReplica(const InvokerServices& wiring, const raft::Config& config, raft::Lease& lease,
+                     LogSink note);
   ~MaintenanceReplica() override;
   void attach(raft::RaftReplica& member);  // once, before the loop's next turn
 
--- a/src/works/coordinator_leads.cpp
+++ b/src/maintenance/maintenance_replica_leader.cpp
@@ -1,7 +1,7 @@
 // What the one member that leads does for works: it gathers signs of life and proposes what the order says.
 #include "config/json_read.h"
-#include "works/coordinator.h"
-#include "works/gather.h"
+#include "maintenance/heartbeat_aggregator.h"
+#include "maintenance/maintenance_replica.h"
 
 namespace lotusyard::maintenance {
 namespace {
@@ -30,7 +30,8 @@
 void MaintenanceReplica::handle_heartbeat(Heartbeat&& beat) {
   Heartbeat& held = pending_heartbeats_[beat.member];
   // What was seen and is not in the log yet goes with the newer sign of life.
-  if (!beat.observations && held.observations && held.incarnation == beat.incarnation) beat.observations = std::move(held.observations);
+  if (!beat.observations && held.observations && held.incarnation == beat.incarnation)
+    beat.observations = std::move(held.observations);
   held = std::move(beat);
 }
 
@@ -60,7 +61,8 @@
 }
 
 void MaintenanceReplica::run_leader() {
-  leader_timer_ = services_.loop.schedule_at(now() + config_.terms.heartbeat_interval() / 2, [this] { run_leader(); });
+  leader_timer_ =
+      services_.loop.schedule_at(now() + config_.terms.heartbeat_interval() / 2, [this] { run_leader(); });
   if (failed_ || !is_ready_leader()) return;
   if (in_flight_ && now() - flown_at_ < kFlightMost) return;
   const auto next = scheduler_.next_entry(state_, now());
--- a/src/works/order.cpp
+++ b/src/maintenance/maintenance_scheduler.cpp
@@ -1,4 +1,4 @@
-#include "works/order.h"
+#include "maintenance/maintenance_scheduler.h"
 
 #include <algorithm>
 #include <cmath>
@@ -31,7 +31,8 @@
 
 }  // namespace
 
-bool MaintenanceScheduler::has_quiesced(const MaintenanceState::MemberProgress& m, const std::string& host, std::uint64_t round, Millis now) const {
+bool MaintenanceScheduler::has_quiesced(const MaintenanceState::MemberProgress& m, const std::string& host,
+                                        std::uint64_t round, Millis now) const {
   if (!m.serves) return true;
   if (m.applied_index >= round && m.drained_hosts.count(host) != 0) return true;
   return now - m.last_heartbeat_at >= terms_.presumed_dead_after();
@@ -64,17 +65,19 @@
 std::optional<LogEntry> MaintenanceScheduler::next_return(const MaintenanceState& board, Millis now) const {
   for (const auto& [id, h] : board.hosts()) {
     const MaintenanceJob& w = *board.find_job(h.job);
-    const auto seen_by = [&](std::set<std::string> View::*what) {
+    const auto seen_by = [&](std::set<std::string> HostObservations::*what) {
       for (const auto& [name, m] : board.members()) {
         if (m.has_reported && (m.observations.*what).count(id) != 0) return name;
       }
       return std::string();
     };
     if (h.stage == HostStage::out_of_service) {
-      const std::string by = w.bounds.restart_is_return ? seen_by(&HostObservations::restarted) : std::string();
+      const std::string by =
+          w.bounds.restart_is_return ? seen_by(&HostObservations::restarted) : std::string();
       if (!by.empty()) return about(Kind::return_to_service, h, "it has started anew, says " + by);
       if (!h.overdue && now - h.since > w.bounds.max_time_out)
-        return about(Kind::overdue, h, "out for longer than " + figure(w.bounds.max_time_out.count() / 1000) + " s");
+        return about(Kind::overdue, h,
+                     "out for longer than " + figure(w.bounds.max_time_out.count() / 1000) + " s");
     }
     if (h.stage == HostStage::slow_start) {
       const std::string by = seen_by(&HostObservations::served);
@@ -116,7 +119,8 @@
   return asked > 0 ? std::min(1.0, lost / asked) : 0;
 }
 
-std::optional<double> MaintenanceScheduler::serving_value(const MaintenanceState& board, const std::string& host, Millis now) const {
+std::optional<double> MaintenanceScheduler::serving_value(const MaintenanceState& board,
+                                                          const std::string& host, Millis now) const {
   std::optional<double> out;
   for (const auto& [name, m] : board.members()) {
     if (!is_reporting(m, now)) continue;
@@ -126,7 +130,8 @@
   return out;
 }
 
-std::string MaintenanceScheduler::obstacle(const MaintenanceState& board, const MaintenanceJob& work, Millis now) const {
+std::string MaintenanceScheduler::obstacle(const MaintenanceState& board, const MaintenanceJob& work,
+                                           Millis now) const {
   for (const auto& [id, h] : board.hosts()) {
     if (h.overdue) return "host " + id + " is " + h.reason + "; it is to come back first";
   }
@@ -150,7 +155,8 @@
   return {};
 }
 
-std::optional<LogEntry> MaintenanceScheduler::next_drain(const MaintenanceState& board, const MaintenanceJob& work, Millis now) {
+std::optional<LogEntry> MaintenanceScheduler::next_drain(const MaintenanceState& board,
+                                                         const MaintenanceJob& work, Millis now) {
   if (work.state == MaintenanceJob::State::paused) {
     waiting_reasons_.emplace(work.id, "paused");
     return std::nullopt;
@@ -186,7 +192,7 @@
   }
   if (best == nullptr || !held_up.empty()) {
     const auto open = [&](const auto& h) {
-      return h.second.work == work.id && h.second.stage == HostStage::waiting;
+      return h.second.job == work.id && h.second.stage == HostStage::waiting;
     };
     const bool waits = std::any_of(board.hosts().begin(), board.hosts().end(), open);
     if (!why.empty())
--- a/src/works/order.h
+++ b/src/maintenance/maintenance_scheduler.h
@@ -3,8 +3,8 @@
 // upon, and only where the board's own rules allow it.
 #pragma once
 
-#include "group/lease.h"
-#include "works/board.h"
+#include "maintenance/maintenance_state.h"
+#include "raft/lease.h"
 
 namespace lotusyard::maintenance {
 
@@ -24,7 +24,8 @@
   double usual_failed_share_ = 0;  // share of calls that is lost, as it is usually
   Millis usual_at_{0};
 
-  bool has_quiesced(const MaintenanceState::MemberProgress& m, const std::string& host, std::uint64_t round, Millis now) const;
+  bool has_quiesced(const MaintenanceState::MemberProgress& m, const std::string& host, std::uint64_t round,
+                    Millis now) const;
   bool is_reporting(const MaintenanceState::MemberProgress& m, Millis now) const;
   std::optional<LogEntry> next_release(const MaintenanceState& board, Millis now);
   std::optional<LogEntry> next_return(const MaintenanceState& board, Millis now) const;
@@ -32,7 +33,8 @@
   std::optional<LogEntry> next_drain(const MaintenanceState& board, const MaintenanceJob& work, Millis now);
   std::string obstacle(const MaintenanceState& board, const MaintenanceJob& work, Millis now) const;
   double failed_share(const MaintenanceState& board, Millis now) const;
-  std::optional<double> serving_value(const MaintenanceState& board, const std::string& host, Millis now) const;
+  std::optional<double> serving_value(const MaintenanceState& board, const std::string& host,
+                                      Millis now) const;
 };
 
 }  // namespace lotusyard::maintenance
--- a/src/works/board.cpp
+++ b/src/maintenance/maintenance_state.cpp
@@ -1,4 +1,4 @@
-#include "works/board.h"
+#include "maintenance/maintenance_state.h"
 
 #include <algorithm>
 #include <cmath>
@@ -18,14 +18,19 @@
 
 }  // namespace
 
-bool counts_against_bounds(HostStage s) { return s == HostStage::draining || s == HostStage::out_of_service || s == HostStage::slow_start; }
+bool counts_against_bounds(HostStage s) {
+  return s == HostStage::draining || s == HostStage::out_of_service || s == HostStage::slow_start;
+}
 const char* name_of(HostStage stage) { return kStages[static_cast<std::size_t>(stage)]; }
 
 MaintenanceJob* MaintenanceState::find_mutable_job(const std::string& id) {
-  const auto found = std::find_if(jobs_.begin(), jobs_.end(), [&](const MaintenanceJob& w) { return w.id == id; });
+  const auto found =
+      std::find_if(jobs_.begin(), jobs_.end(), [&](const MaintenanceJob& w) { return w.id == id; });
   return found == jobs_.end() ? nullptr : &*found;
 }
-const MaintenanceJob* MaintenanceState::find_job(const std::string& id) const { return const_cast<MaintenanceState*>(this)->find_mutable_job(id); }
+const MaintenanceJob* MaintenanceState::find_job(const std::string& id) const {
+  return const_cast<MaintenanceState*>(this)->find_mutable_job(id);
+}
 
 const MaintenanceState::ProposalOutcome* MaintenanceState::find_outcome(const std::string& proposal) const {
   const auto found = outcomes_.find(proposal);
@@ -37,7 +42,8 @@
   return found == incarnations_.end() ? 0 : found->second;
 }
 
-MaintenanceState::ProposalOutcome MaintenanceState::apply(std::uint64_t index, const LogEntry& entry, Millis now) {
+MaintenanceState::ProposalOutcome MaintenanceState::apply(std::uint64_t index, const LogEntry& entry,
+                                                          Millis now) {
   index_ = index;
   // An operator's proposal that came twice holds once: its answer may have been lost.
   if (!entry.proposal.empty()) {
@@ -77,7 +83,8 @@
       waiting_reason_ = e.reason;
       return {};
     case Kind::join:
-      if (e.member.empty() || e.incarnation <= last_incarnation(e.member)) return "member: this life is not a new one";
+      if (e.member.empty() || e.incarnation <= last_incarnation(e.member))
+        return "member: this life is not a new one";
       incarnations_[e.member] = e.incarnation;
       members_[e.member] = MemberProgress{e.incarnation, e.serves, 0, 0, {}, {}, false, now};
       return {};
@@ -89,7 +96,8 @@
       for (const auto& id : e.hosts) {
         const auto found = hosts_.find(id);
         if (found == hosts_.end() || found->second.stage != HostStage::waiting) continue;
-        if (find_job(found->second.job)->state != MaintenanceJob::State::running || hosts_in_progress() >= max_hosts_in_progress(min_listed_hosts()))
+        if (find_job(found->second.job)->state != MaintenanceJob::State::running ||
+            hosts_in_progress() >= max_hosts_in_progress(min_listed_hosts()))
           continue;
         found->second.stage = HostStage::selected;
         found->second.selected_at_index = index_;
@@ -210,12 +218,15 @@
 
 // A closed work's hosts belong to no work any more. Bounds the list of closed works; it shrinks here alone.
 void MaintenanceState::close_if_done(const std::string& id) {
-  const auto open = [&](const auto& h) { return h.second.work == id && h.second.stage != HostStage::returned; };
+  const auto open = [&](const auto& h) {
+    return h.second.job == id && h.second.stage != HostStage::returned;
+  };
   if (std::any_of(hosts_.begin(), hosts_.end(), open)) return;
   for (auto i = hosts_.begin(); i != hosts_.end();) i = i->second.job == id ? hosts_.erase(i) : std::next(i);
-  if (MaintenanceJob* w = find_mutable_job(id); w->state != MaintenanceJob::State::cancelled) w->state = MaintenanceJob::State::done;
+  if (MaintenanceJob* w = find_mutable_job(id); w->state != MaintenanceJob::State::cancelled)
+    w->state = MaintenanceJob::State::done;
   const auto closed = [&](const MaintenanceJob& w) {
-    const auto mine = [&](const auto& h) { return h.second.work == w.id; };
+    const auto mine = [&](const auto& h) { return h.second.job == w.id; };
     return (w.state == MaintenanceJob::State::done || w.state == MaintenanceJob::State::cancelled) &&
            std::none_of(hosts_.begin(), hosts_.end(), mine);
   };
@@ -226,7 +237,8 @@
 std::set<std::string> MaintenanceState::hosts_to_avoid(bool leased) const {
   std::set<std::string> out;
   for (const auto& [id, h] : hosts_) {
-    if (h.stage == HostStage::draining || h.stage == HostStage::out_of_service || (!leased && h.stage == HostStage::selected))
+    if (h.stage == HostStage::draining || h.stage == HostStage::out_of_service ||
+        (!leased && h.stage == HostStage::selected))
       out.insert(id);
   }
   return out;
@@ -256,7 +268,8 @@
   return most_away(usable, listed);
 }
 
-std::string MaintenanceState::exceeded_bound(const MaintenanceJob& of, const HostKey& host, int listed) const {
+std::string MaintenanceState::exceeded_bound(const MaintenanceJob& of, const HostKey& host,
+                                             int listed) const {
   int out = 0, zone = 0, kind = 0;
   std::set<std::string> held;
   for (const auto& [id, h] : hosts_) {
@@ -274,9 +287,12 @@
       return std::to_string(most) + ' ' + what + " may be out at once by work " + w.id + ", and are";
     };
     if (out >= b.max_out) return says("hosts", b.max_out);
-    if (b.max_out_per_zone > 0 && zone >= b.max_out_per_zone) return says(("of zone " + host.zone).c_str(), b.max_out_per_zone);
-    if (b.max_out_per_kind > 0 && kind >= b.max_out_per_kind) return says(("of kind " + host.kind).c_str(), b.max_out_per_kind);
-    if (out >= most_away(b.min_usable_share, listed)) return says("of those listed", most_away(b.min_usable_share, listed));
+    if (b.max_out_per_zone > 0 && zone >= b.max_out_per_zone)
+      return says(("of zone " + host.zone).c_str(), b.max_out_per_zone);
+    if (b.max_out_per_kind > 0 && kind >= b.max_out_per_kind)
+      return says(("of kind " + host.kind).c_str(), b.max_out_per_kind);
+    if (out >= most_away(b.min_usable_share, listed))
+      return says("of those listed", most_away(b.min_usable_share, listed));
   }
   return {};
 }
@@ -307,7 +323,7 @@
     const ProposalOutcome& o = outcomes_.at(id);
     outcomes.push_back({id, o.done, o.why, o.index});
   }
-  return {{"index", index_},    {"works", works},  {"hosts", hosts},
+  return {{"index", index_},    {"works", works},         {"hosts", hosts},
           {"members", members}, {"lives", incarnations_}, {"outcomes", outcomes}};
 }
 
@@ -325,7 +341,9 @@
       h.job = row.at("work").get<std::string>();
       h.reason = row.at("reason").get<std::string>();
       const int stage = row.at("stage").get<int>();
-      if (stage < 0 || stage > static_cast<int>(HostStage::returned) || next.find_mutable_job(h.job) == nullptr) return false;
+      if (stage < 0 || stage > static_cast<int>(HostStage::returned) ||
+          next.find_mutable_job(h.job) == nullptr)
+        return false;
       h.stage = static_cast<HostStage>(stage);
       h.selected_at_index = row.at("round").get<std::uint64_t>();
       h.overdue = row.at("late").get<bool>();
@@ -346,8 +364,9 @@
       if (beat->observations) m.observations = *beat->observations;
     }
     for (const auto& row : from.at("outcomes")) {
-      next.remember_outcome(row.at(0).get<std::string>(), {row.at(1).get<bool>(), row.at(2).get<std::string>(),
-                                                       row.at(3).get<std::uint64_t>()});
+      next.remember_outcome(
+          row.at(0).get<std::string>(),
+          {row.at(1).get<bool>(), row.at(2).get<std::string>(), row.at(3).get<std::uint64_t>()});
     }
     *this = std::move(next);
     return true;
--- a/src/works/board.h
+++ b/src/maintenance/maintenance_state.h
@@ -4,13 +4,14 @@
 
 #include <deque>
 
-#include "works/entry.h"
+#include "maintenance/log_entry.h"
 
 namespace lotusyard::maintenance {
 
 enum class HostStage { waiting, selected, draining, out_of_service, slow_start, returned };
 const char* name_of(HostStage stage);
-bool counts_against_bounds(HostStage stage);  // out of use for a work, or back and not proven yet: it counts for the bounds
+bool counts_against_bounds(
+    HostStage stage);  // out of use for a work, or back and not proven yet: it counts for the bounds
 
 class MaintenanceState {
  public:
@@ -18,8 +19,9 @@
     HostKey key;
     std::string job, reason;
     HostStage stage = HostStage::waiting;
-    std::uint64_t selected_at_index = 0;             // the index at which it was named, later that at which it was taken
-    bool overdue = false, released_to_operators = false;  // touched: operators may have had it, so it comes back cold
+    std::uint64_t selected_at_index = 0;  // the index at which it was named, later that at which it was taken
+    bool overdue = false,
+         released_to_operators = false;  // touched: operators may have had it, so it comes back cold
     Millis since{0};
   };
   struct MemberProgress {
@@ -48,7 +50,9 @@
   const MaintenanceJob* find_job(const std::string& id) const;
   const ProposalOutcome* find_outcome(const std::string& proposal) const;
   std::uint64_t index() const { return index_; }
-  const std::string& waiting_reason() const { return waiting_reason_; }  // why works do not go on, as the one that leads said
+  const std::string& waiting_reason() const {
+    return waiting_reason_;
+  }  // why works do not go on, as the one that leads said
   Millis last_return_at() const { return last_return_at_; }
   std::uint64_t last_incarnation(const std::string& member) const;
 
--- a/src/works/timeline.cpp
+++ b/src/maintenance/timeline.cpp
@@ -1,4 +1,4 @@
-#include "works/timeline.h"
+#include "maintenance/timeline.h"
 
 #include <algorithm>
 #include <cmath>
@@ -173,7 +173,7 @@
   double most = 1;
   for (const auto& s : sums) most = std::max(most, s.asked);
   const double floor = y + kCalls;
-  const auto line = [&](double Course::Count::*what, const char* colour) {
+  const auto line = [&](double Timeline::CallRates::*what, const char* colour) {
     out += "<polyline fill=\"none\" stroke=\"" + std::string(colour) + "\" points=\"";
     for (const auto& s : sums)
       out += format("%.1f", x(s.at)) + "," + format("%.1f", floor - s.*what / most * (kCalls - 20)) + " ";
--- a/src/works/timeline.h
+++ b/src/maintenance/timeline.h
@@ -10,7 +10,7 @@
 namespace lotusyard::maintenance {
 
 struct AppliedEntry {  // one agreed entry, as the member wrote it that applied it first
-  double at = 0;    // Unix milliseconds
+  double at = 0;       // Unix milliseconds
   std::uint64_t index = 0;
   std::string what, work, host, reason;
   std::map<std::string, double> members;  // when each applied it
@@ -22,7 +22,7 @@
     std::string member;
   };
   std::vector<CallRates> call_rates;  // in the order of time
-  std::string fault;          // members that tell of different entries under one index; empty: none do
+  std::string fault;  // members that tell of different entries under one index; empty: none do
 };
 
 Timeline parse_timeline(const std::vector<std::string>& lines);  // what is no such line is left out
--- a/src/net/buffer.h
+++ b/src/net/buffer.h
@@ -36,7 +36,9 @@
   }
   std::size_t blocks_in_use() const { return made_ - free_.size(); }
   std::size_t blocks_allocated() const { return made_; }
-  std::size_t bytes_available() const { return most_ > blocks_in_use() ? (most_ - blocks_in_use()) * block_size : 0; }  // in bytes
+  std::size_t bytes_available() const {
+    return most_ > blocks_in_use() ? (most_ - blocks_in_use()) * block_size : 0;
+  }  // in bytes
   // Fewer from now on: what is not out is given back at once, the rest as it comes back.
   void set_max_blocks(std::size_t most_blocks) {
     most_ = most_blocks;
--- a/src/net/stream.cpp
+++ b/src/net/buffered_connection.cpp
@@ -1,4 +1,4 @@
-#include "net/stream.h"
+#include "net/buffered_connection.h"
 
 #include <sys/socket.h>
 
@@ -17,7 +17,8 @@
 
 }  // namespace
 
-BufferedConnection::BufferedConnection(EventLoop& loop, BufferPool& pool, Socket socket, bool is_connecting, EventLoop::Priority rank)
+BufferedConnection::BufferedConnection(EventLoop& loop, BufferPool& pool, Socket socket, bool is_connecting,
+                                       EventLoop::Priority rank)
     : loop_(loop), socket_(std::move(socket)), send_queue_(pool), rank_(rank), connecting_(is_connecting) {
   if (socket_) update_registration();
 }
@@ -31,8 +32,8 @@
 void BufferedConnection::update_registration() {
   if (paused_) return loop_.register_handler(socket_.fd(), *this, 0, rank_);
   const bool writes = connecting_ || !send_queue_.empty();
-  loop_.register_handler(socket_.fd(), *this, static_cast<short>((connecting_ ? 0 : POLLIN) | (writes ? POLLOUT : 0)),
-              rank_);
+  loop_.register_handler(socket_.fd(), *this,
+                         static_cast<short>((connecting_ ? 0 : POLLIN) | (writes ? POLLOUT : 0)), rank_);
 }
 
 void BufferedConnection::write(std::string_view bytes) {
--- a/src/net/stream.h
+++ b/src/net/buffered_connection.h
@@ -5,21 +5,22 @@
 #include <optional>
 #include <string_view>
 
-#include "net/loop.h"
+#include "net/event_loop.h"
 #include "net/socket.h"
 
 namespace lotusyard::net {
 
 class BufferedConnection : public EventHandler {
  public:
-  BufferedConnection(EventLoop& loop, BufferPool& pool, Socket socket, bool is_connecting, EventLoop::Priority rank = EventLoop::Priority::normal);
+  BufferedConnection(EventLoop& loop, BufferPool& pool, Socket socket, bool is_connecting,
+                     EventLoop::Priority rank = EventLoop::Priority::normal);
   ~BufferedConnection() override;
   BufferedConnection(const BufferedConnection&) = delete;
   BufferedConnection& operator=(const BufferedConnection&) = delete;
 
   void write(std::string_view bytes);  // goes out at the end of the turn
   bool flush_now();                    // false if some bytes must wait or the stream ends
-  void close_later();                    // ends it from the loop, for callers that `ended` must not interrupt
+  void close_later();                  // ends it from the loop, for callers that `ended` must not interrupt
   // What was written goes out, then the peer hears that no more comes; what it still sends is read for a
   // while. Guards against a reset, which would take what the peer has not read yet.
   void shutdown_after_flush();
@@ -31,7 +32,9 @@
   const std::optional<ConnectError>& connect_error() const { return connect_error_; }
   // A system call on it failed for lack of this machine's memory; it is made again before long.
   bool short_of_memory() const { return paused_; }
-  PeerState peer_state() const { return socket_ ? peek_peer(socket_) : PeerState::disconnected; }  // asks the kernel
+  PeerState peer_state() const {
+    return socket_ ? peek_peer(socket_) : PeerState::disconnected;
+  }  // asks the kernel
 
   void ready(short events) final;
   void flush() final;
--- a/src/net/loop.cpp
+++ b/src/net/event_loop.cpp
@@ -1,4 +1,4 @@
-#include "net/loop.h"
+#include "net/event_loop.h"
 
 #include <algorithm>
 #include <cerrno>
--- a/src/net/loop.h
+++ b/src/net/event_loop.h
@@ -10,10 +10,10 @@
 #include <utility>
 #include <vector>
 
+#include "lotusyard/policy/policy.h"
 #include "net/buffer.h"
 #include "net/socket.h"
 #include "net/wall_clock.h"
-#include "robinfold/policy.h"
 
 namespace lotusyard::net {
 
@@ -56,7 +56,7 @@
   // Again: changes the events. With no events the descriptor is not polled at all until it is watched again.
   void register_handler(int fd, EventHandler& handler, short events, Priority rank = Priority::normal);
   void unregister(int fd, EventHandler& handler);  // before the descriptor is closed
-  void flush_later(EventHandler& handler);     // at the end of this turn
+  void flush_later(EventHandler& handler);         // at the end of this turn
 
   TimerId schedule_at(Millis when, std::function<void()> ring);
   void cancel(const TimerId& id) { timers_.erase(id); }
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -132,7 +132,8 @@
   for (int i = 0; i < kPollTries && found < 0; ++i) found = system_calls::poll(&asked, 1, 0);
   if (found < 0) return peek(socket);
   if (found == 0) return PeerState::idle;
-  return (asked.revents & (POLLRDHUP | POLLHUP | POLLERR | POLLNVAL)) != 0 ? PeerState::disconnected : PeerState::readable;
+  return (asked.revents & (POLLRDHUP | POLLHUP | POLLERR | POLLNVAL)) != 0 ? PeerState::disconnected
+                                                                           : PeerState::readable;
 }
 
 int pending_error(const Socket& socket) { return system_calls::pending_error(socket.fd()); }
--- a/src/net/wall_clock.h
+++ b/src/net/wall_clock.h
@@ -6,7 +6,7 @@
 #include <deque>
 #include <functional>
 
-#include "robinfold/policy.h"
+#include "lotusyard/policy/policy.h"
 
 namespace lotusyard::net {
 
--- a/src/node/node.cpp
+++ b/src/node/cluster_member.cpp
@@ -1,9 +1,9 @@
-#include "node/node.h"
+#include "node/cluster_member.h"
 
 #include <cmath>
 
-#include "node/lines.h"
-#include "node/session_member.h"
+#include "node/event_log.h"
+#include "node/session_invoker.h"
 
 namespace lotusyard::node {
 namespace {
@@ -17,23 +17,24 @@
 }  // namespace
 
 ClusterMember::ClusterMember(const InvokerServices& wiring, const raft::Config& config,
-           const std::optional<control::NodeConfig>& control)
+                             const std::optional<control::NodeConfig>& control)
     : services_(wiring),
       config_(config),
       lease_(config.terms, wiring.loop.now()),
       maintenance_(wiring, config_, lease_, [this](const std::string& text) { log_event("works", text); }),
       quota_(quota_services(), config_, maintenance_,
-               [this](const std::string& text) { log_event("shares", text); }),
-      compliance_(wiring, config_, maintenance_, [this](const std::string& text) { log_event("compliance", text); }),
+             [this](const std::string& text) { log_event("shares", text); }),
+      compliance_(wiring, config_, maintenance_,
+                  [this](const std::string& text) { log_event("compliance", text); }),
       replica_(wiring.loop, wiring.counters, config_, {&maintenance_, &quota_, &compliance_},
-              [this](const std::string& text) { log_event("works", text); }) {
+               [this](const std::string& text) { log_event("works", text); }) {
   constructed_ = true;
   maintenance_.attach(replica_);
   compliance_.attach(replica_);
   maintenance_.set_change_handler([this] { update_lease(); });
   if (control) {
     control_role_.emplace(wiring, config_, *control, replica_, maintenance_, compliance_, lease_,
-                     [this](const std::string& text) { log_event("control", text); });
+                          [this](const std::string& text) { log_event("control", text); });
     update_lease();
   }
   if (config_.view) {
@@ -43,14 +44,14 @@
     quota_.attach(replica_);
     gossip_->set_change_handler([this] { update_lease(); });
   }
-  log_event("works",
-       "life=" + std::to_string(replica_.incarnation()) + " starts" + (config.serves ? "" : ", serves no calls"));
+  log_event("works", "life=" + std::to_string(replica_.incarnation()) + " starts" +
+                         (config.serves ? "" : ", serves no calls"));
 }
 
 void ClusterMember::log_event(const std::string& part, const std::string& text) const {
   write_event(part, services_.loop.now(), config_.member,
-             "term=" + std::to_string(constructed_ ? replica_.term() : 0) +
-                 " index=" + std::to_string(maintenance_.state().index()) + ' ' + text);
+              "term=" + std::to_string(constructed_ ? replica_.term() : 0) +
+                  " index=" + std::to_string(maintenance_.state().index()) + ' ' + text);
 }
 
 // Parts and standing hang on the lease, on the log and on the view.
@@ -93,7 +94,8 @@
 
 std::optional<admin::Response> ClusterMember::handle_request(const admin::Request& request) {
   if (request.path == "/-/group")
-    return request.method == "GET" ? admin::Response{200, group_to_json().dump()} : admin::Response{405, "GET"};
+    return request.method == "GET" ? admin::Response{200, group_to_json().dump()}
+                                   : admin::Response{405, "GET"};
   if (request.path == "/-/view" && gossip_) {
     if (request.method != "GET") return admin::Response{405, "GET"};
     nlohmann::json shown = gossip_->status_to_json();
--- a/src/node/node.h
+++ b/src/node/cluster_member.h
@@ -6,19 +6,20 @@
 #include <optional>
 
 #include "app/app.h"
-#include "compliance/officer.h"
-#include "group/member.h"
+#include "compliance/compliance_replica.h"
+#include "gossip/gossip_service.h"
+#include "maintenance/maintenance_replica.h"
 #include "node/control_role.h"
-#include "shares/sharing.h"
-#include "view/viewer.h"
-#include "works/coordinator.h"
+#include "quota/quota_replica.h"
+#include "raft/raft_replica.h"
 
 namespace lotusyard::node {
 
 class ClusterMember final : public InvokerExtension, private policy::HostFilter {
  public:
   // `control`: this member is a control node, too.
-  ClusterMember(const InvokerServices& wiring, const raft::Config& config, const std::optional<control::NodeConfig>& control);
+  ClusterMember(const InvokerServices& wiring, const raft::Config& config,
+                const std::optional<control::NodeConfig>& control);
 
   bool ready() const override { return maintenance_.ready(); }
   bool may_send(const std::string& host, const core::Call* call, std::uint64_t function) override;
@@ -49,8 +50,8 @@
   nlohmann::json group_to_json() const;
 };
 
-// For lotusyard_full: a member where the file has a part `group`, an invoker with a session where it has only
-// a part `control`, else nothing.
+// For lotusyard_cluster: a member where the file has a part `group`, an invoker with a session where it has
+// only a part `control`, else nothing.
 std::unique_ptr<InvokerExtension> make_extension(const InvokerServices& wiring, const nlohmann::json& file);
 
 }  // namespace lotusyard::node
--- a/src/node/control_role.cpp
+++ b/src/node/control_role.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 #include "config/config.h"
-#include "node/records.h"
+#include "node/state_records.h"
 
 namespace lotusyard::node {
 namespace {
@@ -26,8 +26,9 @@
 
 }  // namespace
 
-ControlRole::ControlRole(const InvokerServices& wiring, const raft::Config& group, const control::NodeConfig& config,
-                         raft::RaftReplica& member, maintenance::MaintenanceReplica& coordinator, compliance::ComplianceReplica& officer,
+ControlRole::ControlRole(const InvokerServices& wiring, const raft::Config& group,
+                         const control::NodeConfig& config, raft::RaftReplica& member,
+                         maintenance::MaintenanceReplica& coordinator, compliance::ComplianceReplica& officer,
                          const raft::Lease& lease, LogSink note)
     : services_(wiring),
       maintenance_(coordinator),
@@ -42,8 +43,9 @@
   if (!server_.listen(config.listen))
     throw config::ConfigError("configuration: control.listen: cannot listen on " + config.listen);
   member.set_observer(this);
-  maintenance_.set_aggregate_source([this] { return aggregate_sessions(); },
-                         [this](maintenance::HostObservations own) { return views_.merged(std::move(own)); });
+  maintenance_.set_aggregate_source(
+      [this] { return aggregate_sessions(); },
+      [this](maintenance::HostObservations own) { return views_.merged(std::move(own)); });
   compliance_.set_sessions_quiesced([this](std::uint64_t index) { return floors_.settled >= index; });
   log_("sessions are taken on " + server_.address());
 }
@@ -87,7 +89,9 @@
 }
 
 maintenance::MaintenanceReplica::SessionAggregate ControlRole::aggregate_sessions() {
-  const auto known = [this](SessionObservations::SessionId id) { return server_.node().sessions().known(id); };
+  const auto known = [this](SessionObservations::SessionId id) {
+    return server_.node().sessions().known(id);
+  };
   views_.retain(known);
   floors_ = server_.node().floors(now());
   return {allotment_.respected(floors_.applied, now()), floors_.followed, floors_.settled};
--- a/src/node/control_role.h
+++ b/src/node/control_role.h
@@ -6,14 +6,14 @@
 #include <string>
 
 #include "app/app.h"
-#include "compliance/officer.h"
+#include "compliance/compliance_replica.h"
 #include "control/allotment.h"
 #include "control/config.h"
 #include "control/node_server.h"
-#include "group/member.h"
-#include "node/session_views.h"
-#include "shares/sharing.h"
-#include "works/coordinator.h"
+#include "maintenance/maintenance_replica.h"
+#include "node/session_observations.h"
+#include "quota/quota_replica.h"
+#include "raft/raft_replica.h"
 
 namespace lotusyard::node {
 
@@ -22,16 +22,16 @@
   using LogSink = std::function<void(const std::string& text)>;
   // All that it is given outlives it. Throws config::ConfigError if it cannot listen.
   ControlRole(const InvokerServices& wiring, const raft::Config& group, const control::NodeConfig& config,
-              raft::RaftReplica& member, maintenance::MaintenanceReplica& coordinator, compliance::ComplianceReplica& officer,
-              const raft::Lease& lease, LogSink note);
+              raft::RaftReplica& member, maintenance::MaintenanceReplica& coordinator,
+              compliance::ComplianceReplica& officer, const raft::Lease& lease, LogSink note);
   ~ControlRole() override;
 
   // From the member: an entry of the log has been applied, or the whole state was replaced.
   void log_applied(std::uint64_t index) override;
   void log_restored() override { rebuild_records_ = true; }
 
-  void update_lease();                            // the lease may have come or gone
-  void set_share(double share);             // this node's part of a cold host's budget
+  void update_lease();                          // the lease may have come or gone
+  void set_share(double share);                 // this node's part of a cold host's budget
   void shut_down() { server_.node().leave(); }  // the process ends
   nlohmann::json status_to_json() const;
 
--- a/src/node/lines.cpp
+++ b/src/node/event_log.cpp
@@ -1,4 +1,4 @@
-#include "node/lines.h"
+#include "node/event_log.h"
 
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
@@ -6,7 +6,7 @@
 namespace lotusyard::node {
 
 void write_event(const std::string& part, policy::Millis at, const std::string& member,
-                const std::string& text) {
+                 const std::string& text) {
   static const auto out = [] {
     auto made = spdlog::stdout_logger_st("lines");
     made->set_pattern("%v");
--- a/src/node/lines.h
+++ b/src/node/event_log.h
@@ -3,12 +3,12 @@
 
 #include <string>
 
-#include "robinfold/policy.h"
+#include "lotusyard/policy/policy.h"
 
 namespace lotusyard::node {
 
 // `part at=<Unix ms> member=<member> <text>`
 void write_event(const std::string& part, policy::Millis at, const std::string& member,
-                const std::string& text);
+                 const std::string& text);
 
 }  // namespace lotusyard::node
--- a/src/node/settled.cpp
+++ b/src/node/quiescence_tracker.cpp
@@ -1,4 +1,4 @@
-#include "node/settled.h"
+#include "node/quiescence_tracker.h"
 
 #include <algorithm>
 #include <limits>
@@ -8,10 +8,12 @@
 
 constexpr control::Index kAll = std::numeric_limits<control::Index>::max();
 
-control::Index before_used_hosts(const maintenance::MaintenanceState& board, const QuiescenceTracker::HostIsFree& free) {
+control::Index before_used_hosts(const maintenance::MaintenanceState& board,
+                                 const QuiescenceTracker::HostIsFree& free) {
   control::Index out = kAll;
   for (const auto& [id, host] : board.hosts()) {
-    const bool forbidden = host.stage == maintenance::HostStage::draining || host.stage == maintenance::HostStage::out_of_service;
+    const bool forbidden = host.stage == maintenance::HostStage::draining ||
+                           host.stage == maintenance::HostStage::out_of_service;
     if (forbidden && !free(id)) out = std::min(out, host.selected_at_index - 1);
   }
   return out;
@@ -20,7 +22,8 @@
 }  // namespace
 
 // A revoked certificate is used no more once every call that may have gone out under it has run out of time.
-control::Index QuiescenceTracker::before_revocations(const compliance::CertificateState& book, maintenance::Millis now) {
+control::Index QuiescenceTracker::before_revocations(const compliance::CertificateState& book,
+                                                     maintenance::Millis now) {
   control::Index out = kAll;
   std::map<Revocation, maintenance::Millis> ending;
   for (const auto& [name, certificate] : book.certificates()) {
@@ -35,8 +38,10 @@
   return out;
 }
 
-control::Index QuiescenceTracker::quiesced_index(const maintenance::MaintenanceState& board, const compliance::CertificateState& book,
-                                       control::Index position, const HostIsFree& free, maintenance::Millis now) {
+control::Index QuiescenceTracker::quiesced_index(const maintenance::MaintenanceState& board,
+                                                 const compliance::CertificateState& book,
+                                                 control::Index position, const HostIsFree& free,
+                                                 maintenance::Millis now) {
   return std::min({position, before_used_hosts(board, free), before_revocations(book, now)});
 }
 
--- a/src/node/settled.h
+++ b/src/node/quiescence_tracker.h
@@ -7,9 +7,9 @@
 #include <string>
 #include <utility>
 
-#include "compliance/book.h"
+#include "compliance/certificate_state.h"
 #include "control/message.h"
-#include "works/board.h"
+#include "maintenance/maintenance_state.h"
 
 namespace lotusyard::node {
 
@@ -20,8 +20,9 @@
   explicit QuiescenceTracker(maintenance::Millis last_call) : max_attempt_time_(last_call) {}
 
   // `position`: what board and book are as of.
-  control::Index quiesced_index(const maintenance::MaintenanceState& board, const compliance::CertificateState& book, control::Index position,
-                         const HostIsFree& free, maintenance::Millis now);
+  control::Index quiesced_index(const maintenance::MaintenanceState& board,
+                                const compliance::CertificateState& book, control::Index position,
+                                const HostIsFree& free, maintenance::Millis now);
 
  private:
   using Revocation = std::pair<std::string, control::Index>;  // a certificate, and when it was revoked
--- a/src/node/session_member.cpp
+++ b/src/node/session_invoker.cpp
@@ -1,14 +1,14 @@
-#include "node/session_member.h"
+#include "node/session_invoker.h"
 
 #include <algorithm>
 #include <cmath>
 #include <iostream>
 #include <random>
 
-#include "core/breaks.h"
-#include "node/lines.h"
-#include "node/records.h"
-#include "node/session_views.h"
+#include "core/fault_injection.h"
+#include "node/event_log.h"
+#include "node/session_observations.h"
+#include "node/state_records.h"
 
 namespace lotusyard::node {
 namespace {
@@ -57,7 +57,8 @@
 }
 
 void SessionInvoker::log_event(const std::string& part, const std::string& text) const {
-  write_event(part, now(), services_.name, "index=" + std::to_string(client_.replica().position()) + ' ' + text);
+  write_event(part, now(), services_.name,
+              "index=" + std::to_string(client_.replica().position()) + ' ' + text);
 }
 
 // What the replica holds becomes what this process goes by.
@@ -134,13 +135,16 @@
 }
 
 void SessionInvoker::send_report() {
-  report_timer_ = services_.loop.schedule_at(now() + config_.terms.heartbeat_interval(), [this] { send_report(); });
+  report_timer_ =
+      services_.loop.schedule_at(now() + config_.terms.heartbeat_interval(), [this] { send_report(); });
   if (freshness().must_suspend != suspended_) update_host_access();
   const auto free = [this](const std::string& host) {
-    return fault_injected("drain") || (host_access_.is_avoided(host) && services_.host_connections.has_no_calls(host));
+    return fault_injected("drain") ||
+           (host_access_.is_avoided(host) && services_.host_connections.has_no_calls(host));
   };
   const control::Index position = client_.replica().position();
-  client_.session().set_settled(quiescence_.quiesced_index(maintenance_, certificates_, position, free, now()));
+  client_.session().set_settled(
+      quiescence_.quiesced_index(maintenance_, certificates_, position, free, now()));
   send_observations();
 }
 
--- a/src/node/session_member.h
+++ b/src/node/session_invoker.h
@@ -6,11 +6,11 @@
 #include <string>
 
 #include "app/app.h"
-#include "compliance/enforcer.h"
+#include "compliance/compliance_filter.h"
 #include "control/config.h"
 #include "control/session_client.h"
-#include "node/settled.h"
-#include "works/host_use.h"
+#include "maintenance/host_access.h"
+#include "node/quiescence_tracker.h"
 
 namespace lotusyard::node {
 
--- a/src/node/session_views.cpp
+++ b/src/node/session_observations.cpp
@@ -1,4 +1,4 @@
-#include "node/session_views.h"
+#include "node/session_observations.h"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
@@ -16,12 +16,15 @@
   into.calls_per_second += view.calls_per_second;
   into.failed_per_second += view.failed_per_second;
   // The bounds on how many hosts may be out go by whoever sees fewest.
-  if (view.listed_hosts > 0) into.listed_hosts = into.listed_hosts > 0 ? std::min(into.listed_hosts, view.listed_hosts) : view.listed_hosts;
+  if (view.listed_hosts > 0)
+    into.listed_hosts =
+        into.listed_hosts > 0 ? std::min(into.listed_hosts, view.listed_hosts) : view.listed_hosts;
 }
 
 }  // namespace
 
-std::string SessionObservations::encode(const std::string& invoker, const maintenance::HostObservations& view) {
+std::string SessionObservations::encode(const std::string& invoker,
+                                        const maintenance::HostObservations& view) {
   const maintenance::Heartbeat beat{invoker, 0, 0, 0, {}, view};
   return maintenance::heartbeat_to_json(beat).dump(-1, ' ', false, json::error_handler_t::replace);
 }
--- a/src/node/session_views.h
+++ b/src/node/session_observations.h
@@ -6,7 +6,7 @@
 #include <map>
 #include <string>
 
-#include "works/entry.h"
+#include "maintenance/log_entry.h"
 
 namespace lotusyard::node {
 
--- a/src/node/records.cpp
+++ b/src/node/state_records.cpp
@@ -1,4 +1,4 @@
-#include "node/records.h"
+#include "node/state_records.h"
 
 #include <string>
 
@@ -37,7 +37,8 @@
 
 }  // namespace
 
-control::Records records_of(const maintenance::MaintenanceState& board, const compliance::CertificateState& book) {
+control::Records records_of(const maintenance::MaintenanceState& board,
+                            const compliance::CertificateState& book) {
   control::Records out;
   const json agreed = board.snapshot();
   add_rows(out, kHosts, agreed.at("hosts"), "id");
@@ -49,8 +50,9 @@
   return out;
 }
 
-std::optional<maintenance::MaintenanceState> maintenance_state_from(const control::Records& records, control::Index index,
-                                     maintenance::Millis now) {
+std::optional<maintenance::MaintenanceState> maintenance_state_from(const control::Records& records,
+                                                                    control::Index index,
+                                                                    maintenance::Millis now) {
   try {
     const json snapshot = {
         {"index", index},           {"hosts", rows_of(records, kHosts)}, {"works", rows_of(records, kWorks)},
@@ -61,7 +63,8 @@
   } catch (const json::exception&) { return std::nullopt; }
 }
 
-std::optional<compliance::CertificateState> certificate_state_from(const control::Records& records, control::Index index) {
+std::optional<compliance::CertificateState> certificate_state_from(const control::Records& records,
+                                                                   control::Index index) {
   try {
     json tenants = json::object();
     each_of(records, kTenants,
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -1,7 +1,7 @@
-// The decisions of robinfold, event by event. The interface is include/robinfold/policy.h; what is decided
+// The decisions of robinfold, event by event. The interface is include/lotusyard/policy/policy.h; what is decided
 // stands in policy/, each file built on the one before: records, hosts, answers, copies, routing.
 // docs/design.md names each departure from ESFF.
-#include "places.h"
+#include "slot_assignment.h"
 #include "policy/routing.h"
 
 namespace lotusyard::policy {
--- a/src/policy/records.h
+++ b/src/policy/records.h
@@ -1,8 +1,8 @@
 // What the decisions remember: copies, functions, hosts, requests and their attempts.
 #pragma once
 
-#include "average.h"
-#include "robinfold/policy.h"
+#include "moving_average.h"
+#include "lotusyard/policy/policy.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/shares/epochs.cpp
+++ b/src/quota/quota_epochs.cpp
@@ -1,8 +1,8 @@
-#include "shares/epochs.h"
+#include "quota/quota_epochs.h"
 
 #include <algorithm>
 
-#include "core/breaks.h"
+#include "core/fault_injection.h"
 
 namespace lotusyard::quota {
 namespace {
@@ -40,7 +40,8 @@
 
 bool QuotaEpochs::apply(std::uint64_t index, const LogEntry& e) {
   if (e.kind == LogEntry::Kind::open_epoch) {
-    if (is_open_ || e.epoch_index != epoch_index_) return false;  // of a leader before: its parting was overtaken
+    if (is_open_ || e.epoch_index != epoch_index_)
+      return false;  // of a leader before: its parting was overtaken
     is_open_ = true;
     return true;
   }
@@ -53,7 +54,8 @@
   return true;
 }
 
-double QuotaEpochs::share_of(const std::string& member, std::uint64_t life, bool leased, std::size_t seen) const {
+double QuotaEpochs::share_of(const std::string& member, std::uint64_t life, bool leased,
+                             std::size_t seen) const {
   if (!leased && !fault_injected("share-lease")) return 0;
   if (!holds(current_holders_, member, life)) return 0;
   if (fault_injected("share-view") && seen > 0)
@@ -64,7 +66,10 @@
 }
 
 json QuotaEpochs::snapshot() const {
-  return {{"before", previous_holders_}, {"now", current_holders_}, {"opened", is_open_}, {"round", epoch_index_}};
+  return {{"before", previous_holders_},
+          {"now", current_holders_},
+          {"opened", is_open_},
+          {"round", epoch_index_}};
 }
 
 bool QuotaEpochs::restore(const json& from) {
@@ -79,8 +84,9 @@
   } catch (const json::exception&) { return false; }
 }
 
-std::optional<LogEntry> next_entry(const QuotaEpochs& epochs, const std::map<std::string, HolderProgress>& signs,
-                          const raft::LeaseTerms& terms, Millis parted, Millis now) {
+std::optional<LogEntry> next_entry(const QuotaEpochs& epochs,
+                                   const std::map<std::string, HolderProgress>& signs,
+                                   const raft::LeaseTerms& terms, Millis parted, Millis now) {
   const auto silent = [&](const std::string& member, std::uint64_t life) {
     const auto found = signs.find(member);
     const bool same = found != signs.end() && found->second.incarnation == life;
@@ -92,8 +98,8 @@
   if (!epochs.is_open()) {
     for (const auto& [member, life] : epochs.previous_holders()) {
       const auto found = signs.find(member);
-      const bool knows =
-          found != signs.end() && found->second.incarnation == life && found->second.applied_index >= epochs.epoch_index();
+      const bool knows = found != signs.end() && found->second.incarnation == life &&
+                         found->second.applied_index >= epochs.epoch_index();
       if (!knows && !silent(member, life) && !fault_injected("share-unheard")) return std::nullopt;
     }
     out.kind = LogEntry::Kind::open_epoch;
--- a/src/shares/epochs.h
+++ b/src/quota/quota_epochs.h
@@ -10,7 +10,7 @@
 #include <set>
 #include <string>
 
-#include "group/lease.h"
+#include "raft/lease.h"
 
 namespace lotusyard::quota {
 
@@ -20,7 +20,7 @@
 struct LogEntry {
   enum class Kind {
     begin_epoch,  // these share from now on; until it is opened nobody's part is larger than before or after
-    open_epoch   // all who shared before know that, or have no lease: each takes its whole part
+    open_epoch    // all who shared before know that, or have no lease: each takes its whole part
   };
   Kind kind = Kind::begin_epoch;
   QuotaHolders holders;
@@ -56,11 +56,12 @@
 // What a member is known to have done, by its signs of life in the agreed log.
 struct HolderProgress {
   std::uint64_t incarnation = 0, applied_index = 0;  // has: it follows the log to there
-  Millis last_heartbeat_at{0};                   // by the clock of the one that leads
+  Millis last_heartbeat_at{0};                       // by the clock of the one that leads
 };
 // What the one that leads is to propose; nothing: all is as it should be, or waits. `parted`: since when it
 // knows of the parting that is not open yet, by its own clock.
-std::optional<LogEntry> next_entry(const QuotaEpochs& epochs, const std::map<std::string, HolderProgress>& signs,
-                          const raft::LeaseTerms& terms, Millis parted, Millis now);
+std::optional<LogEntry> next_entry(const QuotaEpochs& epochs,
+                                   const std::map<std::string, HolderProgress>& signs,
+                                   const raft::LeaseTerms& terms, Millis parted, Millis now);
 
 }  // namespace lotusyard::quota
--- a/src/shares/sharing.cpp
+++ b/src/quota/quota_replica.cpp
@@ -1,4 +1,4 @@
-#include "shares/sharing.h"
+#include "quota/quota_replica.h"
 
 #include <algorithm>
 
@@ -10,8 +10,8 @@
 
 }  // namespace
 
-QuotaReplica::QuotaReplica(const InvokerServices& wiring, const raft::Config& config, maintenance::MaintenanceReplica& coordinator,
-                 LogSink note)
+QuotaReplica::QuotaReplica(const InvokerServices& wiring, const raft::Config& config,
+                           maintenance::MaintenanceReplica& coordinator, LogSink note)
     : services_(wiring),
       config_(config),
       maintenance_(coordinator),
@@ -42,7 +42,7 @@
   if (!entry) {
     services_.counters.add("shares.unreadable");
     return maintenance_.on_store_failure("entry " + std::to_string(index) +
-                               " of the log is of another version of the program");
+                                         " of the log is of another version of the program");
   }
   proposed_ = Millis(0);
   if (!epochs_.apply(index, *entry)) return;
@@ -59,11 +59,12 @@
 void QuotaReplica::update(std::size_t seen) {
   members_seen_ = seen;
   if (replica_ == nullptr) return;
-  const double part = epochs_.share_of(config_.member, replica_->incarnation(), maintenance_.is_leased(), seen);
+  const double part =
+      epochs_.share_of(config_.member, replica_->incarnation(), maintenance_.is_leased(), seen);
   if (part == share_) return;
   share_ = part;
   log_("part=" + std::to_string(part) + " round=" + std::to_string(epochs_.epoch_index()) +
-        " sharers=" + std::to_string(epochs_.current_holders().size()) + " seen=" + std::to_string(seen));
+       " sharers=" + std::to_string(epochs_.current_holders().size()) + " seen=" + std::to_string(seen));
   services_.set_share(std::max(part, kNothing));
 }
 
--- a/src/shares/sharing.h
+++ b/src/quota/quota_replica.h
@@ -3,9 +3,9 @@
 #pragma once
 
 #include "app/app.h"
-#include "group/member.h"
-#include "shares/epochs.h"
-#include "works/coordinator.h"
+#include "maintenance/maintenance_replica.h"
+#include "quota/quota_epochs.h"
+#include "raft/raft_replica.h"
 
 namespace lotusyard::quota {
 
@@ -13,7 +13,8 @@
  public:
   using LogSink = std::function<void(const std::string& text)>;
   // The coordinator outlives it: its signs of life and its lease are what parts go by.
-  QuotaReplica(const InvokerServices& wiring, const raft::Config& config, maintenance::MaintenanceReplica& coordinator, LogSink note);
+  QuotaReplica(const InvokerServices& wiring, const raft::Config& config,
+               maintenance::MaintenanceReplica& coordinator, LogSink note);
   ~QuotaReplica() override { services_.loop.cancel(leader_timer_); }
   void attach(raft::RaftReplica& member);
   void update(
--- a/src/group/admission.cpp
+++ b/src/raft/admission.cpp
@@ -2,7 +2,7 @@
 #include <algorithm>
 #include <random>
 
-#include "group/member.h"
+#include "raft/raft_replica.h"
 
 namespace lotusyard::raft {
 namespace {
--- a/src/group/config.cpp
+++ b/src/raft/config.cpp
@@ -1,4 +1,4 @@
-#include "group/config.h"
+#include "raft/config.h"
 
 #include <algorithm>
 
--- a/src/group/consensus_io.cpp
+++ b/src/raft/consensus_io.cpp
@@ -1,8 +1,8 @@
 // The library's I/O and state machine interfaces, over the store, the scheduler and the user.
 #include <algorithm>
 
-#include "group/consensus.h"
-#include "group/raft_buffer.h"
+#include "raft/raft_buffer.h"
+#include "raft/raft_core.h"
 
 namespace lotusyard::raft {
 namespace {
@@ -125,7 +125,8 @@
   static int snapshot_put(raft_io* io, unsigned trailing, raft_io_snapshot_put* req,
                           const raft_snapshot* snapshot, raft_io_snapshot_put_cb cb) {
     of(io).matches_.accepted();
-    const int status = of(io).persist([&](LogStore& store) { store.put_snapshot(stored(*snapshot), trailing); });
+    const int status =
+        of(io).persist([&](LogStore& store) { store.put_snapshot(stored(*snapshot), trailing); });
     req->cb = cb;
     of(io).defer([req, status] { req->cb(req, status); });
     return 0;
--- a/src/group/wire.cpp
+++ b/src/raft/frame.cpp
@@ -1,8 +1,8 @@
-#include "group/wire.h"
+#include "raft/frame.h"
 
 #include <nlohmann/json.hpp>
 
-#include "group/bytes.h"
+#include "raft/bytes.h"
 
 namespace lotusyard::raft {
 namespace {
--- a/src/group/wire.h
+++ b/src/raft/frame.h
@@ -15,7 +15,14 @@
 constexpr std::size_t max_frame_bytes = 4U << 20;
 
 struct Frame {
-  enum class Kind : std::uint8_t { hello = 1, consensus = 2, message = 3, refusal = 4, received = 5, gossip = 6 };
+  enum class Kind : std::uint8_t {
+    hello = 1,
+    consensus = 2,
+    message = 3,
+    refusal = 4,
+    received = 5,
+    gossip = 6
+  };
   Kind kind = Kind::hello;
   std::string body;
 };
--- a/src/group/lease.h
+++ b/src/raft/lease.h
@@ -4,7 +4,7 @@
 
 #include <algorithm>
 
-#include "robinfold/policy.h"
+#include "lotusyard/policy/policy.h"
 
 namespace lotusyard::raft {
 
@@ -12,10 +12,11 @@
 
 // What the group's members have in common; a member with other figures is turned away.
 struct LeaseTerms {
-  Millis lease{3000};       // from the sign of life that was agreed upon
+  Millis lease{3000};             // from the sign of life that was agreed upon
   double clock_drift = 0.01;      // by so much one member's clock may run faster than another's
-  Millis max_attempt_time{2000};   // no call stays at a host for longer than this after it went out
-  Millis max_offline{7200000};  // so long an invoker with a session goes on without a lease, then it uses no host
+  Millis max_attempt_time{2000};  // no call stays at a host for longer than this after it went out
+  Millis max_offline{
+      7200000};  // so long an invoker with a session goes on without a lease, then it uses no host
 
   Millis heartbeat_interval() const { return lease / 4; }
   // After so long without a sign of life, by any other member's clock, nothing of that member's is at a host
--- a/src/group/store.cpp
+++ b/src/raft/log_store.cpp
@@ -1,4 +1,4 @@
-#include "group/store.h"
+#include "raft/log_store.h"
 
 #include <nlohmann/json.hpp>
 
@@ -17,7 +17,7 @@
   const int got = query.step();
   if (got != SQLITE_ROW && got != SQLITE_DONE)
     throw LogStoreError(std::string("the group's store: ") + sqlite3_errstr(got) + ": " + sqlite3_errmsg(db_),
-                     sqlite::classify(got));
+                        sqlite::classify(got));
   return got == SQLITE_ROW;
 }
 
@@ -78,7 +78,8 @@
 }
 
 void LogStore::recover() {
-  in_transaction([&] { set("term", std::to_string(get_number("term"))); });  // as it is, but written and synced
+  in_transaction(
+      [&] { set("term", std::to_string(get_number("term"))); });  // as it is, but written and synced
   load();
 }
 
--- a/src/group/store.h
+++ b/src/raft/log_store.h
@@ -28,7 +28,7 @@
 
 struct Identity {
   std::string cluster, member;
-  std::uint64_t id = 0;    // in the group; another one for each store that a member begins
+  std::uint64_t id = 0;           // in the group; another one for each store that a member begins
   std::uint64_t incarnation = 0;  // grows with each start
 };
 struct StoredEntry {
@@ -58,7 +58,7 @@
   bool is_empty() const;  // it holds no identity yet
   Identity identity() const;
   void initialize(const Identity& identity);  // of a fresh store
-  std::uint64_t begin_next_incarnation();             // kept before it is told
+  std::uint64_t begin_next_incarnation();     // kept before it is told
   // After a failed write: shows that the disk takes writes again, and reads anew what this object holds in
   // memory. Throws StoreError.
   void recover();
--- a/src/group/match_tracker.h
+++ b/src/raft/match_tracker.h
@@ -10,7 +10,7 @@
 #include <cstdint>
 #include <optional>
 
-#include "group/raft_c.h"
+#include "raft/libraft.h"
 
 namespace lotusyard::raft {
 
--- a/src/group/raft_wire.cpp
+++ b/src/raft/message_codec.cpp
@@ -1,10 +1,10 @@
-#include "group/raft_wire.h"
+#include "raft/message_codec.h"
 
 #include <cstring>
 #include <utility>
 #include <vector>
 
-#include "group/bytes.h"
+#include "raft/bytes.h"
 
 namespace lotusyard::raft {
 namespace {
--- a/src/group/links.cpp
+++ b/src/raft/peer_transport.cpp
@@ -1,4 +1,4 @@
-#include "group/links.h"
+#include "raft/peer_transport.h"
 
 #include <algorithm>
 #include <vector>
@@ -21,7 +21,9 @@
 class PeerTransport::OutgoingConnection final : public net::BufferedConnection {
  public:
   OutgoingConnection(PeerTransport& links, std::string key, net::Socket socket)
-      : BufferedConnection(links.loop_, links.pool_, std::move(socket), true), links_(links), key_(std::move(key)) {}
+      : BufferedConnection(links.loop_, links.pool_, std::move(socket), true),
+        links_(links),
+        key_(std::move(key)) {}
 
   // Danger: a link that is cut without a word takes all that is sent, and nothing of it arrives.
   bool unheard() {
@@ -131,7 +133,8 @@
   }
 };
 
-PeerTransport::PeerTransport(net::EventLoop& loop, core::Counters& counters, Hello mine, Receive receive, LogSink note)
+PeerTransport::PeerTransport(net::EventLoop& loop, core::Counters& counters, Hello mine, Receive receive,
+                             LogSink note)
     : loop_(loop),
       counters_(counters),
       own_hello_(std::move(mine)),
@@ -155,7 +158,9 @@
   return static_cast<bool>(listener_);
 }
 
-void PeerTransport::watch_listener() { loop_.register_handler(listener_.fd(), *this, POLLIN, net::EventLoop::Priority::urgent); }
+void PeerTransport::watch_listener() {
+  loop_.register_handler(listener_.fd(), *this, POLLIN, net::EventLoop::Priority::urgent);
+}
 
 // The listener stays readable while its connections cannot be taken: watched on, the loop would never rest.
 void PeerTransport::pause_accepting() {
@@ -182,7 +187,8 @@
 const char* PeerTransport::rejection_reason(const Hello& h) const {
   if (h.version != own_hello_.version) return "another version of the protocol";
   if (h.cluster != own_hello_.cluster) return "another group";
-  if (h.to != 0 && own_hello_.from != 0 && h.to != own_hello_.from) return "this is another member than the one meant";
+  if (h.to != 0 && own_hello_.from != 0 && h.to != own_hello_.from)
+    return "this is another member than the one meant";
   if (h.from != 0 && h.from == own_hello_.from) return "this member's own id";
   if (h.lease != own_hello_.lease || h.drift != own_hello_.drift || h.last_call != own_hello_.last_call)
     return "another lease, drift or longest limit of a call";
@@ -198,7 +204,8 @@
   if (logged_.size() < kNotedMost && logged_.insert(line).second) log_(line);
 }
 
-bool PeerTransport::send(std::uint64_t to, const std::string& address, Frame::Kind kind, const std::string& body) {
+bool PeerTransport::send(std::uint64_t to, const std::string& address, Frame::Kind kind,
+                         const std::string& body) {
   if (body.size() > max_frame_bytes) {
     counters_.add("group.too_long");
     return false;
@@ -215,7 +222,9 @@
     if (!connection) return false;
     counters_.add("group.links_opened");
     reconnect_not_before_.erase(key);
-    found = outgoing_.emplace(key, std::make_shared<OutgoingConnection>(*this, key, std::move(connection.socket))).first;
+    found =
+        outgoing_.emplace(key, std::make_shared<OutgoingConnection>(*this, key, std::move(connection.socket)))
+            .first;
     Hello hello = own_hello_;
     hello.to = to;
     found->second->write(encode_frame(Frame::Kind::hello, encode_hello(hello)));
--- a/src/group/links.h
+++ b/src/raft/peer_transport.h
@@ -11,9 +11,9 @@
 #include <string>
 
 #include "core/counters.h"
-#include "group/wire.h"
-#include "net/loop.h"
-#include "net/stream.h"
+#include "net/buffered_connection.h"
+#include "net/event_loop.h"
+#include "raft/frame.h"
 
 namespace lotusyard::raft {
 
@@ -44,7 +44,7 @@
   LogSink log_;
   net::BufferPool pool_;
   net::Socket listener_;
-  std::map<std::string, std::shared_ptr<OutgoingConnection>> outgoing_;      // by address and id
+  std::map<std::string, std::shared_ptr<OutgoingConnection>> outgoing_;  // by address and id
   std::map<std::string, policy::Millis> reconnect_not_before_;  // likewise, since the last link there ended
   std::list<std::shared_ptr<IncomingConnection>> incoming_;
   std::set<std::string> logged_;
--- a/src/group/raft_buffer.h
+++ b/src/raft/raft_buffer.h
@@ -4,7 +4,7 @@
 #include <cstring>
 #include <string>
 
-#include "group/raft_c.h"
+#include "raft/libraft.h"
 
 namespace lotusyard::raft {
 
--- a/src/group/consensus.cpp
+++ b/src/raft/raft_core.cpp
@@ -1,10 +1,10 @@
-#include "group/consensus.h"
+#include "raft/raft_core.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "group/raft_buffer.h"
-#include "group/raft_wire.h"
+#include "raft/message_codec.h"
+#include "raft/raft_buffer.h"
 
 namespace lotusyard::raft {
 namespace {
@@ -20,7 +20,7 @@
 };
 
 RaftCore::RaftCore(Scheduler& scheduler, LogStore& store, Delegate& user, std::uint64_t id,
-                     const std::string& address, Millis election, std::uint64_t seed)
+                   const std::string& address, Millis election, std::uint64_t seed)
     : scheduler_(scheduler),
       store_(store),
       delegate_(user),
@@ -42,7 +42,7 @@
   matches_ = MatchTracker();
   if (raft_init(&raft_, &io_, &fsm_, id_, address_.c_str()) != 0)
     throw LogStoreError(std::string("the group's consensus: ") + raft_errmsg(&raft_),
-                     sqlite::ResultKind::no_memory);
+                        sqlite::ResultKind::no_memory);
   running_ = true;
   raft_.data = this;
   raft_set_election_timeout(&raft_, static_cast<unsigned>(election_.count()));
--- a/src/group/consensus.h
+++ b/src/raft/raft_core.h
@@ -13,10 +13,10 @@
 #include <string>
 #include <vector>
 
-#include "group/match_tracker.h"
-#include "group/raft_c.h"
-#include "group/scheduler.h"
-#include "group/store.h"
+#include "raft/libraft.h"
+#include "raft/log_store.h"
+#include "raft/match_tracker.h"
+#include "raft/scheduler.h"
 #include "sqlite/result.h"
 
 namespace lotusyard::raft {
@@ -41,11 +41,11 @@
   using Server = StoredServer;  // role: the library's
 
   // Throws StoreError if the store is damaged; one that fails for now is tried again.
-  RaftCore(Scheduler& scheduler, LogStore& store, Delegate& user, std::uint64_t id, const std::string& address,
-            Millis election, std::uint64_t seed = std::random_device{}());
+  RaftCore(Scheduler& scheduler, LogStore& store, Delegate& user, std::uint64_t id,
+           const std::string& address, Millis election, std::uint64_t seed = std::random_device{}());
   ~RaftCore();
   static void bootstrap(LogStore& store,
-                    const std::vector<Server>& servers);  // the first entry of a new group's log
+                        const std::vector<Server>& servers);  // the first entry of a new group's log
 
   void receive(std::uint64_t from, const std::string& address, raft_message&& message);
   bool is_leader() const { return is_available() && raft_state(const_cast<::raft*>(&raft_)) == RAFT_LEADER; }
@@ -68,7 +68,7 @@
   const std::uint64_t id_;
   const std::string address_;
   const Millis election_;
-  struct ::raft raft_{};
+  struct ::raft raft_ {};
   raft_io io_{};
   raft_fsm fsm_{};
   std::mt19937_64 random_;
--- a/src/group/member.cpp
+++ b/src/raft/raft_replica.cpp
@@ -1,9 +1,9 @@
-#include "group/member.h"
+#include "raft/raft_replica.h"
 
 #include <algorithm>
 
 #include "config/config.h"
-#include "group/raft_wire.h"
+#include "raft/message_codec.h"
 
 namespace lotusyard::raft {
 namespace {
@@ -37,8 +37,8 @@
   RaftCore::bootstrap(store, servers);
 }
 
-RaftReplica::RaftReplica(net::EventLoop& loop, core::Counters& counters, const Config& config, std::vector<ReplicatedStateMachine*> parts,
-               LogSink note)
+RaftReplica::RaftReplica(net::EventLoop& loop, core::Counters& counters, const Config& config,
+                         std::vector<ReplicatedStateMachine*> parts, LogSink note)
     : loop_(loop),
       counters_(counters),
       config_(config),
@@ -74,7 +74,7 @@
 
 void RaftReplica::start_raft() {
   raft_core_ = std::make_unique<RaftCore>(scheduler_, store_, static_cast<RaftCore::Delegate&>(*this),
-                                           identity_.id, config_.address, config_.election);
+                                          identity_.id, config_.address, config_.election);
 }
 
 std::uint64_t RaftReplica::begin_new_incarnation(std::uint64_t above) {
@@ -98,14 +98,16 @@
   return raft_core_ ? raft_core_->servers() : std::vector<RaftCore::Server>();
 }
 
-bool RaftReplica::propose(const ReplicatedStateMachine& part, const std::string& entry, std::function<void(bool)> done) {
+bool RaftReplica::propose(const ReplicatedStateMachine& part, const std::string& entry,
+                          std::function<void(bool)> done) {
   return raft_core_ && raft_core_->propose(tag_entry(part.name(), entry), std::move(done));
 }
 
 bool RaftReplica::send_to_leader(const ReplicatedStateMachine& part, const std::string& word) {
   if (!raft_core_) return false;
   if (raft_core_->is_leader()) {
-    loop_.schedule_at(loop_.now(), [to = find_state_machine(part.name()), word] { to->handle_message(word); });
+    loop_.schedule_at(loop_.now(),
+                      [to = find_state_machine(part.name()), word] { to->handle_message(word); });
     return true;
   }
   const auto leader = raft_core_->leader();
@@ -133,7 +135,7 @@
   }
   counters_.add("group.unknown_entries");
   on_store_failure("entry " + std::to_string(index) +
-         " of the log is of a kind that this program does not know: " + kind.substr(0, 40));
+                   " of the log is of a kind that this program does not know: " + kind.substr(0, 40));
 }
 
 std::string RaftReplica::snapshot() {
@@ -148,17 +150,19 @@
   for (const auto& [kind, text] : *read) {
     if (find_state_machine(kind) == nullptr) return false;
   }
-  const bool restored = std::all_of(state_machines_.begin(), state_machines_.end(), [&](ReplicatedStateMachine* part) {
-    const auto found = read->find(part->name());
-    return part->restore(found == read->end() ? std::string() : found->second);
-  });
+  const bool restored =
+      std::all_of(state_machines_.begin(), state_machines_.end(), [&](ReplicatedStateMachine* part) {
+        const auto found = read->find(part->name());
+        return part->restore(found == read->end() ? std::string() : found->second);
+      });
   if (restored && observer_ != nullptr) observer_->log_restored();
   return restored;
 }
 
 void RaftReplica::receive(const Hello& from, Frame&& frame) {
   if (frame.kind == Frame::Kind::message) return handle_message(from, frame.body);
-  if (frame.kind == Frame::Kind::gossip) return gossip_handler_ ? gossip_handler_(from.member, frame.body) : void();
+  if (frame.kind == Frame::Kind::gossip)
+    return gossip_handler_ ? gossip_handler_(from.member, frame.body) : void();
   auto message = decode_message(frame.body);
   if (!message) {
     counters_.add("group.malformed");
--- a/src/group/member.h
+++ b/src/raft/raft_replica.h
@@ -7,10 +7,10 @@
 #include <vector>
 
 #include "core/counters.h"
-#include "group/config.h"
-#include "group/consensus.h"
-#include "group/links.h"
-#include "group/part.h"
+#include "raft/config.h"
+#include "raft/peer_transport.h"
+#include "raft/raft_core.h"
+#include "raft/replicated_state_machine.h"
 
 namespace lotusyard::raft {
 
@@ -30,10 +30,11 @@
   using GossipHandler = std::function<void(const std::string& member, const std::string& body)>;
 
   // The parts outlive it. Throws config::ConfigError or StoreError.
-  RaftReplica(net::EventLoop& loop, core::Counters& counters, const Config& config, std::vector<ReplicatedStateMachine*> parts,
-         LogSink note);
+  RaftReplica(net::EventLoop& loop, core::Counters& counters, const Config& config,
+              std::vector<ReplicatedStateMachine*> parts, LogSink note);
   ~RaftReplica() override;
-  static void bootstrap(const Config& config);  // begins this member's store; once, before a group's first start
+  static void bootstrap(
+      const Config& config);  // begins this member's store; once, before a group's first start
 
   const Config& config() const { return config_; }
   std::uint64_t id() const { return identity_.id; }
@@ -46,7 +47,8 @@
   std::uint64_t term() const { return raft_core_ ? raft_core_->term() : 0; }
   std::vector<RaftCore::Server> servers() const;
   // At the one that leads; false elsewhere. `done`: whether it was agreed upon, as far as is known here.
-  bool propose(const ReplicatedStateMachine& part, const std::string& entry, std::function<void(bool)> done = {});
+  bool propose(const ReplicatedStateMachine& part, const std::string& entry,
+               std::function<void(bool)> done = {});
   // False: nobody is known to lead, or nothing goes out there.
   bool send_to_leader(const ReplicatedStateMachine& part, const std::string& word);
   void set_observer(Observer* observer) { observer_ = observer; }  // one; null: none
--- a/src/group/part.cpp
+++ b/src/raft/replicated_state_machine.cpp
@@ -1,4 +1,4 @@
-#include "group/part.h"
+#include "raft/replicated_state_machine.h"
 
 #include <nlohmann/json.hpp>
 
--- a/src/group/scheduler.h
+++ b/src/raft/scheduler.h
@@ -3,7 +3,7 @@
 
 #include <functional>
 
-#include "net/loop.h"
+#include "net/event_loop.h"
 
 namespace lotusyard::raft {
 
@@ -21,7 +21,9 @@
  public:
   explicit LoopScheduler(net::EventLoop& loop) : loop_(loop) {}
   Millis now() const override { return loop_.now(); }
-  TimerId at(Millis when, std::function<void()> ring) override { return loop_.schedule_at(when, std::move(ring)); }
+  TimerId at(Millis when, std::function<void()> ring) override {
+    return loop_.schedule_at(when, std::move(ring));
+  }
   void cancel(const TimerId& id) override { loop_.cancel(id); }
 
  private:
--- a/src/resp/arrival_clock.h
+++ b/src/resp/arrival_clock.h
@@ -1,7 +1,7 @@
 // When something that is read now can have come at the earliest.
 #pragma once
 
-#include "net/loop.h"
+#include "net/event_loop.h"
 
 namespace lotusyard::resp {
 
--- a/src/resp/client.h
+++ b/src/resp/client.h
@@ -65,8 +65,9 @@
 
   // Danger: half a request, or none, would hold a descriptor for good.
   void expect_whole() {
-    whole_by_ = loop().schedule_at(loop().now() + kWholeMost,
-                          [this] { front_.spoil(*this, asked ? "resp.half_request" : "resp.no_request"); });
+    whole_by_ = loop().schedule_at(loop().now() + kWholeMost, [this] {
+      front_.spoil(*this, asked ? "resp.half_request" : "resp.no_request");
+    });
   }
   void on_received(std::string_view bytes) override {
     came_since_ = arrivals_.came_since(loop());
--- a/src/resp/crowd.cpp
+++ b/src/resp/connection_limits.cpp
@@ -26,7 +26,7 @@
   if (clients_.size() <= limits_.clients) return true;
   const auto self = std::prev(clients_.end());
   // Danger: a request that has come and was not read yet would be lost with its connection.
-  const auto idle = [](const auto& c) { return c->idle() && c->peer() != net::PeerState::readable; };
+  const auto idle = [](const auto& c) { return c->idle() && c->peer_state() != net::PeerState::readable; };
   const auto at_rest = [&](const auto& c) { return c->at_rest() && idle(c); };  // not half-way through one
   auto spared = std::find_if(clients_.begin(), self, at_rest);
   if (spared == self) spared = std::find_if(clients_.begin(), self, idle);
--- a/src/resp/front.cpp
+++ b/src/resp/front.cpp
@@ -11,8 +11,8 @@
 
 }  // namespace
 
-Front::Front(net::EventLoop& loop, net::BufferPool& pool, core::Dispatcher& dispatcher, core::Counters& counters,
-             Limits limits)
+Front::Front(net::EventLoop& loop, net::BufferPool& pool, core::Dispatcher& dispatcher,
+             core::Counters& counters, Limits limits)
     : loop_(loop), pool_(pool), dispatcher_(dispatcher), counters_(counters), limits_(limits) {}
 
 Front::~Front() {
@@ -60,7 +60,8 @@
 
 bool Front::hand_over() {
   stop_listening();
-  for (const auto& client : std::vector<std::shared_ptr<ClientConnection>>(clients_.begin(), clients_.end())) {
+  for (const auto& client :
+       std::vector<std::shared_ptr<ClientConnection>>(clients_.begin(), clients_.end())) {
     if (!client->at_rest()) continue;
     client->ready(POLLIN);  // a request that has come by now is served
     if (client->at_rest()) client->shutdown_after_flush();
@@ -83,7 +84,7 @@
 }
 
 bool Front::written() const {
-  return std::all_of(clients_.begin(), clients_.end(), [](const auto& c) { return c->outbox().empty(); });
+  return std::all_of(clients_.begin(), clients_.end(), [](const auto& c) { return c->send_queue().empty(); });
 }
 
 // What comes over it cannot be understood from here on. Danger: calls that came before are owed their
@@ -147,8 +148,8 @@
   kept->flush();
 }
 
-void Front::say(ClientConnection& client, const std::string& tag, core::Verdict verdict, core::Millis cooldown,
-                std::string_view body) {
+void Front::say(ClientConnection& client, const std::string& tag, core::Verdict verdict,
+                core::Millis cooldown, std::string_view body) {
   std::string out;
   if (verdict == core::Verdict::served) {
     write_array(out, {tag, "OK", "", body});
@@ -194,7 +195,8 @@
   ClientConnection& client = *found->second.client;
   switch (client.peer_state()) {
     case net::PeerState::idle: return ClientState::waiting;
-    case net::PeerState::readable: return client.heard_at() >= heard_since ? ClientState::waiting : ClientState::has_unread_input;
+    case net::PeerState::readable:
+      return client.heard_at() >= heard_since ? ClientState::waiting : ClientState::has_unread_input;
     case net::PeerState::disconnected: break;
   }
   client.close_later();
--- a/src/resp/front.h
+++ b/src/resp/front.h
@@ -8,9 +8,9 @@
 
 #include "core/counters.h"
 #include "core/dispatcher.h"
-#include "net/loop.h"
+#include "net/buffered_connection.h"
+#include "net/event_loop.h"
 #include "net/socket.h"
-#include "net/stream.h"
 #include "resp/arrival_clock.h"
 #include "resp/parser.h"
 
--- a/src/simhost/wire.h
+++ b/src/simulator_adapter/wire.h
@@ -10,10 +10,23 @@
 #include <vector>
 
 #include "config/settings.h"
-#include "robinfold/policy.h"
+#include "lotusyard/policy/policy.h"
 
 namespace lotusyard::simulator_adapter {
 
+using policy::Action;
+using policy::Event;
+using policy::ListKind;
+using policy::Millis;
+using policy::Outcome;
+using policy::Policy;
+using policy::Report;
+using policy::Warmth;
+using policy::WorkerEntry;
+using policy::WorkerState;
+namespace action = policy::action;
+namespace event = policy::event;
+
 struct WireError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
--- a/src/xds/hosts.cpp
+++ b/src/xds/hosts.cpp
@@ -77,7 +77,8 @@
 
 }  // namespace
 
-std::optional<core::HostListUpdate> read_hosts(const json& file, const std::string& cluster, std::string& fault) {
+std::optional<core::HostListUpdate> read_hosts(const json& file, const std::string& cluster,
+                                               std::string& fault) {
   const json* assignment = find_assignment(file, cluster);
   if (assignment == nullptr) {
     fault = "no endpoints of cluster '" + cluster + "'";
--- a/src/xds/hosts.h
+++ b/src/xds/hosts.h
@@ -8,15 +8,15 @@
 #include <string>
 
 #include "core/counters.h"
-#include "core/member.h"
-#include "net/loop.h"
+#include "core/listed_host.h"
+#include "net/event_loop.h"
 
 namespace lotusyard::xds {
 
 // The endpoints of one cluster. Nothing, and a reason in `fault`, if the text does not hold it whole: half a
 // list must not be taken for one from which hosts were removed.
 std::optional<core::HostListUpdate> read_hosts(const nlohmann::json& file, const std::string& cluster,
-                                           std::string& fault);
+                                               std::string& fault);
 
 // Such a file, read again whenever it changes. An endpoint that comes later, or comes back, has just started.
 class HostFile {
--- a/tests/control/relay.h
+++ b/tests/control/relay.h
@@ -134,8 +134,8 @@
 
     Peer(Relay& relay, net::EventLoop& loop, net::BufferPool& pool, net::Socket&& socket, net::Socket&& inner)
         : Peer(relay, loop, pool, socket.fd(), inner.fd(), std::move(socket), std::move(inner)) {}
-    Peer(Relay& relay, net::EventLoop& loop, net::BufferPool& pool, int fd, int inner_fd, net::Socket&& socket,
-         net::Socket&& inner)
+    Peer(Relay& relay, net::EventLoop& loop, net::BufferPool& pool, int fd, int inner_fd,
+         net::Socket&& socket, net::Socket&& inner)
         : BufferedConnection(loop, pool, std::move(socket), false),
           relay_(relay),
           fd_(fd),
--- a/tests/control/session_table_test.cpp
+++ b/tests/control/session_table_test.cpp
@@ -14,7 +14,8 @@
 
 constexpr double kDrift = 0.01;
 const raft::LeaseTerms kTerms{Millis(3000), kDrift, Millis(2000)};
-const Millis kEarlierOver = kTerms.presumed_dead_after();  // nothing of an earlier process counts from then on
+const Millis kEarlierOver =
+    kTerms.presumed_dead_after();  // nothing of an earlier process counts from then on
 const Millis kFarAway(1e7);
 
 struct Table {
--- a/tests/control/tier_cluster.cpp
+++ b/tests/control/tier_cluster.cpp
@@ -75,7 +75,7 @@
     if (options_.learn_nodes) file["control"]["nodes"] = control_nodes;
   }
   std::ofstream(member.config) << file.dump();
-  const std::string init = std::string(LOTUSYARD_FULL) + " group init " + member.config + " >/dev/null";
+  const std::string init = std::string(LOTUSYARD_CLUSTER) + " group init " + member.config + " >/dev/null";
   REQUIRE(std::system(init.c_str()) == 0);
   start(member);
 }
--- a/tests/example.cpp
+++ b/tests/example.cpp
@@ -1,7 +1,7 @@
 // How a router embeds robinfold: hand in events, carry out actions.
 #include <iostream>
 
-#include "robinfold/policy.h"
+#include "lotusyard/policy/policy.h"
 
 int main() {
   using namespace lotusyard::policy;
--- a/tests/golden/admin_golden.cpp
+++ b/tests/golden/admin_golden.cpp
@@ -1,5 +1,5 @@
 // The admin endpoint: its HTTP answers, byte for byte.
-#include "console/admin_endpoint.h"
+#include "admin/admin_endpoint.h"
 #include "golden_part.h"
 #include "recording_client.h"
 
--- a/tests/golden/compliance_golden.cpp
+++ b/tests/golden/compliance_golden.cpp
@@ -22,7 +22,8 @@
   Part out{"compliance", {}};
   for (const auto& [name, entry] : sample_compliance_entries())
     out.samples.push_back({"entry " + name, compliance::encode_entry(entry), reencode_entry});
-  out.samples.push_back({"snapshot empty", compliance::CertificateState().snapshot().dump(), reencode_snapshot});
+  out.samples.push_back(
+      {"snapshot empty", compliance::CertificateState().snapshot().dump(), reencode_snapshot});
   out.samples.push_back({"snapshot", sample_compliance_state().snapshot().dump(), reencode_snapshot});
   return out;
 }
--- a/tests/golden/hosts_golden.cpp
+++ b/tests/golden/hosts_golden.cpp
@@ -127,20 +127,22 @@
 Part hosts_part() {
   using hosts::LivenessProbe;
   const auto ensure = [](int copies) {
-    return without_call([copies](hosts::HostConnectionPool& fleet) { fleet.load_copies("h0", kFunction, copies); });
+    return without_call(
+        [copies](hosts::HostConnectionPool& fleet) { fleet.load_copies("h0", kFunction, copies); });
   };
-  return {"hosts",
-          {{"exec", attempt(""), {}},
-           {"exec with a key", attempt("key-1"), {}},
-           {"exec and drop", cancelled_attempt(), {}},
-           {"ensure", ensure(2), {}},
-           {"ensure asks", ensure(0), {}},
-           {"load", without_call([](hosts::HostConnectionPool& fleet) { fleet.probe("h0"); }), {}},
-           {"release", without_call([](hosts::HostConnectionPool& fleet) { fleet.unload("h0", kFunction); }), {}},
-           {"exec and health", liveness_check(LivenessProbe::health, "health s1\r\n"), {}},
-           {"exec and liveness order", liveness_check(LivenessProbe::order, "count=0\r\n"), {}},
-           {"reply", "00000000000000a1 data l=inflight:1;util:0.5 5\r\nbo\x01\xff\n\r\n", reencode_reply},
-           {"reply without fields", "p1 well - 0\r\n\r\n", reencode_reply}}};
+  return {
+      "hosts",
+      {{"exec", attempt(""), {}},
+       {"exec with a key", attempt("key-1"), {}},
+       {"exec and drop", cancelled_attempt(), {}},
+       {"ensure", ensure(2), {}},
+       {"ensure asks", ensure(0), {}},
+       {"load", without_call([](hosts::HostConnectionPool& fleet) { fleet.probe("h0"); }), {}},
+       {"release", without_call([](hosts::HostConnectionPool& fleet) { fleet.unload("h0", kFunction); }), {}},
+       {"exec and health", liveness_check(LivenessProbe::health, "health s1\r\n"), {}},
+       {"exec and liveness order", liveness_check(LivenessProbe::order, "count=0\r\n"), {}},
+       {"reply", "00000000000000a1 data l=inflight:1;util:0.5 5\r\nbo\x01\xff\n\r\n", reencode_reply},
+       {"reply without fields", "p1 well - 0\r\n\r\n", reencode_reply}}};
 }
 
 }  // namespace lotusyard::golden
--- a/tests/golden/maintenance_golden.cpp
+++ b/tests/golden/maintenance_golden.cpp
@@ -1,7 +1,7 @@
 // Maintenance jobs: log entries of every kind, the state's snapshot, and the admin endpoint's JSON.
 #include "golden_part.h"
+#include "maintenance/admin_endpoint.h"
 #include "maintenance_samples.h"
-#include "works/admin_endpoint.h"
 
 namespace lotusyard::golden {
 namespace {
@@ -14,7 +14,8 @@
 }
 
 std::string reencode_heartbeat(const std::string& bytes) {
-  return maintenance::heartbeat_to_json(decoded(maintenance::parse_heartbeat(nlohmann::json::parse(bytes)))).dump();
+  return maintenance::heartbeat_to_json(decoded(maintenance::parse_heartbeat(nlohmann::json::parse(bytes))))
+      .dump();
 }
 
 std::string reencode_job(const std::string& bytes) {
@@ -49,7 +50,8 @@
   const maintenance::MaintenanceState state = sample_maintenance_state();
   out.push_back({"admin jobs", maintenance::jobs_to_json(state, "member-1").dump(), {}});
   out.push_back({"admin outcome done", maintenance::outcome_to_json({true, "", 7}).dump(), {}});
-  out.push_back({"admin outcome refused", maintenance::outcome_to_json({false, "id: known already", 8}).dump(), {}});
+  out.push_back(
+      {"admin outcome refused", maintenance::outcome_to_json({false, "id: known already", 8}).dump(), {}});
   const std::string job = R"({"t":"add","id":"p9","added":{"id":"job-9","select":{"zones":["zone-a"]},)"
                           R"("bounds":{"out":2,"usable":0.25}}})";
   out.push_back({"admin proposal job", proposal(job), {}});
@@ -68,11 +70,13 @@
   Part out{"maintenance", {}};
   add_entries(out.samples);
   const maintenance::Heartbeat least{"member-2", 3, 1500.25, 17, {}, std::nullopt, std::nullopt};
-  out.samples.push_back({"heartbeat least", maintenance::heartbeat_to_json(least).dump(), reencode_heartbeat});
+  out.samples.push_back(
+      {"heartbeat least", maintenance::heartbeat_to_json(least).dump(), reencode_heartbeat});
   out.samples.push_back(
       {"heartbeat full", maintenance::heartbeat_to_json(sample_heartbeat()).dump(), reencode_heartbeat});
   out.samples.push_back({"job", maintenance::job_to_json(sample_job()).dump(), reencode_job});
-  out.samples.push_back({"snapshot empty", maintenance::MaintenanceState().snapshot().dump(), reencode_snapshot});
+  out.samples.push_back(
+      {"snapshot empty", maintenance::MaintenanceState().snapshot().dump(), reencode_snapshot});
   out.samples.push_back({"snapshot", sample_maintenance_state().snapshot().dump(), reencode_snapshot});
   add_answers(out.samples);
   return out;
--- a/tests/golden/maintenance_samples.cpp
+++ b/tests/golden/maintenance_samples.cpp
@@ -4,8 +4,8 @@
 namespace {
 
 using maintenance::LogEntry;
-using maintenance::Millis;
 using maintenance::MaintenanceJob;
+using maintenance::Millis;
 using Kind = LogEntry::Kind;
 
 LogEntry entry(Kind kind) {
--- a/tests/golden/maintenance_samples.h
+++ b/tests/golden/maintenance_samples.h
@@ -5,8 +5,8 @@
 #include <utility>
 #include <vector>
 
-#include "compliance/book.h"
-#include "works/board.h"
+#include "compliance/certificate_state.h"
+#include "maintenance/maintenance_state.h"
 
 namespace lotusyard::golden {
 
--- a/tests/golden/quota_golden.cpp
+++ b/tests/golden/quota_golden.cpp
@@ -1,6 +1,6 @@
 // The split of the slow-start budget: log entries and the state's snapshot.
 #include "golden_part.h"
-#include "shares/epochs.h"
+#include "quota/quota_epochs.h"
 
 namespace lotusyard::golden {
 namespace {
