--- a/tests/golden/raft_golden.cpp
+++ b/tests/golden/raft_golden.cpp
@@ -1,9 +1,9 @@
 // Links among a group's members: frames, the handshake, consensus messages of every kind, and the forms in
 // which several replicated state machines share one log.
 #include "golden_part.h"
-#include "group/part.h"
-#include "group/raft_wire.h"
-#include "group/wire.h"
+#include "raft/frame.h"
+#include "raft/message_codec.h"
+#include "raft/replicated_state_machine.h"
 
 namespace lotusyard::golden {
 namespace {
@@ -26,7 +26,9 @@
   return out;
 }
 
-std::string reencode_snapshots(const std::string& bytes) { return encode_snapshots(decoded(decode_snapshots(bytes))); }
+std::string reencode_snapshots(const std::string& bytes) {
+  return encode_snapshots(decoded(decode_snapshots(bytes)));
+}
 
 std::string reencode_tagged(const std::string& bytes) {
   const auto [kind, text] = untag_entry(bytes);
@@ -113,8 +115,9 @@
 
 void add_frames(std::vector<Sample>& out) {
   const std::vector<std::pair<std::string, Frame::Kind>> kinds = {
-      {"hello", Frame::Kind::hello},     {"consensus", Frame::Kind::consensus}, {"word", Frame::Kind::message},
-      {"refusal", Frame::Kind::refusal}, {"heard", Frame::Kind::received},         {"view", Frame::Kind::gossip}};
+      {"hello", Frame::Kind::hello},    {"consensus", Frame::Kind::consensus},
+      {"word", Frame::Kind::message},   {"refusal", Frame::Kind::refusal},
+      {"heard", Frame::Kind::received}, {"view", Frame::Kind::gossip}};
   for (const auto& [name, kind] : kinds)
     out.push_back({"frame " + name, encode_frame(kind, "body of " + name), reencode_frame});
   out.push_back({"frame empty", encode_frame(Frame::Kind::received, ""), reencode_frame});
@@ -140,7 +143,8 @@
       {"install snapshot", install_snapshot(), reencode_consensus},
       {"timeout now", timeout_now(), reencode_consensus},
       {"tagged entry", tag_entry("compliance", R"({"t":"regime"})"), reencode_tagged},
-      {"snapshots of all", encode_snapshots({{"works", "{}"}, {"compliance", "{\"a\":1}"}}), reencode_snapshots}};
+      {"snapshots of all", encode_snapshots({{"works", "{}"}, {"compliance", "{\"a\":1}"}}),
+       reencode_snapshots}};
   out.samples.insert(out.samples.end(), more.begin(), more.end());
   return out;
 }
--- a/tests/golden/records_golden.cpp
+++ b/tests/golden/records_golden.cpp
@@ -1,8 +1,8 @@
 // The records that control nodes replicate to invokers, and what invokers report to them.
 #include "golden_part.h"
 #include "maintenance_samples.h"
-#include "node/records.h"
-#include "node/session_views.h"
+#include "node/session_observations.h"
+#include "node/state_records.h"
 
 namespace lotusyard::golden {
 namespace {
@@ -37,7 +37,8 @@
   for (const auto& [key, value] : records) out.samples.push_back({"record " + key, value, {}});
   out.samples.push_back({"all records", control::encode_records(records), reencode_states});
   out.samples.push_back({"other records", control::encode_records(odd), reencode_records});
-  out.samples.push_back({"invoker's view", node::SessionObservations::encode("invoker-1", view), reencode_view});
+  out.samples.push_back(
+      {"invoker's view", node::SessionObservations::encode("invoker-1", view), reencode_view});
   return out;
 }
 
--- a/tests/golden/stores_golden.cpp
+++ b/tests/golden/stores_golden.cpp
@@ -6,17 +6,17 @@
 #include <catch2/catch.hpp>
 #include <cstdio>
 
-#include "answers/sqlite_store.h"
 #include "golden_part.h"
-#include "group/store.h"
+#include "idempotency/sqlite_result_store.h"
+#include "raft/log_store.h"
 #include "sqlite/query.h"
 
 namespace lotusyard::golden {
 namespace {
 
+using core::Millis;
 using idempotency::ResultRecord;
 using idempotency::ResultStage;
-using core::Millis;
 using sqlite::Query;
 
 // A file of this process that goes with the object.
@@ -145,12 +145,14 @@
   const TemporaryFile file;
   core::Counters counters;
   {
-    idempotency::SqliteResultStore store(file.path(), {}, Millis(1690000000000.5), counters, [](const auto&) {});
+    idempotency::SqliteResultStore store(file.path(), {}, Millis(1690000000000.5), counters,
+                                         [](const auto&) {});
     put(store, "sent", record(ResultStage::sent, core::Verdict::failed, ""));
     put(store, "cleared", record(ResultStage::cleared, core::Verdict::failed, ""));
     put(store, "answered", record(ResultStage::answered, core::Verdict::served, std::string("\0\xff", 2)));
     put(store, "refused", record(ResultStage::answered, core::Verdict::refused, ""));
-    put(store, std::string("confirmed\0\xff", 11), record(ResultStage::confirmed, core::Verdict::served, "body"));
+    put(store, std::string("confirmed\0\xff", 11),
+        record(ResultStage::confirmed, core::Verdict::served, "body"));
   }
   return dump_of(file);
 }
--- a/tests/lotusyard/answers_test.cpp
+++ b/tests/lotusyard/answers_test.cpp
@@ -6,7 +6,7 @@
 #include <cstdio>
 #include <fstream>
 
-#include "answers/sqlite_store.h"
+#include "idempotency/sqlite_result_store.h"
 #include "triggers.h"
 
 namespace lotusyard::test {
@@ -120,7 +120,8 @@
 
 // Each step is the last thing that a process does before it is killed.
 TEST_CASE("a process killed after any step of the store leaves what it wrote") {
-  const ResultStage steps[] = {ResultStage::sent, ResultStage::cleared, ResultStage::sent, ResultStage::answered, ResultStage::confirmed};
+  const ResultStage steps[] = {ResultStage::sent, ResultStage::cleared, ResultStage::sent,
+                               ResultStage::answered, ResultStage::confirmed};
   for (int last = 0; last <= 5; ++last) {
     File file("kill");
     const pid_t child = fork();
@@ -148,7 +149,8 @@
   bounds.most = 10;
   bounds.longest = Millis(1000);
   Opened opened(file, bounds);
-  for (int i = 0; i < 6; ++i) REQUIRE(opened.store.put("sent" + std::to_string(i), record(ResultStage::sent)));
+  for (int i = 0; i < 6; ++i)
+    REQUIRE(opened.store.put("sent" + std::to_string(i), record(ResultStage::sent)));
   for (int i = 0; i < 20; ++i) {
     opened.store.put("done" + std::to_string(i), record(ResultStage::answered, Verdict::served, kNow + i));
     opened.store.prune(Millis(kNow + i));
--- a/tests/lotusyard/cluster.h
+++ b/tests/lotusyard/cluster.h
@@ -37,7 +37,7 @@
                        {"lease_ms", lease},   {"election_ms", election}};
       if (view_period > 0) file["group"]["view"] = {{"period_ms", view_period}};
       std::ofstream(m->config) << file.dump();
-      const std::string init = std::string(LOTUSYARD_FULL) + " group init " + m->config + " >/dev/null";
+      const std::string init = std::string(LOTUSYARD_CLUSTER) + " group init " + m->config + " >/dev/null";
       REQUIRE(std::system(init.c_str()) == 0);
       start(*m);
     }
--- a/tests/lotusyard/compliance_test.cpp
+++ b/tests/lotusyard/compliance_test.cpp
@@ -1,7 +1,7 @@
 // Regulated tenants and certified hosts in their pure form: what the book says, when, and what it takes.
 #include "breaks_here.h"
 #include "catch2/catch.hpp"
-#include "compliance/book.h"
+#include "compliance/certificate_state.h"
 
 namespace lotusyard::test {
 namespace {
@@ -15,7 +15,9 @@
 struct Desk {
   CertificateState book;
   std::uint64_t index = 0;
-  CertificateState::ProposalOutcome say(const json& what) { return book.apply(++index, compliance::parse_entry(what)); }
+  CertificateState::ProposalOutcome say(const json& what) {
+    return book.apply(++index, compliance::parse_entry(what));
+  }
   std::string may(const std::string& tenant, const std::string& host, double now = 5000, bool knows = true,
                   double life = 10, const std::string& zone = "east") const {
     const auto verdict = book.check(tenant, {host, zone, life}, knows, Millis(now), Millis(100));
@@ -31,8 +33,9 @@
     certify("c2", "h2", "export");
     certify("c3", "h2", "excise");
   }
-  CertificateState::ProposalOutcome certify(const std::string& name, const std::string& host, const std::string& regime,
-                        double from = 1000, double until = 9000, bool outlives = false) {
+  CertificateState::ProposalOutcome certify(const std::string& name, const std::string& host,
+                                            const std::string& regime, double from = 1000,
+                                            double until = 9000, bool outlives = false) {
     return say({{"t", "certify"},
                 {"certificate",
                  {{"name", name},
--- a/tests/lotusyard/console_test.cpp
+++ b/tests/lotusyard/console_test.cpp
@@ -1,7 +1,7 @@
 // The admin endpoint: its parser, and its answers while others crowd it.
 #include <unistd.h>
 
-#include "console/admin_endpoint.h"
+#include "admin/admin_endpoint.h"
 #include "helper.h"
 
 namespace lotusyard::test {
--- a/tests/lotusyard/core_test.cpp
+++ b/tests/lotusyard/core_test.cpp
@@ -17,7 +17,7 @@
   std::map<core::CallId, std::vector<core::Answer>> answers;
   std::vector<std::pair<std::string, std::uint64_t>> orders;
   void send_attempt(const core::Attempt& a, const std::string& host, const core::Call& call,
-            Millis patience) override {
+                    Millis patience) override {
     CHECK(patience.count() > 0);
     CHECK(answers.count(a.call) == 0);
     for (const auto& [other, o] : attempts) CHECK_FALSE((other.call == a.call && o.out));
@@ -257,7 +257,8 @@
   for (const auto& [attempt, o] : b.desk.attempts) out.insert(attempt.call);
   REQUIRE((!out.empty() && out.size() < ids.size() - 1));
   const auto spared = *std::find_if(ids.begin(), ids.end(), [&](auto id) { return out.count(id) == 0; });
-  b.dispatcher.abort_calls(core::Dispatcher::CallSelection::never_sent, [&](core::CallId id) { return id != spared; });
+  b.dispatcher.abort_calls(core::Dispatcher::CallSelection::never_sent,
+                           [&](core::CallId id) { return id != spared; });
   for (const auto id : ids) {
     const bool goes_on = out.count(id) != 0 || id == spared;
     REQUIRE(b.desk.answers.count(id) == (goes_on ? 0 : 1));
--- a/tests/lotusyard/fleet_breaks.cpp
+++ b/tests/lotusyard/fleet_breaks.cpp
@@ -1,4 +1,4 @@
 #include "breaks_here.h"
-#include "core/breaks.h"
+#include "core/fault_injection.h"
 
 bool lotusyard::fault_injected(const char* rule) { return rule_is_broken(rule); }
--- a/tests/lotusyard/gather_test.cpp
+++ b/tests/lotusyard/gather_test.cpp
@@ -1,9 +1,9 @@
 // Signs of life go into the log in entries that every member can read, however many members there are.
-#include "works/gather.h"
-
 #include <catch2/catch.hpp>
 #include <set>
 
+#include "maintenance/heartbeat_aggregator.h"
+
 using namespace lotusyard::maintenance;
 
 namespace {
--- a/tests/lotusyard/group_relay.h
+++ b/tests/lotusyard/group_relay.h
@@ -8,8 +8,8 @@
 #include <string>
 #include <vector>
 
-#include "group/wire.h"
 #include "helper.h"
+#include "raft/frame.h"
 
 namespace lotusyard::test {
 
@@ -40,7 +40,8 @@
    private:
     struct Inner final : net::BufferedConnection {
       explicit Inner(GroupRelay& relay)
-          : BufferedConnection(relay.world_.loop, relay.world_.pool, net::connect_to(relay.to_).socket, true) {}
+          : BufferedConnection(relay.world_.loop, relay.world_.pool, net::connect_to(relay.to_).socket,
+                               true) {}
       void on_connected() override { loop().flush_later(*this); }
       void on_received(std::string_view bytes) override {
         if (back) back(bytes);
--- a/tests/lotusyard/group_test.cpp
+++ b/tests/lotusyard/group_test.cpp
@@ -6,18 +6,18 @@
 #include <iostream>
 
 #include "cluster.h"
-#include "group/links.h"
-#include "group/part.h"
-#include "group/raft_wire.h"
-#include "group/store.h"
-#include "group/wire.h"
+#include "raft/frame.h"
+#include "raft/log_store.h"
+#include "raft/message_codec.h"
+#include "raft/peer_transport.h"
+#include "raft/replicated_state_machine.h"
 
 namespace lotusyard::test {
 namespace {
 
 using raft::LogStore;
-using raft::StoredEntry;
 using raft::LogStoreError;
+using raft::StoredEntry;
 
 // ---- The store ----
 
--- a/tests/lotusyard/helper.h
+++ b/tests/lotusyard/helper.h
@@ -15,10 +15,10 @@
 #include "amqp/front.h"
 #include "amqp/methods.h"
 #include "core/dispatcher.h"
-#include "hosts/fleet.h"
+#include "hosts/connection_pool.h"
 #include "hosts/line_parser.h"
-#include "net/loop.h"
-#include "net/stream.h"
+#include "net/buffered_connection.h"
+#include "net/event_loop.h"
 
 namespace lotusyard::test {
 
@@ -84,7 +84,8 @@
 template <typename Peer, typename Owner>
 class Server : public net::EventHandler {
  public:
-  Server(net::EventLoop& loop, net::BufferPool& pool, Owner& owner, const std::string& address = "127.0.0.1:0")
+  Server(net::EventLoop& loop, net::BufferPool& pool, Owner& owner,
+         const std::string& address = "127.0.0.1:0")
       : loop_(loop), pool_(pool), owner_(owner), listener_(net::listen_on(address)) {
     REQUIRE(static_cast<bool>(listener_));
     address_ = net::bound_address(listener_);
@@ -222,7 +223,8 @@
     dispatcher.update_endpoints(std::move(entries));
   }
   void turn() {
-    loop.run_once(std::min(dispatcher.next_deadline(), loop.now() + Millis(20)), [this] { dispatcher.tick(); });
+    loop.run_once(std::min(dispatcher.next_deadline(), loop.now() + Millis(20)),
+                  [this] { dispatcher.tick(); });
   }
   template <typename Until>
   bool turn_until(const Until& until, int most = 200000) {
--- a/tests/lotusyard/keys_test.cpp
+++ b/tests/lotusyard/keys_test.cpp
@@ -7,8 +7,8 @@
 namespace {
 
 using core::Attempt;
-using core::IdempotencyKeys;
 using core::HostLocation;
+using core::IdempotencyKeys;
 using lotusyard::policy::KeyScope;
 
 core::Call keyed(const std::string& key, const std::string& body = "b", Millis allow = Millis(1000)) {
@@ -23,7 +23,8 @@
 core::KeyRule rule(KeyScope scope = KeyScope::all) { return {scope, Millis(5000), Millis(1500)}; }
 
 TEST_CASE("a key is bytes that can stand in a host's line") {
-  for (const char* good : {"5c0f6e1a2b3d4c59a8b7c6d5e4f30211", "a", "~!#:;/"}) CHECK(IdempotencyKeys::is_valid(good));
+  for (const char* good : {"5c0f6e1a2b3d4c59a8b7c6d5e4f30211", "a", "~!#:;/"})
+    CHECK(IdempotencyKeys::is_valid(good));
   for (const std::string& bad :
        {std::string(), std::string("a b"), std::string("a,b"), std::string("a=b"), std::string("a\r\n"),
         std::string("a\0", 2), std::string("\xC3\xA9"), std::string(129, 'a')}) {
@@ -44,7 +45,8 @@
   CHECK(keys.may_send_to(call, rule(), {}, Millis(6999)));
   CHECK_FALSE(keys.may_send_to(call, rule(), {}, Millis(7000)));
   keys.end(call, rule(), Millis(6000));
-  CHECK(keys.begin(call, rule(), Millis(6999)) == IdempotencyKeys::KeyDecision::accepted);  // a further try of the client
+  CHECK(keys.begin(call, rule(), Millis(6999)) ==
+        IdempotencyKeys::KeyDecision::accepted);  // a further try of the client
   CHECK_FALSE(keys.may_send_to(call, rule(), {}, Millis(7001)));
   keys.end(call, rule(), Millis(7001));
   CHECK(keys.begin(call, rule(), Millis(8000)) == IdempotencyKeys::KeyDecision::window_over);
@@ -73,7 +75,8 @@
 TEST_CASE("the same key for another body or function is another request, and a host would drop it") {
   IdempotencyKeys keys;
   REQUIRE(keys.begin(keyed("k"), rule(), Millis(0)) == IdempotencyKeys::KeyDecision::accepted);
-  CHECK(keys.begin(keyed("k"), rule(), Millis(1)) == IdempotencyKeys::KeyDecision::accepted);  // both go, under the one key
+  CHECK(keys.begin(keyed("k"), rule(), Millis(1)) ==
+        IdempotencyKeys::KeyDecision::accepted);  // both go, under the one key
   CHECK(keys.begin(keyed("k", "other"), rule(), Millis(1)) == IdempotencyKeys::KeyDecision::other_request);
   auto call = keyed("k");
   call.function = 8;
@@ -98,7 +101,8 @@
 TEST_CASE("the memory of keys is bounded, and what it holds is kept") {
   IdempotencyKeys keys;
   for (std::size_t i = 0; i < IdempotencyKeys::max_keys; ++i) {
-    REQUIRE(keys.begin(keyed(std::to_string(i)), rule(), Millis(0)) == IdempotencyKeys::KeyDecision::accepted);
+    REQUIRE(keys.begin(keyed(std::to_string(i)), rule(), Millis(0)) ==
+            IdempotencyKeys::KeyDecision::accepted);
     keys.record_send(keyed(std::to_string(i)), {i, 0}, {}, Millis(0));
     keys.end(keyed(std::to_string(i)), rule(), Millis(0));
   }
--- a/tests/lotusyard/listeners_test.cpp
+++ b/tests/lotusyard/listeners_test.cpp
@@ -1,7 +1,7 @@
 // Each part that listens: out of what accept takes it pauses, does not spin, and comes back by itself.
-#include "console/admin_endpoint.h"
-#include "group/links.h"
+#include "admin/admin_endpoint.h"
 #include "platform.h"
+#include "raft/peer_transport.h"
 #include "system_call_faults.h"
 #include "tier.h"
 
--- a/tests/lotusyard/local_connect_test.cpp
+++ b/tests/lotusyard/local_connect_test.cpp
@@ -12,8 +12,8 @@
 }
 std::unique_ptr<Client> client_of(Platform& p) {
   auto client = std::make_unique<Client>(p.world, p.front.address());
-  REQUIRE(
-      p.world.turn_until([&] { return client->is_open() && p.world.counters.value("resp.connections") > 0; }));
+  REQUIRE(p.world.turn_until(
+      [&] { return client->is_open() && p.world.counters.value("resp.connections") > 0; }));
   return client;
 }
 void run_for(Platform& p, Millis span) {
--- a/tests/lotusyard/log_store_faults_test.cpp
+++ b/tests/lotusyard/log_store_faults_test.cpp
@@ -8,8 +8,8 @@
 namespace {
 
 using raft::LogStore;
-using raft::StoredEntry;
 using raft::LogStoreError;
+using raft::StoredEntry;
 
 // ---- The store alone ----
 
--- a/tests/lotusyard/membership_test.cpp
+++ b/tests/lotusyard/membership_test.cpp
@@ -1,19 +1,18 @@
 // Hosts out by hand: one state out of list and hand, and its files.
-#include "membership/membership.h"
-
 #include <sys/stat.h>
 #include <unistd.h>
 
+#include "endpoints/disabled_host_files.h"
+#include "endpoints/endpoint_states.h"
 #include "helper.h"
-#include "membership/out_files.h"
 #include "process.h"
 
 namespace lotusyard::test {
 namespace {
 
 using core::WorkerState;
-using endpoints::EndpointStates;
 using endpoints::DisabledHostFiles;
+using endpoints::EndpointStates;
 
 core::ListedHost member(const std::string& id, WorkerState state, double started = 0) {
   core::ListedHost out;
@@ -43,7 +42,7 @@
 TEST_CASE("a host out by hand is draining whatever the list says, till one call puts it back, cold") {
   Seen seen;
   seen.membership.apply_list({true, {member("a", WorkerState::ready, 5), member("b", WorkerState::ready)}},
-                       core::ListKind::cached);
+                             core::ListKind::cached);
   CHECK_FALSE(seen.membership.is_known("c"));
   seen.membership.disable("a");
   const int told = seen.tellings;
--- a/tests/lotusyard/part_test.cpp
+++ b/tests/lotusyard/part_test.cpp
@@ -1,7 +1,7 @@
 // Several parts on one member's log: each gets its own entries, words and snapshots, and none is skipped.
-#include "group/member.h"
 #include "helper.h"
 #include "process.h"
+#include "raft/raft_replica.h"
 
 namespace lotusyard::test {
 namespace {
--- a/tests/lotusyard/platform_test.cpp
+++ b/tests/lotusyard/platform_test.cpp
@@ -149,7 +149,8 @@
 // A client that reads about a megabyte a second, with little room before it.
 class SlowReader final : public net::EventHandler {
  public:
-  SlowReader(World& world, const std::string& address) : world_(world), socket_(net::connect_to(address).socket) {
+  SlowReader(World& world, const std::string& address)
+      : world_(world), socket_(net::connect_to(address).socket) {
     const int room = 8192;
     REQUIRE(setsockopt(socket_.fd(), SOL_SOCKET, SO_RCVBUF, &room, sizeof room) == 0);
     read_later();
--- a/tests/lotusyard/process_rig.h
+++ b/tests/lotusyard/process_rig.h
@@ -79,7 +79,7 @@
                                                       {"TMPDIR", s.folder.path}};
     if (!breaks.empty()) environment["LOTUSYARD_BREAKS"] = breaks;
     p.process = std::make_unique<Process>(log_of(p), environment, nullptr,
-                                          breaks.empty() ? LOTUSYARD_FULL : LOTUSYARD_FULL_BROKEN);
+                                          breaks.empty() ? LOTUSYARD_CLUSTER : LOTUSYARD_CLUSTER_FAULTY);
     p.back_at = 0;
     p.stopped = false;
   }
--- a/tests/lotusyard/replica_restart_test.cpp
+++ b/tests/lotusyard/replica_restart_test.cpp
@@ -1,7 +1,7 @@
 // One replica whose instance starts again, with a leader that is played by hand.
 #include "fault_vfs.h"
-#include "group/consensus.h"
 #include "helper.h"
+#include "raft/raft_core.h"
 #include "virtual_scheduler.h"
 
 namespace lotusyard::test {
--- a/tests/lotusyard/replica_world.h
+++ b/tests/lotusyard/replica_world.h
@@ -10,9 +10,9 @@
 #include <vector>
 
 #include "fault_vfs.h"
-#include "group/consensus.h"
-#include "group/raft_wire.h"
 #include "helper.h"
+#include "raft/message_codec.h"
+#include "raft/raft_core.h"
 #include "virtual_scheduler.h"
 
 namespace lotusyard::test {
@@ -145,8 +145,8 @@
   void start(Replica& r) {
     try {
       r.store = std::make_unique<raft::LogStore>(r.path());
-      r.consensus = std::make_unique<raft::RaftCore>(scheduler, *r.store, r, r.id,
-                                                       "r" + std::to_string(r.id), kElection, random());
+      r.consensus = std::make_unique<raft::RaftCore>(scheduler, *r.store, r, r.id, "r" + std::to_string(r.id),
+                                                     kElection, random());
     } catch (const raft::LogStoreError& fault) {
       if (!fault.transient()) checker.fault(std::string("damaged by trouble that passed: ") + fault.what());
       stop(r);
--- a/tests/lotusyard/session_member_test.cpp
+++ b/tests/lotusyard/session_member_test.cpp
@@ -3,9 +3,9 @@
 #include <catch2/catch.hpp>
 #include <set>
 
-#include "node/records.h"
-#include "node/session_views.h"
-#include "node/settled.h"
+#include "node/quiescence_tracker.h"
+#include "node/session_observations.h"
+#include "node/state_records.h"
 
 using namespace lotusyard;
 using maintenance::Millis;
@@ -62,7 +62,8 @@
 }  // namespace
 
 TEST_CASE("records made from the agreed state give the same state again, and change only where it changes") {
-  const maintenance::MaintenanceState board = board_with(nlohmann::json::array({host_row("h1", maintenance::HostStage::selected, 4)}), 9);
+  const maintenance::MaintenanceState board =
+      board_with(nlohmann::json::array({host_row("h1", maintenance::HostStage::selected, 4)}), 9);
   compliance::CertificateState book = book_with_certificate();
   const control::Records records = node::records_of(board, book);
   const auto board_again = node::maintenance_state_from(records, 9, Millis(0));
@@ -78,7 +79,8 @@
   CHECK(change[0].key == "compliance/certificate/c1");
   control::Records followed = records;
   control::apply(followed, change);
-  CHECK(node::certificate_state_from(followed, 12)->certificates().at("c1").state == compliance::Certificate::State::revoking);
+  CHECK(node::certificate_state_from(followed, 12)->certificates().at("c1").state ==
+        compliance::Certificate::State::revoking);
 }
 
 TEST_CASE("records of another version are refused whole") {
@@ -91,7 +93,9 @@
 
 TEST_CASE("nothing is settled past a host's leaving while a call is there") {
   const maintenance::MaintenanceState board =
-      board_with({host_row("h1", maintenance::HostStage::draining, 7), host_row("h2", maintenance::HostStage::selected, 5)}, 9);
+      board_with({host_row("h1", maintenance::HostStage::draining, 7),
+                  host_row("h2", maintenance::HostStage::selected, 5)},
+                 9);
   node::QuiescenceTracker tracker(Millis(2000));
   bool free = false;
   const auto is_free = [&free](const std::string& host) { return host != "h1" || free; };
--- a/tests/lotusyard/shares_test.cpp
+++ b/tests/lotusyard/shares_test.cpp
@@ -6,14 +6,14 @@
 
 #include "breaks_here.h"
 #include "catch2/catch.hpp"
-#include "shares/epochs.h"
+#include "quota/quota_epochs.h"
 
 namespace lotusyard::test {
 namespace {
 
 using quota::LogEntry;
-using quota::QuotaEpochs;
 using quota::Millis;
+using quota::QuotaEpochs;
 
 struct Table {
   struct Person {
@@ -111,7 +111,8 @@
   double sum(std::size_t seen_by_a_side) {
     double out = 0;
     for (const auto& p : people) {
-      if (p.up) out += p.epochs.share_of(p.name, p.life, p.lease->is_held(clock(p)), p.cut ? 1 : seen_by_a_side);
+      if (p.up)
+        out += p.epochs.share_of(p.name, p.life, p.lease->is_held(clock(p)), p.cut ? 1 : seen_by_a_side);
     }
     return out;
   }
--- a/tests/lotusyard/store_faults_test.cpp
+++ b/tests/lotusyard/store_faults_test.cpp
@@ -2,9 +2,9 @@
 // write or sync fails, lies or is the last one before a crash.
 #include <map>
 
-#include "answers/sqlite_store.h"
 #include "fault_vfs.h"
 #include "helper.h"
+#include "idempotency/sqlite_result_store.h"
 
 namespace lotusyard::test {
 namespace {
@@ -21,7 +21,7 @@
  public:
   struct Call {
     int runs = 0;
-    bool answered = false;             // the store took its answer
+    bool answered = false;                   // the store took its answer
     std::optional<ResultStage> kept, tried;  // the last change that it took, and a later one that it refused
   };
 
--- a/tests/lotusyard/system_call_storm_test.cpp
+++ b/tests/lotusyard/system_call_storm_test.cpp
@@ -1,6 +1,6 @@
 // Every part that owns sockets at work while system calls fail at random, and while no read or write moves
 // more than one byte.
-#include "console/admin_endpoint.h"
+#include "admin/admin_endpoint.h"
 #include "discovery/discovery.h"
 #include "platform.h"
 #include "system_call_faults.h"
--- a/tests/lotusyard/system_calls_test.cpp
+++ b/tests/lotusyard/system_calls_test.cpp
@@ -3,8 +3,8 @@
 
 #include <catch2/catch.hpp>
 
-#include "net/loop.h"
-#include "net/stream.h"
+#include "net/buffered_connection.h"
+#include "net/event_loop.h"
 #include "system_call_faults.h"
 
 namespace lotusyard::test {
--- a/tests/lotusyard/try_test.cpp
+++ b/tests/lotusyard/try_test.cpp
@@ -12,13 +12,13 @@
   const std::string admin_endpoint = cluster.members[1]->admin_endpoint;
   std::cout << "three members are in; their admin endpoints are at";
   for (const auto& m : cluster.members) std::cout << ' ' << m->admin_endpoint;
-  std::cout << "\n$ lotusyard_full works add kernel-update --at " << admin_endpoint << " --all --out 2 --wait"
-            << std::endl;
+  std::cout << "\n$ lotusyard_cluster works add kernel-update --at " << admin_endpoint
+            << " --all --out 2 --wait" << std::endl;
   const pid_t child = fork();
   REQUIRE(child >= 0);
   if (child == 0) {
-    execl(LOTUSYARD_FULL, "lotusyard_full", "works", "add", "kernel-update", "--at", admin_endpoint.c_str(),
-          "--all", "--out", "2", "--wait", nullptr);
+    execl(LOTUSYARD_CLUSTER, "lotusyard_cluster", "works", "add", "kernel-update", "--at",
+          admin_endpoint.c_str(), "--all", "--out", "2", "--wait", nullptr);
     _exit(127);
   }
   int status = -1;
@@ -41,8 +41,8 @@
   }
   std::cout << "calls meanwhile:";
   for (const auto& [word, count] : words) std::cout << ' ' << count << ' ' << word;
-  std::cout << "\n$ lotusyard_full works timeline *.log --svg works.svg" << std::endl;
-  std::string command = std::string(LOTUSYARD_FULL) + " works timeline";
+  std::cout << "\n$ lotusyard_cluster works timeline *.log --svg works.svg" << std::endl;
+  std::string command = std::string(LOTUSYARD_CLUSTER) + " works timeline";
   for (const auto& m : cluster.members) command += ' ' + cluster.log_of(*m);
   CHECK(std::system((command + " --svg works.svg").c_str()) == 0);
   std::cout << "the chart is in works.svg" << std::endl;
--- a/tests/lotusyard/view_net.h
+++ b/tests/lotusyard/view_net.h
@@ -7,13 +7,13 @@
 #include <queue>
 #include <sstream>
 
-#include "view/swim.h"
+#include "gossip/swim_protocol.h"
 
 namespace lotusyard::test {
 
-using gossip::Millis;
 using gossip::MemberRecord;
 using gossip::MemberStatus;
+using gossip::Millis;
 using gossip::SwimProtocol;
 
 struct ViewNet {
@@ -63,8 +63,9 @@
     std::vector<std::string> seed_addresses;
     for (std::size_t k = 0; k < std::min<std::size_t>(nodes.size(), 3); ++k)
       seed_addresses.push_back(nodes[k].address);
-    n.swim = std::make_unique<SwimProtocol>(MemberRecord{n.name, n.address, n.life, 0, MemberStatus::joining, {}}, seed_addresses,
-                                    pace, random(), Millis(now));
+    n.swim =
+        std::make_unique<SwimProtocol>(MemberRecord{n.name, n.address, n.life, 0, MemberStatus::joining, {}},
+                                       seed_addresses, pace, random(), Millis(now));
     n.due = now;
     if (serves) n.swim->serve(Millis(now));
     say(n.name + " starts");
@@ -189,7 +190,8 @@
       if (!nodes[i].swim) continue;
       for (std::size_t k = 0; k < nodes.size(); ++k) {
         const MemberRecord* peer = nodes[i].swim->member_table().find(nodes[k].name);
-        const bool up = peer != nullptr && peer->status <= MemberStatus::alive && peer->incarnation == nodes[k].life;
+        const bool up =
+            peer != nullptr && peer->status <= MemberStatus::alive && peer->incarnation == nodes[k].life;
         if (up != (nodes[k].swim != nullptr)) return false;
       }
     }
--- a/tests/lotusyard/view_test.cpp
+++ b/tests/lotusyard/view_test.cpp
@@ -153,8 +153,8 @@
 std::string state_of(const gossip::MemberMetadata& facts) {
   std::string out;
   for (const auto& f : facts.all())
-    out += f.host + std::to_string(f.host_incarnation) + f.observer + std::to_string(f.observer_incarnation) + "." +
-           std::to_string(f.sequence) + (f.usable ? "+" : "-") + " ";
+    out += f.host + std::to_string(f.host_incarnation) + f.observer + std::to_string(f.observer_incarnation) +
+           "." + std::to_string(f.sequence) + (f.usable ? "+" : "-") + " ";
   return out;
 }
 // Whether a property holds for so many cases; one that does not is printed, cut down, unless it was broken
@@ -200,7 +200,8 @@
   CHECK(facts.failure_reports("h") == 0);
   facts.retain({"h"}, {"a"});
   CHECK(facts.all().empty());
-  CHECK(facts.merge({"h", 10, "a", 1, 1, false}) == gossip::MemberMetadata::MergeResult::unchanged);  // its life is remembered
+  CHECK(facts.merge({"h", 10, "a", 1, 1, false}) ==
+        gossip::MemberMetadata::MergeResult::unchanged);  // its life is remembered
   facts.retain({}, {"a"});
   CHECK(facts.hosts() == 0);
   Breaks::Rule broken("earlier-life");
@@ -218,7 +219,8 @@
   const std::string body = gossip::encode_message(m);
   const auto read = gossip::decode_message(body);
   REQUIRE(read);
-  CHECK((read->members[0].suspected_by == "c" && read->observations[0].sequence == 9 && read->self.refutation == 4));
+  CHECK((read->members[0].suspected_by == "c" && read->observations[0].sequence == 9 &&
+         read->self.refutation == 4));
   for (int i = 0; i < 4000; ++i) {
     std::string spoilt = body;
     if (i % 2 == 0) spoilt.resize(random() % spoilt.size());
--- a/tests/lotusyard/virtual_scheduler.h
+++ b/tests/lotusyard/virtual_scheduler.h
@@ -5,7 +5,7 @@
 #include <functional>
 #include <map>
 
-#include "group/scheduler.h"
+#include "raft/scheduler.h"
 
 namespace lotusyard::test {
 
--- a/tests/lotusyard/work_rules.h
+++ b/tests/lotusyard/work_rules.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "works/timeline.h"
+#include "maintenance/timeline.h"
 
 namespace lotusyard::test {
 
@@ -26,7 +26,8 @@
 };
 
 // Fails with the rule that the order of the steps breaks, else gives the spans.
-inline std::string touched_spans(const maintenance::Timeline& course, int most_out, std::vector<TouchedSpan>& spans) {
+inline std::string touched_spans(const maintenance::Timeline& course, int most_out,
+                                 std::vector<TouchedSpan>& spans) {
   std::set<std::string> out;
   std::map<std::string, double> touched;
   for (const auto& h : course.entries) {
--- a/tests/lotusyard/works_measure.cpp
+++ b/tests/lotusyard/works_measure.cpp
@@ -106,7 +106,8 @@
             [&] {
               cluster.give_back(400);
               int back = 0;
-              for (const auto& h : maintenance::parse_timeline(cluster.lines()).entries) back += h.what == "back";
+              for (const auto& h : maintenance::parse_timeline(cluster.lines()).entries)
+                back += h.what == "back";
               return back == 3;
             },
             40);
--- a/tests/lotusyard/works_test.cpp
+++ b/tests/lotusyard/works_test.cpp
@@ -3,20 +3,20 @@
 #include <cmath>
 #include <set>
 
-#include "group/lease.h"
 #include "helper.h"
-#include "works/board.h"
-#include "works/order.h"
-#include "works/timeline.h"
-#include "works/watch.h"
+#include "maintenance/host_observer.h"
+#include "maintenance/maintenance_scheduler.h"
+#include "maintenance/maintenance_state.h"
+#include "maintenance/timeline.h"
+#include "raft/lease.h"
 
 namespace lotusyard::test {
 namespace {
 
-using maintenance::MaintenanceState;
-using maintenance::LogEntry;
 using maintenance::HostStage;
+using maintenance::LogEntry;
 using maintenance::MaintenanceJob;
+using maintenance::MaintenanceState;
 using Kind = maintenance::LogEntry::Kind;
 
 MaintenanceJob work_of(int hosts, int out, double usable = 0.5) {
@@ -157,7 +157,8 @@
     int away = 0;
     for (const auto& [id, h] : newest.hosts()) {
       if (h.stage == HostStage::out_of_service) out.insert(id);
-      away += h.stage == HostStage::draining || h.stage == HostStage::out_of_service || h.stage == HostStage::slow_start;
+      away += h.stage == HostStage::draining || h.stage == HostStage::out_of_service ||
+              h.stage == HostStage::slow_start;
     }
     most_out = std::max(most_out, away);
     return out;
@@ -176,7 +177,8 @@
     for (const auto& [id, h] : p.board.hosts()) {
       const bool gone = h.stage == HostStage::draining || h.stage == HostStage::out_of_service;
       const bool quiet = p.calls.count(id) == 0 || p.calls[id] <= now;
-      if (gone && (bug.ignores_drain || (quiet && p.lease->earlier_attempts_ended(clock(p))))) b.drained_hosts.insert(id);
+      if (gone && (bug.ignores_drain || (quiet && p.lease->earlier_attempts_ended(clock(p)))))
+        b.drained_hosts.insert(id);
       if (h.stage == HostStage::slow_start) b.observations->served.insert(id);
       b.observations->serving_value[id] = static_cast<double>(below(random, 10));
     }
@@ -511,7 +513,8 @@
   CHECK(watch.is_down("busy", now));
   watch.record_success("busy", 1, 1, now);
   CHECK_FALSE(watch.is_down("busy", now));
-  for (std::uint64_t f = 0; f < 3 * maintenance::HostObserver::max_functions; ++f) watch.record_success("busy", f, 1, now);
+  for (std::uint64_t f = 0; f < 3 * maintenance::HostObserver::max_functions; ++f)
+    watch.record_success("busy", f, 1, now);
 }
 
 TEST_CASE("a work's course is read from the members' logs, and members that disagree are found") {
--- a/tests/rig.h
+++ b/tests/rig.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "robinfold/policy.h"
+#include "lotusyard/policy/policy.h"
 
 namespace lotusyard::policy::test {
 
--- a/tests/scale/event_queue.h
+++ b/tests/scale/event_queue.h
@@ -8,7 +8,7 @@
 #include <utility>
 #include <vector>
 
-#include "robinfold/policy.h"
+#include "lotusyard/policy/policy.h"
 
 namespace lotusyard::test {
 
--- a/tests/scale/flat_hollow_log.cpp
+++ b/tests/scale/flat_hollow_log.cpp
@@ -125,7 +125,8 @@
     std::size_t fits = 1, too_many = 16000;
     while (too_many - fits > 1) {
       const std::size_t middle = (fits + too_many) / 2;
-      const bool read = maintenance::parse_entry(maintenance::encode_entry(beats_of(middle, views, 0))).has_value();
+      const bool read =
+          maintenance::parse_entry(maintenance::encode_entry(beats_of(middle, views, 0))).has_value();
       (read ? fits : too_many) = middle;
     }
     print({"board_limit", fits, "member", views ? "members_with_views" : "members_without_views", 0, {}},
@@ -176,8 +177,9 @@
     for (std::size_t i = 0; i < certificates; ++i) REQUIRE(book.apply(3 + i, certificate(i)).done);
     costs.point("state_bytes", {allocated_bytes() - before});
     const compliance::HostLocation last{host_name(certificates - 1), "", 0};
-    costs.point("may_us",
-                microseconds(9, [&] { REQUIRE(book.check("t", last, true, kNow, gossip::Millis(1000)).allowed); }));
+    costs.point("may_us", microseconds(9, [&] {
+                  REQUIRE(book.check("t", last, true, kNow, gossip::Millis(1000)).allowed);
+                }));
     std::string snapshot;
     costs.point("snapshot_us", microseconds(9, [&] { snapshot = book.snapshot().dump(); }));
     costs.point("snapshot_bytes", {static_cast<double>(snapshot.size())});
--- a/tests/scale/flat_hollow_sweep.cpp
+++ b/tests/scale/flat_hollow_sweep.cpp
@@ -4,7 +4,7 @@
 #include <random>
 #include <set>
 
-#include "core/module.h"
+#include "core/policy_driver.h"
 #include "point.h"
 
 namespace lotusyard::scale {
--- a/tests/scale/hollow_fleet_nodes.cpp
+++ b/tests/scale/hollow_fleet_nodes.cpp
@@ -121,7 +121,8 @@
   HollowNode& node = *nodes_[number];
   if (node.life != life || !node.up()) return;
   if (!node.stopped) beat(node);
-  at(now() + options_.terms.heartbeat_interval().count(), [this, number, life] { beat_by_turns(number, life); });
+  at(now() + options_.terms.heartbeat_interval().count(),
+     [this, number, life] { beat_by_turns(number, life); });
 }
 
 void HollowFleet::tick_by_turns(std::size_t number, std::uint64_t life) {
--- a/tests/scale/hollow_view.h
+++ b/tests/scale/hollow_view.h
@@ -108,7 +108,7 @@
   HollowShape shape_;
   std::mt19937_64 random_;
   gossip::GossipTiming pace_;
-  gossip::Message list_;    // what every member knows
+  gossip::Message list_;  // what every member knows
   Parcel reply_, asked_;  // the same, as an answer of a stand-in's and as its question
   std::vector<Node> nodes_;
   std::unordered_map<std::string, std::size_t> by_address_;
@@ -138,8 +138,8 @@
     const gossip::Millis begins(now_ + chance() * pace_.period.count());
     nodes_.emplace_back();
     auto& swim = nodes_.back().swim;
-    swim = std::make_unique<gossip::SwimProtocol>(self, std::vector<std::string>{list_.self.address}, pace_, random_(),
-                                        begins);
+    swim = std::make_unique<gossip::SwimProtocol>(self, std::vector<std::string>{list_.self.address}, pace_,
+                                                  random_(), begins);
     swim->serve(begins);
     for (std::size_t h = 0; h < shape_.hosts; ++h) swim->observe(host(h), 0, true);
     swim->receive(begins, list_);
--- a/tests/scale/leader_stand_in.h
+++ b/tests/scale/leader_stand_in.h
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "agreed_log.h"
-#include "group/lease.h"
+#include "raft/lease.h"
 
 namespace lotusyard::test {
 
--- a/tests/scale/process_fleet.h
+++ b/tests/scale/process_fleet.h
@@ -191,12 +191,12 @@
   void start(Member& m) {
     std::ofstream(m.config) << platform_file_of(m).dump();
     if (m.kind != Kind::invoker) {
-      const std::string init = std::string(LOTUSYARD_FULL) + " group init " + m.config + " >/dev/null";
+      const std::string init = std::string(LOTUSYARD_CLUSTER) + " group init " + m.config + " >/dev/null";
       REQUIRE(std::system(init.c_str()) == 0);
     }
     const std::map<std::string, std::string> environment = {{"BALANCER_CONFIG", m.config},
                                                             {"TMPDIR", service_.folder.path}};
-    m.process = std::make_unique<test::Process>(m.log, environment, nullptr, LOTUSYARD_FULL);
+    m.process = std::make_unique<test::Process>(m.log, environment, nullptr, LOTUSYARD_CLUSTER);
   }
 };
 
--- a/tests/scale/session_reader.h
+++ b/tests/scale/session_reader.h
@@ -33,7 +33,8 @@
  private:
   struct Request final : net::BufferedConnection {
     Request(ProcessFleet& among, const std::string& address)
-        : BufferedConnection(among.world().loop, among.world().pool, net::connect_to(address).socket, true), fleet(among) {
+        : BufferedConnection(among.world().loop, among.world().pool, net::connect_to(address).socket, true),
+          fleet(among) {
       write(std::string("GET ") + kSessionPath + " HTTP/1.1\r\nHost: x\r\n\r\n");
     }
     ProcessFleet& fleet;
--- a/tests/scale/tier.h
+++ b/tests/scale/tier.h
@@ -1,10 +1,10 @@
 // The names of the measured program that these tests use: its modules, paths and counters, in one place.
 #pragma once
 
-#include "compliance/book.h"
-#include "shares/epochs.h"
-#include "view/swim.h"
-#include "works/board.h"
+#include "compliance/certificate_state.h"
+#include "gossip/swim_protocol.h"
+#include "maintenance/maintenance_state.h"
+#include "quota/quota_epochs.h"
 
 namespace lotusyard::scale {
 
--- a/tests/wall_clock/answers_test.cpp
+++ b/tests/wall_clock/answers_test.cpp
@@ -1,8 +1,8 @@
 // The store of answers between two processes whose wall clocks differ: no call runs twice, and none is
 // refused for ever.
-#include "answers/sqlite_store.h"
 #include "catch2/catch.hpp"
 #include "core/counters.h"
+#include "idempotency/sqlite_result_store.h"
 #include "stepped_clock.h"
 
 namespace lotusyard::test {
--- a/tests/wall_clock/fleet_test.cpp
+++ b/tests/wall_clock/fleet_test.cpp
@@ -1,10 +1,10 @@
 // Members of a group under a wall clock that is set: certificates, lives and what the log tells of the clock.
-#include "compliance/enforcer.h"
-#include "group/member.h"
+#include "compliance/compliance_filter.h"
 #include "helper.h"
+#include "maintenance/maintenance_replica.h"
 #include "net/socket.h"
+#include "raft/raft_replica.h"
 #include "stepped_clock.h"
-#include "works/coordinator.h"
 
 namespace lotusyard::test {
 namespace {
@@ -19,12 +19,12 @@
   core::Settings s = settings();
   endpoints::EndpointStates membership{[](const core::HostListUpdate&, core::ListKind) {}};
   InvokerServices wiring{world.loop,
-                world.counters,
-                membership,
-                world.fleet,
-                [this]() -> const core::Settings& { return s; },
-                [](double) {},
-                "a"};
+                         world.counters,
+                         membership,
+                         world.fleet,
+                         [this]() -> const core::Settings& { return s; },
+                         [](double) {},
+                         "a"};
   explicit Wired(net::Clocks clocks) : world(1, settings(), World::limits(), std::move(clocks)) {
     core::ListedHost member;
     member.entry.worker = "h0";
--- a/tests/wall_clock/loop_test.cpp
+++ b/tests/wall_clock/loop_test.cpp
@@ -1,9 +1,8 @@
 // Spans within one process: no step of the wall clock shortens or lengthens them.
-#include "net/loop.h"
-
-#include "core/keys.h"
-#include "group/lease.h"
+#include "core/idempotency_keys.h"
 #include "helper.h"
+#include "net/event_loop.h"
+#include "raft/lease.h"
 #include "stepped_clock.h"
 
 namespace lotusyard::test {
--- a/tests/wall_clock/membership_test.cpp
+++ b/tests/wall_clock/membership_test.cpp
@@ -1,11 +1,10 @@
 // Hosts' starts, stamped by another clock than this process's: a host that has just started is cold, and none
 // is cold for ever.
-#include "membership/membership.h"
-
 #include "catch2/catch.hpp"
-#include "net/loop.h"
+#include "endpoints/endpoint_states.h"
+#include "maintenance/drain_tracker.h"
+#include "net/event_loop.h"
 #include "stepped_clock.h"
-#include "works/leaving.h"
 
 namespace lotusyard::test {
 namespace {
@@ -18,11 +17,11 @@
   net::EventLoop loop{clock.clocks()};
   std::map<std::string, Millis> started;  // as the core believes
   EndpointStates membership{[this](const core::HostListUpdate& list, core::ListKind) {
-                          for (const auto& m : list.hosts) started[m.entry.worker] = m.entry.started;
-                        },
-                        [this] {
-                          return EndpointStates::Sight{loop.now(), loop.wall_has_stepped()};
-                        }};
+                              for (const auto& m : list.hosts) started[m.entry.worker] = m.entry.started;
+                            },
+                            [this] {
+                              return EndpointStates::Sight{loop.now(), loop.wall_has_stepped()};
+                            }};
   void list(const std::string& id, Millis stamp, bool complete = false) {
     core::ListedHost member;
     member.entry.worker = id;
@@ -88,7 +87,8 @@
   maintenance::MaintenanceState board;
   maintenance::LogEntry add;
   add.kind = maintenance::LogEntry::Kind::add_job;
-  add.added_job = maintenance::MaintenanceJob{"w", {{"h", "", ""}}, {}, maintenance::MaintenanceJob::State::running};
+  add.added_job =
+      maintenance::MaintenanceJob{"w", {{"h", "", ""}}, {}, maintenance::MaintenanceJob::State::running};
   REQUIRE(board.apply(1, add, Millis(0)).done);
   auto out = board.snapshot();
   out["hosts"][0]["stage"] = static_cast<int>(maintenance::HostStage::out_of_service);
