--- a/src/gossip/gossip_service.cpp
+++ b/src/gossip/gossip_service.cpp
@@ -115,7 +115,7 @@
   if (!swim_) return 0;
   const auto& all = swim_->member_table().all();
   return static_cast<std::size_t>(std::count_if(all.begin(), all.end(), [](const auto& entry) {
-    return is_present(entry.second.peer.standing) && entry.second.peer.standing != MemberStatus::joining;
+    return is_present(entry.second.record.status) && entry.second.record.status != MemberStatus::joining;
   }));
 }
 
--- a/src/hosts/fleet_connects.cpp
+++ b/src/hosts/connection_pool_connects.cpp
@@ -61,7 +61,7 @@
 
 bool HostConnectionPool::has_open_link(const Host& host) const {
   return std::any_of(host.connections.begin(), host.connections.end(),
-                     [](const auto& link) { return link->open() && link->takes({}, true); });
+                     [](const auto& link) { return link->is_open() && link->has_capacity({}, true); });
 }
 
 // What can be reached right now goes ahead of what cannot, for whoever may have the call at all.
--- a/src/raft/frame.cpp
+++ b/src/raft/frame.cpp
@@ -20,7 +20,7 @@
   return out;
 }
 
-bool FrameParser::feed(std::string_view bytes, std::vector<Frame>& out) {
+bool FrameParser::take(std::string_view bytes, std::vector<Frame>& out) {
   held_ += bytes;
   std::size_t at = 0;
   bool sound = true;
--- a/src/raft/frame.h
+++ b/src/raft/frame.h
@@ -31,7 +31,7 @@
 class FrameParser {
  public:
   // Appends what is whole. False: malformed, and so is all that follows.
-  bool feed(std::string_view bytes, std::vector<Frame>& out);
+  bool take(std::string_view bytes, std::vector<Frame>& out);
 
  private:
   std::string held_;
--- a/src/raft/peer_transport.cpp
+++ b/src/raft/peer_transport.cpp
@@ -40,7 +40,7 @@
   void on_received(std::string_view bytes) override {
     waits_since_ = Millis(0);
     std::vector<Frame> frames;
-    const bool sound = parser_.feed(bytes, frames);
+    const bool sound = parser_.take(bytes, frames);
     for (const auto& frame : frames) {
       if (frame.kind != Frame::Kind::refusal) continue;
       links_.counters_.add("group.turned_away");
@@ -86,7 +86,7 @@
 
   void on_received(std::string_view bytes) override {
     std::vector<Frame> frames;
-    const bool sound = parser_.feed(bytes, frames);
+    const bool sound = parser_.take(bytes, frames);
     for (auto& frame : frames) {
       if (is_closing()) return;
       if (!hello_) {
--- a/src/raft/raft_core.cpp
+++ b/src/raft/raft_core.cpp
@@ -38,7 +38,7 @@
 RaftCore::~RaftCore() { close(); }
 
 int RaftCore::start() {
-  raft_ = raft{};
+  raft_ = {};
   matches_ = MatchTracker();
   if (raft_init(&raft_, &io_, &fsm_, id_, address_.c_str()) != 0)
     throw LogStoreError(std::string("the group's consensus: ") + raft_errmsg(&raft_),
--- a/tests/lotusyard/group_test.cpp
+++ b/tests/lotusyard/group_test.cpp
@@ -179,12 +179,12 @@
     if (auto read = raft::decode_message(spoilt)) raft::give_back(*read);
     FrameParser parser;
     std::vector<Frame> out;
-    parser.feed(garbage(random, std::string("\0\0\0\x01\x02\x03", 6)), out);
+    parser.take(garbage(random, std::string("\0\0\0\x01\x02\x03", 6)), out);
     raft::decode_hello(garbage(random, "{}:,\"abc1"));
   }
   FrameParser parser;
   std::vector<Frame> out;
-  CHECK_FALSE(parser.feed(std::string("\x7f\xff\xff\xff\x02", 5), out));  // longer than any frame
+  CHECK_FALSE(parser.take(std::string("\x7f\xff\xff\xff\x02", 5), out));  // longer than any frame
 }
 
 TEST_CASE("a member of another group, version, lease or id is turned away with a reason") {
--- a/tests/lotusyard/host_deadline_test.cpp
+++ b/tests/lotusyard/host_deadline_test.cpp
@@ -73,7 +73,7 @@
   net::Socket socket;
   turn_with(p.world, [&] {
     excess.sent = p.world.loop.now();
-    socket = net::connect_to(p.front.address());
+    socket = net::connect_to(p.front.address()).socket;
     const std::string bytes = call_bytes(1);
     REQUIRE(::send(socket.fd(), bytes.data(), bytes.size(), MSG_NOSIGNAL) ==
             static_cast<ssize_t>(bytes.size()));
--- a/tests/lotusyard/log_store_faults_test.cpp
+++ b/tests/lotusyard/log_store_faults_test.cpp
@@ -169,7 +169,7 @@
 TEST_CASE("replicas: a disk that is full for 10 s takes one out, and it comes back by itself") {
   ReplicaWorld world(3);
   world.run(Millis(2000));
-  const auto leads = [](const auto& r) { return r.consensus->leads(); };
+  const auto leads = [](const auto& r) { return r.consensus->is_leader(); };
   auto* leader = std::find_if(std::begin(world.replicas), std::end(world.replicas), leads);
   REQUIRE(leader != std::end(world.replicas));
   leader->disk->is_full = true;
--- a/tests/lotusyard/system_call_storm_test.cpp
+++ b/tests/lotusyard/system_call_storm_test.cpp
@@ -42,7 +42,7 @@
 template <typename Make>
 auto made(const Make& make) {
   auto stream = make();
-  while (!stream->connecting()) stream = make();
+  while (!stream->is_connecting()) stream = make();
   return stream;
 }
 
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -65,8 +65,10 @@
   const auto s = read_settings(nlohmann::json::parse(R"({"LoadInfo":{"How":"pull","Fields":["queue","new"]},
       "Kinds":["p","q"],"FamilyInfo":{"MemoryMbByKind":[5,6]},"RegistryMode":"ask"})"),
                                3);
-  EXPECT_EQ(s.reports, ReportMode::probe);
-  EXPECT_EQ(s.report_fields, (std::vector<ReportField>{ReportField::queue, ReportField::other}));
+  EXPECT_EQ(s.reports, lotusyard::policy::ReportMode::probe);
+  EXPECT_EQ(s.report_fields,
+            (std::vector<lotusyard::policy::ReportField>{lotusyard::policy::ReportField::queue,
+                                                         lotusyard::policy::ReportField::other}));
   EXPECT_EQ(s.kind_memory_mb.at("q"), 6);
   EXPECT_TRUE(s.ask_list);
   EXPECT_EQ(s.routers, 1);
