--- a/src/resp/connection_limits.cpp
+++ b/src/resp/connection_limits.cpp
@@ -69,12 +69,13 @@
   for (std::size_t i = 0; i < kAcceptsATurn; ++i) {
     net::AcceptResult accepted = net::accept_from(listener_);
     net::count_accept_errors(loop_, accepted);
+    // Also where none can be taken: what waits in the queue has waited since then, not for ever.
+    const core::Millis came_since = connects_.came_since(loop_);
     if (accepted.status == net::AcceptStatus::out_of_resources) {
       counters_.add("resp.no_descriptor");
       pause_listening();
       return false;
     }
-    const core::Millis came_since = connects_.came_since(loop_);
     if (!accepted.socket) {
       connects_.all_read();
       return false;
