--- a/src/app/bounds.h
+++ b/src/app/bounds.h
@@ -3,12 +3,12 @@
 
 #include "amqp/front.h"
 #include "config/config.h"
-#include "hosts/fleet.h"
+#include "hosts/connection_pool.h"
 #include "hot_restart/shares.h"
 
 namespace lotusyard {
 
-hosts::Limits host_limits(const config::Config& config, const hot_restart::Shares& shares);
+hosts::Limits host_limits(const config::Config& config, const hot_restart::ResourceShares& shares);
 amqp::Broker broker_of(const config::AmqpConfig& from);
 
 }  // namespace lotusyard
--- a/src/config/json_read.h
+++ b/src/config/json_read.h
@@ -8,12 +8,12 @@
 #include <nlohmann/json.hpp>
 #include <string>
 
-#include "robinfold/policy.h"
+#include "lotusyard/policy/policy.h"
 
 namespace lotusyard::config {
 
 using nlohmann::json;
-using robinfold::Millis;
+using policy::Millis;
 
 inline const json& absent() {
   static const json null_value;
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -4,10 +4,10 @@
 #include <cstdint>
 #include <nlohmann/json.hpp>
 
-#include "robinfold/policy.h"
+#include "lotusyard/policy/policy.h"
 
 namespace lotusyard::config {
 
-robinfold::Settings read_settings(const nlohmann::json& env, std::uint64_t seed);
+policy::Settings read_settings(const nlohmann::json& env, std::uint64_t seed);
 
 }  // namespace lotusyard::config
--- a/src/control/message.cpp
+++ b/src/control/message.cpp
@@ -1,25 +1,25 @@
 #include "control/message.h"
 
 #include "control/message_kind.h"
-#include "group/bytes.h"
+#include "raft/bytes.h"
 
 namespace lotusyard::control {
 namespace {
 
-using group::put32;
-using group::put64;
-using group::put8;
-using group::put_bytes;
+using raft::put32;
+using raft::put64;
+using raft::put8;
+using raft::put_bytes;
 
 void put_text(std::string& out, const std::string& text) { put_bytes(out, text.data(), text.size()); }
 void put_duration(std::string& out, Millis duration) {
   put64(out, duration.count() <= 0 ? 0 : static_cast<std::uint64_t>(duration.count() * duration_units));
 }
-void put_terms(std::string& out, const group::Terms& terms) {
+void put_terms(std::string& out, const raft::LeaseTerms& terms) {
   put_duration(out, terms.lease);
-  put64(out, static_cast<std::uint64_t>(terms.drift * static_cast<double>(drift_units) + 0.5));
-  put_duration(out, terms.last_call);
-  put_duration(out, terms.offline);
+  put64(out, static_cast<std::uint64_t>(terms.clock_drift * static_cast<double>(drift_units) + 0.5));
+  put_duration(out, terms.max_attempt_time);
+  put_duration(out, terms.max_offline);
 }
 void put_share(std::string& out, const std::optional<double>& share) {
   put8(out, share ? 1 : 0);
--- a/src/control/message_reader.cpp
+++ b/src/control/message_reader.cpp
@@ -1,12 +1,12 @@
 // How messages are read back from a byte stream.
 #include "control/message.h"
 #include "control/message_kind.h"
-#include "group/bytes.h"
+#include "raft/bytes.h"
 
 namespace lotusyard::control {
 namespace {
 
-using group::Reader;
+using raft::Reader;
 
 constexpr double kLongestDuration = 1e9;  // in milliseconds; longer ones are malformed
 
@@ -27,12 +27,12 @@
     if (out > kLongestDuration) valid_ = false;
     return Millis(out);
   }
-  group::Terms terms() {
-    group::Terms out;
+  raft::LeaseTerms terms() {
+    raft::LeaseTerms out;
     out.lease = duration();
-    out.drift = static_cast<double>(number(8)) / static_cast<double>(drift_units);
-    out.last_call = duration();
-    out.offline = duration();
+    out.clock_drift = static_cast<double>(number(8)) / static_cast<double>(drift_units);
+    out.max_attempt_time = duration();
+    out.max_offline = duration();
     return out;
   }
   std::optional<double> share() {
--- a/src/average.h
+++ b/src/moving_average.h
@@ -5,11 +5,11 @@
 #include <cstdint>
 #include <string>
 
-namespace robinfold {
+namespace lotusyard::policy {
 
 // A moving average: the plain mean at first, then with the given gain; a sample counts at most `outlier`
 // times it.
-struct Average {
+struct MovingAverage {
   double value = 0;
   int samples = 0;
   void add(double sample, double gain, double outlier) {
@@ -32,4 +32,4 @@
   return mix(hash);
 }
 
-}  // namespace robinfold
+}  // namespace lotusyard::policy
--- a/src/net/wall_clock.h
+++ b/src/net/wall_clock.h
@@ -6,11 +6,11 @@
 #include <deque>
 #include <functional>
 
-#include "robinfold/policy.h"
+#include "lotusyard/policy/policy.h"
 
 namespace lotusyard::net {
 
-using robinfold::Millis;
+using policy::Millis;
 
 // The system's clocks, or those of a test. A `wall` reading is in Unix milliseconds.
 struct Clocks {
--- a/src/node/lines.cpp
+++ b/src/node/event_log.cpp
@@ -1,12 +1,12 @@
-#include "node/lines.h"
+#include "node/event_log.h"
 
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
 
 namespace lotusyard::node {
 
-void write_line(const std::string& part, robinfold::Millis at, const std::string& member,
-                const std::string& text) {
+void write_event(const std::string& part, policy::Millis at, const std::string& member,
+                 const std::string& text) {
   static const auto out = [] {
     auto made = spdlog::stdout_logger_st("lines");
     made->set_pattern("%v");
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -1,10 +1,10 @@
-// The decisions of robinfold, event by event. The interface is include/robinfold/policy.h; what is decided
+// The decisions of robinfold, event by event. The interface is include/lotusyard/policy/policy.h; what is decided
 // stands in policy/, each file built on the one before: records, hosts, answers, copies, routing.
 // docs/design.md names each departure from ESFF.
-#include "places.h"
+#include "slot_assignment.h"
 #include "policy/routing.h"
 
-namespace robinfold {
+namespace lotusyard::policy {
 
 using namespace decisions;
 
@@ -245,7 +245,7 @@
 Policy::~Policy() = default;
 Policy::Policy(Policy&&) noexcept = default;
 Policy& Policy::operator=(Policy&&) noexcept = default;
-void Policy::guard(Gate* gate) { state_->gate_ = gate; }
+void Policy::set_host_filter(HostFilter* gate) { state_->gate_ = gate; }
 void Policy::handle(Millis now, const Event& e, std::vector<Action>& out) { state_->handle(now, e, out); }
 
-}  // namespace robinfold
+}  // namespace lotusyard::policy
--- a/src/group/match_tracker.h
+++ b/src/raft/match_tracker.h
@@ -10,9 +10,9 @@
 #include <cstdint>
 #include <optional>
 
-#include "group/raft_c.h"
+#include "raft/libraft.h"
 
-namespace lotusyard::group {
+namespace lotusyard::raft {
 
 class MatchTracker {
  public:
@@ -55,4 +55,4 @@
   }
 };
 
-}  // namespace lotusyard::group
+}  // namespace lotusyard::raft
--- a/src/simhost/wire.h
+++ b/src/simulator_adapter/wire.h
@@ -10,9 +10,22 @@
 #include <vector>
 
 #include "config/settings.h"
-#include "robinfold/policy.h"
-
-namespace robinfold::simhost {
+#include "lotusyard/policy/policy.h"
+
+namespace lotusyard::simulator_adapter {
+
+using policy::Action;
+using policy::Event;
+using policy::ListKind;
+using policy::Millis;
+using policy::Outcome;
+using policy::Policy;
+using policy::Report;
+using policy::Warmth;
+using policy::WorkerEntry;
+using policy::WorkerState;
+namespace action = policy::action;
+namespace event = policy::event;
 
 struct WireError : std::runtime_error {
   using std::runtime_error::runtime_error;
@@ -38,4 +51,4 @@
 using lotusyard::config::read_settings;
 nlohmann::json write_action(const Action& action);
 
-}  // namespace robinfold::simhost
+}  // namespace lotusyard::simulator_adapter
--- a/tests/example.cpp
+++ b/tests/example.cpp
@@ -1,10 +1,10 @@
 // How a router embeds robinfold: hand in events, carry out actions.
 #include <iostream>
 
-#include "robinfold/policy.h"
+#include "lotusyard/policy/policy.h"
 
 int main() {
-  using namespace robinfold;
+  using namespace lotusyard::policy;
   Policy policy;
   std::vector<Action> actions;
 
--- a/tests/golden/admin_golden.cpp
+++ b/tests/golden/admin_golden.cpp
@@ -1,26 +1,26 @@
 // The admin endpoint: its HTTP answers, byte for byte.
-#include "console/admin_endpoint.h"
+#include "admin/admin_endpoint.h"
 #include "golden_part.h"
 #include "recording_client.h"
 
 namespace lotusyard::golden {
 namespace {
 
-class SampleOperations final : public console::Operations {
+class SampleOperations final : public admin::AdminOperations {
  public:
   bool is_ready = true, can_keep = true;
   bool ready() const override { return is_ready; }
-  console::Done disable(const std::string& host) override { return change(host); }
-  console::Done enable(const std::string& host) override { return change(host); }
-  std::optional<console::Said> other(const console::Request& request) override {
+  admin::OperationResult disable(const std::string& host) override { return change(host); }
+  admin::OperationResult enable(const std::string& host) override { return change(host); }
+  std::optional<admin::Response> handle_request(const admin::Request& request) override {
     if (request.path != "/-/other") return std::nullopt;
-    return console::Said{202, R"({"done":false,"why":"","index":0})"};
+    return admin::Response{202, R"({"done":false,"why":"","index":0})"};
   }
 
  private:
-  console::Done change(const std::string& host) const {
-    if (host != "h1") return console::Done::unknown_host;
-    return can_keep ? console::Done::yes : console::Done::not_kept;
+  admin::OperationResult change(const std::string& host) const {
+    if (host != "h1") return admin::OperationResult::unknown_host;
+    return can_keep ? admin::OperationResult::done : admin::OperationResult::not_persisted;
   }
 };
 
@@ -41,7 +41,7 @@
 
  private:
   test::World world_{0};
-  console::AdminEndpoint endpoint_;
+  admin::AdminEndpoint endpoint_;
 };
 
 void add_faulty(Endpoint& endpoint, std::vector<Sample>& out) {
--- a/tests/golden/maintenance_samples.h
+++ b/tests/golden/maintenance_samples.h
@@ -5,18 +5,18 @@
 #include <utility>
 #include <vector>
 
-#include "compliance/book.h"
-#include "works/board.h"
+#include "compliance/certificate_state.h"
+#include "maintenance/maintenance_state.h"
 
 namespace lotusyard::golden {
 
-works::Work sample_job();
-works::Beat sample_heartbeat();
-std::vector<std::pair<std::string, works::Entry>> sample_maintenance_entries();
+maintenance::MaintenanceJob sample_job();
+maintenance::Heartbeat sample_heartbeat();
+std::vector<std::pair<std::string, maintenance::LogEntry>> sample_maintenance_entries();
 // With jobs in several states and a host in each stage.
-works::Board sample_maintenance_state();
+maintenance::MaintenanceState sample_maintenance_state();
 
-std::vector<std::pair<std::string, compliance::Entry>> sample_compliance_entries();
-compliance::Book sample_compliance_state();
+std::vector<std::pair<std::string, compliance::LogEntry>> sample_compliance_entries();
+compliance::CertificateState sample_compliance_state();
 
 }  // namespace lotusyard::golden
--- a/tests/lotusyard/console_test.cpp
+++ b/tests/lotusyard/console_test.cpp
@@ -1,21 +1,21 @@
 // The admin endpoint: its parser, and its answers while others crowd it.
 #include <unistd.h>
 
-#include "console/admin_endpoint.h"
+#include "admin/admin_endpoint.h"
 #include "helper.h"
 
 namespace lotusyard::test {
 namespace {
 
-using console::Done;
-using console::Parser;
+using admin::OperationResult;
+using admin::Parser;
 
 // The parser's status: 0 if more is to come, 200 once whole, else what the caller is owed.
 int status_of(const Parser& parser) {
   if (parser.state() == Parser::State::faulty) return parser.fault();
   return parser.state() == Parser::State::whole ? 200 : 0;
 }
-int read_cut(Random& random, const std::string& bytes, console::Request* out = nullptr) {
+int read_cut(Random& random, const std::string& bytes, admin::Request* out = nullptr) {
   Parser parser;
   for (std::size_t at = 0; at < bytes.size() && parser.state() == Parser::State::more;) {
     const std::size_t part = std::min(bytes.size() - at, 1 + below(random, 1 + below(random, 40)));
@@ -38,7 +38,7 @@
           "Transfer-Encoding: Chunked\r\n\r\n4;a=b\r\nwxyz\r\n1\r\n!\r\n0\r\nTrailer: t\r\n\r\n"};
   for (const auto& call : calls) {
     for (int i = 0; i < 200; ++i) {
-      console::Request read;
+      admin::Request read;
       REQUIRE(read_cut(random, call, &read) == 200);
       CHECK((read.method == "POST" && read.path == "/-/hosts/s-1/disable"));
       CHECK(read_cut(random, call.substr(0, call.size() - 1)) == 0);  // half a call is no call
@@ -88,10 +88,10 @@
   }
 }
 
-class Call final : public net::Stream {
+class Call final : public net::BufferedConnection {
  public:
   Call(World& world, const std::string& address, const std::string& bytes)
-      : Stream(world.loop, world.pool, net::connect_to(address).socket, true), world_(world) {
+      : BufferedConnection(world.loop, world.pool, net::connect_to(address).socket, true), world_(world) {
     write(bytes);
   }
   int status() {
@@ -103,22 +103,22 @@
 
  private:
   World& world_;
-  void connected() override { loop().flush_later(*this); }
-  void received(std::string_view bytes) override { got += bytes; }
-  void ended() override { closed = true; }
+  void on_connected() override { loop().flush_later(*this); }
+  void on_received(std::string_view bytes) override { got += bytes; }
+  void on_closed() override { closed = true; }
 };
 
-struct Office final : console::Operations {
+struct Office final : admin::AdminOperations {
   bool takes = true, keeps = true;
   std::vector<std::string> told;
   bool ready() const override { return takes; }
-  Done disable(const std::string& id) override { return change("out " + id, id); }
-  Done enable(const std::string& id) override { return change("in " + id, id); }
-  Done change(const std::string& what, const std::string& id) {
-    if (id != "s-1") return Done::unknown_host;
-    if (!keeps) return Done::not_kept;
+  OperationResult disable(const std::string& id) override { return change("out " + id, id); }
+  OperationResult enable(const std::string& id) override { return change("in " + id, id); }
+  OperationResult change(const std::string& what, const std::string& id) {
+    if (id != "s-1") return OperationResult::unknown_host;
+    if (!keeps) return OperationResult::not_persisted;
     told.push_back(what);
-    return Done::yes;
+    return OperationResult::done;
   }
 };
 
@@ -128,7 +128,7 @@
 struct Desk {
   World world{0};
   Office office;
-  console::AdminEndpoint admin_endpoint;
+  admin::AdminEndpoint admin_endpoint;
   explicit Desk(std::size_t callers = 4) : admin_endpoint(world.loop, world.counters, office, callers) {
     REQUIRE(admin_endpoint.listen("127.0.0.1:0"));
   }
@@ -172,7 +172,7 @@
 }
 
 // A peer that always has something to read, and takes its time with it.
-class Slow final : public net::Handler {
+class Slow final : public net::EventHandler {
  public:
   explicit Slow(std::function<void()> work) : work_(std::move(work)) {}
   void ready(short) override { work_(); }
@@ -204,13 +204,13 @@
       ++worked;
       if (worked_after < 0 && desk.world.counters.value("console.calls") > 0) worked_after = worked;
     }));
-    desk.world.loop.watch(ends.back().fd(), *crowd.back(), POLLIN);
+    desk.world.loop.register_handler(ends.back().fd(), *crowd.back(), POLLIN);
   }
   desk.world.turn();
   CHECK(turns_begun == 1);
   CHECK(desk.world.counters.value("console.calls") == 1);
   CHECK((worked_after > 0 && worked_after < 40));
-  for (std::size_t i = 0; i < crowd.size(); ++i) desk.world.loop.forget(ends[i].fd(), *crowd[i]);
+  for (std::size_t i = 0; i < crowd.size(); ++i) desk.world.loop.unregister(ends[i].fd(), *crowd[i]);
 }
 
 }  // namespace
--- a/tests/lotusyard/listeners_test.cpp
+++ b/tests/lotusyard/listeners_test.cpp
@@ -1,22 +1,22 @@
 // Each part that listens: out of what accept takes it pauses, does not spin, and comes back by itself.
-#include "console/admin_endpoint.h"
-#include "group/links.h"
+#include "admin/admin_endpoint.h"
 #include "platform.h"
+#include "raft/peer_transport.h"
 #include "system_call_faults.h"
 #include "tier.h"
 
 namespace lotusyard::test {
 namespace {
 
-struct NoOperations final : console::Operations {
+struct NoOperations final : admin::AdminOperations {
   bool ready() const override { return true; }
-  console::Done disable(const std::string&) override { return console::Done::yes; }
-  console::Done enable(const std::string&) override { return console::Done::yes; }
+  admin::OperationResult disable(const std::string&) override { return admin::OperationResult::done; }
+  admin::OperationResult enable(const std::string&) override { return admin::OperationResult::done; }
 };
 
 // Turns for so long; the number of accepts that were tried meanwhile.
 template <typename Turn>
-int accepts_while_short(const net::Loop& loop, int error, const Turn& turn) {
+int accepts_while_short(const net::EventLoop& loop, int error, const Turn& turn) {
   SystemCallFaults faults;
   faults.fail(SystemCall::accept, {error});
   const Millis end = loop.now() + Millis(300);
@@ -38,7 +38,7 @@
   SECTION("the admin endpoint") {
     World world(0);
     NoOperations operations;
-    console::AdminEndpoint endpoint(world.loop, world.counters, operations, 4);
+    admin::AdminEndpoint endpoint(world.loop, world.counters, operations, 4);
     REQUIRE(endpoint.listen("127.0.0.1:0"));
     const net::Socket caller = net::connect_to(endpoint.address()).socket;
     CHECK(few(accepts_while_short(world.loop, error, [&] { world.turn(); })));
@@ -46,13 +46,13 @@
   }
   SECTION("the group's links") {
     World world(0);
-    group::Links links(
+    raft::PeerTransport links(
         world.loop, world.counters, {}, [](const auto&, auto&&) {}, [](const auto&) {});
     REQUIRE(links.listen("127.0.0.1:0"));
     const net::Socket caller = net::connect_to(links.address()).socket;
     CHECK(few(accepts_while_short(world.loop, error, [&] { world.turn(); })));
     REQUIRE(::send(caller.fd(), "garbage that is no frame", 24, MSG_NOSIGNAL) == 24);
-    const auto closed = [&] { return net::look_at(caller) == net::Peer::gone; };
+    const auto closed = [&] { return net::peek_peer(caller) == net::PeerState::disconnected; };
     CHECK(world.turn_until(closed, 1000));  // accepted, read and let go
   }
   SECTION("a control node's server") {
--- a/tests/lotusyard/local_connect_test.cpp
+++ b/tests/lotusyard/local_connect_test.cpp
@@ -12,8 +12,8 @@
 }
 std::unique_ptr<Client> client_of(Platform& p) {
   auto client = std::make_unique<Client>(p.world, p.front.address());
-  REQUIRE(
-      p.world.turn_until([&] { return client->open() && p.world.counters.value("resp.connections") > 0; }));
+  REQUIRE(p.world.turn_until(
+      [&] { return client->is_open() && p.world.counters.value("resp.connections") > 0; }));
   return client;
 }
 void run_for(Platform& p, Millis span) {
@@ -93,7 +93,7 @@
     client->call("1", "bin-check", "gone");
     run_for(p, Millis(50));
     if (cancels) client->say({"CANCEL", "1"});
-    if (!cancels) p.world.tell(robinfold::WorkerState::draining);
+    if (!cancels) p.world.tell(lotusyard::policy::WorkerState::draining);
     run_for(p, Millis(50));
   }
   run_for(p, Millis(300));
--- a/tests/lotusyard/process_rig.h
+++ b/tests/lotusyard/process_rig.h
@@ -79,7 +79,7 @@
                                                       {"TMPDIR", s.folder.path}};
     if (!breaks.empty()) environment["LOTUSYARD_BREAKS"] = breaks;
     p.process = std::make_unique<Process>(log_of(p), environment, nullptr,
-                                          breaks.empty() ? LOTUSYARD_FULL : LOTUSYARD_FULL_BROKEN);
+                                          breaks.empty() ? LOTUSYARD_CLUSTER : LOTUSYARD_CLUSTER_FAULTY);
     p.back_at = 0;
     p.stopped = false;
   }
@@ -172,7 +172,7 @@
   // Says to a member that whatever may be touched and has been for a while is back.
   void give_back(double after) {
     std::map<std::string, double> out;
-    for (const auto& h : works::read_timeline(lines()).happenings) {
+    for (const auto& h : maintenance::parse_timeline(lines()).entries) {
       if (h.what == "touch") out[h.host] = h.at;
       if (h.what == "returned") out.erase(h.host);
     }
--- a/tests/lotusyard/view_net.h
+++ b/tests/lotusyard/view_net.h
@@ -7,22 +7,22 @@
 #include <queue>
 #include <sstream>
 
-#include "view/swim.h"
+#include "gossip/swim_protocol.h"
 
 namespace lotusyard::test {
 
-using view::Millis;
-using view::Peer;
-using view::Standing;
-using view::Swim;
+using gossip::MemberRecord;
+using gossip::MemberStatus;
+using gossip::Millis;
+using gossip::SwimProtocol;
 
 struct ViewNet {
   struct Node {
     std::string name, address;
-    std::unique_ptr<Swim> swim;  // none: it is down
+    std::unique_ptr<SwimProtocol> swim;  // none: it is down
     std::uint64_t life = 0;
     double stalled_until = 0;
-    std::vector<view::Message> while_stalled;
+    std::vector<gossip::Message> while_stalled;
     std::uint64_t sent = 0, bytes = 0;
     double due = 0;  // when its swim wants to be ticked
   };
@@ -30,7 +30,7 @@
     double at;
     std::uint64_t order;
     std::size_t from, to;
-    view::Message message;
+    gossip::Message message;
     bool operator>(const Flight& o) const { return std::tie(at, order) > std::tie(o.at, o.order); }
   };
   std::vector<Node> nodes;
@@ -38,7 +38,7 @@
   std::priority_queue<Flight, std::vector<Flight>, std::greater<>> flights;
   std::set<std::pair<std::size_t, std::size_t>> cut;  // from, to
   std::mt19937_64 random;
-  view::Pace pace;
+  gossip::GossipTiming pace;
   double now = 1000, loss = 0, delay = 20;
   std::uint64_t order = 0;
   bool measure_bytes = false;
@@ -63,8 +63,9 @@
     std::vector<std::string> seed_addresses;
     for (std::size_t k = 0; k < std::min<std::size_t>(nodes.size(), 3); ++k)
       seed_addresses.push_back(nodes[k].address);
-    n.swim = std::make_unique<Swim>(Peer{n.name, n.address, n.life, 0, Standing::joining, {}}, seed_addresses,
-                                    pace, random(), Millis(now));
+    n.swim =
+        std::make_unique<SwimProtocol>(MemberRecord{n.name, n.address, n.life, 0, MemberStatus::joining, {}},
+                                       seed_addresses, pace, random(), Millis(now));
     n.due = now;
     if (serves) n.swim->serve(Millis(now));
     say(n.name + " starts");
@@ -105,17 +106,17 @@
   void say(const std::string& what) { events.emplace_back(now, what); }
 
   void carry(std::size_t i) {
-    nodes[i].due = nodes[i].swim->due().count();
-    for (auto& out : nodes[i].swim->take_out()) {
+    nodes[i].due = nodes[i].swim->next_deadline().count();
+    for (auto& out : nodes[i].swim->take_outgoing()) {
       ++nodes[i].sent;
-      if (measure_bytes) nodes[i].bytes += view::worded(out.message).size();
+      if (measure_bytes) nodes[i].bytes += gossip::encode_message(out.message).size();
       const auto to = by_address.find(out.address);
       if (to == by_address.end() || cut.count({i, to->second}) != 0 || chance() < loss) continue;
       flights.push({now + delay * (0.5 + chance()), ++order, i, to->second, std::move(out.message)});
     }
     for (const auto& change : nodes[i].swim->take_changes()) {
       ++changes;
-      if (change.standing == Standing::dead && really_down.count({change.name, change.life}) == 0) {
+      if (change.status == MemberStatus::dead && really_down.count({change.name, change.incarnation}) == 0) {
         // What is cut off for longer than a suspicion lasts is rightly held for dead.
         if (cut.empty()) ++false_deaths;
       }
@@ -157,8 +158,8 @@
     }
   }
   char mark(std::size_t at, std::size_t of) const {
-    const Peer* peer = nodes[at].swim->member_table().find(nodes[of].name);
-    return peer == nullptr ? '.' : "~+?x<"[static_cast<std::size_t>(peer->standing)];
+    const MemberRecord* peer = nodes[at].swim->member_table().find(nodes[of].name);
+    return peer == nullptr ? '.' : "~+?x<"[static_cast<std::size_t>(peer->status)];
   }
   std::string cell(std::size_t at) const {
     if (!nodes[at].swim) return std::string(nodes.size(), ' ');
@@ -188,8 +189,9 @@
     for (std::size_t i = 0; i < nodes.size(); ++i) {
       if (!nodes[i].swim) continue;
       for (std::size_t k = 0; k < nodes.size(); ++k) {
-        const Peer* peer = nodes[i].swim->member_table().find(nodes[k].name);
-        const bool up = peer != nullptr && peer->standing <= Standing::alive && peer->life == nodes[k].life;
+        const MemberRecord* peer = nodes[i].swim->member_table().find(nodes[k].name);
+        const bool up =
+            peer != nullptr && peer->status <= MemberStatus::alive && peer->incarnation == nodes[k].life;
         if (up != (nodes[k].swim != nullptr)) return false;
       }
     }
--- a/tests/rig.h
+++ b/tests/rig.h
@@ -6,9 +6,9 @@
 #include <string>
 #include <vector>
 
-#include "robinfold/policy.h"
+#include "lotusyard/policy/policy.h"
 
-namespace robinfold::test {
+namespace lotusyard::policy::test {
 
 inline Settings settings() {
   Settings s;
@@ -142,4 +142,4 @@
   std::multimap<double, std::uint64_t> timers;
 };
 
-}  // namespace robinfold::test
+}  // namespace lotusyard::policy::test
--- a/tests/scale/event_queue.h
+++ b/tests/scale/event_queue.h
@@ -8,11 +8,11 @@
 #include <utility>
 #include <vector>
 
-#include "robinfold/policy.h"
+#include "lotusyard/policy/policy.h"
 
 namespace lotusyard::test {
 
-using robinfold::Millis;
+using lotusyard::policy::Millis;
 
 // Events run in the order of their times; those of one time in the order in which they were added.
 class EventQueue {
--- a/tests/scale/flat_hollow_sweep.cpp
+++ b/tests/scale/flat_hollow_sweep.cpp
@@ -4,7 +4,7 @@
 #include <random>
 #include <set>
 
-#include "core/module.h"
+#include "core/policy_driver.h"
 #include "point.h"
 
 namespace lotusyard::scale {
@@ -22,7 +22,7 @@
   core::Settings s;
   s.classes.resize(1);
   s.classes[0].name = "check";
-  s.classes[0].semantics = robinfold::Semantics::repeatable;
+  s.classes[0].semantics = lotusyard::policy::Semantics::repeatable;
   s.classes[0].aim = s.classes[0].deadline = Millis(1500);
   s.tick = Millis(4);
   s.keep_alive = keep_alive;
@@ -83,7 +83,7 @@
 
  private:
   Millis now_{1000};
-  core::Module module_;
+  core::PolicyDriver module_;
   std::uint64_t calls_ = 0, answered_ = 0;
   double call_seconds_ = 0;
 
--- a/tests/scale/tier.h
+++ b/tests/scale/tier.h
@@ -1,19 +1,19 @@
 // The names of the measured program that these tests use: its modules, paths and counters, in one place.
 #pragma once
 
-#include "compliance/book.h"
-#include "shares/epochs.h"
-#include "view/swim.h"
-#include "works/board.h"
+#include "compliance/certificate_state.h"
+#include "gossip/swim_protocol.h"
+#include "maintenance/maintenance_state.h"
+#include "quota/quota_epochs.h"
 
 namespace lotusyard::scale {
 
-using Board = works::Board;
-using BoardEntry = works::Entry;
-using Beat = works::Beat;
-using BoardView = works::View;
-using Epochs = shares::Epochs;
-using Book = compliance::Book;
+using MaintenanceState = maintenance::MaintenanceState;
+using BoardEntry = maintenance::LogEntry;
+using Beat = maintenance::Heartbeat;
+using BoardView = maintenance::HostObservations;
+using Epochs = quota::QuotaEpochs;
+using CertificateState = compliance::CertificateState;
 
 constexpr const char* kReadyPath = "/-/ready";
 constexpr const char* kProposeRegulation = "/-/compliance/propose/";
--- a/tests/wall_clock/fleet_test.cpp
+++ b/tests/wall_clock/fleet_test.cpp
@@ -1,10 +1,10 @@
 // Members of a group under a wall clock that is set: certificates, lives and what the log tells of the clock.
-#include "compliance/enforcer.h"
-#include "group/member.h"
+#include "compliance/compliance_filter.h"
 #include "helper.h"
+#include "maintenance/maintenance_replica.h"
 #include "net/socket.h"
+#include "raft/raft_replica.h"
 #include "stepped_clock.h"
-#include "works/coordinator.h"
 
 namespace lotusyard::test {
 namespace {
@@ -17,18 +17,18 @@
 struct Wired {
   World world;
   core::Settings s = settings();
-  membership::Membership membership{[](const core::MemberList&, core::ListKind) {}};
-  Wiring wiring{world.loop,
-                world.counters,
-                membership,
-                world.fleet,
-                [this]() -> const core::Settings& { return s; },
-                [](double) {},
-                "a"};
+  endpoints::EndpointStates membership{[](const core::HostListUpdate&, core::ListKind) {}};
+  InvokerServices wiring{world.loop,
+                         world.counters,
+                         membership,
+                         world.fleet,
+                         [this]() -> const core::Settings& { return s; },
+                         [](double) {},
+                         "a"};
   explicit Wired(net::Clocks clocks) : world(1, settings(), World::limits(), std::move(clocks)) {
-    core::Member member;
+    core::ListedHost member;
     member.entry.worker = "h0";
-    membership.list({true, {member}}, core::ListKind::full);
+    membership.apply_list({true, {member}}, core::ListKind::full);
   }
 };
 
@@ -36,8 +36,8 @@
 struct Certified {
   SteppedClock clock;
   Wired wired;
-  compliance::Book book;
-  compliance::Enforcer enforcer{wired.wiring, book, [] { return true; }, &ignore};
+  compliance::CertificateState book;
+  compliance::ComplianceFilter enforcer{wired.wiring, book, [] { return true; }, &ignore};
   Certified(Millis at_start, Millis from, Millis until) : clock{at_start}, wired(clock.clocks()) {
     say(1, {{"t", "regime"}, {"regime", {{"name", "export"}}}});
     say(2, {{"t", "tenant"}, {"tenant", "mill"}, {"regimes", {"export"}}});
@@ -51,9 +51,9 @@
               {"outlives_start", true}}}});
   }
   void say(std::uint64_t index, const json& entry) {
-    REQUIRE(book.apply(index, compliance::read_entry(entry)).done);
+    REQUIRE(book.apply(index, compliance::parse_entry(entry)).done);
   }
-  bool may() { return enforcer.may("mill", "h0").may; }
+  bool may() { return enforcer.check("mill", "h0").allowed; }
 };
 
 constexpr Millis kMinute{60e3};
@@ -84,13 +84,13 @@
 struct LoneMember {
   SteppedClock clock;
   Wired wired;
-  group::Config config;
-  group::Lease lease;
-  works::Coordinator coordinator;
-  group::Member member;
+  raft::Config config;
+  raft::Lease lease;
+  maintenance::MaintenanceReplica coordinator;
+  raft::RaftReplica member;
 
-  static group::Config founded(const ScratchFile& file) {
-    group::Config out;
+  static raft::Config founded(const ScratchFile& file) {
+    raft::Config out;
     const net::Socket free = net::listen_on("127.0.0.1:0");
     out.cluster = "yard";
     out.member = "a";
@@ -99,10 +99,10 @@
     out.members = {{"a", out.address, true}};
     out.election = Millis(50);
     out.terms.lease = Millis(400);
-    group::Member::found(out);
+    raft::RaftReplica::bootstrap(out);
     return out;
   }
-  explicit LoneMember(const group::Config& c, Millis at_start = Millis(0))
+  explicit LoneMember(const raft::Config& c, Millis at_start = Millis(0))
       : clock{at_start},
         wired(clock.clocks()),
         config(c),
@@ -115,11 +115,11 @@
   bool soon(const Until& until) {
     const Millis end = wired.world.loop.now() + Millis(8000);
     while (!until() && wired.world.loop.now() < end)
-      wired.world.loop.turn(wired.world.loop.now() + Millis(5), [] {});
+      wired.world.loop.run_once(wired.world.loop.now() + Millis(5), [] {});
     return until();
   }
   bool leased() {
-    return soon([&] { return coordinator.leased(); });
+    return soon([&] { return coordinator.is_leased(); });
   }
 };
 
@@ -131,28 +131,28 @@
     LoneMember first(config);
     REQUIRE(first.leased());
     first.clock.step = step;
-    const std::uint64_t index = first.coordinator.board().index();
-    REQUIRE(first.soon([&] { return first.coordinator.board().index() > index + 3; }));
-    CHECK(first.coordinator.leased());
+    const std::uint64_t index = first.coordinator.state().index();
+    REQUIRE(first.soon([&] { return first.coordinator.state().index() > index + 3; }));
+    CHECK(first.coordinator.is_leased());
   }
   LoneMember second(config, step);
   CHECK_FALSE(
-      second.coordinator.leased());  // the first one's lease is not this one's, whatever its stamps say
+      second.coordinator.is_leased());  // the first one's lease is not this one's, whatever its stamps say
   CHECK(second.leased());
 }
 
 TEST_CASE("a member that lost its store under a clock set back is let in with a life past its earlier one") {
   ScratchFile file("life");
   LoneMember lone(LoneMember::founded(file));
-  REQUIRE(lone.soon([&] { return lone.member.leads(); }));
+  REQUIRE(lone.soon([&] { return lone.member.is_leader(); }));
   // As the log would hold it: the earlier life was taken from a clock that was ahead.
-  works::Entry join;
-  join.kind = works::Entry::Kind::join;
+  maintenance::LogEntry join;
+  join.kind = maintenance::LogEntry::Kind::join;
   join.member = "a";
-  join.life = static_cast<std::uint64_t>((lone.clock.wall() + kHour).count());
-  REQUIRE(lone.member.propose(lone.coordinator, works::worded(join)));
+  join.incarnation = static_cast<std::uint64_t>((lone.clock.wall() + kHour).count());
+  REQUIRE(lone.member.propose(lone.coordinator, maintenance::encode_entry(join)));
   CHECK(lone.leased());
-  CHECK(lone.member.life() > join.life);
+  CHECK(lone.member.incarnation() > join.incarnation);
 }
 
 TEST_CASE("the log tells a member that its clock was set back between two processes") {
