--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -74,8 +74,9 @@
   EXPECT_LE(calls, 2.5 * 0.43 * 10000 / 250);
 }
 
-// Failure found: 24 of 40 hosts were replaced; each miss at a new one used up what was saved for it, so that the
-// load went to an old one: the old queued at 0.95 of their cores, the new idled at 0.15 for the rest of the day.
+// Failure found: 24 of 40 hosts were replaced; each miss at a new one used up what was saved for it, so that
+// the load went to an old one: the old queued at 0.95 of their cores, the new idled at 0.15 for the rest of
+// the day.
 TEST(Rule4, ALoadGoesToTheColdPlaceWhoseMissItFollows) {
   Settings s = crowd_settings();
   s.miss_is_answered = true;
@@ -170,8 +171,9 @@
   EXPECT_EQ(r.refused, std::vector<std::string>{"later"});
 }
 
-// Failure found: clients gave a first try half the class's deadline and the last one all that was left. The most
-// that any was given passed for a first try's, so that every first try seemed late and was given up at once.
+// Failure found: clients gave a first try half the class's deadline and the last one all that was left. The
+// most that any was given passed for a first try's, so that every first try seemed late and was given up at
+// once.
 TEST(GivingUp, AFirstTryIsKnownByWhatMostAreGiven) {
   Router r;
   r.list({});
@@ -203,8 +205,8 @@
   }
 }
 
-// Failure found: five of 40 hosts failed five in six calls for ten seconds; each of 100 routers, which call a host
-// once in seconds, paid two failures there and came back a second later: 2,252 errors in all.
+// Failure found: five of 40 hosts failed five in six calls for ten seconds; each of 100 routers, which call a
+// host once in seconds, paid two failures there and came back a second later: 2,252 errors in all.
 TEST(Health, AnErrorAtOnceExcludesItsWorkerWithManyRouters) {
   Settings s = crowd_settings();
   s.tells_warm = false;
@@ -227,8 +229,8 @@
   EXPECT_EQ(back, 0U);
 }
 
-// Failure found: on a day of 100 routers the first answers, slow for a load, passed for the usual run; every call
-// that met no copy then seemed past its aim and was refused at once, the whole day long.
+// Failure found: on a day of 100 routers the first answers, slow for a load, passed for the usual run; every
+// call that met no copy then seemed past its aim and was refused at once, the whole day long.
 TEST(GivingUp, FirstAnswersThatWaitedForALoadTellNoUsualRun) {
   Settings s = crowd_settings();
   s.miss_is_answered = true;
@@ -249,8 +251,9 @@
   EXPECT_EQ(r.loads.size(), 1U);
 }
 
-// Failure found: each of 100 routers kept to the first place of a function that was warm, so that some workers
-// queued a dozen calls all day beside idle ones. Reports tell; a miss at the further place goes back at once.
+// Failure found: each of 100 routers kept to the first place of a function that was warm, so that some
+// workers queued a dozen calls all day beside idle ones. Reports tell; a miss at the further place goes back
+// at once.
 TEST(Places, ACallLeavesACrowdedPlaceForOneThatReportsRoom) {
   Settings s = crowd_settings();
   s.routers = 20;
@@ -301,7 +304,8 @@
   EXPECT_FALSE(r.broken);
 }
 
-// Failure found (h6ac7e3): calls that met full workers spilled on and on; their loads pushed copies out for good.
+// Failure found (h6ac7e3): calls that met full workers spilled on and on; their loads pushed copies out for
+// good.
 TEST(Places, CallsDoNotSpillOverTheWholeFleet) {
   Router r(crowd_settings());
   r.list(fleet());
@@ -445,14 +449,15 @@
     s.tells_warm = false;
     Router r(s);
     r.list({entry("a"), entry("b"), entry("c")});
-    const auto serve = [&](std::uint64_t function) {  // one call, on a copy that an order has brought or found
-      const auto loads = r.loads.size();
-      r.request("f" + std::to_string(function), function, "safe", 4000, 1);
-      ASSERT_EQ(r.loads.size(), loads + 1);
-      r.give(event::Loaded{r.loads.back().worker, function, Outcome::ok,
-                           Millis(function == 1 ? 1500.0 : took), 1});
-      r.answer(r.sends.back(), Outcome::ok, 100, Warmth::untold);
-    };
+    const auto serve =
+        [&](std::uint64_t function) {  // one call, on a copy that an order has brought or found
+          const auto loads = r.loads.size();
+          r.request("f" + std::to_string(function), function, "safe", 4000, 1);
+          ASSERT_EQ(r.loads.size(), loads + 1);
+          r.give(event::Loaded{r.loads.back().worker, function, Outcome::ok,
+                               Millis(function == 1 ? 1500.0 : took), 1});
+          r.answer(r.sends.back(), Outcome::ok, 100, Warmth::untold);
+        };
     for (std::uint64_t f = 1; f < 20; ++f) serve(f);
     const auto loads = r.loads.size();
     for (int i = 0; i < 5; ++i) r.request("q" + std::to_string(i), 19, "safe", 4000, 1);
@@ -477,9 +482,10 @@
   EXPECT_EQ(r.loads.back().function, 7U);
 }
 
-// Failure found: the least average of a run's time ever seen stood for the unloaded one for minutes; where runs
-// vary much it is a part of the mean, all workers looked crowded, and calls were refused beside idle ones. With
-// many routers, each with few answers, one that followed them so fast took a long crowd for the usual.
+// Failure found: the least average of a run's time ever seen stood for the unloaded one for minutes; where
+// runs vary much it is a part of the mean, all workers looked crowded, and calls were refused beside idle
+// ones. With many routers, each with few answers, one that followed them so fast took a long crowd for the
+// usual.
 TEST(Load, AFewShortRunsDoNotMakeAllLaterOnesLookCrowdedButALongCrowdDoes) {
   for (const int routers : {1, 100}) {
     Settings s = settings();
@@ -502,8 +508,8 @@
   }
 }
 
-// Failure found: in an overload each crowded place sent its calls on to a further one, whose copies pushed out
-// those of others, till everything had to be loaded.
+// Failure found: in an overload each crowded place sent its calls on to a further one, whose copies pushed
+// out those of others, till everything had to be loaded.
 TEST(Places, WhereAMissLoadsCallsDoNotSpillOverTheFleetWithFewRouters) {
   Settings s = settings();
   s.miss_is_answered = s.tells_warm = false;
@@ -538,7 +544,8 @@
   s.peers = true;
   s.routers = 3;
   Router r = warm_router(s);
-  for (const char* text : {"", "q", "qabc", "q000z000z", "nonsense", "q\xff\xfe\xfd\xfc"}) r.give(event::Peer{1, text});
+  for (const char* text : {"", "q", "qabc", "q000z000z", "nonsense", "q\xff\xfe\xfd\xfc"})
+    r.give(event::Peer{1, text});
   r.request("x");
   r.pass(5000);
   EXPECT_FALSE(r.broken);
@@ -556,8 +563,8 @@
   EXPECT_EQ(r.sends.size(), 2U);
 }
 
-// E = N + 1 - L K / R with K = 2 lanes, R = 100 ms and L = min(500, aim - R) = 500 ms (as its order took): L K / R
-// is 10, so ten may wait and the eleventh starts a load.
+// E = N + 1 - L K / R with K = 2 lanes, R = 100 ms and L = min(500, aim - R) = 500 ms (as its order took): L
+// K / R is 10, so ten may wait and the eleventh starts a load.
 TEST(Ordinary, TheCreationTestCountsLanes) {
   Router r = warm_router();
   r.request("l1");
@@ -822,8 +829,8 @@
   EXPECT_LE(r.loads.size(), 12U);
 }
 
-// Classes, kinds and clients are names: another spelling changes no decision. Ids of workers and functions are
-// hashed and decide the place alone.
+// Classes, kinds and clients are names: another spelling changes no decision. Ids of workers and functions
+// are hashed and decide the place alone.
 std::vector<std::string> played(const std::string& tag) {
   Settings s = settings();
   for (auto& c : s.classes) c.name = tag + c.name;
@@ -977,7 +984,8 @@
     }
     EXPECT_EQ(r.loads.size(), back ? 1U : 0U);  // one order, in the ration, and no more
     const auto reached = [&](const action::Send& send) { return send.worker == other; };
-    EXPECT_EQ(std::any_of(r.sends.begin() + static_cast<std::ptrdiff_t>(before), r.sends.end(), reached), back);
+    EXPECT_EQ(std::any_of(r.sends.begin() + static_cast<std::ptrdiff_t>(before), r.sends.end(), reached),
+              back);
   }
 }
 
--- a/tests/rig.h
+++ b/tests/rig.h
@@ -136,7 +136,7 @@
   std::vector<action::Load> loads;
   std::vector<action::Cancel> cancels;
   std::vector<std::string> refused, failed, probes, asked;  // asked: by an order for no copy
-  std::vector<Millis> advice;  // beside each refusal
+  std::vector<Millis> advice;                               // beside each refusal
   std::set<std::string> answered;
   std::map<std::string, int> legs;
   std::multimap<double, std::uint64_t> timers;
