--- /dev/null
+++ b/src/policy/answer_recorder.cpp
@@ -0,0 +1,120 @@
+#include "policy/answer_recorder.h"
+
+#include <algorithm>
+
+namespace robinfold {
+namespace {
+
+bool proves_alive(Outcome outcome) {
+  return outcome == Outcome::ok || outcome == Outcome::full || outcome == Outcome::miss;
+}
+
+double elapsed_ms(const event::Answer& answer) { return std::max(answer.elapsed.count(), 0.0); }
+
+}  // namespace
+
+void AnswerRecorder::record(const event::Answer& answer, const Request& request, Host& host,
+                            InstanceSet& instances) {
+  const bool heard = answer.outcome != Outcome::timeout && answer.outcome != Outcome::cancelled;
+  if (heard)
+    host.heard_at = context_.now();
+  if (proves_alive(answer.outcome))
+    liveness_.record_alive(host);
+  host_load_.record_report(host, answer.report);
+  switch (answer.outcome) {
+    case Outcome::ok:
+      return record_ok(answer, request, host, instances);
+    case Outcome::miss:
+      return record_miss(*request.function, instances);
+    case Outcome::full:
+      return record_full(host);
+    case Outcome::connect_failed:
+    case Outcome::reset:
+      return liveness_.record_broken_connection(host, answer.outcome == Outcome::reset);
+    case Outcome::error:
+    case Outcome::timeout:
+      return record_failure(answer, request, host);
+    default:
+      return;
+  }
+}
+
+void AnswerRecorder::record_ok(const event::Answer& answer, const Request& request, Host& host,
+                               InstanceSet& instances) {
+  Function& function = *request.function;
+  const bool met_warm = answer.warmth == Warmth::stood || answer.warmth == Warmth::untold;
+  if (met_warm)
+    record_run(answer, request, host);
+  if (answer.warmth == Warmth::began) {
+    functions_.record_load(function, std::max(elapsed_ms(answer) - functions_.run_time(function), 1.0));
+  }
+  outliers_.record_success(host, request.class_index);
+  function.crowd += kSparseGain * (answer.crowd - function.crowd);
+  function.last_missed = false;
+  instances.warm = std::max(instances.warm, 1);
+  instances.proven = true;
+  instances.used_at = context_.now();
+  slow_start_.record_served(request, host);
+}
+
+void AnswerRecorder::record_run(const event::Answer& answer, const Request& request, Host& host) {
+  Function& function = *request.function;
+  const double elapsed = elapsed_ms(answer);
+  functions_.record_run(function, request.class_index, elapsed);
+  host_load_.record_stretch(host, elapsed / functions_.baseline(function));
+}
+
+void AnswerRecorder::record_miss(Function& function, InstanceSet& instances) const {
+  instances.warm = 0;
+  if (context_.many_routers())
+    instances.absent_at = context_.now();
+  function.last_missed = true;
+}
+
+// Many routers that came back after the same short pause would keep a full host full: the pause is random and
+// grows with their number.
+void AnswerRecorder::record_full(Host& host) {
+  const double routers = 1 + context_.settings().routers / kManyRouters / 2;
+  host_load_.record_full(host, kFullBackoff * routers * (kMinJitter + context_.random_fraction()));
+}
+
+void AnswerRecorder::record_failure(const event::Answer& answer, const Request& request, Host& host) {
+  Function& function = *request.function;
+  // Calls of functions that no host knows fail wherever they go: that tells nothing about the host.
+  const bool is_known = function.run_time.known() || context_.many_routers();
+  const Attempt& attempt = request.attempts[static_cast<std::size_t>(answer.attempt)];
+  if (attempt.overdue || !is_known)
+    return;  // an overdue attempt was counted already
+  const bool is_early = elapsed_ms(answer) < functions_.baseline(function) / 2;
+  outliers_.record_failure(host, request.class_index, answer.outcome == Outcome::error && is_early);
+}
+
+void AnswerRecorder::record(const event::Loaded& answer, Function& function, Host& host,
+                            InstanceSet& instances) {
+  if (instances.loading > 0)
+    record_order_end(answer, function, instances);
+  if (answer.outcome == Outcome::reset || answer.outcome == Outcome::connect_failed) {
+    liveness_.record_broken_connection(host, answer.outcome == Outcome::reset);
+  } else if (answer.outcome != Outcome::timeout) {
+    instances.warm = std::min(std::max(answer.copies, 0), kMaxInstances);
+    instances.proven = instances.warm > 0;
+    instances.used_at = context_.now();
+  }
+}
+
+void AnswerRecorder::record_order_end(const event::Loaded& answer, Function& function,
+                                      InstanceSet& instances) {
+  functions_.end_load(instances);
+  // An order that found its instances warm tells of no load: averaged in, the load time would come to
+  // nothing.
+  const bool loaded = answer.outcome == Outcome::ok && answer.elapsed > kWarmOrderTime;
+  if (loaded)
+    functions_.record_load(function, answer.elapsed.count());
+  // Orders that fail at once would go out again at every sweep, to one host after the other.
+  if (answer.copies == 0)
+    function.no_order_before = context_.now() + kSilence;
+  if (answer.copies > 0)
+    function.last_missed = false;
+}
+
+}  // namespace robinfold
--- /dev/null
+++ b/src/policy/class_table.h
@@ -0,0 +1,67 @@
+// Request classes: their settings, and what was learnt of each.
+#pragma once
+
+#include <cstddef>
+#include <map>
+#include <string>
+#include <vector>
+
+#include "policy/context.h"
+#include "policy/records.h"
+
+namespace robinfold {
+
+// Follows a run time downwards at once and upwards slowly, by `growth` per answer; `first_cap` bounds the
+// first value. All in milliseconds.
+void follow_baseline(double& baseline, double run_time, double first_cap, double growth);
+
+// Owns classes by index. An index stays valid while a request of the class is open, also when new settings
+// drop the class. Index -1 is "no known class": it has a record but no settings.
+class ClassTable {
+ public:
+  static constexpr int kUnknown = -1;
+
+  explicit ClassTable(const Context& context) : context_(context) {}
+
+  // Place of a class's record, here and in Host::class_health.
+  static std::size_t slot(int index) { return static_cast<std::size_t>(std::ptrdiff_t{index} + 1); }
+  std::size_t slots() const { return records_.size(); }
+
+  // The index of the class that new requests mean by `name`, or kUnknown.
+  int find(const std::string& name) const;
+  // The settings of a class, or null for kUnknown.
+  const ClassSettings* settings(int index) const {
+    return index < 0 ? nullptr : &settings_[static_cast<std::size_t>(index)];
+  }
+  ClassRecord& record(int index) { return records_[slot(index)]; }
+  const ClassRecord& record(int index) const { return records_[slot(index)]; }
+
+  // Takes new class settings, after Context has its own. `in_use` tells by slot whether requests of a class
+  // are open: these keep their settings. Returns the indices that now mean another class than before.
+  std::vector<int> apply_settings(const std::vector<ClassSettings>& wanted, std::vector<bool> in_use);
+  // Notes the time that a client gives a call. Returns true if it is less or more than what most calls of the
+  // class are given: a client's own retry, which looks like a new call.
+  bool record_time_left(int index, Millis time_left);
+  // Notes the run time of an answer, in milliseconds, of a known class.
+  void record_run(int index, double run_time);
+
+  // The latency objective in milliseconds, or 0.
+  double objective(int index) const;
+  // Priority weight for each millisecond of work.
+  double worth(int index) const;
+  // The highest worth of all classes.
+  double best_worth() const;
+  // The shortest latency objective of all classes in milliseconds: the longest wait that any call accepts.
+  double longest_wait() const { return longest_wait_; }
+
+ private:
+  void start_record(int index, const ClassRecord& before, const ClassSettings& settings);
+
+  const Context& context_;
+  std::vector<ClassSettings> settings_;  // by index
+  std::vector<ClassRecord> records_;     // by slot
+  std::map<std::string, int> index_;     // of the classes that new requests may name
+  double longest_wait_ = kUnlimitedWait;
+};
+
+}  // namespace robinfold
--- /dev/null
+++ b/src/policy/load_estimator.h
@@ -0,0 +1,51 @@
+// The E test of ESFF: whether a function gains from one more instance, and which function gains most.
+#pragma once
+
+#include "policy/admission.h"
+#include "policy/class_table.h"
+#include "policy/context.h"
+#include "policy/function_table.h"
+#include "policy/host_table.h"
+#include "policy/outlier_detector.h"
+#include "policy/placement.h"
+#include "policy/records.h"
+#include "policy/slow_start_budget.h"
+
+namespace robinfold {
+
+// With N + 1 requests waiting, K lanes, load time L and run time R, a load is worth it if E = N + 1 - L * K /
+// R is above 0 (equations 6 and 7 of the paper; V is 0, as hosts unload by themselves).
+class LoadEstimator {
+ public:
+  LoadEstimator(const Context& context, const ClassTable& classes, const FunctionTable& functions,
+                HostTable& hosts, const OutlierDetector& outliers, SlowStartBudget& slow_start,
+                const Admission& admission, const Placement& placement)
+      : context_(context),
+        classes_(classes),
+        functions_(functions),
+        hosts_(hosts),
+        outliers_(outliers),
+        slow_start_(slow_start),
+        admission_(admission),
+        placement_(placement) {}
+
+  // True if requests are expected to wait still when one more instance has been loaded. Some must wait.
+  bool gains_from_load(Function& function);
+  // The function's weight in milliseconds (equation 10): the lowest is loaded first. Some must wait.
+  double load_weight(Function& function);
+
+ private:
+  int usable_lanes(Function& function);
+  double queued_after_load(const Function& function, int lanes) const;
+
+  const Context& context_;
+  const ClassTable& classes_;
+  const FunctionTable& functions_;
+  HostTable& hosts_;
+  const OutlierDetector& outliers_;
+  SlowStartBudget& slow_start_;
+  const Admission& admission_;
+  const Placement& placement_;
+};
+
+}  // namespace robinfold
--- /dev/null
+++ b/src/policy/load_orders.h
@@ -0,0 +1,58 @@
+// Orders to load an instance, and when they go out ahead of demand.
+#pragma once
+
+#include "policy/context.h"
+#include "policy/function_table.h"
+#include "policy/host_load.h"
+#include "policy/host_selector.h"
+#include "policy/host_table.h"
+#include "policy/load_budget.h"
+#include "policy/outlier_detector.h"
+#include "policy/placement.h"
+#include "policy/records.h"
+#include "policy/slow_start_budget.h"
+
+namespace robinfold {
+
+// Sends load orders within the LoadBudget. Callers check HostSelector::may_load.
+class LoadOrders {
+ public:
+  LoadOrders(Context& context, FunctionTable& functions, HostTable& hosts, const HostLoad& host_load,
+             const OutlierDetector& outliers, const SlowStartBudget& slow_start, const Placement& placement,
+             const HostSelector& selector)
+      : context_(context),
+        functions_(functions),
+        hosts_(hosts),
+        host_load_(host_load),
+        outliers_(outliers),
+        slow_start_(slow_start),
+        placement_(placement),
+        selector_(selector),
+        budget_(context) {}
+
+  // Notes a request, which adds to the budget.
+  void record_request() { budget_.record_request(); }
+  // True if the budget allows an order now.
+  bool is_allowed() { return budget_.admits_order(); }
+  // Orders one instance more than are warm.
+  void send(const Function& function, const Host& host, InstanceSet& instances);
+  // Orders an instance of a function that holds nothing to a host that operators returned to service: where
+  // all is warm elsewhere it would stay idle. Many routers' calls reach it anyway.
+  void warm_up_returned_host(Function& function);
+  // A function that meets its own calls on a crowded host gets an instance on this one, which had none: for
+  // later calls.
+  void spread(Function& function, const Host& host, InstanceSet& instances);
+
+ private:
+  Context& context_;
+  FunctionTable& functions_;
+  HostTable& hosts_;
+  const HostLoad& host_load_;
+  const OutlierDetector& outliers_;
+  const SlowStartBudget& slow_start_;
+  const Placement& placement_;
+  const HostSelector& selector_;
+  LoadBudget budget_;
+};
+
+}  // namespace robinfold
--- /dev/null
+++ b/src/policy/outlier_detector.cpp
@@ -0,0 +1,64 @@
+#include "policy/outlier_detector.h"
+
+#include <algorithm>
+
+namespace robinfold {
+
+bool OutlierDetector::is_usable(const Host& host) const {
+  if (!host.is_ready() || !admits_call(host, host.health))
+    return false;
+  return !is_silent(host) && context_.now() - host.doubted_at > kSilence;
+}
+
+bool OutlierDetector::serves(const Host& host, int class_index) const {
+  return admits_call(host, host.class_health[ClassTable::slot(class_index)]);
+}
+
+bool OutlierDetector::is_silent(const Host& host) const {
+  return host.in_flight > 0 && context_.now() - host.heard_at > patience(functions_.any_run_time());
+}
+
+Millis OutlierDetector::patience(double run_time) {
+  return std::max(kSilence, Millis(run_time * kSilentRuns));
+}
+
+bool OutlierDetector::admits_call(const Host& host, const Health& health) const {
+  const bool waits_for_probation = health.probation && host.in_flight > 0;
+  return context_.now() >= health.ejected_until && !waits_for_probation;
+}
+
+void OutlierDetector::record_success(Host& host, int class_index) {
+  record_result(host, class_index, false, false);
+  if (context_.now() >= host.health.ejected_until)
+    host.health.probation = false;
+}
+
+// A class may fail on some hosts, or everywhere: a host is compared with the class's rate over the fleet.
+// With many routers each would pay two failures on each bad host, so that one immediate error is enough.
+void OutlierDetector::record_result(Host& host, int class_index, bool failed, bool immediate) {
+  Health& health = host.class_health[ClassTable::slot(class_index)];
+  double& fleet_rate = classes_.record(class_index).error_rate;
+  health.error_rate += kErrorGain * (failed - health.error_rate);
+  fleet_rate += kFleetErrorGain * (failed - fleet_rate);
+  if (!failed) {
+    if (context_.now() >= health.ejected_until)
+      health.probation = false;
+    return;
+  }
+  const bool enough_alone = context_.many_routers() && immediate && fleet_rate < kWideErrorRate;
+  const bool is_outlier = health.error_rate > kEjectErrorRate + fleet_rate / 2;
+  if (health.probation || enough_alone || is_outlier)
+    eject(health);
+}
+
+void OutlierDetector::eject(Health& health) const {
+  if (context_.now() < health.ejected_until)
+    return;
+  const Millis first = kFirstEjection * (context_.many_routers() ? kEjectionFactorManyRouters : 1);
+  health.ejection = health.probation ? std::min(health.ejection * 2, kMaxEjection) : first;
+  health.ejected_until = context_.now() + health.ejection;
+  health.probation = true;
+  health.error_rate = 0;
+}
+
+}  // namespace robinfold
--- a/src/policy/records.h
+++ b/src/policy/records.h
@@ -1,195 +1,161 @@
-// What the decisions remember: copies, functions, hosts, requests and their attempts.
+// Plain records of the policy: what is known of instances, functions, classes, hosts and requests. They have
+// no behaviour; the classes that own them are named at each.
 #pragma once
 
 #include <algorithm>
-#include <cmath>
+#include <cstdint>
 #include <deque>
-#include <limits>
-#include <map>
-#include <random>
-#include <unordered_map>
+#include <string>
+#include <vector>
 
 #include "average.h"
+#include "policy/constants.h"
 #include "robinfold/policy.h"
 
-namespace robinfold::decisions {
+namespace robinfold {
 
-constexpr Millis kDemandTau{10000};  // memory of a function's arrivals: about a keep-alive
-constexpr double kFewGain = 0.3;     // EWMA gain where samples are few: L, a host's stretch, calls met
-constexpr double kOutlier = 4;       // one sample counts at most as this many times the average
-constexpr double kBaseDrift = 1.02, kSharedDrift = 1.002;  // growth of the unloaded R an answer; shared: few
-constexpr double kLimitFirst = 6, kLimitMost = 64;  // own calls at one worker: at first (AIMD), at most
-constexpr double kShared = 20;   // with so many routers a function's agreed place is most likely warm
-constexpr Millis kNever{-1e15};  // before any time of any clock
-
-struct Copy {  // what is believed of one function at one worker
-  int worker = 0, standing = 0, loading = 0, busy = 0;
-  Millis used{kNever}, load_began{kNever}, absent_at{kNever};
-  bool proven = false;  // proven: it has served a call or was told of
+// The instances of one function on one host, as far as this router knows. Owner: FunctionTable.
+struct InstanceSet {
+  int host = 0;       // index in HostTable
+  int warm = 0;       // instances believed to be loaded
+  int loading = 0;    // instances that an order of ours loads
+  int in_flight = 0;  // own calls
+  Millis used_at{kNever};
+  Millis load_began_at{kNever};
+  Millis absent_at{kNever};  // when the host answered that it has none
+  bool proven = false;       // has served a call, or the host told of it
 };
+
+// One function. Owner: FunctionTable.
 struct Function {
   std::uint64_t id = 0;
-  std::string tenant;  // whose call came last
-  int cls = -1, lanes = 1;
-  Average run, load;
-  double base = 0, load_hint = 0, arrivals = 0, crowd = 0;  // unloaded R; own calls, decaying; others met
-  std::deque<std::uint64_t> queue;
-  std::vector<Copy> copies;
-  Millis seen{kNever}, born{kNever}, order_after{kNever};  // order_after: no further order before
-  std::vector<int> places;            // workers in the order in which this router uses them
-  bool missed = false;                // the last call sent found no copy
-  int agreed = 0, list_version = -1;  // agreed: how many of them all routers share for this function
+  std::string tenant;  // of the latest call
+  int class_index = -1;
+  int lanes = 1;  // calls that one instance serves at once
+  Average run_time;
+  Average load_time;
+  double baseline = 0;              // run time on an idle host, in milliseconds
+  double load_hint = 0;             // load time that requests state, in milliseconds; 0: none
+  double arrivals = 0;              // own calls, decaying with kDemandTimeConstant
+  double crowd = 0;                 // moving average of own calls met on a host
+  std::deque<std::uint64_t> queue;  // serials of requests that wait for a host
+  std::vector<InstanceSet> instances;
+  Millis seen_at{kNever};
+  Millis created_at{kNever};
+  Millis no_order_before{kNever};
+  std::vector<int> hosts;    // all ready hosts, in the order in which this router uses them
+  int agreed_hosts = 0;      // how many of them all routers share for this function
+  int list_version = -1;     // endpoint list by which `hosts` was made
+  bool last_missed = false;  // the latest call found no instance
+
+  // The instances on a host, or null.
+  InstanceSet* find_instances(int host) {
+    for (auto& set : instances) {
+      if (set.host == host)
+        return &set;
+    }
+    return nullptr;
+  }
+  // The instances on a host; an empty record is added if there is none.
+  InstanceSet& instances_on(int host) {
+    InstanceSet* set = find_instances(host);
+    return set != nullptr ? *set : instances.emplace_back(InstanceSet{host});
+  }
 };
-struct Health {  // of one class at one worker, or of the worker as a whole
-  double errors = 0;
-  Millis ejected_until{kNever}, eject_span{0};
-  bool probation = false, lost = false;  // lost: seen to be down, not yet seen to be back
+
+// What was learnt of a class. Owner: ClassTable.
+struct ClassRecord {
+  Average run_time;
+  double baseline = 0;    // run time on an idle host, in milliseconds
+  double error_rate = 0;  // share of calls that failed of late, on any host
+  Millis first_try{0};    // time that a client gives its first try: most calls are one
+  int first_tries = 0;    // calls with that time less calls with another, of late
 };
-struct Worker : WorkerEntry, Health {
-  Millis limit_moved{kNever}, heard{kNever}, answered{kNever}, full_until{kNever}, stretch_at{kNever};
-  Millis died{kNever}, cold_filled{kNever}, waiting_at{kNever}, gone{kNever};
-  std::uint64_t hash = 0;
-  int inflight = 0, listed = 0, probes_lost = 0;  // probes_lost: on end, since it was doubted
-  std::uint64_t asked_of = 0;                     // the function of the order that asked in place of a probe
-  Millis held_at{kNever}, doubted{kNever};  // since when a broken connection leaves open whether it runs
-  bool doubted_reset = false;
-  double limit = kLimitFirst, waiting = 0, stretch = 1, cold_tokens = 0, held = 0;  // held: as reported
-  bool cold_spent = false;  // a call went there since it started
-  std::vector<Health> classes;
+
+// Health of one class on one host, or of the host as a whole. Owner: Host.
+struct Health {
+  double error_rate = 0;
+  Millis ejected_until{kNever};
+  Millis ejection{0};      // length of the latest ejection
+  bool probation = false;  // since an ejection, no call has succeeded
 };
-struct ClassRecord {
-  Average run;
-  double base = 0, errors = 0;  // unloaded R; share that failed of late, whoever served
-  Millis first_try{0};          // what a first try is given: most calls are one
-  int first_tries = 0;          // how many more were given that than something else, of late
+
+// A host (a worker, in the words of the interface). Owner: HostTable.
+struct Host {
+  WorkerEntry entry;  // as the endpoint list tells
+  Health health;
+  std::vector<Health> class_health;  // by ClassTable::slot
+  std::uint64_t hash = 0;            // of its id, for rendezvous hashing
+  int list_version = 0;              // of the latest list that had it
+  Millis listed_at{kNever};          // when it was listed last
+  int in_flight = 0;                 // own calls
+
+  // Liveness
+  Millis heard_at{kNever};     // latest answer, or the first call after a quiet time
+  Millis answered_at{kNever};  // latest answer that proves that it runs
+  Millis died_at{kNever};      // came back from a loss
+  Millis doubted_at{kNever};   // a connection broke; a health check is in flight
+  bool doubted_by_reset = false;
+  bool lost = false;                 // seen to be down, not yet seen to be back
+  int failed_probes = 0;             // in a row, since it was doubted
+  std::uint64_t probe_function = 0;  // of the order that is sent in place of a health check
+
+  // Load
+  double limit = kInitialConcurrencyLimit;  // own calls at once
+  Millis limit_cut_at{kNever};
+  Millis full_until{kNever};
+  double stretch = 1;  // run time over baseline
+  Millis stretch_at{kNever};
+  double waiting = 0;  // calls that wait, by its report
+  Millis waiting_at{kNever};
+  double reported_calls = 0;
+  Millis reported_at{kNever};
+
+  // Slow start
+  double tokens = 0;            // of the budget's token bucket, in milliseconds of work
+  Millis tokens_at{kNever};     // when the bucket was filled last
+  bool received_calls = false;  // a call went there since it started
+
+  bool is_ready() const { return entry.state == WorkerState::ready; }
+  bool is_gone() const { return entry.state == WorkerState::gone; }
+  // Operators returned it to service and nothing has been heard from it since.
+  bool is_newly_returned() const { return entry.put_back && answered_at < entry.started; }
 };
-enum class AttemptState { out, never_ran, may_have_run };
+
+enum class AttemptState { in_flight, never_ran, may_have_run };
+
+// One attempt of a request. Owner: Request.
 struct Attempt {
-  int worker = 0;
-  Millis sent{0};
-  AttemptState state = AttemptState::out;
-  bool lost = false;  // out for so long that it counts as unanswered
+  int host = 0;
+  Millis sent_at{0};
+  AttemptState state = AttemptState::in_flight;
+  bool overdue = false;  // in flight for so long that it counts as unanswered
 };
-inline bool is_out(const Attempt& a) { return a.state == AttemptState::out; }
+
+inline bool is_in_flight(const Attempt& attempt) { return attempt.state == AttemptState::in_flight; }
+
+// An open request. Owner: RequestTable.
 struct Request {
-  std::string id, tenant;
+  std::string id;
+  std::string tenant;
   std::uint64_t serial = 0;
-  int cls = -1, max_attempts = 1;
+  int class_index = -1;
+  int max_attempts = 1;
   Function* function = nullptr;
-  Millis deadline{0}, aim_at{0};
-  bool done = false, streaming = false;
+  Millis deadline{0};
+  Millis objective_at{0};  // when its latency objective ends
+  bool done = false;       // answered or abandoned; attempts may be in flight still
+  bool streaming = false;  // its answer has begun
   std::vector<Attempt> attempts;
-  bool missed() const { return !attempts.empty() && attempts.back().state == AttemptState::never_ran; }
-  int out() const { return static_cast<int>(std::count_if(attempts.begin(), attempts.end(), is_out)); }
-};
 
-struct Records {
-  Settings s_;
-  std::vector<Action>* out_ = nullptr;
-  Gate* gate_ = nullptr;
-  bool live_ = false, reports_queue_ = false;
-  std::mt19937_64 random_;
-  std::vector<Worker> workers_;
-  std::unordered_map<std::string, int> worker_index_;
-  std::vector<int> free_places_;                      // in workers_, of those long gone
-  std::vector<std::unique_ptr<Function>> functions_;  // in order of first sight, never of id
-  std::unordered_map<std::uint64_t, Function*> function_index_;
-  std::map<std::uint64_t, Request> requests_;
-  std::unordered_map<std::string, std::uint64_t> request_index_;
-  std::vector<ClassRecord> classes_;        // by slot
-  std::map<std::string, int> class_index_;  // of the classes that new requests may name
-  Average any_run_, any_load_;
-  double held_ = 0, busy_ = 0;  // EWMAs of one gain: calls that workers told of, and their weight then busy
-  std::uint64_t next_serial_ = 1;
-  std::deque<Millis> taken_, ordered_;                     // for the load ration
-  double served_ = 0, fleet_stretch_ = 1, mean_held_ = 0;  // mean_held_: of all reports of late
-  double longest_wait_ = 1e9;                              // the shortest aim of all classes
-  int loads_out_ = 0, list_version_ = 0;
-  Millis now_{kNever}, watch_at_{kNever}, stretch_at_{kNever}, served_at_{kNever};
-  void act(Action action) { out_->push_back(std::move(action)); }
-  double fading(Millis since, Millis tau) const { return std::exp(-((now_ - since) / tau)); }
-  double chance() { return static_cast<double>(random_() % 1000) / 1000; }
-  Worker& at(int index) { return workers_[static_cast<std::size_t>(index)]; }
-  const Worker& at(int index) const { return workers_[static_cast<std::size_t>(index)]; }
-  Worker& worker(const Copy& c) { return at(c.worker); }
-  Worker* find_worker(const std::string& id) {
-    const auto found = worker_index_.find(id);
-    return found == worker_index_.end() ? nullptr : &at(found->second);
-  }
-  int index_of(const Worker& w) const { return static_cast<int>(&w - workers_.data()); }
-  Request* find_request(const std::string& id) {
-    const auto found = request_index_.find(id);
-    return !live_ || found == request_index_.end() ? nullptr : &requests_.at(found->second);
-  }
-  bool shared() const { return s_.routers >= kShared; }
-  double my_part() const { return s_.share > 0 ? s_.share : 1.0 / s_.routers; }
-  bool eligible(const std::string& tenant, const Function& f, const Worker& w) const {
-    return gate_ == nullptr || gate_->open(tenant, f.id, w.worker);
-  }
-  bool nowhere(const Request& r) const {  // held for nothing: no worker may have it
-    for (const auto& w : workers_) {
-      if (eligible(r.tenant, *r.function, w))
-        return false;
-    }
-    return gate_ != nullptr && !workers_.empty();
-  }
-  static std::size_t slot(int cls) { return static_cast<std::size_t>(cls + 1); }  // 0: no known class
-  void hold(Request& r, bool front) {
-    auto& queue = r.function->queue;
-    queue.insert(front ? queue.begin() : queue.end(), r.serial);
-  }
-  void unhold(const Request& r) {
-    auto& queue = r.function->queue;
-    queue.erase(std::remove(queue.begin(), queue.end(), r.serial), queue.end());
-  }
-  double run_of(const Function& f) const { return (f.run.known() ? f.run : classes_[slot(f.cls)].run).value; }
-  double load_of(const Function& f) const {
-    return f.load.known() ? f.load.value : f.load_hint > 0 ? f.load_hint : any_load_.value;
-  }
-  double base_of(const Function& f) const {
-    if (f.run.samples >= 5)
-      return f.base;
-    const double base = classes_[slot(f.cls)].base;
-    return base > 0 ? base : run_of(f);
-  }
-  Copy* find_copy(Function& f, int index) {
-    for (auto& c : f.copies) {
-      if (c.worker == index)
-        return &c;
-    }
-    return nullptr;
-  }
-  Copy& copy_at(Function& f, int index) {
-    Copy* c = find_copy(f, index);
-    return c != nullptr ? *c : f.copies.emplace_back(Copy{index});
-  }
-  const ClassSettings* class_of(const Request& r) const {
-    return r.cls < 0 ? nullptr : &s_.classes[static_cast<std::size_t>(r.cls)];
-  }
-  Function& function_of(const event::Request& e, int cls) {
-    auto& place = function_index_[e.function];
-    if (place == nullptr) {
-      place = functions_.emplace_back(std::make_unique<Function>()).get();
-      place->id = e.function;
-      place->born = now_;
-    }
-    Function& f = *place;
-    f.cls = cls;
-    f.lanes = std::min(std::max(e.lanes, 1), 1024);
-    if (e.load_hint)
-      f.load_hint = std::max(e.load_hint->count(), 0.0);
-    f.arrivals = 1 + f.arrivals * fading(f.seen, kDemandTau);
-    f.seen = now_;
-    return f;
-  }
-  void drift(double& base, double run, double most) {  // most: of the first
-    base = std::min(base > 0 ? base * (shared() ? kSharedDrift : kBaseDrift) : most, run);
+  bool last_never_ran() const {
+    return !attempts.empty() && attempts.back().state == AttemptState::never_ran;
   }
-  void end_load(Copy& c) { loads_out_ -= std::exchange(c.loading, 0); }
-  void note_load(Function& f, double ms) {
-    f.load.add(ms, kFewGain, kOutlier);
-    any_load_.add(ms, kFewGain / 4, kOutlier);
+  bool last_tried(int host) const { return !attempts.empty() && attempts.back().host == host; }
+  int in_flight() const {
+    return static_cast<int>(std::count_if(attempts.begin(), attempts.end(), is_in_flight));
   }
+  bool has_attempts_left() const { return static_cast<int>(attempts.size()) < max_attempts; }
 };
 
-}  // namespace robinfold::decisions
+}  // namespace robinfold
--- /dev/null
+++ b/src/policy/request_table.h
@@ -0,0 +1,41 @@
+// Open requests and the queues in which they wait.
+#pragma once
+
+#include <cstdint>
+#include <map>
+#include <string>
+#include <unordered_map>
+
+#include "policy/records.h"
+
+namespace robinfold {
+
+// Owns open requests by serial, in order of arrival. Addresses stay valid until the request is erased.
+class RequestTable {
+ public:
+  bool contains(const std::string& id) const { return serials_.count(id) != 0; }
+  // Adds a request with the next serial.
+  Request& add(const std::string& id);
+  void erase(const Request& request);
+
+  // The request, or null.
+  Request* find(const std::string& id);
+  Request* find(std::uint64_t serial);
+  // The request, which is known to exist.
+  Request& at(std::uint64_t serial) { return requests_.at(serial); }
+
+  // Puts a request into its function's queue: a retry goes to the front.
+  static void enqueue_front(const Request& request);
+  static void enqueue_back(const Request& request);
+  static void dequeue(const Request& request);
+
+  auto begin() { return requests_.begin(); }
+  auto end() { return requests_.end(); }
+
+ private:
+  std::map<std::uint64_t, Request> requests_;
+  std::unordered_map<std::string, std::uint64_t> serials_;  // by id
+  std::uint64_t next_serial_ = 1;                           // 0 is the sweep's timer
+};
+
+}  // namespace robinfold
--- /dev/null
+++ b/src/policy/scheduler.h
@@ -0,0 +1,84 @@
+// The decisions of one router, event by event: joins the parts of the policy.
+#pragma once
+
+#include <string>
+#include <vector>
+
+#include "policy/admission.h"
+#include "policy/answer_recorder.h"
+#include "policy/call_router.h"
+#include "policy/class_table.h"
+#include "policy/context.h"
+#include "policy/function_table.h"
+#include "policy/host_load.h"
+#include "policy/host_selector.h"
+#include "policy/host_table.h"
+#include "policy/liveness.h"
+#include "policy/load_estimator.h"
+#include "policy/load_orders.h"
+#include "policy/outlier_detector.h"
+#include "policy/placement.h"
+#include "policy/request_table.h"
+#include "policy/retry_rules.h"
+#include "policy/slow_start_budget.h"
+#include "robinfold/policy.h"
+
+namespace robinfold {
+
+// Owns all parts, from one event::Start to the next or to event::Stop. It does no I/O and has no clock: times
+// come with the events, and a sweep every kSweepInterval by the timer with token 0. A request's own timer has
+// its serial as token.
+class Scheduler {
+ public:
+  Scheduler(Millis now, Gate* gate) : context_(now, gate) {}
+  Scheduler(const Scheduler&) = delete;
+  Scheduler& operator=(const Scheduler&) = delete;
+
+  void set_gate(Gate* gate) { context_.set_gate(gate); }
+  // Takes one event at time `now` and appends the actions that follow from it.
+  void handle(Millis now, const Event& event, std::vector<Action>& actions);
+
+ private:
+  void on(const event::Start& start);
+  void on(const event::Stop&) {}  // Policy drops the scheduler
+  void on(const event::Retune& change);
+  void on(const event::List& list);
+  void on(const event::Request& request);
+  void on(const event::StreamBegan& began);
+  void on(const event::Answer& answer);
+  void on(const event::Left& left);
+  void on(const event::Timer& timer);
+  void on(const event::Probed& probed);
+  void on(const event::Loaded& loaded);
+  void on(const event::Peer&) {}  // routers do not talk to each other
+
+  Request& add_request(const event::Request& request);
+  void set_objective(Request& request, Millis time_left);
+  Attempt* find_attempt(const event::Answer& answer);
+  void sweep();
+
+  Context context_;
+  ClassTable classes_{context_};
+  FunctionTable functions_{context_, classes_};
+  RequestTable requests_;
+  HostTable hosts_{context_, classes_, functions_};
+  HostLoad host_load_{context_};
+  OutlierDetector outliers_{context_, classes_, functions_};
+  Liveness liveness_{context_, functions_, hosts_, outliers_};
+  SlowStartBudget slow_start_{context_, classes_, functions_, hosts_, outliers_};
+  RetryRules retry_rules_{context_, classes_, functions_, hosts_, host_load_};
+  Admission admission_{context_, classes_, functions_, hosts_, host_load_, retry_rules_, requests_};
+  Placement placement_{context_, functions_, hosts_};
+  HostSelector selector_{context_,    functions_,   hosts_,     host_load_, outliers_,
+                         slow_start_, retry_rules_, admission_, placement_};
+  LoadEstimator load_estimator_{context_,  classes_,    functions_, hosts_,
+                                outliers_, slow_start_, admission_, placement_};
+  LoadOrders load_orders_{context_,  functions_,  hosts_,     host_load_,
+                          outliers_, slow_start_, placement_, selector_};
+  AnswerRecorder answer_recorder_{context_, functions_, host_load_, outliers_, liveness_, slow_start_};
+  CallRouter router_{{context_, classes_, functions_, requests_, hosts_, outliers_, slow_start_, retry_rules_,
+                      admission_, selector_, load_estimator_, load_orders_}};
+  Millis watch_again_at_{kNever};  // when to ask again for a list, after one that failed
+};
+
+}  // namespace robinfold
