--- /dev/null
+++ b/src/policy/context.h
@@ -0,0 +1,54 @@
+// What all parts of the policy share while an event is handled: clock, settings, actions, randomness,
+// host_filter.
+#pragma once
+
+#include <random>
+#include <string>
+#include <vector>
+
+#include "lotusyard/policy/policy.h"
+#include "policy/records.h"
+
+namespace lotusyard::policy {
+
+// One per Scheduler. The parts hold a reference to it; only the Scheduler changes clock and settings.
+class Context {
+ public:
+  Context(Millis now, HostFilter* host_filter) : now_(now), host_filter_(host_filter) {}
+
+  // Starts an event at time `now`, whose actions are appended to `actions`.
+  void begin_event(Millis now, std::vector<Action>& actions);
+  // Takes new settings. The classes are in ClassTable: `settings().classes` is empty.
+  void apply_settings(const Settings& settings);
+  void set_host_filter(HostFilter* host_filter) { host_filter_ = host_filter; }
+  void seed(std::uint64_t value) { random_.seed(value); }
+
+  Millis now() const { return now_; }
+  const Settings& settings() const { return settings_; }
+  // Appends an action to those of the event that is handled.
+  void emit(Action&& action);
+
+  // A random number in [0, 1), in steps of a thousandth. Each call is one draw.
+  double random_fraction();
+  // exp(-(now - since) / time_constant): what is left of something measured at `since`.
+  double decay(Millis since, Millis time_constant) const;
+  // True where so many routers share the fleet that each sees a sliver of a function's calls.
+  bool many_routers() const { return settings_.routers >= kManyRouters; }
+  // This router's part of what all routers may do together.
+  double own_share() const { return settings_.share > 0 ? settings_.share : 1.0 / settings_.routers; }
+
+  // True if the host_filter lets calls of the tenant for the function go to the host.
+  bool is_eligible(const std::string& tenant, const Function& function, const Host& host) const {
+    return host_filter_ == nullptr || host_filter_->allows(tenant, function.id, host.entry.worker);
+  }
+  bool has_gate() const { return host_filter_ != nullptr; }
+
+ private:
+  Millis now_;
+  HostFilter* host_filter_;
+  Settings settings_;
+  std::vector<Action>* actions_ = nullptr;
+  std::mt19937_64 random_;
+};
+
+}  // namespace lotusyard::policy
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -13,7 +13,7 @@
     try {
       std::cout << host.reply(line) << std::endl;
     } catch (const std::exception& fault) {
-      std::cerr << "robinfold: " << fault.what() << '\n';
+      std::cerr << "lotusyard: " << fault.what() << '\n';
       return 1;
     }
   }
--- a/src/simulator_adapter/wire.h
+++ b/src/simulator_adapter/wire.h
@@ -1,4 +1,4 @@
-// Translation between the bench's JSON lines and the interface of robinfold. No decision lives here.
+// Translation between the bench's JSON lines and the decision module's interface. No decision lives here.
 #pragma once
 
 #include <algorithm>
--- a/tests/example.cpp
+++ b/tests/example.cpp
@@ -1,4 +1,4 @@
-// How a router embeds robinfold: hand in events, carry out actions.
+// How a router embeds the decision module: hand in events, carry out actions.
 #include <iostream>
 
 #include "lotusyard/policy/policy.h"
