--- a/src/idempotency/sqlite_result_store.cpp
+++ b/src/idempotency/sqlite_result_store.cpp
@@ -14,12 +14,14 @@
 
 // Of columns stage, verdict, cooldown, body, at, address. False: no record of ours, so the file is damaged.
 bool read(Query& row, int first, ResultRecord& out) {
-  const int stage = static_cast<int>(row.number(first)), verdict = static_cast<int>(row.number(first + 1));
+  const int stage = static_cast<int>(row.column_double(first)),
+            verdict = static_cast<int>(row.column_double(first + 1));
   if (stage < 1 || stage > 4 || verdict < 0 || verdict > 2) return false;
   out.stage = static_cast<ResultStage>(stage);
-  out.answer = {static_cast<core::Verdict>(verdict), Millis(row.number(first + 2)), row.bytes(first + 3)};
-  out.at = Millis(row.number(first + 4));
-  out.address = row.bytes(first + 5);
+  out.answer = {static_cast<core::Verdict>(verdict), Millis(row.column_double(first + 2)),
+                row.column_blob(first + 3)};
+  out.at = Millis(row.column_double(first + 4));
+  out.address = row.column_blob(first + 5);
   return true;
 }
 
@@ -92,7 +94,7 @@
   Query query(db_, "PRAGMA quick_check(1)");
   const int code = query.step();
   if (!check_status(code, "check")) return false;
-  const std::string line = query.bytes(0);
+  const std::string line = query.column_blob(0);
   const auto kind = sqlite::classify_check(line);
   return kind == sqlite::ResultKind::ok || report(kind, "check: " + line);
 }
@@ -107,7 +109,7 @@
   // The time is of now: a predecessor that held the file until now may have forgotten calls meanwhile. What
   // this process has forgotten itself stays forgotten, whatever the mark is bounded to.
   const Millis now = created_at_ + (clock_() - created_clock_);
-  complete_from_ = std::max(complete_from_, bounded_mark(Millis(about.number(0)), now));
+  complete_from_ = std::max(complete_from_, bounded_mark(Millis(about.column_double(0)), now));
   return true;
 }
 
@@ -136,7 +138,7 @@
   complete_from_ = at;
   if (!run("DELETE FROM about")) return false;
   Query query(db_, "INSERT INTO about VALUES (?1)");
-  return check_status(query.number(1, at.count()).step(), "about");
+  return check_status(query.bind_double(1, at.count()).step(), "about");
 }
 
 bool SqliteResultStore::measure() {
@@ -144,9 +146,9 @@
               "SELECT count(*), coalesce(sum(length(id) + length(body)), 0), coalesce(sum(stage >= 3), 0)"
               " FROM calls");
   if (!check_status(query.step(), "measure")) return false;
-  size_.records = static_cast<std::size_t>(query.number(0));
-  size_.bytes = static_cast<std::size_t>(query.number(1)) + kRecordBytes * size_.records;
-  answered_ = static_cast<std::size_t>(query.number(2));
+  size_.records = static_cast<std::size_t>(query.column_double(0));
+  size_.bytes = static_cast<std::size_t>(query.column_double(1)) + kRecordBytes * size_.records;
+  answered_ = static_cast<std::size_t>(query.column_double(2));
   return true;
 }
 
@@ -154,7 +156,7 @@
   out.reset();
   if (!is_ready()) return false;
   Query query(db_, "SELECT stage, verdict, cooldown, body, at, address FROM calls WHERE id = ?1");
-  const int code = query.bytes(1, id).step();
+  const int code = query.bind_blob(1, id).step();
   if (!check_status(code, "find")) return false;
   if (code != SQLITE_ROW) return true;
   out.emplace();
@@ -174,9 +176,10 @@
     return false;
   }
   Query query(db_, "INSERT OR REPLACE INTO calls VALUES (?1, ?2, ?3, ?4, ?5, ?6, ?7)");
-  query.bytes(1, id).number(2, static_cast<int>(record.stage));
-  query.number(3, static_cast<int>(record.answer.verdict)).number(4, record.answer.cooldown.count());
-  query.bytes(5, record.answer.body).number(6, record.at.count()).bytes(7, record.address);
+  query.bind_blob(1, id).bind_double(2, static_cast<int>(record.stage));
+  query.bind_double(3, static_cast<int>(record.answer.verdict))
+      .bind_double(4, record.answer.cooldown.count());
+  query.bind_blob(5, record.answer.body).bind_double(6, record.at.count()).bind_blob(7, record.address);
   if (!check_status(query.step(), "put")) return false;
   counters_.add("answers.written");
   last_failure_ = sqlite::ResultKind::ok;
@@ -201,12 +204,13 @@
   const std::string which =
       "at < ?1 OR id IN (SELECT id FROM calls WHERE stage >= 3 ORDER BY at LIMIT " + excess + ")";
   Query newest(db_, ("SELECT max(at) FROM calls WHERE " + which).c_str());
-  if (!check_status(newest.number(1, due.older_than.count()).step(), "prune")) return;
-  const Millis forgotten = bounded_mark(Millis(newest.number(0)), now);
+  if (!check_status(newest.bind_double(1, due.older_than.count()).step(), "prune")) return;
+  const Millis forgotten = bounded_mark(Millis(newest.column_double(0)), now);
   if (forgotten.count() <= 0) return;
   if (forgotten > complete_from_ && !set_complete_from(forgotten)) return;
   Query query(db_, ("DELETE FROM calls WHERE " + which).c_str());
-  if (check_status(query.number(1, due.older_than.count()).step(), "prune")) counters_.add("answers.pruned");
+  if (check_status(query.bind_double(1, due.older_than.count()).step(), "prune"))
+    counters_.add("answers.pruned");
   measure();
 }
 
@@ -217,7 +221,7 @@
   for (; code == SQLITE_ROW; code = query.step()) {
     ResultRecord record;
     if (!read(query, 1, record)) return (void)check_status(SQLITE_CORRUPT, "list");
-    see(query.bytes(0), record);
+    see(query.column_blob(0), record);
   }
   check_status(code, "list");
 }
--- a/tests/golden/stores_golden.cpp
+++ b/tests/golden/stores_golden.cpp
@@ -69,7 +69,7 @@
     std::vector<std::string> out;
     Query query(db_, sql.c_str());
     int code = query.step();
-    for (; code == SQLITE_ROW; code = query.step()) out.push_back(query.bytes(0));
+    for (; code == SQLITE_ROW; code = query.step()) out.push_back(query.column_blob(0));
     REQUIRE(code == SQLITE_DONE);
     return out;
   }
