--- a/src/raft/libraft.h
+++ b/src/raft/libraft.h
@@ -1,4 +1,4 @@
-// libraft's header has no C linkage of its own.
+// Includes libraft with C linkage, which its header does not declare.
 #pragma once
 
 #include <cstdarg>
--- a/src/raft/message_codec.h
+++ b/src/raft/message_codec.h
@@ -1,4 +1,4 @@
-// The consensus messages' own wording. The reader takes nothing that is not whole and sound.
+// Binary serialization of libraft's messages, for frames of the kind `consensus`.
 #pragma once
 
 #include <optional>
@@ -8,9 +8,14 @@
 
 namespace lotusyard::raft {
 
-std::string encode_hello(const raft_message& message);
-// What it points to is made with raft_malloc; whoever gets it hands it to the library or gives it back.
+// `message` must be of one of the types that libraft sends.
+std::string encode_message(const raft_message& message);
+
+// Returns nothing unless the body is complete and well-formed. The memory that the message refers to is
+// allocated with raft_malloc: the caller passes the message on to libraft or releases it by free_message().
 std::optional<raft_message> decode_message(const std::string& body);
-void give_back(raft_message& message);
+
+// Releases the memory of a message made by decode_message().
+void free_message(raft_message& message);
 
 }  // namespace lotusyard::raft
--- a/src/raft/raft_core.cpp
+++ b/src/raft/raft_core.cpp
@@ -5,80 +5,95 @@
 
 #include "raft/message_codec.h"
 #include "raft/raft_buffer.h"
+#include "raft/raft_requests.h"
 
 namespace lotusyard::raft {
 namespace {
 
-constexpr unsigned kSnapshotEvery = 1024, kTrailing = 256;  // entries
-constexpr int kHeartbeats = 5;                              // in the time after which a leader is missed
+constexpr unsigned kSnapshotThreshold = 1024;  // entries after the last snapshot that trigger the next one
+constexpr unsigned kTrailingEntries = 256;     // entries kept before a snapshot, for slow followers
+constexpr int kHeartbeatsPerElectionTimeout = 5;
+constexpr std::uint64_t kFirstTerm = 1;  // of the entry that bootstraps a group
 
-}  // namespace
+std::string consensus_error(const std::string& reason) { return "the group's consensus: " + reason; }
 
-struct RaftCore::MembershipChange {
-  raft_change request{};
-  std::function<void(bool)> done;
-};
+}  // namespace
 
-RaftCore::RaftCore(Scheduler& scheduler, LogStore& store, Delegate& user, std::uint64_t id,
-                   const std::string& address, Millis election, std::uint64_t seed)
+RaftCore::RaftCore(Scheduler& scheduler, LogStore& store, Delegate& delegate, std::uint64_t id,
+                   const std::string& address, Millis election_timeout, std::uint64_t seed)
     : scheduler_(scheduler),
       store_(store),
-      delegate_(user),
+      delegate_(delegate),
       id_(id),
       address_(address),
-      election_(election),
+      election_timeout_(election_timeout),
       random_(seed) {
-  set_callbacks();
-  if (start() == 0 || (suspended_ && !failed_)) return;
-  const std::string why = raft_errmsg(&raft_);
+  set_io_callbacks();
+  set_state_machine_callbacks();
+  const bool started = start() == 0;
+  const bool starts_later = suspended_ && !failed_;
+  if (started || starts_later) {
+    return;
+  }
+  const std::string reason = raft_errmsg(&raft_);
   close();
-  throw LogStoreError("the group's consensus: " + why);
+  throw LogStoreError(consensus_error(reason));
 }
 
 RaftCore::~RaftCore() { close(); }
 
 int RaftCore::start() {
   raft_ = {};
-  matches_ = MatchTracker();
-  if (raft_init(&raft_, &io_, &fsm_, id_, address_.c_str()) != 0)
-    throw LogStoreError(std::string("the group's consensus: ") + raft_errmsg(&raft_),
-                        sqlite::ResultKind::no_memory);
+  match_tracker_ = MatchTracker();
+  if (raft_init(&raft_, &io_, &fsm_, id_, address_.c_str()) != 0) {
+    throw LogStoreError(consensus_error(raft_errmsg(&raft_)), sqlite::ResultKind::no_memory);
+  }
   running_ = true;
   raft_.data = this;
-  raft_set_election_timeout(&raft_, static_cast<unsigned>(election_.count()));
-  raft_set_heartbeat_timeout(&raft_, static_cast<unsigned>(election_.count() / kHeartbeats));
-  raft_set_snapshot_threshold(&raft_, kSnapshotEvery);
-  raft_set_snapshot_trailing(&raft_, kTrailing);
-  raft_set_pre_vote(&raft_, true);  // one that was cut off must not unseat the one that leads
+  const auto election_timeout = election_timeout_.count();
+  raft_set_election_timeout(&raft_, static_cast<unsigned>(election_timeout));
+  raft_set_heartbeat_timeout(&raft_, static_cast<unsigned>(election_timeout / kHeartbeatsPerElectionTimeout));
+  raft_set_snapshot_threshold(&raft_, kSnapshotThreshold);
+  raft_set_snapshot_trailing(&raft_, kTrailingEntries);
+  // Without a pre-vote a member that was partitioned would unseat the leader when it comes back.
+  raft_set_pre_vote(&raft_, true);
   return raft_start(&raft_);
 }
 
-// What was deferred is called here, and nothing of this object stays with the scheduler.
+// Makes the deferred calls and leaves no timer of this object with the scheduler.
 void RaftCore::close() {
-  halt();
-  while (!deferred_.empty()) run_deferred();
+  stop_instance();
+  while (!deferred_.empty()) {
+    run_deferred();
+  }
   scheduler_.cancel(deferred_timer_);
   scheduler_.cancel(tick_timer_);
-  scheduler_.cancel(restarts_);
+  scheduler_.cancel(restart_timer_);
 }
 
-// Never within a call of the library's. What was deferred before is called before the instance has ended.
-void RaftCore::halt() {
-  if (!running_ || closing_) return;
+// Must not be called from within a call of libraft. Calls that were deferred before are made before the
+// instance has ended.
+void RaftCore::stop_instance() {
+  if (!running_ || closing_) {
+    return;
+  }
   last_servers_ = servers();
   closing_ = true;
-  raft_close(&raft_, [](::raft* r) { static_cast<RaftCore*>(r->data)->halted(); });
+  raft_close(&raft_, [](::raft* instance) { static_cast<RaftCore*>(instance->data)->on_instance_closed(); });
 }
 
-void RaftCore::halted() {
-  running_ = closing_ = false;
-  if (suspended_ && !failed_) restart_later();
+void RaftCore::on_instance_closed() {
+  running_ = false;
+  closing_ = false;
+  if (suspended_ && !failed_) {
+    schedule_restart();
+  }
 }
 
-void RaftCore::restart_later() {
+void RaftCore::schedule_restart() {
   const Millis due = scheduler_.now() + backoff_.next();
-  scheduler_.cancel(restarts_);
-  restarts_ = scheduler_.at(due, [this] { restart(); });
+  scheduler_.cancel(restart_timer_);
+  restart_timer_ = scheduler_.at(due, [this] { restart(); });
 }
 
 void RaftCore::restart() {
@@ -87,77 +102,105 @@
     store_.recover();
     suspended_ = false;
     status = start();
-  } catch (const LogStoreError& fault) { store_failed(fault); }
+  } catch (const LogStoreError& error) {
+    handle_store_error(error);
+  }
   if (status == 0 && is_available()) {
     backoff_.reset();
-    return delegate_.available();
+    delegate_.on_store_available();
+    return;
+  }
+  const bool restarts_when_closed = running_ && suspended_;
+  if (failed_ || restarts_when_closed) {
+    return;
+  }
+  if (status != RAFT_NOMEM) {
+    fail(consensus_error(raft_errmsg(&raft_)));
+    return;
   }
-  if (failed_ || (running_ && suspended_)) return;  // for good, or it ends and comes back by itself
-  if (status != RAFT_NOMEM) return fail(std::string("the group's consensus: ") + raft_errmsg(&raft_));
   suspended_ = true;
-  if (running_)
-    halt();
-  else
-    restart_later();
+  if (running_) {
+    stop_instance();
+  } else {
+    schedule_restart();
+  }
 }
 
 void RaftCore::bootstrap(LogStore& store, const std::vector<Server>& servers) {
-  raft_configuration conf;
-  raft_configuration_init(&conf);
-  bool sound = true;
-  for (const auto& s : servers)
-    sound = raft_configuration_add(&conf, s.id, s.address.c_str(), s.role) == 0 && sound;
+  raft_configuration configuration;
+  raft_configuration_init(&configuration);
+  bool valid = true;
+  for (const auto& server : servers) {
+    const int status = raft_configuration_add(&configuration, server.id, server.address.c_str(), server.role);
+    valid = valid && status == 0;
+  }
   raft_buffer buffer{};
-  sound = sound && raft_configuration_encode(&conf, &buffer) == 0;
-  raft_configuration_close(&conf);
-  if (!sound) throw LogStoreError("the group's consensus: two members of one id or address");
-  store.set_term(1);
-  store.append({{1, RAFT_CHANGE, text_of(buffer)}});
+  valid = valid && raft_configuration_encode(&configuration, &buffer) == 0;
+  raft_configuration_close(&configuration);
+  if (!valid) {
+    throw LogStoreError(consensus_error("two members of one id or address"));
+  }
+  store.set_term(kFirstTerm);
+  store.append({{kFirstTerm, RAFT_CHANGE, to_string(buffer)}});
   raft_free(buffer.base);
 }
 
-int RaftCore::store_failed(const LogStoreError& fault) {
-  const bool first = !std::exchange(suspended_, true);
-  if (!fault.transient()) {
-    fail(fault.what());
-  } else if (first) {
-    delegate_.unavailable(fault.kind, fault.what());
+int RaftCore::handle_store_error(const LogStoreError& error) {
+  const bool is_first = !std::exchange(suspended_, true);
+  if (!error.transient()) {
+    fail(error.what());
+  } else if (is_first) {
+    delegate_.on_store_unavailable(error.kind, error.what());
+  }
+  if (is_first && running_) {
+    defer([this] { stop_instance(); });
   }
-  if (first && running_) defer([this] { halt(); });
   return RAFT_IOERR;
 }
 
-void RaftCore::fail(const std::string& why) {
-  if (std::exchange(failed_, true)) return;
-  delegate_.on_store_failure(why);
+void RaftCore::fail(const std::string& reason) {
+  if (!std::exchange(failed_, true)) {
+    delegate_.on_store_failure(reason);
+  }
 }
 
 void RaftCore::defer(std::function<void()> call) {
-  if (deferred_.empty()) deferred_timer_ = scheduler_.at(scheduler_.now(), [this] { run_deferred(); });
+  if (deferred_.empty()) {
+    deferred_timer_ = scheduler_.at(scheduler_.now(), [this] { run_deferred(); });
+  }
   deferred_.push_back(std::move(call));
 }
 
 void RaftCore::run_deferred() {
-  auto now = std::exchange(deferred_, {});
-  for (auto& call : now) call();
+  const auto calls = std::exchange(deferred_, {});
+  for (const auto& call : calls) {
+    call();
+  }
 }
 
 void RaftCore::tick() {
   tick_timer_ = scheduler_.at(scheduler_.now() + tick_interval_, [this] { tick(); });
-  if (tick_ != nullptr && is_available()) tick_(&io_);
+  if (tick_callback_ != nullptr && is_available()) {
+    tick_callback_(&io_);
+  }
 }
 
 void RaftCore::receive(std::uint64_t from, const std::string& address, raft_message&& message) {
   message.server_id = from;
   message.server_address = address.c_str();
-  if (recv_ == nullptr || !is_available()) return give_back(message);
-  matches_.begin(message);
-  recv_(&io_, &message);
-  matches_.end();
+  if (receive_callback_ == nullptr || !is_available()) {
+    free_message(message);
+    return;
+  }
+  match_tracker_.begin(message);
+  receive_callback_(&io_, &message);
+  match_tracker_.end();
 }
 
 RaftCore::Server RaftCore::leader() const {
-  if (!is_available()) return {};
+  if (!is_available()) {
+    return {};
+  }
   raft_id id = 0;
   const char* address = nullptr;
   raft_leader(const_cast<::raft*>(&raft_), &id, &address);
@@ -165,68 +208,31 @@
 }
 
 std::vector<RaftCore::Server> RaftCore::servers() const {
-  if (!running_ || closing_) return last_servers_;
+  if (!running_ || closing_) {
+    return last_servers_;
+  }
   std::vector<Server> out;
   for (unsigned i = 0; i < raft_.configuration.n; ++i) {
-    const auto& s = raft_.configuration.servers[i];
-    out.push_back({s.id, s.address, s.role});
+    const auto& server = raft_.configuration.servers[i];
+    out.push_back({server.id, server.address, server.role});
   }
   return out;
 }
 
-bool RaftCore::propose(const std::string& entry, std::function<void(bool)> done) {
-  if (!is_leader()) return false;
-  struct Apply {
-    struct raft_apply request {};
-    std::function<void(bool)> done;
-  };
-  auto* apply = new Apply;
-  apply->request.data = apply;
-  apply->done = std::move(done);
-  raft_buffer buffer{copied(entry), entry.size()};
-  const int status =
-      raft_apply(&raft_, &apply->request, &buffer, 1, [](struct raft_apply* request, int code, void*) {
-        const std::unique_ptr<Apply> mine(static_cast<Apply*>(request->data));
-        if (mine->done) mine->done(code == 0);
-      });
-  if (status == 0) return true;
-  raft_free(buffer.base);
-  delete apply;
-  return false;
+bool RaftCore::propose(const std::string& entry, Completion done) {
+  return is_leader() && request_apply(raft_, entry, std::move(done));
 }
 
-bool RaftCore::change(const std::function<int(raft_change*)>& start, std::function<void(bool)> done) {
-  if (!is_leader()) return false;
-  auto* asked = new MembershipChange;
-  asked->request.data = asked;
-  asked->done = std::move(done);
-  if (start(&asked->request) == 0) return true;
-  delete asked;
-  return false;
+bool RaftCore::add(const Server& server, Completion done) {
+  return is_leader() && request_add(raft_, server, std::move(done));
 }
 
-namespace {
-template <typename Change>
-void changed(raft_change* request, int status) {
-  const std::unique_ptr<Change> mine(static_cast<Change*>(request->data));
-  if (mine->done) mine->done(status == 0);
+bool RaftCore::assign(std::uint64_t id, int role, Completion done) {
+  return is_leader() && request_assign(raft_, id, role, std::move(done));
 }
-}  // namespace
 
-bool RaftCore::add(const Server& server, std::function<void(bool)> done) {
-  return change(
-      [&](raft_change* r) {
-        return raft_add(&raft_, r, server.id, server.address.c_str(), &changed<MembershipChange>);
-      },
-      std::move(done));
-}
-bool RaftCore::assign(std::uint64_t id, int role, std::function<void(bool)> done) {
-  return change([&](raft_change* r) { return raft_assign(&raft_, r, id, role, &changed<MembershipChange>); },
-                std::move(done));
-}
-bool RaftCore::remove(std::uint64_t id, std::function<void(bool)> done) {
-  return change([&](raft_change* r) { return raft_remove(&raft_, r, id, &changed<MembershipChange>); },
-                std::move(done));
+bool RaftCore::remove(std::uint64_t id, Completion done) {
+  return is_leader() && request_remove(raft_, id, std::move(done));
 }
 
 }  // namespace lotusyard::raft
--- a/src/raft/raft_core_io.cpp
+++ b/src/raft/raft_core_io.cpp
@@ -1,196 +1,206 @@
-// The library's I/O and state machine interfaces, over the store, the scheduler and the user.
+// The callbacks by which libraft reaches its I/O and its state machine, implemented with the store, the
+// scheduler and the delegate of a RaftCore.
 #include <algorithm>
 
 #include "raft/raft_buffer.h"
 #include "raft/raft_core.h"
+#include "raft/stored_conversions.h"
 
 namespace lotusyard::raft {
 namespace {
 
-RaftCore& of(const raft_io* io) { return *static_cast<RaftCore*>(io->impl); }
+constexpr int kIoVersion = 2;            // of the interface raft_io
+constexpr int kStateMachineVersion = 1;  // of the interface raft_fsm
 
-StoredSnapshot stored(const raft_snapshot& from) {
-  StoredSnapshot out{from.index, from.term, from.configuration_index, {}, {}};
-  for (unsigned i = 0; i < from.configuration.n; ++i) {
-    const auto& s = from.configuration.servers[i];
-    out.servers.push_back({s.id, s.address, s.role});
-  }
-  for (unsigned i = 0; i < from.n_bufs; ++i) out.data += text_of(from.bufs[i]);
-  return out;
-}
-
-raft_snapshot* made(const StoredSnapshot& from) {
-  auto* out = static_cast<raft_snapshot*>(raft_calloc(1, sizeof(raft_snapshot)));
-  out->index = from.index;
-  out->term = from.term;
-  out->configuration_index = from.conf_index;
-  raft_configuration_init(&out->configuration);
-  for (const auto& s : from.servers)
-    raft_configuration_add(&out->configuration, s.id, s.address.c_str(), s.role);
-  out->bufs = static_cast<raft_buffer*>(raft_calloc(1, sizeof(raft_buffer)));
-  out->n_bufs = 1;
-  out->bufs[0].base = copied(from.data);
-  out->bufs[0].len = from.data.size();
-  return out;
-}
+RaftCore& core_of(const raft_io* io) { return *static_cast<RaftCore*>(io->impl); }
+RaftCore& core_of(const raft_fsm* fsm) { return *static_cast<RaftCore*>(fsm->data); }
 
 }  // namespace
 
 template <typename Write>
 int RaftCore::persist(const Write& write) {
-  if (failed_ || suspended_) return RAFT_IOERR;
+  if (failed_ || suspended_) {
+    return RAFT_IOERR;
+  }
   try {
     write(store_);
     return 0;
-  } catch (const LogStoreError& fault) { return store_failed(fault); }
+  } catch (const LogStoreError& error) {
+    return handle_store_error(error);
+  }
 }
 
-// What the library calls. Its own callbacks are never called from within one of these.
+// libraft's own callbacks must not be called from within these functions: they are deferred. No exception may
+// pass through libraft's frames.
 struct RaftCore::LibraftCallbacks {
-  static int init(raft_io*, raft_id, const char*) { return 0; }
-  static void close(raft_io* io, raft_io_close_cb cb) {
-    RaftCore& me = of(io);
-    me.scheduler_.cancel(me.tick_timer_);
-    me.tick_ = nullptr;
-    me.recv_ = nullptr;
-    me.defer([io, cb] { cb(io); });
+  static int init(raft_io* /*io*/, raft_id /*id*/, const char* /*address*/) { return 0; }
+
+  static void close(raft_io* io, raft_io_close_cb callback) {
+    RaftCore& core = core_of(io);
+    core.scheduler_.cancel(core.tick_timer_);
+    core.tick_callback_ = nullptr;
+    core.receive_callback_ = nullptr;
+    core.defer([io, callback] { callback(io); });
   }
+
   static int load(raft_io* io, raft_term* term, raft_id* voted_for, raft_snapshot** snapshot,
                   raft_index* start_index, raft_entry* entries[], std::size_t* n_entries) {
+    RaftCore& core = core_of(io);
     try {
-      return read(of(io).store_, term, voted_for, snapshot, start_index, entries, n_entries);
-    } catch (const LogStoreError& fault) {  // never through the library's frames
-      return of(io).store_failed(fault);
+      const LogStore& store = core.store_;
+      *term = store.term();
+      *voted_for = store.vote();
+      // The last read that may throw comes before the first allocation from libraft's memory.
+      const auto stored_entries = store.entries();
+      *snapshot = store.has_snapshot() ? to_raft_snapshot(store.snapshot()) : nullptr;
+      *start_index = store.first_index();
+      *n_entries = stored_entries.size();
+      *entries = to_raft_entries(stored_entries);
+      return 0;
+    } catch (const LogStoreError& error) {
+      return core.handle_store_error(error);
     }
   }
-  static int read(const LogStore& store, raft_term* term, raft_id* voted_for, raft_snapshot** snapshot,
-                  raft_index* start_index, raft_entry* entries[], std::size_t* n_entries) {
-    *term = store.term();
-    *voted_for = store.vote();
-    const auto kept_entries = store.entries();
-    // What may throw is behind us once the library's memory is taken.
-    *snapshot = store.has_snapshot() ? made(store.snapshot()) : nullptr;
-    *start_index = store.first_index();
-    *n_entries = kept_entries.size();
-    *entries = nullptr;
-    if (kept_entries.empty()) return 0;
-    *entries = static_cast<raft_entry*>(raft_calloc(kept_entries.size(), sizeof(raft_entry)));
-    for (std::size_t i = 0; i < kept_entries.size(); ++i) {
-      raft_entry& entry = (*entries)[i];
-      entry.term = kept_entries[i].term;
-      entry.type = kept_entries[i].type;
-      entry.buf.len = kept_entries[i].data.size();
-      entry.buf.base = copied(kept_entries[i].data);
-    }
+
+  static int start(raft_io* io, unsigned tick_interval_ms, raft_io_tick_cb tick, raft_io_recv_cb receive) {
+    RaftCore& core = core_of(io);
+    core.tick_interval_ = Millis(tick_interval_ms);
+    core.tick_callback_ = tick;
+    core.receive_callback_ = receive;
+    const Millis due = core.scheduler_.now() + core.tick_interval_;
+    core.tick_timer_ = core.scheduler_.at(due, [&core] { core.tick(); });
     return 0;
   }
-  static int start(raft_io* io, unsigned msecs, raft_io_tick_cb tick, raft_io_recv_cb recv) {
-    RaftCore& me = of(io);
-    me.tick_interval_ = Millis(msecs);
-    me.tick_ = tick;
-    me.recv_ = recv;
-    me.tick_timer_ = me.scheduler_.at(me.scheduler_.now() + me.tick_interval_, [&me] { me.tick(); });
-    return 0;
+
+  // A group is bootstrapped by RaftCore::bootstrap().
+  static int bootstrap(raft_io* /*io*/, const raft_configuration* /*configuration*/) {
+    return RAFT_CANTBOOTSTRAP;
   }
-  static int bootstrap(raft_io*, const raft_configuration*) { return RAFT_CANTBOOTSTRAP; }  // see `found`
-  static int recover(raft_io*, const raft_configuration*) { return RAFT_INVALID; }
+
+  static int recover(raft_io* /*io*/, const raft_configuration* /*configuration*/) { return RAFT_INVALID; }
+
   static int set_term(raft_io* io, raft_term term) {
-    return of(io).persist([&](LogStore& store) { store.set_term(term); });
+    return core_of(io).persist([&](LogStore& store) { store.set_term(term); });
   }
+
   static int set_vote(raft_io* io, raft_id id) {
-    return of(io).persist([&](LogStore& store) { store.set_vote(id); });
-  }
-  static int send(raft_io* io, raft_io_send* req, const raft_message* message, raft_io_send_cb cb) {
-    RaftCore& me = of(io);
-    req->cb = cb;
-    if (!me.suspended_)
-      me.delegate_.send(message->server_id, message->server_address, me.matches_.bounded(*message));
-    me.defer([req] { req->cb(req, 0); });  // lost or not: it is sent again until it is answered
+    return core_of(io).persist([&](LogStore& store) { store.set_vote(id); });
+  }
+
+  static int send(raft_io* io, raft_io_send* request, const raft_message* message, raft_io_send_cb callback) {
+    RaftCore& core = core_of(io);
+    request->cb = callback;
+    if (!core.suspended_) {
+      const raft_message bounded = core.match_tracker_.bounded(*message);
+      core.delegate_.send(message->server_id, message->server_address, bounded);
+    }
+    // Success even if the message is lost: libraft sends again until it is answered.
+    core.defer([request] { request->cb(request, 0); });
     return 0;
   }
-  static int append(raft_io* io, raft_io_append* req, const raft_entry entries[], unsigned n,
-                    raft_io_append_cb cb) {
-    of(io).matches_.accepted();
+
+  static int append(raft_io* io, raft_io_append* request, const raft_entry entries[], unsigned n_entries,
+                    raft_io_append_cb callback) {
+    RaftCore& core = core_of(io);
+    core.match_tracker_.accepted();
     std::vector<StoredEntry> rows;
-    for (unsigned i = 0; i < n; ++i)
-      rows.push_back({entries[i].term, entries[i].type, text_of(entries[i].buf)});
-    const int status = of(io).persist([&](LogStore& store) { store.append(rows); });
-    req->cb = cb;
-    of(io).defer([req, status] { req->cb(req, status); });
+    for (unsigned i = 0; i < n_entries; ++i) {
+      rows.push_back({entries[i].term, entries[i].type, to_string(entries[i].buf)});
+    }
+    const int status = core.persist([&](LogStore& store) { store.append(rows); });
+    request->cb = callback;
+    core.defer([request, status] { request->cb(request, status); });
     return 0;
   }
+
   static int truncate(raft_io* io, raft_index index) {
-    return of(io).persist([&](LogStore& store) { store.truncate(index); });
+    return core_of(io).persist([&](LogStore& store) { store.truncate(index); });
   }
-  static int snapshot_put(raft_io* io, unsigned trailing, raft_io_snapshot_put* req,
-                          const raft_snapshot* snapshot, raft_io_snapshot_put_cb cb) {
-    of(io).matches_.accepted();
+
+  static int snapshot_put(raft_io* io, unsigned trailing, raft_io_snapshot_put* request,
+                          const raft_snapshot* snapshot, raft_io_snapshot_put_cb callback) {
+    RaftCore& core = core_of(io);
+    core.match_tracker_.accepted();
     const int status =
-        of(io).persist([&](LogStore& store) { store.put_snapshot(stored(*snapshot), trailing); });
-    req->cb = cb;
-    of(io).defer([req, status] { req->cb(req, status); });
+        core.persist([&](LogStore& store) { store.put_snapshot(to_stored_snapshot(*snapshot), trailing); });
+    request->cb = callback;
+    core.defer([request, status] { request->cb(request, status); });
     return 0;
   }
-  static int snapshot_get(raft_io* io, raft_io_snapshot_get* req, raft_io_snapshot_get_cb cb) {
-    req->cb = cb;
+
+  static int snapshot_get(raft_io* io, raft_io_snapshot_get* request, raft_io_snapshot_get_cb callback) {
+    RaftCore& core = core_of(io);
+    request->cb = callback;
     raft_snapshot* snapshot = nullptr;
-    const int status = of(io).persist([&](LogStore& store) { snapshot = made(store.snapshot()); });
-    of(io).defer([req, snapshot, status] { req->cb(req, snapshot, status); });
+    const int status = core.persist([&](LogStore& store) { snapshot = to_raft_snapshot(store.snapshot()); });
+    core.defer([request, snapshot, status] { request->cb(request, snapshot, status); });
     return 0;
   }
-  static raft_time time(raft_io* io) { return static_cast<raft_time>(of(io).scheduler_.now().count()); }
+
+  static raft_time time(raft_io* io) { return static_cast<raft_time>(core_of(io).scheduler_.now().count()); }
+
   static int random(raft_io* io, int min, int max) {
-    return min + static_cast<int>(of(io).random_() % static_cast<unsigned>(std::max(1, max - min)));
+    const auto range = static_cast<unsigned>(std::max(1, max - min));
+    return min + static_cast<int>(core_of(io).random_() % range);
   }
-  static int async_work(raft_io* io, raft_io_async_work* req, raft_io_async_work_cb cb) {
-    const int status = req->work(req);
-    req->cb = cb;
-    of(io).defer([req, status] { req->cb(req, status); });
+
+  static int async_work(raft_io* io, raft_io_async_work* request, raft_io_async_work_cb callback) {
+    const int status = request->work(request);
+    request->cb = callback;
+    core_of(io).defer([request, status] { request->cb(request, status); });
     return 0;
   }
-  static int apply(raft_fsm* fsm, const raft_buffer* buf, void** result) {
-    auto& me = *static_cast<RaftCore*>(fsm->data);
+
+  static int apply(raft_fsm* fsm, const raft_buffer* buffer, void** result) {
+    RaftCore& core = core_of(fsm);
     *result = nullptr;
-    // The library applies entry by entry; what it has applied stands one behind while it does.
-    const std::uint64_t index = me.raft_.last_applied + 1;
-    if (index <= me.applied_) return 0;
-    me.delegate_.apply(index, text_of(*buf));
-    me.applied_ = index;
+    // libraft applies one entry at a time, and increments last_applied after this call.
+    const std::uint64_t index = core.raft_.last_applied + 1;
+    if (index <= core.applied_index_) {
+      return 0;
+    }
+    core.delegate_.apply(index, to_string(*buffer));
+    core.applied_index_ = index;
     return 0;
   }
-  static int snapshot(raft_fsm* fsm, raft_buffer* bufs[], unsigned* n_bufs) {
-    auto& me = *static_cast<RaftCore*>(fsm->data);
-    // The user's state is ahead of this instance's index: a snapshot would hold entries that come again after
-    // it. The library tries again later.
-    if (me.applied_ > me.raft_.last_applied) return RAFT_BUSY;
-    const std::string data = me.delegate_.snapshot();
-    *bufs = static_cast<raft_buffer*>(raft_calloc(1, sizeof(raft_buffer)));
-    if (*bufs == nullptr) return RAFT_NOMEM;
-    *n_bufs = 1;
-    (*bufs)[0].base = copied(data);
-    (*bufs)[0].len = data.size();
+
+  static int snapshot(raft_fsm* fsm, raft_buffer* buffers[], unsigned* n_buffers) {
+    RaftCore& core = core_of(fsm);
+    // If the delegate's state is ahead of this instance, the snapshot would contain entries that are applied
+    // again after it is restored. libraft tries again later.
+    if (core.applied_index_ > core.raft_.last_applied) {
+      return RAFT_BUSY;
+    }
+    const std::string data = core.delegate_.snapshot();
+    *buffers = static_cast<raft_buffer*>(raft_calloc(1, sizeof(raft_buffer)));
+    if (*buffers == nullptr) {
+      return RAFT_NOMEM;
+    }
+    *n_buffers = 1;
+    (*buffers)[0].base = copy_to_raft_memory(data);
+    (*buffers)[0].len = data.size();
     return 0;
   }
-  static int restore(raft_fsm* fsm, raft_buffer* buf) {
-    auto& me = *static_cast<RaftCore*>(fsm->data);
-    const std::uint64_t index = me.store_.snapshot_index();  // it is stored before it is restored
-    if (index != 0 && index <= me.applied_) {
-      raft_free(buf->base);
-      return 0;
-    }
-    const bool read = me.delegate_.restore(text_of(*buf));
-    if (!read) {
-      me.fail("the group's snapshot is of another version of the program, or damaged");
+
+  static int restore(raft_fsm* fsm, raft_buffer* buffer) {
+    RaftCore& core = core_of(fsm);
+    const std::uint64_t index =
+        core.store_.snapshot_index();  // libraft stores a snapshot before it restores it
+    const bool is_applied = index != 0 && index <= core.applied_index_;
+    if (!is_applied && !core.delegate_.restore(to_string(*buffer))) {
+      core.fail("the group's snapshot is of another version of the program, or damaged");
       return RAFT_MALFORMED;
     }
-    raft_free(buf->base);
-    me.applied_ = index;
+    raft_free(buffer->base);
+    if (!is_applied) {
+      core.applied_index_ = index;
+    }
     return 0;
   }
 };
 
-void RaftCore::set_callbacks() {
-  io_.version = 2;
+void RaftCore::set_io_callbacks() {
+  io_.version = kIoVersion;
   io_.impl = this;
   io_.init = LibraftCallbacks::init;
   io_.close = LibraftCallbacks::close;
@@ -208,7 +218,10 @@
   io_.time = LibraftCallbacks::time;
   io_.random = LibraftCallbacks::random;
   io_.async_work = LibraftCallbacks::async_work;
-  fsm_.version = 1;
+}
+
+void RaftCore::set_state_machine_callbacks() {
+  fsm_.version = kStateMachineVersion;
   fsm_.data = this;
   fsm_.apply = LibraftCallbacks::apply;
   fsm_.snapshot = LibraftCallbacks::snapshot;
--- a/src/raft/raft_replica.h
+++ b/src/raft/raft_replica.h
@@ -1,4 +1,5 @@
-// One member of a group: its store, its links and the agreed log, for the parts that decide by them.
+// A member of a raft group: its store, its transport, its raft instance and the state machines that share the
+// replicated log. It also handles the admission of members that have no store yet.
 #pragma once
 
 #include <functional>
@@ -14,48 +15,61 @@
 
 namespace lotusyard::raft {
 
+// Not thread-safe: runs on the event loop.
 class RaftReplica final : private RaftCore::Delegate {
  public:
   using LogSink = PeerTransport::LogSink;
 
-  // Told of the log as a whole, once all parts have taken in what came.
+  // Follows the log as a whole, after the state machines have applied an entry or a snapshot.
   class Observer {
    public:
     virtual ~Observer() = default;
     virtual void log_applied(std::uint64_t index) = 0;
-    virtual void log_restored() = 0;  // the state was replaced by a snapshot of an index not told
+    // The state was replaced by a snapshot, whose index is not passed.
+    virtual void log_restored() = 0;
   };
 
-  // A frame of the kind `view`, from whoever was let in; it needs no agreement.
+  // Receives gossip frames of any peer whose hello was accepted; they need no consensus.
   using GossipHandler = std::function<void(const std::string& member, const std::string& body)>;
 
-  // The parts outlive it. Throws config::ConfigError or StoreError.
+  // Opens the store and starts the raft instance, or asks for admission if the store is empty. All references
+  // and state machines must outlive it. Throws config::ConfigError or LogStoreError.
   RaftReplica(net::EventLoop& loop, core::Counters& counters, const Config& config,
-              std::vector<ReplicatedStateMachine*> parts, LogSink note);
+              std::vector<ReplicatedStateMachine*> state_machines, LogSink log);
   ~RaftReplica() override;
-  static void bootstrap(
-      const Config& config);  // begins this member's store; once, before a group's first start
+  // Initializes the store of a founding member, once, before the first start of the group. Throws
+  // LogStoreError.
+  static void bootstrap(const Config& config);
 
   const Config& config() const { return config_; }
   std::uint64_t id() const { return identity_.id; }
   std::uint64_t incarnation() const { return identity_.incarnation; }
-  // Larger than the present one and `above`, and kept before it is told; throws StoreError.
+  // Begins an incarnation above the current one and `above`, which is durable on return. Throws
+  // LogStoreError.
   std::uint64_t begin_new_incarnation(std::uint64_t above = 0);
+  // Whether this member was admitted to the group.
   bool is_member() const { return raft_core_ != nullptr; }
   bool is_leader() const { return raft_core_ && raft_core_->is_leader(); }
+  // The id of the current leader; 0: not known.
   std::uint64_t leader() const { return raft_core_ ? raft_core_->leader().id : 0; }
   std::uint64_t term() const { return raft_core_ ? raft_core_->term() : 0; }
-  std::vector<RaftCore::Server> servers() const;
-  // At the one that leads; false elsewhere. `done`: whether it was agreed upon, as far as is known here.
-  bool propose(const ReplicatedStateMachine& part, const std::string& entry,
-               std::function<void(bool)> done = {});
-  // False: nobody is known to lead, or nothing goes out there.
-  bool send_to_leader(const ReplicatedStateMachine& part, const std::string& word);
-  void set_observer(Observer* observer) { observer_ = observer; }  // one; null: none
-  void set_gossip_handler(GossipHandler heard) { gossip_handler_ = std::move(heard); }
-  bool send_gossip(const std::string& address, const std::string& body);  // to whoever listens there
+  std::vector<RaftCore::Server> servers() const {
+    return raft_core_ ? raft_core_->servers() : std::vector<RaftCore::Server>();
+  }
+  // Proposes an entry of a state machine. Returns false, without calling `done`, unless this is the leader.
+  bool propose(const ReplicatedStateMachine& state_machine, const std::string& entry,
+               RaftCore::Completion done = {});
+  // Sends a message to the leader's state machine of the same name. Returns false if no leader is known or
+  // nothing was sent.
+  bool send_to_leader(const ReplicatedStateMachine& state_machine, const std::string& message);
+  // Sets the only observer; null removes it.
+  void set_observer(Observer* observer) { observer_ = observer; }
+  void set_gossip_handler(GossipHandler handler) { gossip_handler_ = std::move(handler); }
+  // Sends a gossip frame to whichever member listens at `address`. Returns false if nothing was sent.
+  bool send_gossip(const std::string& address, const std::string& body);
   bool is_available() const { return raft_core_ && raft_core_->is_available(); }
-  std::size_t stored_bytes() const;  // bytes of the store's file; 0: it cannot be read just now
+  // The size of the store's file in bytes; 0: it cannot be read at present.
+  std::size_t stored_bytes() const;
 
  private:
   net::EventLoop& loop_;
@@ -69,26 +83,36 @@
   LogStore store_;
   Identity identity_;
   PeerTransport transport_;
-  std::unique_ptr<RaftCore> raft_core_;
+  std::unique_ptr<RaftCore> raft_core_;  // null until this member is admitted
   net::EventLoop::TimerId admission_timer_{};
-  std::size_t admission_requests_ = 0;
-  bool changing_ = false;
+  std::size_t admission_requests_ = 0;     // sent so far
+  bool membership_change_active_ = false;  // at the leader
 
+  void open_identity();
   void start_raft();
-  void request_admission();
-  void handle_admission_request(const std::string& name, const std::string& address);
-  void assign_role(std::uint64_t id, const std::string& address, int role);
   void receive(const Hello& from, Frame&& frame);
+  void receive_consensus(const Hello& from, const std::string& body);
+  std::string find_address(const Hello& from) const;
+
+  // Messages among replicas and the admission of new members: admission.cpp.
   void handle_message(const Hello& from, const std::string& body);
+  void handle_leader_message(const std::string& body);
+  void handle_admission_message(const Hello& from, const std::string& body);
+  void handle_assigned_id(const std::string& body);
+  void request_admission();
+  void admit(const std::string& name, const std::string& address);
+  void admit_again(const std::string& name, const RaftCore::Server& server);
+  void assign_role(std::uint64_t id, const std::string& address, int role);
+  void join(std::uint64_t id);
 
-  ReplicatedStateMachine* find_state_machine(const std::string& kind) const;
+  ReplicatedStateMachine* find_state_machine(const std::string& name) const;
   void apply(std::uint64_t index, const std::string& entry) override;
   std::string snapshot() override;
   bool restore(const std::string& snapshot) override;
   void send(std::uint64_t to, const std::string& address, const raft_message& message) override;
-  void on_store_failure(const std::string& why) override;
-  void unavailable(sqlite::ResultKind kind, const std::string& why) override;
-  void available() override;
+  void on_store_failure(const std::string& reason) override;
+  void on_store_unavailable(sqlite::ResultKind kind, const std::string& reason) override;
+  void on_store_available() override;
 };
 
 }  // namespace lotusyard::raft
--- a/src/raft/replicated_state_machine.h
+++ b/src/raft/replicated_state_machine.h
@@ -1,5 +1,6 @@
-// Whoever decides by a group's log. Several parts share one member, one log and one set of links; each has
-// its own kind of entry, word and snapshot.
+// The interface of a state machine that is replicated by a raft group. Several state machines share one
+// replica, one log and one transport; each has entries, messages and a snapshot of its own, which are tagged
+// with its name.
 #pragma once
 
 #include <cstdint>
@@ -10,23 +11,39 @@
 
 namespace lotusyard::raft {
 
-// Calls come from the loop, one at a time; `restore` also while the member is being made.
+// All calls come from the event loop, one at a time; restore() is also called while the RaftReplica is being
+// constructed.
 class ReplicatedStateMachine {
  public:
   virtual ~ReplicatedStateMachine() = default;
-  virtual const char* name() const = 0;  // small letters; goes before all that is this part's
+
+  // The tag of its entries, messages and snapshots. It is stored and sent: never change it. Lower case.
+  virtual const char* name() const = 0;
+
+  // Applies a committed entry. Must be deterministic.
   virtual void apply(std::uint64_t index, const std::string& entry) = 0;
+
+  // Returns the whole state, serialized.
   virtual std::string snapshot() = 0;
-  // False: it cannot be read. Empty: the group had none of this part yet.
+
+  // Replaces the state. An empty snapshot means that the group had no state of this kind yet. Returns false
+  // if the snapshot cannot be read.
   virtual bool restore(const std::string& snapshot) = 0;
-  virtual void handle_message(const std::string& word) = 0;  // by another member, to the one that leads
-  virtual void on_store_failure(const std::string& why) = 0;
+
+  // Handles a message that a member sent to the leader; called at the leader only.
+  virtual void handle_message(const std::string& message) = 0;
+
+  // The store has failed permanently: this replica takes no part in the group any more.
+  virtual void on_store_failure(const std::string& reason) = 0;
 };
 
-// The wording of what several parts put into one log.
-std::string tag_entry(const std::string& kind, const std::string& text);
-// Kind and text. What was written before there were kinds is of works.
+// Tags an entry or a message with the name of its state machine, and splits it again into name and text. An
+// entry without a tag was written when there was only the maintenance state machine, and belongs to it.
+std::string tag_entry(const std::string& name, const std::string& text);
 std::pair<std::string, std::string> untag_entry(const std::string& tagged);
+
+// Serializes the snapshots of all state machines, by name. The decoder returns nothing if the input is
+// malformed.
 std::string encode_snapshots(const std::map<std::string, std::string>& snapshots);
 std::optional<std::map<std::string, std::string>> decode_snapshots(const std::string& snapshot);
 
--- a/tests/golden/raft_golden.cpp
+++ b/tests/golden/raft_golden.cpp
@@ -13,7 +13,7 @@
 std::string reencode_frame(const std::string& bytes) {
   FrameParser parser;
   std::vector<Frame> out;
-  if (!parser.take(bytes, out) || out.size() != 1) throw std::runtime_error("it isn't one whole frame");
+  if (!parser.parse(bytes, out) || out.size() != 1) throw std::runtime_error("it isn't one whole frame");
   return encode_frame(out.front().kind, out.front().body);
 }
 
@@ -21,8 +21,8 @@
 
 std::string reencode_consensus(const std::string& bytes) {
   raft_message message = decoded(decode_message(bytes));
-  const std::string out = encode_hello(message);
-  give_back(message);
+  const std::string out = encode_message(message);
+  free_message(message);
   return out;
 }
 
@@ -44,7 +44,7 @@
   m.request_vote.last_log_term = 4;
   m.request_vote.disrupt_leader = true;
   m.request_vote.pre_vote = false;
-  return encode_hello(m);
+  return encode_message(m);
 }
 
 std::string vote_result(raft_tribool pre_vote) {
@@ -53,7 +53,7 @@
   m.request_vote_result.term = 5;
   m.request_vote_result.vote_granted = true;
   m.request_vote_result.pre_vote = pre_vote;
-  return encode_hello(m);
+  return encode_message(m);
 }
 
 std::string append_entries(bool heartbeat) {
@@ -75,7 +75,7 @@
   m.append_entries.leader_commit = 298;
   m.append_entries.entries = heartbeat ? nullptr : entries;
   m.append_entries.n_entries = heartbeat ? 0 : 3;
-  return encode_hello(m);
+  return encode_message(m);
 }
 
 std::string append_result() {
@@ -84,7 +84,7 @@
   m.append_entries_result.term = 5;
   m.append_entries_result.rejected = 299;
   m.append_entries_result.last_log_index = 290;
-  return encode_hello(m);
+  return encode_message(m);
 }
 
 std::string install_snapshot() {
@@ -99,7 +99,7 @@
   raft_configuration_add(&m.install_snapshot.conf, 1, "127.0.0.1:7200", RAFT_VOTER);
   raft_configuration_add(&m.install_snapshot.conf, 2, "127.0.0.1:7201", RAFT_STANDBY);
   m.install_snapshot.data = {data.data(), data.size()};
-  std::string out = encode_hello(m);
+  std::string out = encode_message(m);
   raft_configuration_close(&m.install_snapshot.conf);
   return out;
 }
@@ -110,7 +110,7 @@
   m.timeout_now.term = 5;
   m.timeout_now.last_log_index = 300;
   m.timeout_now.last_log_term = 5;
-  return encode_hello(m);
+  return encode_message(m);
 }
 
 void add_frames(std::vector<Sample>& out) {
@@ -128,10 +128,10 @@
 Part raft_part() {
   Part out{"raft", {}};
   add_frames(out.samples);
-  const Hello hello{protocol_version, "yard-1", "member-1", 1ULL << 60, 2, 3000.5, 0.0125, 2000};
+  const Hello hello{kProtocolVersion, "yard-1", "member-1", 1ULL << 60, 2, 3000.5, 0.0125, 2000};
   const std::vector<Sample> more = {
       {"hello", encode_hello(hello), reencode_hello},
-      {"hello before ids are known", encode_hello(Hello{protocol_version, "yard-1", "m", 0, 0, 1, 0, 1}),
+      {"hello before ids are known", encode_hello(Hello{kProtocolVersion, "yard-1", "m", 0, 0, 1, 0, 1}),
        reencode_hello},
       {"vote request", vote_request(), reencode_consensus},
       {"vote result unknown", vote_result(raft_tribool_unknown), reencode_consensus},
--- a/tests/lotusyard/group_relay.h
+++ b/tests/lotusyard/group_relay.h
@@ -58,7 +58,7 @@
     void on_received(std::string_view bytes) override {
       if (from.empty()) {
         std::vector<Frame> frames;
-        if (!parser_.take(bytes, frames)) return over();
+        if (!parser_.parse(bytes, frames)) return over();
         if (!frames.empty()) from = raft::decode_hello(frames[0].body).value_or(raft::Hello()).member;
       }
       if (relay_.cut.count(from) != 0) dead = true;  // whatever comes is lost, and nobody is told
--- a/tests/lotusyard/group_test.cpp
+++ b/tests/lotusyard/group_test.cpp
@@ -19,6 +19,12 @@
 using raft::LogStoreError;
 using raft::StoredEntry;
 
+// The frame parser with the name that parse_cut() calls.
+struct CutFrameParser {
+  FrameParser parser;
+  bool take(std::string_view bytes, std::vector<Frame>& out) { return parser.parse(bytes, out); }
+};
+
 // ---- The store ----
 
 TEST_CASE("a member's store gives back what it was given, and is held by one at a time") {
@@ -155,12 +161,12 @@
   raft_message m{};
   m.type = RAFT_IO_APPEND_ENTRIES;
   m.append_entries = {9, 8, 7, 6, entries, 3};
-  const std::string body = raft::encode_hello(m);
+  const std::string body = raft::encode_message(m);
   const std::string bytes =
       raft::encode_frame(Frame::Kind::consensus, body) + raft::encode_frame(Frame::Kind::message, "t{}");
   for (int i = 0; i < 50; ++i) {
     bool sound = false;
-    const auto frames = parse_cut<FrameParser, Frame>(random, bytes, sound);
+    const auto frames = parse_cut<CutFrameParser, Frame>(random, bytes, sound);
     REQUIRE(sound);
     REQUIRE(frames.size() == 2);
     auto read = raft::decode_message(frames[0].body);
@@ -168,7 +174,7 @@
     REQUIRE(read->append_entries.n_entries == 3);
     CHECK(read->append_entries.prev_log_index == 8);
     CHECK(std::string(static_cast<const char*>(read->append_entries.entries[1].buf.base), 70000) == data[1]);
-    raft::give_back(*read);
+    raft::free_message(*read);
   }
   for (int i = 0; i < 3000; ++i) {
     std::string spoilt = body.substr(0, 120);
@@ -176,15 +182,15 @@
       spoilt.resize(below(random, spoilt.size()));
     else
       spoilt[below(random, spoilt.size())] = static_cast<char>(random());
-    if (auto read = raft::decode_message(spoilt)) raft::give_back(*read);
+    if (auto read = raft::decode_message(spoilt)) raft::free_message(*read);
     FrameParser parser;
     std::vector<Frame> out;
-    parser.take(garbage(random, std::string("\0\0\0\x01\x02\x03", 6)), out);
+    parser.parse(garbage(random, std::string("\0\0\0\x01\x02\x03", 6)), out);
     raft::decode_hello(garbage(random, "{}:,\"abc1"));
   }
   FrameParser parser;
   std::vector<Frame> out;
-  CHECK_FALSE(parser.take(std::string("\x7f\xff\xff\xff\x02", 5), out));  // longer than any frame
+  CHECK_FALSE(parser.parse(std::string("\x7f\xff\xff\xff\x02", 5), out));  // longer than any frame
 }
 
 TEST_CASE("a member of another group, version, lease or id is turned away with a reason") {
--- a/tests/lotusyard/part_test.cpp
+++ b/tests/lotusyard/part_test.cpp
@@ -36,7 +36,7 @@
     config.store = folder.path + "/a.db";
     config.listen = config.address = net::bound_address(free);
     config.members = {{"a", config.address, true}};
-    config.election = Millis(50);
+    config.election_timeout = Millis(50);
     raft::RaftReplica::bootstrap(config);
   }
   template <typename Until>
--- a/tests/lotusyard/replica_restart_test.cpp
+++ b/tests/lotusyard/replica_restart_test.cpp
@@ -23,8 +23,8 @@
     if (message.type == RAFT_IO_APPEND_ENTRIES_RESULT) answers.push_back(message.append_entries_result);
   }
   void on_store_failure(const std::string& why) override { failure = why; }
-  void unavailable(sqlite::ResultKind, const std::string&) override { ++unavailable_times; }
-  void available() override { ++available_times; }
+  void on_store_unavailable(sqlite::ResultKind, const std::string&) override { ++unavailable_times; }
+  void on_store_available() override { ++available_times; }
 };
 
 TEST_CASE("replicas: no snapshot is taken of a state that is ahead of the instance that started again") {
--- a/tests/lotusyard/replica_world.h
+++ b/tests/lotusyard/replica_world.h
@@ -108,11 +108,11 @@
     }
     void send(std::uint64_t to, const std::string&, const raft_message& message) override {
       world->checker.sent(id, to, message);
-      world->deliver_later(id, to, raft::encode_hello(message));
+      world->deliver_later(id, to, raft::encode_message(message));
     }
     void on_store_failure(const std::string& why) override { failure = why; }
-    void unavailable(sqlite::ResultKind, const std::string&) override { ++unavailable_times; }
-    void available() override {}
+    void on_store_unavailable(sqlite::ResultKind, const std::string&) override { ++unavailable_times; }
+    void on_store_available() override {}
   };
 
   explicit ReplicaWorld(std::uint64_t seed) : random(seed) {
@@ -216,7 +216,7 @@
       Replica& r = replicas[to - 1];
       auto message = raft::decode_message(body);
       if (!message) return checker.fault("a message that cannot be read");
-      if (!r.consensus) return raft::give_back(*message);
+      if (!r.consensus) return raft::free_message(*message);
       r.consensus->receive(from, "r" + std::to_string(from), std::move(*message));
     });
   }
--- a/tests/wall_clock/fleet_test.cpp
+++ b/tests/wall_clock/fleet_test.cpp
@@ -97,7 +97,7 @@
     out.store = file.path;
     out.listen = out.address = net::bound_address(free);
     out.members = {{"a", out.address, true}};
-    out.election = Millis(50);
+    out.election_timeout = Millis(50);
     out.terms.lease = Millis(400);
     raft::RaftReplica::bootstrap(out);
     return out;
