--- a/src/raft/frame.h
+++ b/src/raft/frame.h
@@ -18,7 +18,7 @@
   enum class Kind : std::uint8_t {
     hello = 1,      // the first frame of a connection, from the side that connects
     consensus = 2,  // a message of libraft, see message_codec.h
-    message = 3,    // a message among replicas, see admission.cpp
+    message = 3,    // a message among replicas, see replica_message.h
     refusal = 4,    // the reason for which a hello was rejected
     received = 5,   // an acknowledgement that the connection delivers data
     gossip = 6      // a message of the gossip service
--- a/src/raft/raft_replica.cpp
+++ b/src/raft/raft_replica.cpp
@@ -1,50 +1,16 @@
 #include "raft/raft_replica.h"
 
-#include <algorithm>
-
 #include "config/config.h"
 #include "raft/message_codec.h"
+#include "raft/replica_identity.h"
 
 namespace lotusyard::raft {
 namespace {
 
 constexpr std::size_t kMaxLoggedNameBytes = 40;
 
-Hello hello_of(const Config& config, const Identity& identity) {
-  Hello out;
-  out.cluster = config.cluster;
-  out.member = config.member;
-  out.from = identity.id;
-  out.lease = config.terms.lease.count();
-  out.drift = config.terms.clock_drift;
-  out.last_call = config.terms.max_attempt_time.count();
-  return out;
-}
-
 }  // namespace
 
-void RaftReplica::bootstrap(const Config& config) {
-  LogStore store(config.store);
-  if (!store.is_empty()) {
-    throw LogStoreError("the group's store: " + config.store + ": begun already");
-  }
-  std::vector<RaftCore::Server> servers;
-  Identity own{config.cluster, config.member, 0, 0};
-  for (const auto& member : config.members) {
-    // All founding members number the same list, from 1.
-    const std::uint64_t id = servers.size() + 1;
-    servers.push_back({id, member.address, member.votes ? RAFT_VOTER : RAFT_STANDBY});
-    if (member.name == config.member) {
-      own.id = id;
-    }
-  }
-  if (own.id == 0) {
-    throw LogStoreError("the group's store: " + config.member + " is not one of group.members: it joins");
-  }
-  store.initialize(own);
-  RaftCore::bootstrap(store, servers);
-}
-
 RaftReplica::RaftReplica(net::EventLoop& loop, core::Counters& counters, const Config& config,
                          std::vector<ReplicatedStateMachine*> state_machines, LogSink log)
     : loop_(loop),
@@ -56,10 +22,12 @@
       store_(config_.store),
       identity_(store_.identity()),
       transport_(
-          loop, counters, hello_of(config_, identity_),
-          [this](const Hello& from, Frame&& frame) { receive(from, std::move(frame)); }, log_) {
+          loop, counters, make_hello(config_, identity_),
+          [this](const Hello& from, Frame&& frame) { receive(from, std::move(frame)); }, log_),
+      admission_client_(loop, transport_, config_),
+      admission_server_(transport_, counters, config_, log_) {
   if (!store_.is_empty()) {
-    open_identity();
+    identity_ = open_identity(store_, config_);
   }
   if (!transport_.listen(config_.listen)) {
     throw config::ConfigError("configuration: group.listen: cannot listen on " + config_.listen);
@@ -68,22 +36,12 @@
     start_raft();
   } else {
     log_("there is no store: asks to be let in under another id");
-    request_admission();
+    admission_client_.start();
   }
 }
 
-void RaftReplica::open_identity() {
-  if (identity_.cluster != config_.cluster) {
-    throw config::ConfigError("configuration: group.cluster: the store is of group " + identity_.cluster);
-  }
-  if (identity_.member != config_.member) {
-    throw config::ConfigError("configuration: group.member: the store is of member " + identity_.member);
-  }
-  identity_.incarnation = store_.begin_next_incarnation();
-}
-
 RaftReplica::~RaftReplica() {
-  loop_.cancel(admission_timer_);
+  admission_client_.stop();
   raft_core_.reset();
 }
 
@@ -93,12 +51,7 @@
 }
 
 std::uint64_t RaftReplica::begin_new_incarnation(std::uint64_t above) {
-  identity_.incarnation = store_.begin_next_incarnation();
-  if (identity_.incarnation > above) {
-    return identity_.incarnation;
-  }
-  identity_.incarnation = above + 1;
-  store_.initialize(identity_);
+  begin_incarnation_above(store_, identity_, above);
   return identity_.incarnation;
 }
 
@@ -116,23 +69,32 @@
   return raft_core_ && raft_core_->propose(tag_entry(state_machine.name(), entry), std::move(done));
 }
 
-bool RaftReplica::send_gossip(const std::string& address, const std::string& body) {
-  return transport_.send(0, address, Frame::Kind::gossip, body);
+bool RaftReplica::send_to_leader(const ReplicatedStateMachine& state_machine, const std::string& message) {
+  if (!raft_core_) {
+    return false;
+  }
+  if (raft_core_->is_leader()) {
+    ReplicatedStateMachine* receiver = state_machines_.find(state_machine.name());
+    loop_.schedule_at(loop_.now(), [receiver, message] { receiver->handle_message(message); });
+    return true;
+  }
+  const auto leader = raft_core_->leader();
+  if (leader.id == 0) {
+    return false;
+  }
+  const LeaderMessage envelope{state_machine.name(), message};
+  return transport_.send(leader.id, leader.address, Frame::Kind::message, encode_message(envelope));
 }
 
-ReplicatedStateMachine* RaftReplica::find_state_machine(const std::string& name) const {
-  const auto is_same = [&](const ReplicatedStateMachine* state_machine) {
-    return state_machine->name() == name;
-  };
-  const auto found = std::find_if(state_machines_.begin(), state_machines_.end(), is_same);
-  return found == state_machines_.end() ? nullptr : *found;
+bool RaftReplica::send_gossip(const std::string& address, const std::string& body) {
+  return transport_.send(0, address, Frame::Kind::gossip, body);
 }
 
 // An entry of an unknown state machine is a failure, not skipped: this replica's state would differ from that
 // of replicas whose program knows it.
 void RaftReplica::apply(std::uint64_t index, const std::string& entry) {
   const auto [name, text] = untag_entry(entry);
-  if (ReplicatedStateMachine* state_machine = find_state_machine(name)) {
+  if (ReplicatedStateMachine* state_machine = state_machines_.find(name)) {
     state_machine->apply(index, text);
     if (observer_ != nullptr) {
       observer_->log_applied(index);
@@ -145,30 +107,12 @@
       " of the log is of a kind that this program does not know: " + name.substr(0, kMaxLoggedNameBytes));
 }
 
-std::string RaftReplica::snapshot() {
-  std::map<std::string, std::string> snapshots;
-  for (ReplicatedStateMachine* state_machine : state_machines_) {
-    snapshots.emplace(state_machine->name(), state_machine->snapshot());
-  }
-  return encode_snapshots(snapshots);
-}
+std::string RaftReplica::snapshot() { return state_machines_.snapshot(); }
 
 bool RaftReplica::restore(const std::string& snapshot) {
-  const auto snapshots = decode_snapshots(snapshot);
-  if (!snapshots) {
+  if (!state_machines_.restore(snapshot)) {
     return false;
   }
-  for (const auto& [name, text] : *snapshots) {
-    if (find_state_machine(name) == nullptr) {
-      return false;
-    }
-  }
-  for (ReplicatedStateMachine* state_machine : state_machines_) {
-    const auto found = snapshots->find(state_machine->name());
-    if (!state_machine->restore(found == snapshots->end() ? std::string() : found->second)) {
-      return false;
-    }
-  }
   if (observer_ != nullptr) {
     observer_->log_restored();
   }
@@ -177,7 +121,7 @@
 
 void RaftReplica::receive(const Hello& from, Frame&& frame) {
   if (frame.kind == Frame::Kind::message) {
-    handle_message(from, frame.body);
+    receive_message(from, frame.body);
   } else if (frame.kind == Frame::Kind::consensus) {
     receive_consensus(from, frame.body);
   } else if (frame.kind == Frame::Kind::gossip && gossip_handler_) {
@@ -220,6 +164,65 @@
   return {};
 }
 
+void RaftReplica::receive_message(const Hello& from, const std::string& body) {
+  std::visit([&](const auto& message) { handle(from, message); }, decode_replica_message(body));
+}
+
+void RaftReplica::handle(const Hello& /*from*/, const LeaderMessage& message) {
+  if (!is_leader()) {
+    return;
+  }
+  if (ReplicatedStateMachine* state_machine = state_machines_.find(message.state_machine)) {
+    state_machine->handle_message(message.text);
+  } else {
+    counters_.add("group.malformed");
+  }
+}
+
+void RaftReplica::handle(const Hello& from, const AdmissionRequest& request) {
+  if (raft_core_ && request.name == from.member) {
+    admission_server_.admit(*raft_core_, identity_.id, request.name, request.address);
+  }
+}
+
+void RaftReplica::handle(const Hello& /*from*/, const AdmissionResponse& response) {
+  if (raft_core_) {
+    return;
+  }
+  const Identity previous = identity_;
+  try {
+    join(std::stoull(response.id));
+    log_("is in as " + response.id);
+  } catch (const LogStoreError& error) {
+    if (!error.transient()) {
+      on_store_failure(error.what());
+      return;
+    }
+    on_store_unavailable(error.kind, error.what());
+    identity_ = previous;  // it asks again and is sent its id again
+  } catch (const std::exception& error) {
+    on_store_failure(error.what());
+  }
+}
+
+void RaftReplica::handle(const Hello& /*from*/, MessageError error) {
+  if (error == MessageError::malformed) {
+    counters_.add("group.malformed");
+  }
+}
+
+void RaftReplica::join(std::uint64_t id) {
+  identity_ = {config_.cluster, config_.member, id, 1};
+  // The clock makes it larger than any incarnation that an earlier store of this member has reached. If the
+  // clock was set back since, the log shows it, and a larger one is begun before this member takes part
+  // (see MaintenanceReplica).
+  identity_.incarnation = static_cast<std::uint64_t>(loop_.now().count());
+  store_.initialize(identity_);
+  transport_.set_own_id(identity_.id);
+  admission_client_.stop();
+  start_raft();
+}
+
 void RaftReplica::send(std::uint64_t to, const std::string& address, const raft_message& message) {
   transport_.send(to, address, Frame::Kind::consensus, encode_message(message));
 }
@@ -227,9 +230,7 @@
 void RaftReplica::on_store_failure(const std::string& reason) {
   counters_.add("group.failed");
   log_(reason + ": takes no part any more");
-  for (ReplicatedStateMachine* state_machine : state_machines_) {
-    state_machine->on_store_failure(reason);
-  }
+  state_machines_.on_store_failure(reason);
 }
 
 // The state machines are not notified: nothing is applied while the replica is unavailable, and leases
--- a/src/raft/raft_replica.h
+++ b/src/raft/raft_replica.h
@@ -1,5 +1,5 @@
-// A member of a raft group: its store, its transport, its raft instance and the state machines that share the
-// replicated log. It also handles the admission of members that have no store yet.
+// A member of a raft group: its store, its transport, its raft instance, the admission of new members and the
+// state machines that share the replicated log.
 #pragma once
 
 #include <functional>
@@ -8,10 +8,13 @@
 #include <vector>
 
 #include "core/counters.h"
+#include "raft/admission.h"
 #include "raft/config.h"
 #include "raft/peer_transport.h"
 #include "raft/raft_core.h"
-#include "raft/replicated_state_machine.h"
+#include "raft/replica_identity.h"
+#include "raft/replica_message.h"
+#include "raft/state_machine_set.h"
 
 namespace lotusyard::raft {
 
@@ -37,9 +40,8 @@
   RaftReplica(net::EventLoop& loop, core::Counters& counters, const Config& config,
               std::vector<ReplicatedStateMachine*> state_machines, LogSink log);
   ~RaftReplica() override;
-  // Initializes the store of a founding member, once, before the first start of the group. Throws
-  // LogStoreError.
-  static void bootstrap(const Config& config);
+  // See bootstrap_store().
+  static void bootstrap(const Config& config) { bootstrap_store(config); }
 
   const Config& config() const { return config_; }
   std::uint64_t id() const { return identity_.id; }
@@ -75,7 +77,7 @@
   net::EventLoop& loop_;
   core::Counters& counters_;
   const Config config_;
-  std::vector<ReplicatedStateMachine*> state_machines_;
+  StateMachineSet state_machines_;
   GossipHandler gossip_handler_;
   Observer* observer_ = nullptr;
   LogSink log_;
@@ -83,29 +85,21 @@
   LogStore store_;
   Identity identity_;
   PeerTransport transport_;
+  AdmissionClient admission_client_;
+  AdmissionServer admission_server_;     // outlives the RaftCore, which calls back while it is destroyed
   std::unique_ptr<RaftCore> raft_core_;  // null until this member is admitted
-  net::EventLoop::TimerId admission_timer_{};
-  std::size_t admission_requests_ = 0;     // sent so far
-  bool membership_change_active_ = false;  // at the leader
 
-  void open_identity();
   void start_raft();
   void receive(const Hello& from, Frame&& frame);
   void receive_consensus(const Hello& from, const std::string& body);
   std::string find_address(const Hello& from) const;
-
-  // Messages among replicas and the admission of new members: admission.cpp.
-  void handle_message(const Hello& from, const std::string& body);
-  void handle_leader_message(const std::string& body);
-  void handle_admission_message(const Hello& from, const std::string& body);
-  void handle_assigned_id(const std::string& body);
-  void request_admission();
-  void admit(const std::string& name, const std::string& address);
-  void admit_again(const std::string& name, const RaftCore::Server& server);
-  void assign_role(std::uint64_t id, const std::string& address, int role);
+  void receive_message(const Hello& from, const std::string& body);
+  void handle(const Hello& from, const LeaderMessage& message);
+  void handle(const Hello& from, const AdmissionRequest& request);
+  void handle(const Hello& from, const AdmissionResponse& response);
+  void handle(const Hello& from, MessageError error);
   void join(std::uint64_t id);
 
-  ReplicatedStateMachine* find_state_machine(const std::string& name) const;
   void apply(std::uint64_t index, const std::string& entry) override;
   std::string snapshot() override;
   bool restore(const std::string& snapshot) override;
