--- a/src/raft/config.cpp
+++ b/src/raft/config.cpp
@@ -47,7 +47,7 @@
   if (!value.is_string() || value.get_ref<const std::string&>().empty()) {
     reject(path, "a text is needed");
   }
-  const std::string out = value.get<std::string>();
+  std::string out = value.get<std::string>();
   if (out.size() > kMaxTextBytes) {
     reject(path, "at most 255 bytes");
   }
@@ -63,7 +63,7 @@
 
 std::string read_member_name(const json& object, const char* key, const std::string& path,
                              const std::string* fallback) {
-  const std::string out = read_text(object, key, path, fallback);
+  std::string out = read_text(object, key, path, fallback);
   if (out.size() > kMaxNameBytes || !std::all_of(out.begin(), out.end(), is_name_character)) {
     reject(path, "at most 64 letters, digits, '-', '_' and '.'");
   }
@@ -72,7 +72,7 @@
 
 std::string read_address(const json& object, const char* key, const std::string& path,
                          const std::string* fallback) {
-  const std::string out = read_text(object, key, path, fallback);
+  std::string out = read_text(object, key, path, fallback);
   if (!net::valid_address(out)) {
     reject(path, "no numeric address with a port: '" + out + "'");
   }
--- a/src/raft/raft_requests.cpp
+++ b/src/raft/raft_requests.cpp
@@ -29,7 +29,7 @@
 
 // `start` passes the request to libraft and returns libraft's status.
 template <typename LibraftRequest, typename Start>
-bool submit(Completion done, const Start& start) {
+bool submit(Completion&& done, const Start& start) {
   auto request = std::make_unique<Request<LibraftRequest>>();
   request->libraft_request.data = request.get();
   request->done = std::move(done);
