--- a/src/raft/admission.cpp
+++ b/src/raft/admission.cpp
@@ -1,99 +1,82 @@
-// How a member without a store comes into a group: it asks, and whoever leads gives it an id and a place.
+#include "raft/admission.h"
+
 #include <algorithm>
 #include <random>
 
-#include "raft/raft_replica.h"
+#include "raft/replica_message.h"
 
 namespace lotusyard::raft {
 namespace {
 
-using nlohmann::json;
+constexpr Millis kRetryInterval{500};
+constexpr std::uint64_t kLowestAssignedId = 1ULL << 32;  // founding members have small ids
 
-constexpr Millis kAskPace{500};  // how often one that is not in asks to be let in
+std::uint64_t make_id(const std::string& name) {
+  return raft_digest(name.c_str(), std::random_device{}()) >> 1 | kLowestAssignedId;
+}
 
 }  // namespace
 
-// One without a store asks each it knows of in turn; whoever leads answers with an id.
-void RaftReplica::request_admission() {
-  if (raft_core_) return;
-  const auto& peer = config_.members[admission_requests_++ % config_.members.size()];
+void AdmissionClient::request() {
+  const auto& peer = config_.members[requests_++ % config_.members.size()];
   if (peer.name != config_.member) {
-    const json word = {{"name", config_.member}, {"address", config_.address}};
-    transport_.send(0, peer.address, Frame::Kind::message, "j" + word.dump());
+    const AdmissionRequest request{config_.member, config_.address};
+    transport_.send(0, peer.address, Frame::Kind::message, encode_message(request));
   }
-  admission_timer_ = loop_.schedule_at(loop_.now() + kAskPace, [this] { request_admission(); });
+  retry_timer_ = loop_.schedule_at(loop_.now() + kRetryInterval, [this] { request(); });
 }
 
-// A member that has lost its store comes under a new id, and its old one leaves: an id that promised once
-// never speaks again without knowing what it promised. One change at a time; the asker asks again.
-void RaftReplica::handle_admission_request(const std::string& name, const std::string& address) {
-  if (!is_leader() || changing_) return;
-  const auto done = [this](bool) { changing_ = false; };
-  for (const auto& s : raft_core_->servers()) {
-    if (s.address != address) continue;
-    const auto same = [&](const PeerAddress& p) { return p.name == name; };
-    if (s.role == RAFT_SPARE) {  // let in before, and without a place yet
-      const auto peer = std::find_if(config_.members.begin(), config_.members.end(), same);
-      const bool votes = peer != config_.members.end() && peer->votes;
-      return assign_role(s.id, address, votes ? RAFT_VOTER : RAFT_STANDBY);
-    }
-    if (s.id == identity_.id) return;
-    counters_.add("group.ids_ended");
-    log_("member " + name + " has lost its store: id " + std::to_string(s.id) + " ends");
-    changing_ = raft_core_->remove(s.id, done);
+void AdmissionServer::admit(RaftCore& core, std::uint64_t own_id, const std::string& name,
+                            const std::string& address) {
+  if (!core.is_leader() || change_active_) {
     return;
   }
-  const std::uint64_t id = raft_digest(name.c_str(), std::random_device{}()) >> 1 | 1ULL << 32;
+  for (const auto& server : core.servers()) {
+    if (server.address == address) {
+      admit_known(core, own_id, name, server);
+      return;
+    }
+  }
+  const std::uint64_t id = make_id(name);
   log_("member " + name + " at " + address + " is let in as " + std::to_string(id));
-  changing_ = raft_core_->add({id, address, RAFT_SPARE}, done);
-}
-
-// It hears of its id first: from then on it listens to the consensus.
-void RaftReplica::assign_role(std::uint64_t id, const std::string& address, int role) {
-  transport_.send(0, address, Frame::Kind::message, "i" + std::to_string(id));
-  changing_ = raft_core_->assign(id, role == RAFT_VOTER ? RAFT_STANDBY : role, [this, id, role](bool done) {
-    changing_ = false;
-    if (done && role == RAFT_VOTER)
-      changing_ = raft_core_->assign(id, RAFT_VOTER, [this](bool) { changing_ = false; });
-  });
+  change_active_ = core.add({id, address, RAFT_SPARE}, [this](bool) { change_active_ = false; });
 }
 
-void RaftReplica::handle_message(const Hello& from, const std::string& body) {
-  if (body.empty()) return;
-  const std::string rest = body.substr(1);
-  if (body[0] == 't' && is_leader()) {
-    const auto [kind, told] = untag_entry(rest);
-    if (ReplicatedStateMachine* part = find_state_machine(kind)) return part->handle_message(told);
-    return counters_.add("group.malformed");
-  }
-  if (body[0] == 'j') {
-    const auto asks = json::parse(rest, nullptr, false);
-    if (!asks.is_object()) return counters_.add("group.malformed");
-    const auto name = asks.value("name", json()), address = asks.value("address", json());
-    if (name.is_string() && address.is_string() && net::valid_address(address.get<std::string>()) &&
-        name.get<std::string>() == from.member)
-      handle_admission_request(name.get<std::string>(), address.get<std::string>());
+// If the server has no role yet, it gets one. Otherwise the member has lost its store and must get a new id,
+// and the old one is removed: an id that has voted or acknowledged entries must not be used again by a member
+// that does not remember them.
+void AdmissionServer::admit_known(RaftCore& core, std::uint64_t own_id, const std::string& name,
+                                  const RaftCore::Server& server) {
+  if (server.role == RAFT_SPARE) {
+    assign_role(core, server, role_of(name));
     return;
   }
-  if (body[0] != 'i' || raft_core_ || rest.empty() || rest.size() > 20 ||
-      rest.find_first_not_of("0123456789") != std::string::npos)
+  if (server.id == own_id) {
     return;
-  const Identity unnamed = identity_;
-  try {
-    identity_ = {config_.cluster, config_.member, std::stoull(rest), 1};
-    // Larger than any that an earlier store of this member counted up to. If the clock was set back since,
-    // the log tells, and a larger one is taken before the member joins (MaintenanceReplica::beat).
-    identity_.incarnation = static_cast<std::uint64_t>(loop_.now().count());
-    store_.initialize(identity_);
-    transport_.set_own_id(identity_.id);
-    loop_.cancel(admission_timer_);
-    start_raft();
-    log_("is in as " + rest);
-  } catch (const LogStoreError& fault) {
-    if (!fault.transient()) return on_store_failure(fault.what());
-    unavailable(fault.kind, fault.what());
-    identity_ = unnamed;  // it asks again, and is given its place again
-  } catch (const std::exception& fault) { on_store_failure(fault.what()); }
+  }
+  counters_.add("group.ids_ended");
+  log_("member " + name + " has lost its store: id " + std::to_string(server.id) + " ends");
+  change_active_ = core.remove(server.id, [this](bool) { change_active_ = false; });
+}
+
+int AdmissionServer::role_of(const std::string& name) const {
+  const auto is_same = [&](const PeerAddress& peer) { return peer.name == name; };
+  const auto peer = std::find_if(config_.members.begin(), config_.members.end(), is_same);
+  const bool votes = peer != config_.members.end() && peer->votes;
+  return votes ? RAFT_VOTER : RAFT_STANDBY;
+}
+
+// The member is sent its id first, because only then does it accept messages of the consensus. A voter
+// replicates the log as a standby before it votes.
+void AdmissionServer::assign_role(RaftCore& core, const RaftCore::Server& server, int role) {
+  const AdmissionResponse response{std::to_string(server.id)};
+  transport_.send(0, server.address, Frame::Kind::message, encode_message(response));
+  change_active_ = core.assign(server.id, RAFT_STANDBY, [this, &core, id = server.id, role](bool committed) {
+    change_active_ = false;
+    if (committed && role == RAFT_VOTER) {
+      change_active_ = core.assign(id, RAFT_VOTER, [this](bool) { change_active_ = false; });
+    }
+  });
 }
 
 }  // namespace lotusyard::raft
--- a/src/raft/raft_replica.cpp
+++ b/src/raft/raft_replica.cpp
@@ -1,87 +1,57 @@
 #include "raft/raft_replica.h"
 
-#include <algorithm>
-
 #include "config/config.h"
 #include "raft/message_codec.h"
+#include "raft/replica_identity.h"
 
 namespace lotusyard::raft {
 namespace {
 
-Hello hello_of(const Config& config, const Identity& identity) {
-  Hello out;
-  out.cluster = config.cluster;
-  out.member = config.member;
-  out.from = identity.id;
-  out.lease = config.terms.lease.count();
-  out.drift = config.terms.clock_drift;
-  out.last_call = config.terms.max_attempt_time.count();
-  return out;
-}
+constexpr std::size_t kMaxLoggedNameBytes = 40;
 
 }  // namespace
 
-void RaftReplica::bootstrap(const Config& config) {
-  LogStore store(config.store);
-  if (!store.is_empty()) throw LogStoreError("the group's store: " + config.store + ": begun already");
-  std::vector<RaftCore::Server> servers;
-  Identity mine{config.cluster, config.member, 0, 0};
-  for (std::size_t i = 0; i < config.members.size(); ++i) {
-    const auto& peer = config.members[i];
-    servers.push_back({i + 1, peer.address, peer.votes ? RAFT_VOTER : RAFT_STANDBY});
-    if (peer.name == config.member) mine.id = i + 1;
-  }
-  if (mine.id == 0)
-    throw LogStoreError("the group's store: " + config.member + " is not one of group.members: it joins");
-  store.initialize(mine);
-  RaftCore::bootstrap(store, servers);
-}
-
 RaftReplica::RaftReplica(net::EventLoop& loop, core::Counters& counters, const Config& config,
-                         std::vector<ReplicatedStateMachine*> parts, LogSink note)
+                         std::vector<ReplicatedStateMachine*> state_machines, LogSink log)
     : loop_(loop),
       counters_(counters),
       config_(config),
-      state_machines_(std::move(parts)),
-      log_(std::move(note)),
+      state_machines_(std::move(state_machines)),
+      log_(std::move(log)),
       scheduler_(loop),
       store_(config_.store),
       identity_(store_.identity()),
       transport_(
-          loop, counters, hello_of(config_, identity_),
-          [this](const Hello& from, Frame&& frame) { receive(from, std::move(frame)); }, log_) {
+          loop, counters, make_hello(config_, identity_),
+          [this](const Hello& from, Frame&& frame) { receive(from, std::move(frame)); }, log_),
+      admission_client_(loop, transport_, config_),
+      admission_server_(transport_, counters, config_, log_) {
   if (!store_.is_empty()) {
-    if (identity_.cluster != config_.cluster)
-      throw config::ConfigError("configuration: group.cluster: the store is of group " + identity_.cluster);
-    if (identity_.member != config_.member)
-      throw config::ConfigError("configuration: group.member: the store is of member " + identity_.member);
-    identity_.incarnation = store_.begin_next_incarnation();
+    identity_ = open_identity(store_, config_);
   }
-  if (!transport_.listen(config_.listen))
+  if (!transport_.listen(config_.listen)) {
     throw config::ConfigError("configuration: group.listen: cannot listen on " + config_.listen);
+  }
   if (!store_.is_empty()) {
     start_raft();
   } else {
     log_("there is no store: asks to be let in under another id");
-    request_admission();
+    admission_client_.start();
   }
 }
 
 RaftReplica::~RaftReplica() {
-  loop_.cancel(admission_timer_);
+  admission_client_.stop();
   raft_core_.reset();
 }
 
 void RaftReplica::start_raft() {
   raft_core_ = std::make_unique<RaftCore>(scheduler_, store_, static_cast<RaftCore::Delegate&>(*this),
-                                          identity_.id, config_.address, config_.election);
+                                          identity_.id, config_.address, config_.election_timeout);
 }
 
 std::uint64_t RaftReplica::begin_new_incarnation(std::uint64_t above) {
-  identity_.incarnation = store_.begin_next_incarnation();
-  if (identity_.incarnation > above) return identity_.incarnation;
-  identity_.incarnation = above + 1;
-  store_.initialize(identity_);
+  begin_incarnation_above(store_, identity_, above);
   return identity_.incarnation;
 }
 
@@ -94,116 +64,183 @@
   }
 }
 
-std::vector<RaftCore::Server> RaftReplica::servers() const {
-  return raft_core_ ? raft_core_->servers() : std::vector<RaftCore::Server>();
+bool RaftReplica::propose(const ReplicatedStateMachine& state_machine, const std::string& entry,
+                          RaftCore::Completion done) {
+  return raft_core_ && raft_core_->propose(tag_entry(state_machine.name(), entry), std::move(done));
 }
 
-bool RaftReplica::propose(const ReplicatedStateMachine& part, const std::string& entry,
-                          std::function<void(bool)> done) {
-  return raft_core_ && raft_core_->propose(tag_entry(part.name(), entry), std::move(done));
-}
-
-bool RaftReplica::send_to_leader(const ReplicatedStateMachine& part, const std::string& word) {
-  if (!raft_core_) return false;
+bool RaftReplica::send_to_leader(const ReplicatedStateMachine& state_machine, const std::string& message) {
+  if (!raft_core_) {
+    return false;
+  }
   if (raft_core_->is_leader()) {
-    loop_.schedule_at(loop_.now(),
-                      [to = find_state_machine(part.name()), word] { to->handle_message(word); });
+    ReplicatedStateMachine* receiver = state_machines_.find(state_machine.name());
+    loop_.schedule_at(loop_.now(), [receiver, message] { receiver->handle_message(message); });
     return true;
   }
   const auto leader = raft_core_->leader();
-  return leader.id != 0 &&
-         transport_.send(leader.id, leader.address, Frame::Kind::message, "t" + tag_entry(part.name(), word));
+  if (leader.id == 0) {
+    return false;
+  }
+  const LeaderMessage envelope{state_machine.name(), message};
+  return transport_.send(leader.id, leader.address, Frame::Kind::message, encode_message(envelope));
 }
 
 bool RaftReplica::send_gossip(const std::string& address, const std::string& body) {
   return transport_.send(0, address, Frame::Kind::gossip, body);
 }
 
-ReplicatedStateMachine* RaftReplica::find_state_machine(const std::string& kind) const {
-  const auto same = [&](const ReplicatedStateMachine* part) { return part->name() == kind; };
-  const auto found = std::find_if(state_machines_.begin(), state_machines_.end(), same);
-  return found == state_machines_.end() ? nullptr : *found;
-}
-
-// Danger: an entry that is skipped leaves this member with another state than those that know its kind.
+// An entry of an unknown state machine is a failure, not skipped: this replica's state would differ from that
+// of replicas whose program knows it.
 void RaftReplica::apply(std::uint64_t index, const std::string& entry) {
-  const auto [kind, text] = untag_entry(entry);
-  if (ReplicatedStateMachine* part = find_state_machine(kind)) {
-    part->apply(index, text);
-    if (observer_ != nullptr) observer_->log_applied(index);
+  const auto [name, text] = untag_entry(entry);
+  if (ReplicatedStateMachine* state_machine = state_machines_.find(name)) {
+    state_machine->apply(index, text);
+    if (observer_ != nullptr) {
+      observer_->log_applied(index);
+    }
     return;
   }
   counters_.add("group.unknown_entries");
-  on_store_failure("entry " + std::to_string(index) +
-                   " of the log is of a kind that this program does not know: " + kind.substr(0, 40));
+  on_store_failure(
+      "entry " + std::to_string(index) +
+      " of the log is of a kind that this program does not know: " + name.substr(0, kMaxLoggedNameBytes));
 }
 
-std::string RaftReplica::snapshot() {
-  std::map<std::string, std::string> out;
-  for (ReplicatedStateMachine* part : state_machines_) out.emplace(part->name(), part->snapshot());
-  return encode_snapshots(out);
-}
+std::string RaftReplica::snapshot() { return state_machines_.snapshot(); }
 
 bool RaftReplica::restore(const std::string& snapshot) {
-  const auto read = decode_snapshots(snapshot);
-  if (!read) return false;
-  for (const auto& [kind, text] : *read) {
-    if (find_state_machine(kind) == nullptr) return false;
+  if (!state_machines_.restore(snapshot)) {
+    return false;
+  }
+  if (observer_ != nullptr) {
+    observer_->log_restored();
   }
-  const bool restored =
-      std::all_of(state_machines_.begin(), state_machines_.end(), [&](ReplicatedStateMachine* part) {
-        const auto found = read->find(part->name());
-        return part->restore(found == read->end() ? std::string() : found->second);
-      });
-  if (restored && observer_ != nullptr) observer_->log_restored();
-  return restored;
+  return true;
 }
 
 void RaftReplica::receive(const Hello& from, Frame&& frame) {
-  if (frame.kind == Frame::Kind::message) return handle_message(from, frame.body);
-  if (frame.kind == Frame::Kind::gossip)
-    return gossip_handler_ ? gossip_handler_(from.member, frame.body) : void();
-  auto message = decode_message(frame.body);
+  if (frame.kind == Frame::Kind::message) {
+    receive_message(from, frame.body);
+  } else if (frame.kind == Frame::Kind::consensus) {
+    receive_consensus(from, frame.body);
+  } else if (frame.kind == Frame::Kind::gossip && gossip_handler_) {
+    gossip_handler_(from.member, frame.body);
+  }
+}
+
+void RaftReplica::receive_consensus(const Hello& from, const std::string& body) {
+  auto message = decode_message(body);
   if (!message) {
     counters_.add("group.malformed");
     return;
   }
-  std::string address;
-  if (raft_core_ && !raft_core_->has_failed()) {
-    for (const auto& s : raft_core_->servers()) {
-      if (s.id == from.from) address = s.address;
-    }
-    // Who is new does not know the others yet; what it is sent tells.
-    if (address.empty()) {
-      for (const auto& peer : config_.members) {
-        if (peer.name == from.member) address = peer.address;
-      }
-    }
-  }
+  const std::string address = find_address(from);
   if (address.empty() || from.to != identity_.id) {
     counters_.add("group.strangers");
-    return give_back(*message);
+    free_message(*message);
+    return;
   }
   raft_core_->receive(from.from, address, std::move(*message));
 }
 
+// Returns an empty string if the sender is not known or this replica takes no part in the group.
+std::string RaftReplica::find_address(const Hello& from) const {
+  if (!raft_core_ || raft_core_->has_failed()) {
+    return {};
+  }
+  for (const auto& server : raft_core_->servers()) {
+    if (server.id == from.from && !server.address.empty()) {
+      return server.address;
+    }
+  }
+  // A new member has no configuration before the first entries that it is sent; it knows the founding
+  // members.
+  for (const auto& peer : config_.members) {
+    if (peer.name == from.member) {
+      return peer.address;
+    }
+  }
+  return {};
+}
+
+void RaftReplica::receive_message(const Hello& from, const std::string& body) {
+  std::visit([&](const auto& message) { handle(from, message); }, decode_replica_message(body));
+}
+
+void RaftReplica::handle(const Hello& /*from*/, const LeaderMessage& message) {
+  if (!is_leader()) {
+    return;
+  }
+  if (ReplicatedStateMachine* state_machine = state_machines_.find(message.state_machine)) {
+    state_machine->handle_message(message.text);
+  } else {
+    counters_.add("group.malformed");
+  }
+}
+
+void RaftReplica::handle(const Hello& from, const AdmissionRequest& request) {
+  if (raft_core_ && request.name == from.member) {
+    admission_server_.admit(*raft_core_, identity_.id, request.name, request.address);
+  }
+}
+
+void RaftReplica::handle(const Hello& /*from*/, const AdmissionResponse& response) {
+  if (raft_core_) {
+    return;
+  }
+  const Identity previous = identity_;
+  try {
+    join(std::stoull(response.id));
+    log_("is in as " + response.id);
+  } catch (const LogStoreError& error) {
+    if (!error.transient()) {
+      on_store_failure(error.what());
+      return;
+    }
+    on_store_unavailable(error.kind, error.what());
+    identity_ = previous;  // it asks again and is sent its id again
+  } catch (const std::exception& error) {
+    on_store_failure(error.what());
+  }
+}
+
+void RaftReplica::handle(const Hello& /*from*/, MessageError error) {
+  if (error == MessageError::malformed) {
+    counters_.add("group.malformed");
+  }
+}
+
+void RaftReplica::join(std::uint64_t id) {
+  identity_ = {config_.cluster, config_.member, id, 1};
+  // The clock makes it larger than any incarnation that an earlier store of this member has reached. If the
+  // clock was set back since, the log shows it, and a larger one is begun before this member takes part
+  // (see MaintenanceReplica).
+  identity_.incarnation = static_cast<std::uint64_t>(loop_.now().count());
+  store_.initialize(identity_);
+  transport_.set_own_id(identity_.id);
+  admission_client_.stop();
+  start_raft();
+}
+
 void RaftReplica::send(std::uint64_t to, const std::string& address, const raft_message& message) {
-  transport_.send(to, address, Frame::Kind::consensus, encode_hello(message));
+  transport_.send(to, address, Frame::Kind::consensus, encode_message(message));
 }
 
-void RaftReplica::on_store_failure(const std::string& why) {
+void RaftReplica::on_store_failure(const std::string& reason) {
   counters_.add("group.failed");
-  log_(why + ": takes no part any more");
-  for (ReplicatedStateMachine* part : state_machines_) part->on_store_failure(why);
+  log_(reason + ": takes no part any more");
+  state_machines_.on_store_failure(reason);
 }
 
-// The parts are not told: without a replica that takes part nothing is applied here, and leases run out.
-void RaftReplica::unavailable(sqlite::ResultKind kind, const std::string& why) {
+// The state machines are not notified: nothing is applied while the replica is unavailable, and leases
+// expire.
+void RaftReplica::on_store_unavailable(sqlite::ResultKind kind, const std::string& reason) {
   counters_.add(std::string("group.store_") + sqlite::name_of(kind));
-  log_(why + ": takes no part until the store takes writes again");
+  log_(reason + ": takes no part until the store takes writes again");
 }
 
-void RaftReplica::available() {
+void RaftReplica::on_store_available() {
   counters_.add("group.store_recovered");
   log_("the store takes writes again: takes part");
 }
