--- a/src/maintenance/admin_endpoint.cpp
+++ b/src/maintenance/admin_endpoint.cpp
@@ -10,9 +10,9 @@
 using nlohmann::json;
 using Kind = LogEntry::Kind;
 
-// Which hosts a work is about; throws std::invalid_argument.
-json chosen(const json& select, const std::map<std::string, core::ListedHost>& listed) {
-  const auto named = [&](const char* key, const std::string& value) {
+// Resolves a host selector against the listed hosts. Throws std::invalid_argument.
+json resolve_selection(const json& select, const std::map<std::string, core::ListedHost>& listed) {
+  const auto selects = [&](const char* key, const std::string& value) {
     const json& list = config::key(select, key);
     return list.is_array() && std::find(list.begin(), list.end(), value) != list.end();
   };
@@ -21,10 +21,10 @@
       throw std::invalid_argument("hosts: unknown host " + id.dump());
   }
   json out = json::array();
-  for (const auto& [id, m] : listed) {
-    const bool taken = select.value("all", false) || named("hosts", id) || named("zones", m.entry.zone) ||
-                       named("kinds", m.entry.kind);
-    if (taken) out.push_back({id, m.entry.zone, m.entry.kind});
+  for (const auto& [id, host] : listed) {
+    const bool is_selected = select.value("all", false) || selects("hosts", id) ||
+                             selects("zones", host.entry.zone) || selects("kinds", host.entry.kind);
+    if (is_selected) out.push_back({id, host.entry.zone, host.entry.kind});
   }
   if (out.empty()) throw std::invalid_argument("hosts: none is chosen");
   return out;
@@ -32,58 +32,60 @@
 
 }  // namespace
 
-json jobs_to_json(const MaintenanceState& board, const std::string& member) {
-  const json waits = json::parse(board.waiting_reason(), nullptr, false);
-  json works = json::array();
-  for (const auto& w : board.jobs()) {
+json jobs_to_json(const MaintenanceState& state, const std::string& member) {
+  const json waiting_reasons = json::parse(state.waiting_reason(), nullptr, false);
+  json jobs = json::array();
+  for (const auto& job : state.jobs()) {
     json hosts = json::object();
-    for (const auto& key : w.hosts) {
-      const auto found = board.hosts().find(key.id);
-      const bool open = found != board.hosts().end() && found->second.job == w.id;
-      hosts[key.id] = {{"stage", open                                     ? name_of(found->second.stage)
-                                 : w.state == MaintenanceJob::State::done ? "back"
-                                                                          : "-"},
+    for (const auto& key : job.hosts) {
+      const auto found = state.hosts().find(key.id);
+      const bool open = found != state.hosts().end() && found->second.job == job.id;
+      hosts[key.id] = {{"stage", open                                       ? name_of(found->second.stage)
+                                 : job.state == MaintenanceJob::State::done ? "back"
+                                                                            : "-"},
                        {"reason", open ? found->second.reason : ""},
                        {"late", open && found->second.overdue}};
     }
-    json row = job_to_json(w);
+    json row = job_to_json(job);
     row["hosts"] = hosts;
-    row["waits"] = waits.is_object() && w.state != MaintenanceJob::State::done ? waits.value(w.id, "") : "";
-    works.push_back(row);
+    row["waits"] = waiting_reasons.is_object() && job.state != MaintenanceJob::State::done
+                       ? waiting_reasons.value(job.id, "")
+                       : "";
+    jobs.push_back(row);
   }
-  return {{"member", member}, {"index", board.index()}, {"works", works}};
+  return {{"member", member}, {"index", state.index()}, {"works", jobs}};
 }
 
-json outcome_to_json(const MaintenanceState::ProposalOutcome& o) {
-  return {{"done", o.done}, {"why", o.why}, {"index", o.index}};
+json outcome_to_json(const MaintenanceState::ProposalOutcome& outcome) {
+  return {{"done", outcome.done}, {"why", outcome.why}, {"index", outcome.index}};
 }
 
-OperatorProposal parse_proposal(const std::string& wording,
+OperatorProposal parse_proposal(const std::string& text,
                                 const std::map<std::string, core::ListedHost>& listed) {
-  const auto refused = [](int status, const std::string& why) {
+  const auto reject = [](int status, const std::string& why) {
     return OperatorProposal{{status, why}, std::nullopt};
   };
-  json from = json::parse(wording, nullptr, false);
-  if (!from.is_object()) return refused(400, "no JSON object");
-  const std::string proposal = config::text(config::key(from, "id"));
-  if (proposal.empty() || proposal.size() > 128) return refused(400, "id: 1 to 128 bytes are needed");
+  json from = json::parse(text, nullptr, false);
+  if (!from.is_object()) return reject(400, "no JSON object");
+  const std::string proposal_id = config::text(config::key(from, "id"));
+  if (proposal_id.empty() || proposal_id.size() > 128) return reject(400, "id: 1 to 128 bytes are needed");
   try {
     if (from.contains("added")) {
       json& added = from["added"];
-      if (!added.is_object()) return refused(400, "added: an object is needed");
-      added["hosts"] = chosen(added.value("select", json::object()), listed);
+      if (!added.is_object()) return reject(400, "added: an object is needed");
+      added["hosts"] = resolve_selection(added.value("select", json::object()), listed);
       added.erase("select");
       (void)parse_job(added);
     }
     if (from.contains("bounds")) (void)parse_bounds(from.at("bounds"));
-  } catch (const std::exception& fault) { return refused(400, fault.what()); }
+  } catch (const std::exception& error) { return reject(400, error.what()); }
   auto entry = parse_entry(from.dump());
-  static const Kind allowed[] = {Kind::add_job,       Kind::change_job_state,
-                                 Kind::change_bounds, Kind::return_to_service,
-                                 Kind::leave,         Kind::read_barrier};
-  if (!entry || std::find(std::begin(allowed), std::end(allowed), entry->kind) == std::end(allowed))
-    return refused(400, "no proposal that an operator can make");
-  if (encode_entry(*entry).size() > max_entry_bytes) return refused(413, "too long");
+  static const Kind kAllowed[] = {Kind::add_job,       Kind::change_job_state,
+                                  Kind::change_bounds, Kind::return_to_service,
+                                  Kind::leave,         Kind::read_barrier};
+  if (!entry || std::find(std::begin(kAllowed), std::end(kAllowed), entry->kind) == std::end(kAllowed))
+    return reject(400, "no proposal that an operator can make");
+  if (encode_entry(*entry).size() > kMaxEntryBytes) return reject(413, "too long");
   return {{}, std::move(entry)};
 }
 
--- a/src/maintenance/admin_endpoint.h
+++ b/src/maintenance/admin_endpoint.h
@@ -1,4 +1,5 @@
-// What operators ask about works, and what they may propose. No I/O.
+// JSON representations of maintenance jobs for the admin endpoint, and validation of operators' proposals.
+// Does no I/O.
 #pragma once
 
 #include <map>
@@ -10,15 +11,19 @@
 
 namespace lotusyard::maintenance {
 
-nlohmann::json jobs_to_json(const MaintenanceState& board, const std::string& member);
+// All jobs with the stage of each of their hosts, as seen by `member`.
+nlohmann::json jobs_to_json(const MaintenanceState& state, const std::string& member);
 nlohmann::json outcome_to_json(const MaintenanceState::ProposalOutcome& outcome);
 
+// The result of parsing a proposal: either an entry for the leader, or the response that rejects it.
 struct OperatorProposal {
-  admin::Response rejection;      // holds where there is no entry
-  std::optional<LogEntry> entry;  // for whoever leads
+  admin::Response rejection;      // meaningful only if `entry` is absent
+  std::optional<LogEntry> entry;  // to be sent to the leader
 };
-// An operator's wording, checked against the hosts that this member sees.
-OperatorProposal parse_proposal(const std::string& wording,
+
+// Parses and validates an operator's proposal (JSON). Host selectors in it are resolved against `listed`, the
+// hosts this member knows from discovery. Never throws for a malformed proposal: it is rejected.
+OperatorProposal parse_proposal(const std::string& text,
                                 const std::map<std::string, core::ListedHost>& listed);
 
 }  // namespace lotusyard::maintenance
--- a/src/maintenance/drain_tracker.h
+++ b/src/maintenance/drain_tracker.h
@@ -1,5 +1,5 @@
-// Which hosts this member leaves alone for works, and what it sees of hosts beside that. No I/O; the time is
-// passed in.
+// Tracks which hosts this member avoids because of maintenance, and derives its observations of hosts.
+// Does no I/O; the time is passed in.
 #pragma once
 
 #include <map>
@@ -13,25 +13,33 @@
 
 namespace lotusyard::maintenance {
 
+// Remembers avoided hosts between updates, so that a host that returns can be recognised as restarted or as
+// released to the operators in the meantime.
 class DrainTracker {
  public:
-  using Listed = std::map<std::string, core::ListedHost>;
+  using Listed = std::map<std::string, core::ListedHost>;  // hosts known from discovery, by id
+
+  // What an update changed.
   struct Change {
-    std::set<std::string> avoided, restart_slow_start;  // anew: used again from now on, and cold
-    std::vector<std::string> log_lines;                 // for the log
+    std::set<std::string> avoided;             // all hosts avoided from now on
+    std::set<std::string> restart_slow_start;  // no longer avoided; their instances may be gone
+    std::vector<std::string> log_lines;
   };
-  // What the board says, with its lease or without.
-  Change update(const MaintenanceState& board, bool leased, const Listed& listed);
+
+  // Recomputes the avoided hosts from the replicated state. Without a lease (`leased` false) hosts that are
+  // only selected are avoided too.
+  Change update(const MaintenanceState& state, bool leased, const Listed& listed);
   bool is_avoided(const std::string& host) const { return avoided_.count(host) != 0; }
 
-  // What this member sees of hosts: what each costs, which fail, start anew, serve again.
-  HostObservations observe(const MaintenanceState& board, const HostObserver& watch, const Listed& listed,
-                           const std::set<std::string>& by_hand, Millis now);
+  // This member's observations: serving value, failed, restarted and returned hosts. `disabled` are the hosts
+  // that an operator has disabled by hand. The call rates are left at zero.
+  HostObservations observe(const MaintenanceState& state, const HostObserver& observer, const Listed& listed,
+                           const std::set<std::string>& disabled, Millis now);
 
  private:
   struct AvoidedHost {
-    Millis started{0};      // as listed when it was taken
-    bool vanished = false;  // it has left the list since
+    Millis started{0};      // the host's start time in discovery when it was first avoided
+    bool vanished = false;  // whether it has been missing from discovery since
   };
   std::map<std::string, AvoidedHost> avoided_;
   std::set<std::string> released_to_operators_;
--- a/src/maintenance/heartbeat_aggregator.cpp
+++ b/src/maintenance/heartbeat_aggregator.cpp
@@ -5,7 +5,7 @@
 namespace lotusyard::maintenance {
 namespace {
 
-LogEntry entry_with(const std::string& reason) {
+LogEntry empty_entry(const std::string& reason) {
   LogEntry out;
   out.kind = LogEntry::Kind::heartbeats;
   out.reason = reason;
@@ -14,27 +14,28 @@
 
 }  // namespace
 
-// Danger: an entry over the bound is refused by every member that reads it, and each stands aside for good.
-AggregatedHeartbeats aggregate_heartbeats(std::map<std::string, Heartbeat>&& heard,
+// Members that read an entry over the size limit reject it and stop for good, so the limit is kept here.
+AggregatedHeartbeats aggregate_heartbeats(std::map<std::string, Heartbeat>&& heartbeats,
                                           const std::string& reason) {
   AggregatedHeartbeats out;
-  out.entries.push_back(entry_with(reason));
-  const std::size_t empty = encode_entry(out.entries.back()).size();
-  std::size_t length = empty;
-  for (auto& [member, beat] : heard) {
-    const std::size_t more = heartbeat_to_json(beat).dump().size() + 1;  // and the comma before it
-    if (empty + more > max_entry_bytes) {
+  out.entries.push_back(empty_entry(reason));
+  const std::size_t empty_size = encode_entry(out.entries.back()).size();
+  std::size_t size = empty_size;
+  for (auto& [member, heartbeat] : heartbeats) {
+    const std::size_t added_size =
+        heartbeat_to_json(heartbeat).dump().size() + 1;  // with the comma before it
+    if (empty_size + added_size > kMaxEntryBytes) {
       ++out.dropped;
       continue;
     }
-    if (length + more > max_entry_bytes) {
-      out.entries.push_back(entry_with(reason));
-      length = empty;
+    if (size + added_size > kMaxEntryBytes) {
+      out.entries.push_back(empty_entry(reason));
+      size = empty_size;
     }
-    length += more;
-    out.entries.back().heartbeats.push_back(std::move(beat));
+    size += added_size;
+    out.entries.back().heartbeats.push_back(std::move(heartbeat));
   }
-  heard.clear();
+  heartbeats.clear();
   return out;
 }
 
--- a/src/maintenance/heartbeat_aggregator.h
+++ b/src/maintenance/heartbeat_aggregator.h
@@ -1,4 +1,4 @@
-// Signs of life as the member that leads puts them into the log: in entries of bounded length. No I/O.
+// Packs the heartbeats that the leader received into log entries of bounded size. Does no I/O.
 #pragma once
 
 #include <map>
@@ -11,12 +11,12 @@
 
 struct AggregatedHeartbeats {
   std::vector<LogEntry> entries;
-  std::size_t dropped = 0;  // signs of life too long for any entry
+  std::size_t dropped = 0;  // heartbeats too large for any entry
 };
 
-// All that was heard, by member, in as few entries as the bound on an entry's wording allows; each carries
-// `reason`. At least one entry.
-AggregatedHeartbeats aggregate_heartbeats(std::map<std::string, Heartbeat>&& heard,
+// Packs the heartbeats, keyed by member, into as few entries as `kMaxEntryBytes` allows. Every entry carries
+// `reason`; there is at least one entry, even without heartbeats.
+AggregatedHeartbeats aggregate_heartbeats(std::map<std::string, Heartbeat>&& heartbeats,
                                           const std::string& reason);
 
 }  // namespace lotusyard::maintenance
--- a/src/maintenance/host_access.h
+++ b/src/maintenance/host_access.h
@@ -1,6 +1,5 @@
-// Keeps this process to what has been agreed upon about hosts, and sees what becomes of them: which ones it
-// leaves alone, with its lease or without, that nothing decided under a lease goes out after it, and what it
-// reports of hosts and calls.
+// Applies the replicated maintenance state to this process: which hosts may receive calls, with and without
+// a lease, and what this process reports about hosts and calls.
 #pragma once
 
 #include <functional>
@@ -12,27 +11,29 @@
 
 namespace lotusyard::maintenance {
 
-// What a process may take for granted about its knowledge of the board.
+// How far this process may rely on its copy of the replicated state.
 struct StateFreshness {
-  bool is_leased = false;     // it is current: the lease holds
-  bool must_suspend = false;  // it is so old, or there was never any, that no host may be used
+  bool is_leased = false;     // the lease is held: the copy is current
+  bool must_suspend = false;  // the copy is too old, or never existed: no host may be used
 };
 
+// Owned by the replica; runs on its event loop.
 class HostAccess {
  public:
   using LogSink = std::function<void(const std::string& text)>;
-  HostAccess(const InvokerServices& wiring, LogSink note)
-      : services_(wiring), log_(std::move(note)), counted_at_(wiring.loop.now()) {}
+  HostAccess(const InvokerServices& services, LogSink log)
+      : services_(services), log_(std::move(log)), counted_at_(services.loop.now()) {}
 
-  // To be called whenever the board or the knowledge of it has changed.
-  void update(const MaintenanceState& board, const StateFreshness& knowledge);
-  bool leased() const { return leased_; }  // as of the last `follow`
+  // Must be called whenever the state or its freshness has changed. When the lease has just been lost, calls
+  // that were assigned to an avoided host and not yet sent are aborted.
+  void update(const MaintenanceState& state, const StateFreshness& freshness);
+  bool leased() const { return leased_; }  // as of the last `update`
   bool is_avoided(const std::string& host) const { return drain_tracker_.is_avoided(host); }
   bool sees_down(const std::string& host) const { return host_observer_.is_down(host, services_.loop.now()); }
 
   void attempt_ended(const std::string& host, const core::Call& call, core::Outcome outcome);
-  // What this process sees of hosts now, and of its calls since it was asked before.
-  HostObservations observe(const MaintenanceState& board);
+  // The current observations of hosts, with the call rates since the previous call of this function.
+  HostObservations observe(const MaintenanceState& state);
 
  private:
   InvokerServices services_;
@@ -40,8 +41,9 @@
   DrainTracker drain_tracker_;
   HostObserver host_observer_;
   bool leased_ = false;
-  Millis counted_at_;
-  double taken_ = 0, lost_ = 0;
+  Millis counted_at_;            // when the two counters below were read
+  double counted_calls_ = 0;     // calls taken
+  double counted_failures_ = 0;  // calls refused or failed
 
   void log_lease_change(bool leased);
 };
--- a/src/maintenance/host_observer.cpp
+++ b/src/maintenance/host_observer.cpp
@@ -6,67 +6,72 @@
 namespace lotusyard::maintenance {
 namespace {
 
-constexpr Millis kTau{10000};      // memory of rates: about a keep-alive, like the module's of demand
-constexpr Millis kCopyFor{10000};  // a copy that has not served for so long does not count as standing
-constexpr double kAlone = 4;   // a call that waits for a load loses about so much more than one that moves
-constexpr int kDownAfter = 3;  // failures on end
-constexpr Millis kDownFor{10000};  // after the last of which a host is not taken for down any more
+// Time constant of the decaying rates: about an instance's keep-alive, as in the policy's demand estimate.
+constexpr Millis kRateTimeConstant{10000};
+// A host that has not served a function for this long is assumed to have no warm instance of it.
+constexpr Millis kWarmInstanceLifetime{10000};
+// A call that waits for a cold start loses about this many times what a call loses that merely moves.
+constexpr double kColdStartWeight = 4;
+constexpr int kFailuresUntilDown = 3;   // consecutive
+constexpr Millis kDownDuration{10000};  // after the last failure
 
-double faded(double rate, Millis since) { return rate * std::exp(-(since / kTau)); }
+double decayed(double rate, Millis elapsed) { return rate * std::exp(-(elapsed / kRateTimeConstant)); }
 
 }  // namespace
 
 void HostObserver::record_success(const std::string& host, std::uint64_t function, double worth, Millis now) {
-  Host& h = hosts_[host];
-  h.rate = faded(h.rate, now - h.at) + worth;
-  h.at = h.served = now;
-  h.failures = 0;
-  if (functions_.count(function) == 0 && functions_.size() >= max_functions) make_room();
-  Function& f = functions_[function];
-  f.rate = faded(f.rate, now - f.at) + worth;
-  f.at = now;
-  f.hosts[host] = now;
-  for (auto i = f.hosts.begin(); i != f.hosts.end();)
-    i = now - i->second > kCopyFor ? f.hosts.erase(i) : std::next(i);
+  HostRecord& record = hosts_[host];
+  record.rate = decayed(record.rate, now - record.rate_updated_at) + worth;
+  record.rate_updated_at = now;
+  record.last_served_at = now;
+  record.consecutive_failures = 0;
+  if (functions_.count(function) == 0 && functions_.size() >= kMaxFunctions) evict_oldest_function();
+  FunctionRecord& function_record = functions_[function];
+  function_record.rate = decayed(function_record.rate, now - function_record.rate_updated_at) + worth;
+  function_record.rate_updated_at = now;
+  function_record.hosts[host] = now;
+  for (auto i = function_record.hosts.begin(); i != function_record.hosts.end();)
+    i = now - i->second > kWarmInstanceLifetime ? function_record.hosts.erase(i) : std::next(i);
 }
 
-// Bounds the table of functions; the one place where it shrinks.
-void HostObserver::make_room() {
-  const auto oldest =
-      std::min_element(functions_.begin(), functions_.end(),
-                       [](const auto& a, const auto& b) { return a.second.at < b.second.at; });
+// Keeps the table of functions within its limit.
+void HostObserver::evict_oldest_function() {
+  const auto oldest = std::min_element(
+      functions_.begin(), functions_.end(),
+      [](const auto& a, const auto& b) { return a.second.rate_updated_at < b.second.rate_updated_at; });
   functions_.erase(oldest);
 }
 
 void HostObserver::record_failure(const std::string& host, Millis now) {
-  Host& h = hosts_[host];
-  ++h.failures;
-  h.failed = now;
+  HostRecord& record = hosts_[host];
+  ++record.consecutive_failures;
+  record.last_failed_at = now;
 }
 
 double HostObserver::serving_value(const std::string& host, Millis now) const {
   const auto found = hosts_.find(host);
   if (found == hosts_.end()) return 0;
-  double out = faded(found->second.rate, now - found->second.at);
-  for (const auto& [id, f] : functions_) {
+  double out = decayed(found->second.rate, now - found->second.rate_updated_at);
+  for (const auto& [id, function_record] : functions_) {
     bool here = false, elsewhere = false;
-    for (const auto& [other, at] : f.hosts) {
-      if (now - at <= kCopyFor) (other == host ? here : elsewhere) = true;
+    for (const auto& [other, at] : function_record.hosts) {
+      if (now - at <= kWarmInstanceLifetime) (other == host ? here : elsewhere) = true;
     }
-    if (here && !elsewhere) out += (kAlone - 1) * faded(f.rate, now - f.at);
+    if (here && !elsewhere)
+      out += (kColdStartWeight - 1) * decayed(function_record.rate, now - function_record.rate_updated_at);
   }
-  return out / (kTau.count() / 1000);
+  return out / (kRateTimeConstant.count() / 1000);
 }
 
 bool HostObserver::is_down(const std::string& host, Millis now) const {
   const auto found = hosts_.find(host);
-  return found != hosts_.end() && found->second.failures >= kDownAfter &&
-         now - found->second.failed <= kDownFor;
+  return found != hosts_.end() && found->second.consecutive_failures >= kFailuresUntilDown &&
+         now - found->second.last_failed_at <= kDownDuration;
 }
 
 Millis HostObserver::last_served(const std::string& host) const {
   const auto found = hosts_.find(host);
-  return found == hosts_.end() ? Millis(0) : found->second.served;
+  return found == hosts_.end() ? Millis(0) : found->second.last_served_at;
 }
 
 }  // namespace lotusyard::maintenance
--- a/src/maintenance/host_observer.h
+++ b/src/maintenance/host_observer.h
@@ -1,5 +1,6 @@
-// What one member sees of hosts, for the works' order: what each is worth now, which functions only it
-// serves, which ones fail. No I/O; the time is passed in.
+// One member's view of the hosts it sends calls to: how much value each serves, and which ones fail. The
+// maintenance scheduler uses it to drain the host whose absence costs least. Does no I/O; the time is passed
+// in.
 #pragma once
 
 #include <cstdint>
@@ -14,32 +15,39 @@
 
 class HostObserver {
  public:
-  static constexpr std::size_t max_functions = 4096;  // known at once; the one unseen for longest goes
+  // Functions tracked at once; the least recently served one is evicted.
+  static constexpr std::size_t kMaxFunctions = 4096;
 
+  // Records a successful call of a function; `worth` is the value of a call of its class.
   void record_success(const std::string& host, std::uint64_t function, double worth, Millis now);
-  void record_failure(const std::string& host, Millis now);  // it could not be reached, or broke off
+  // Records a refused connection or a connection reset.
+  void record_failure(const std::string& host, Millis now);
 
-  // Worth a second that it serves. What it alone has served of late counts several times: those calls wait
-  // for a load elsewhere, the others only move.
+  // The value the host serves per second. Functions that only this host has served recently are weighted
+  // higher: their calls would wait for a cold start elsewhere, all others would merely move.
   double serving_value(const std::string& host, Millis now) const;
+  // Whether the host has failed several times in a row, the last time recently.
   bool is_down(const std::string& host, Millis now) const;
+  // Time of the last successful call; zero if there was none.
   Millis last_served(const std::string& host) const;
 
  private:
-  struct Host {
-    double rate = 0;  // worth, decaying
-    Millis at{0}, served{0}, failed{0};
-    int failures = 0;  // on end
+  struct HostRecord {
+    double rate = 0;  // value served, decaying exponentially
+    Millis rate_updated_at{0};
+    Millis last_served_at{0};
+    Millis last_failed_at{0};
+    int consecutive_failures = 0;
   };
-  struct Function {
-    std::map<std::string, Millis> hosts;  // that served it, and when last
-    double rate = 0;
-    Millis at{0};
+  struct FunctionRecord {
+    std::map<std::string, Millis> hosts;  // when each host last served the function
+    double rate = 0;                      // value served, decaying exponentially
+    Millis rate_updated_at{0};
   };
-  std::map<std::string, Host> hosts_;
-  std::map<std::uint64_t, Function> functions_;
+  std::map<std::string, HostRecord> hosts_;
+  std::map<std::uint64_t, FunctionRecord> functions_;
 
-  void make_room();
+  void evict_oldest_function();
 };
 
 }  // namespace lotusyard::maintenance
--- a/src/maintenance/log_entry.h
+++ b/src/maintenance/log_entry.h
@@ -1,5 +1,5 @@
-// What the members of a group agree upon about works on machines, one entry at a time, and its one wording
-// (JSON) in the log and on the links.
+// The commands of the maintenance log: what the members of a group agree on, one entry at a time, and their
+// JSON encoding, which is the same in the log and between members.
 #pragma once
 
 #include <cstdint>
@@ -16,21 +16,24 @@
 
 using policy::Millis;
 
-// A host as a work names it: where it stands and of what kind it is decide which bounds it counts for.
+// A host of a job. Its zone and kind decide which disruption bounds it counts against.
 struct HostKey {
   std::string id, zone, kind;
 };
 
-// How many hosts may be out at once, over all works together. 0: no bound of that sort.
+// Limits on the hosts that are unavailable at the same time, over all jobs together. A limit per zone or per
+// kind of 0 means none.
 struct DisruptionBounds {
-  int max_out = 1, max_out_per_zone = 0, max_out_per_kind = 0;
-  double min_usable_share =
-      0.5;  // least share of all listed hosts that stays usable, as every member sees them
-  Millis max_time_out{600000};     // time allowed out; one that takes longer holds up the work and is named
-  Millis pause{0};                 // from one host's return to the next host's leaving
-  bool restart_is_return = false;  // a host that starts anew while it is out is back without being told so
+  int max_out = 1;
+  int max_out_per_zone = 0;
+  int max_out_per_kind = 0;
+  double min_usable_share = 0.5;   // share of all listed hosts that must stay usable, 0 to 1
+  Millis max_time_out{600000};     // a host out for longer is overdue and holds up its job
+  Millis pause{0};                 // least time between one host's return and the next host's drain
+  bool restart_is_return = false;  // a host that restarts while it is out returns without an operator
 };
 
+// An operator's request to take a set of hosts out of service one after another.
 struct MaintenanceJob {
   enum class State { running, paused, done, cancelled };
   std::string id;
@@ -39,53 +42,54 @@
   State state = State::running;
 };
 
-// What one member saw of the hosts, as it was put into the log.
+// What one member observed of the hosts and of its own calls.
 struct HostObservations {
-  std::map<std::string, double>
-      serving_value;                // by host: worth a second that it serves, more where copies stand alone
-  std::set<std::string> down;       // listed, not usable, and not out for a work
-  std::set<std::string> restarted;  // out for a work, and started anew meanwhile
-  std::set<std::string> served;     // back from a work, and has answered a call since
-  double calls_per_second = 0,
-         failed_per_second = 0;  // calls a second taken, and those of them that were not served
-  int listed_hosts = 0;          // hosts
+  // Value served per second by host; calls that only this host can serve warm are weighted higher.
+  std::map<std::string, double> serving_value;
+  std::set<std::string> down;       // listed but not usable, and not out of service for a job
+  std::set<std::string> restarted;  // out of service for a job, and restarted since
+  std::set<std::string> served;     // returned from a job, and has served a call since
+  double calls_per_second = 0;
+  double failed_per_second = 0;  // of these, the calls that were refused or failed
+  int listed_hosts = 0;          // number of hosts known from discovery
 };
 
-// One member's sign of life. `stamp` is its own clock's; `has` the index up to which it follows the log.
+// One member's heartbeat. It renews the member's lease and reports its progress.
 struct Heartbeat {
   std::string member;
   std::uint64_t incarnation = 0;
-  double sent_at = 0;
-  std::uint64_t applied_index = 0;
-  std::set<std::string> drained_hosts;  // hosts that take no call of this member's any more, and hold none
-  std::optional<HostObservations> observations = std::nullopt;  // absent where it is as before
-  // Up to where also those have followed that it represents and that may go on without a lease; absent:
-  // `has`.
+  double sent_at = 0;                   // milliseconds on the sender's clock
+  std::uint64_t applied_index = 0;      // last log index applied by the member and all holders of its leases
+  std::set<std::string> drained_hosts;  // hosts that hold no call of this member and receive none
+  std::optional<HostObservations> observations = std::nullopt;  // absent if unchanged
+  // Last log index known to the sessions that may continue without a lease; absent if equal to
+  // `applied_index`.
   std::optional<std::uint64_t> followed_index = std::nullopt;
 };
 
+// One command of the log. `kind` decides which of the other fields are meaningful.
 struct LogEntry {
   enum class Kind {
-    heartbeats,            // signs of life, as the leader gathered them
-    join,                  // a member begins a new life
-    leave,                 // an operator says that a member is gone for good
-    add_job,               // a work
-    change_job_state,      // a work is paused, resumed, called off
-    change_bounds,         // a work's bounds change
-    select_hosts,          // these hosts may be next: a member without its lease does not use them
-    start_drain,           // no member uses this host from now on
-    release_to_operators,  // the operators may touch it
-    return_to_service,     // it is in use again, cold
-    complete,              // it has served: it counts as back
-    overdue,               // its time is up
-    read_barrier           // changes nothing: who asked knows that a majority stands behind what it reads
+    heartbeats,            // heartbeats collected by the leader
+    join,                  // a member begins a new incarnation
+    leave,                 // an operator declares a member permanently gone
+    add_job,               // a new job
+    change_job_state,      // a job is paused, resumed or cancelled
+    change_bounds,         // a job's bounds are replaced
+    select_hosts,          // hosts that may be drained next: a member without a lease avoids them
+    start_drain,           // no member sends calls to the host any more
+    release_to_operators,  // no member uses the host: the operators may work on it
+    return_to_service,     // the host is used again, with slow start
+    complete,              // the host has served calls again
+    overdue,               // the host has been out for longer than its job allows
+    read_barrier           // no effect; once applied, its proposer knows that its state is current
   };
   Kind kind = Kind::read_barrier;
-  std::string proposal;  // an operator's, by which its outcome can be asked for
+  std::string proposal;  // an operator's id for the command, by which its outcome can be queried
   std::string job, host, member, reason;
-  std::uint64_t incarnation = 0,
-                selected_at_index = 0;  // round: the index at which the host was named or taken
-  bool serves = true;
+  std::uint64_t incarnation = 0;
+  std::uint64_t selected_at_index = 0;  // index of the entry that selected, drained or returned the host
+  bool serves = true;                   // whether the joining member serves calls
   MaintenanceJob::State state = MaintenanceJob::State::running;
   std::vector<Heartbeat> heartbeats;
   std::vector<std::string> hosts;
@@ -93,17 +97,23 @@
   std::optional<DisruptionBounds> bounds;
 };
 
-constexpr std::size_t max_entry_bytes = 256 * 1024;  // bytes of its wording
+constexpr std::size_t kMaxEntryBytes = 256 * 1024;  // size limit of an encoded entry
 
 std::string encode_entry(const LogEntry& entry);
-std::optional<LogEntry> parse_entry(const std::string& text);  // nothing: it is none that this version knows
-nlohmann::json job_to_json(const MaintenanceJob& work);
-// Throws std::invalid_argument naming the key.
+// Returns nothing if the text is too long, malformed, or of a kind unknown to this version.
+std::optional<LogEntry> parse_entry(const std::string& text);
+
+nlohmann::json job_to_json(const MaintenanceJob& job);
+// Throws std::invalid_argument with the offending key.
 MaintenanceJob parse_job(const nlohmann::json& from);
+// Throws std::invalid_argument with the offending key.
 DisruptionBounds parse_bounds(const nlohmann::json& from);
+
+// Names as used in the encoding.
 const char* name_of(MaintenanceJob::State state);
 const char* name_of(LogEntry::Kind kind);
-nlohmann::json heartbeat_to_json(const Heartbeat& beat);
-std::optional<Heartbeat> parse_heartbeat(const nlohmann::json& from);
+
+nlohmann::json heartbeat_to_json(const Heartbeat& heartbeat);
+std::optional<Heartbeat> parse_heartbeat(const nlohmann::json& from);  // nothing if it is malformed
 
 }  // namespace lotusyard::maintenance
--- a/src/maintenance/maintenance_replica.cpp
+++ b/src/maintenance/maintenance_replica.cpp
@@ -14,54 +14,51 @@
 using nlohmann::json;
 using Kind = LogEntry::Kind;
 
-constexpr int kViewEvery = 8;  // so many beats: what is seen is told again though it is as before
-const std::string kPath = "/-/works/";
+constexpr int kHeartbeatsPerObservation = 8;  // unchanged observations are sent again after so many
+const std::string kPathPrefix = "/-/works/";
 
 }  // namespace
 
-MaintenanceReplica::MaintenanceReplica(const InvokerServices& wiring, const raft::Config& config,
-                                       raft::Lease& lease, LogSink note)
-    : services_(wiring),
+MaintenanceReplica::MaintenanceReplica(const InvokerServices& services, const raft::Config& config,
+                                       raft::Lease& lease, LogSink log)
+    : services_(services),
       config_(config),
       lease_(lease),
-      log_(std::move(note)),
+      log_(std::move(log)),
       scheduler_(config.terms),
-      host_access_(wiring, log_) {}
+      host_access_(services, log_) {}
 
 MaintenanceReplica::~MaintenanceReplica() {
-  for (const auto& timer : {heartbeat_timer_, leader_timer_, lease_timer_, lives_})
+  for (const auto& timer : {heartbeat_timer_, leader_timer_, lease_timer_, incarnation_timer_})
     services_.loop.cancel(timer);
 }
 
-void MaintenanceReplica::attach(raft::RaftReplica& member) {
-  replica_ = &member;
+void MaintenanceReplica::attach(raft::RaftReplica& replica) {
+  replica_ = &replica;
   update_host_access();
   heartbeat_timer_ = services_.loop.schedule_at(now(), [this] { send_heartbeat(); });
   leader_timer_ = services_.loop.schedule_at(now(), [this] { run_leader(); });
 }
 
-// ---- What this member uses ----
-
 bool MaintenanceReplica::may_send(const std::string& host) {
   before_writes();
   return !host_access_.is_avoided(host) && lease_.was_ever_held();
 }
 
-// Danger: a process that was stopped for longer than its lease goes on where it was, with calls decided and
-// not yet written.
+// A process that was suspended for longer than its lease resumes with calls assigned and not yet written.
 void MaintenanceReplica::before_writes() {
   if (host_access_.leased() && !lease_.is_held(now())) update_host_access();
 }
 
 void MaintenanceReplica::update_host_access() {
-  StateFreshness knowledge;
-  knowledge.is_leased =
+  StateFreshness freshness;
+  freshness.is_leased =
       !failed_ && (lease_.is_held(now()) || (fault_injected("lease") && lease_.was_ever_held()));
-  knowledge.must_suspend = config_.serves && !lease_.was_ever_held();
+  freshness.must_suspend = config_.serves && !lease_.was_ever_held();
   services_.loop.cancel(lease_timer_);
   if (lease_.is_held(now()))
     lease_timer_ = services_.loop.schedule_at(lease_.expires_at(), [this] { update_host_access(); });
-  host_access_.update(state_, knowledge);
+  host_access_.update(state_, freshness);
   if (change_handler_) change_handler_();
 }
 
@@ -70,20 +67,18 @@
   host_access_.attempt_ended(host, call, outcome);
 }
 
-// ---- What this member tells ----
-
-void MaintenanceReplica::send_to_leader(const json& word) {
-  if (!replica_->send_to_leader(*this, word.dump(-1, ' ', false, json::error_handler_t::replace)))
+void MaintenanceReplica::send_to_leader(const json& message) {
+  if (!replica_->send_to_leader(*this, message.dump(-1, ' ', false, json::error_handler_t::replace)))
     services_.counters.add("works.no_leader");
 }
 
 void MaintenanceReplica::send_heartbeat() {
-  const Millis pace = config_.terms.heartbeat_interval();
-  heartbeat_timer_ = services_.loop.schedule_at(now() + pace, [this] { send_heartbeat(); });
+  const Millis interval = config_.terms.heartbeat_interval();
+  heartbeat_timer_ = services_.loop.schedule_at(now() + interval, [this] { send_heartbeat(); });
   if (failed_ || !replica_->is_member() || !config_.serves) return;
-  const auto mine = state_.members().find(member_name());
-  if (mine == state_.members().end() || mine->second.incarnation != replica_->incarnation()) {
-    pass_earlier_lives();
+  const auto self = state_.members().find(member_name());
+  if (self == state_.members().end() || self->second.incarnation != replica_->incarnation()) {
+    overtake_earlier_incarnation();
     LogEntry join;
     join.kind = Kind::join;
     join.member = member_name();
@@ -91,59 +86,62 @@
     return send_to_leader({{"e", encode_entry(join)}});
   }
   has_joined_ = true;
-  Heartbeat out{member_name(),
-                replica_->incarnation(),
-                now().count(),
-                state_.index(),
-                {},
-                host_access_.observe(state_)};
-  const auto others = aggregate_source_ ? std::optional<SessionAggregate>(aggregate_source_()) : std::nullopt;
-  if (others) {
-    out.applied_index = std::min(out.applied_index, others->applied_index);
-    out.followed_index = std::min(out.applied_index, others->followed_index);
+  Heartbeat heartbeat{member_name(),
+                      replica_->incarnation(),
+                      now().count(),
+                      state_.index(),
+                      {},
+                      host_access_.observe(state_)};
+  const auto sessions =
+      aggregate_source_ ? std::optional<SessionAggregate>(aggregate_source_()) : std::nullopt;
+  if (sessions) {
+    heartbeat.applied_index = std::min(heartbeat.applied_index, sessions->applied_index);
+    heartbeat.followed_index = std::min(heartbeat.applied_index, sessions->followed_index);
   }
-  if (merge_observations_) out.observations = merge_observations_(std::move(*out.observations));
-  out.drained_hosts = drained_hosts(others ? &*others : nullptr);
-  json worded_out = heartbeat_to_json(out);
-  std::string seen = worded_out["v"].dump();
-  if (seen == last_sent_observations_ && ++heartbeats_without_observations_ < kViewEvery) {
-    worded_out.erase("v");
+  if (merge_observations_) heartbeat.observations = merge_observations_(std::move(*heartbeat.observations));
+  heartbeat.drained_hosts = drained_hosts(sessions ? &*sessions : nullptr);
+  json encoded = heartbeat_to_json(heartbeat);
+  std::string observations = encoded["v"].dump();
+  if (observations == last_sent_observations_ &&
+      ++heartbeats_without_observations_ < kHeartbeatsPerObservation) {
+    encoded.erase("v");
   } else {
-    last_sent_observations_ = std::move(seen);
+    last_sent_observations_ = std::move(observations);
     heartbeats_without_observations_ = 0;
   }
-  send_to_leader({{"b", worded_out}});
+  send_to_leader({{"b", encoded}});
 }
 
-// A member that lost its store takes its life from the clock; set back since, that is less than the log
-// knows, and it would never be let in. Only before the first join of this process: two processes of one name
-// would outdo each other for ever.
-void MaintenanceReplica::pass_earlier_lives() {
+// A member that lost its store derives its incarnation from the clock. If the clock was set back meanwhile,
+// the incarnation is lower than the one in the log, and the member would never be admitted. This is only done
+// before the first join of this process: otherwise two processes with one name would supersede each other
+// forever.
+void MaintenanceReplica::overtake_earlier_incarnation() {
   const std::uint64_t last = state_.last_incarnation(member_name());
   if (has_joined_ || last < replica_->incarnation()) return;
   try {
-    const std::uint64_t life = replica_->begin_new_incarnation(last);
+    const std::uint64_t incarnation = replica_->begin_new_incarnation(last);
     services_.counters.add("works.lives_passed");
-    log_("life=" + std::to_string(life) + " starts: an earlier one is in the log as " + std::to_string(last));
-  } catch (const std::exception& fault) { on_store_failure(fault.what()); }
+    log_("life=" + std::to_string(incarnation) + " starts: an earlier one is in the log as " +
+         std::to_string(last));
+  } catch (const std::exception& error) { on_store_failure(error.what()); }
 }
 
-std::set<std::string> MaintenanceReplica::drained_hosts(const SessionAggregate* others) const {
+std::set<std::string> MaintenanceReplica::drained_hosts(const SessionAggregate* sessions) const {
   std::set<std::string> out;
-  for (const auto& [id, h] : state_.hosts()) {
-    const bool gone = h.stage == HostStage::draining || h.stage == HostStage::out_of_service;
-    if (!gone || !host_access_.is_avoided(id)) continue;
-    const bool free = lease_.earlier_attempts_ended(now()) && services_.host_connections.has_no_calls(id);
-    const bool others_free = others == nullptr || others->quiesced_index >= h.selected_at_index;
-    if ((free && others_free) || fault_injected("drain")) out.insert(id);
+  for (const auto& [id, host] : state_.hosts()) {
+    const bool is_out = host.stage == HostStage::draining || host.stage == HostStage::out_of_service;
+    if (!is_out || !host_access_.is_avoided(id)) continue;
+    const bool own_quiesced =
+        lease_.earlier_attempts_ended(now()) && services_.host_connections.has_no_calls(id);
+    const bool sessions_quiesced = sessions == nullptr || sessions->quiesced_index >= host.selected_at_index;
+    if ((own_quiesced && sessions_quiesced) || fault_injected("drain")) out.insert(id);
   }
   return out;
 }
 
-// ---- What was agreed upon ----
-
-void MaintenanceReplica::apply(std::uint64_t index, const std::string& wording) {
-  const auto entry = parse_entry(wording);
+void MaintenanceReplica::apply(std::uint64_t index, const std::string& text) {
+  const auto entry = parse_entry(text);
   if (!entry) {
     services_.counters.add("works.unreadable");
     return on_store_failure("entry " + std::to_string(index) +
@@ -152,103 +150,102 @@
   const auto outcome = state_.apply(index, *entry, now());
   services_.counters.add("works.entries");
   if (entry->kind == Kind::heartbeats) {
-    for (const auto& beat : entry->heartbeats) {
-      // Danger: a sign of life that was on its way when the member was said to be gone, or began another
-      // life.
-      const auto mine = state_.members().find(beat.member);
-      const bool holds = mine != state_.members().end() && mine->second.incarnation == beat.incarnation;
-      if (beat.member != member_name()) continue;
-      const bool this_life = replica_ != nullptr && beat.incarnation == replica_->incarnation();
-      if (holds && this_life) lease_.renew(beat.sent_at);
-      // The log keeps what an earlier process of this member read off the clock.
-      if (!this_life) services_.loop.remember_wall(Millis(beat.sent_at));
+    for (const auto& heartbeat : entry->heartbeats) {
+      // A heartbeat may have been in flight when its member was removed or began a new incarnation.
+      const auto self = state_.members().find(heartbeat.member);
+      const bool is_current =
+          self != state_.members().end() && self->second.incarnation == heartbeat.incarnation;
+      if (heartbeat.member != member_name()) continue;
+      const bool this_incarnation = replica_ != nullptr && heartbeat.incarnation == replica_->incarnation();
+      if (is_current && this_incarnation) lease_.renew(heartbeat.sent_at);
+      // The log records clock readings of earlier processes of this member.
+      if (!this_incarnation) services_.loop.remember_wall(Millis(heartbeat.sent_at));
     }
     if (!host_access_.leased()) return update_host_access();
     return change_handler_ ? change_handler_() : void();
   }
-  // What came again under one proposal has had its outcome.
+  // A repeated proposal has its outcome already.
   if (entry->kind == Kind::read_barrier || outcome.index != index) return;
   ++version_;
   log_applied_entry(*entry, outcome);
-  // Before `attach` the log of earlier lives is applied: this one is a new one in any case.
+  // Entries applied before `attach` concern earlier incarnations; this one is new in any case.
   const bool left = outcome.done && entry->kind == Kind::leave && entry->member == member_name();
-  if (left && replica_ != nullptr) begin_new_incarnation();
+  if (left && replica_ != nullptr) rejoin_after_removal();
   update_host_access();
-  // One step leads to the next at once.
+  // The entry may make the next one due.
   if (replica_ != nullptr && replica_->is_leader()) {
     services_.loop.cancel(leader_timer_);
     leader_timer_ = services_.loop.schedule_at(now(), [this] { run_leader(); });
   }
 }
 
-void MaintenanceReplica::log_applied_entry(const LogEntry& e,
+void MaintenanceReplica::log_applied_entry(const LogEntry& entry,
                                            const MaintenanceState::ProposalOutcome& outcome) {
-  log_(std::string(name_of(e.kind)) + (outcome.done ? "" : " refused") +
-       (e.job.empty() ? "" : " work=" + e.job) + (e.host.empty() ? "" : " host=" + e.host) +
-       (e.added_job ? " work=" + e.added_job->id : "") + (e.member.empty() ? "" : " of=" + e.member) +
-       (e.kind == Kind::change_job_state ? std::string(" state=") + name_of(e.state) : "") + " reason=\"" +
-       (outcome.done ? e.reason : outcome.why) + '"');
+  log_(std::string(name_of(entry.kind)) + (outcome.done ? "" : " refused") +
+       (entry.job.empty() ? "" : " work=" + entry.job) + (entry.host.empty() ? "" : " host=" + entry.host) +
+       (entry.added_job ? " work=" + entry.added_job->id : "") +
+       (entry.member.empty() ? "" : " of=" + entry.member) +
+       (entry.kind == Kind::change_job_state ? std::string(" state=") + name_of(entry.state) : "") +
+       " reason=\"" + (outcome.done ? entry.reason : outcome.why) + '"');
 }
 
-// It was taken for gone for good, and is not.
-void MaintenanceReplica::begin_new_incarnation() {
+// This member was declared permanently gone, but is running.
+void MaintenanceReplica::rejoin_after_removal() {
   lease_ = raft::Lease(config_.terms, now());
-  take_new_life();
+  begin_new_incarnation();
 }
 
-// A life that is not kept is not told: a store that fails for now is asked again.
-void MaintenanceReplica::take_new_life() {
+// A new incarnation is used only once it is stored; transient store errors are retried.
+void MaintenanceReplica::begin_new_incarnation() {
   try {
     log_("life=" + std::to_string(replica_->begin_new_incarnation()) +
          " starts: this member was said to be gone");
-  } catch (const raft::LogStoreError& fault) {
-    if (!fault.transient()) return on_store_failure(fault.what());
-    services_.loop.cancel(lives_);
-    lives_ =
-        services_.loop.schedule_at(now() + config_.terms.heartbeat_interval(), [this] { take_new_life(); });
-  } catch (const std::exception& fault) { on_store_failure(fault.what()); }
+  } catch (const raft::LogStoreError& error) {
+    if (!error.transient()) return on_store_failure(error.what());
+    services_.loop.cancel(incarnation_timer_);
+    incarnation_timer_ = services_.loop.schedule_at(now() + config_.terms.heartbeat_interval(),
+                                                    [this] { begin_new_incarnation(); });
+  } catch (const std::exception& error) { on_store_failure(error.what()); }
 }
 
 std::string MaintenanceReplica::snapshot() {
   return state_.snapshot().dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-bool MaintenanceReplica::restore(const std::string& from) {
-  if (from.empty()) return true;
-  const json read = json::parse(from, nullptr, false);
+bool MaintenanceReplica::restore(const std::string& snapshot) {
+  if (snapshot.empty()) return true;
+  const json read = json::parse(snapshot, nullptr, false);
   ++version_;
   return read.is_object() && state_.restore(read, now());
 }
 
-void MaintenanceReplica::on_store_failure(const std::string& why) {
+void MaintenanceReplica::on_store_failure(const std::string& reason) {
   if (std::exchange(failed_, true)) return;
-  std::cerr << "lotusyard: " << why << std::endl;
+  std::cerr << "lotusyard: " << reason << std::endl;
   lease_.revoke();
   services_.loop.schedule_at(now(), [this] { update_host_access(); });
 }
 
-// ---- What operators ask ----
-
 std::optional<admin::Response> MaintenanceReplica::handle_request(const admin::Request& request) {
-  const bool get = request.method == "GET", post = request.method == "POST";
+  const bool is_get = request.method == "GET", is_post = request.method == "POST";
   if (request.path == "/-/works")
-    return get ? admin::Response{200, jobs_to_json(state_, member_name()).dump()}
-               : admin::Response{405, "GET"};
-  if (request.path.compare(0, kPath.size(), kPath) != 0) return std::nullopt;
-  const std::string rest = request.path.substr(kPath.size());
+    return is_get ? admin::Response{200, jobs_to_json(state_, member_name()).dump()}
+                  : admin::Response{405, "GET"};
+  if (request.path.compare(0, kPathPrefix.size(), kPathPrefix) != 0) return std::nullopt;
+  const std::string rest = request.path.substr(kPathPrefix.size());
   const auto slash = rest.find('/');
   const std::string verb = rest.substr(0, slash),
-                    what = slash == std::string::npos ? "" : rest.substr(slash + 1);
+                    argument = slash == std::string::npos ? "" : rest.substr(slash + 1);
   if (verb == "propose") {
-    if (!post) return admin::Response{405, "POST"};
-    const OperatorProposal read = parse_proposal(what, services_.endpoint_states.listed_hosts());
-    if (!read.entry) return read.rejection;
-    const bool told = replica_->send_to_leader(*this, json{{"e", encode_entry(*read.entry)}}.dump());
-    return told ? admin::Response{202, "taken"} : admin::Response{503, "nobody is known to lead"};
+    if (!is_post) return admin::Response{405, "POST"};
+    const OperatorProposal proposal = parse_proposal(argument, services_.endpoint_states.listed_hosts());
+    if (!proposal.entry) return proposal.rejection;
+    const bool sent = replica_->send_to_leader(*this, json{{"e", encode_entry(*proposal.entry)}}.dump());
+    return sent ? admin::Response{202, "taken"} : admin::Response{503, "nobody is known to lead"};
   }
   if (verb != "outcome") return std::nullopt;
-  if (!get) return admin::Response{405, "GET"};
-  const auto* outcome = state_.find_outcome(what);
+  if (!is_get) return admin::Response{405, "GET"};
+  const auto* outcome = state_.find_outcome(argument);
   if (outcome == nullptr)
     return admin::Response{404, "not known here, as of index " + std::to_string(state_.index())};
   return admin::Response{200, outcome_to_json(*outcome).dump()};
--- a/src/maintenance/maintenance_replica.h
+++ b/src/maintenance/maintenance_replica.h
@@ -1,6 +1,6 @@
-// Works on machines at one member: its part of the agreed log, what it tells the others, what it leads when
-// it leads, and what the invoker's parts are told. Its signs of life carry the lease that other parts go by,
-// too. What is decided stands in `board`, `order` and `leaving`.
+// This member's replica of the maintenance state: applies the replicated log, sends heartbeats to the leader,
+// and, while leading, proposes what the scheduler decides. The heartbeats also renew the lease that other
+// parts of the process depend on.
 #pragma once
 
 #include <map>
@@ -14,49 +14,62 @@
 
 namespace lotusyard::maintenance {
 
+// Runs on the event loop of `services`. Decisions are made by MaintenanceState (rules) and
+// MaintenanceScheduler (order); this class does the I/O and the timing.
 class MaintenanceReplica final : public raft::ReplicatedStateMachine {
  public:
   using LogSink = std::function<void(const std::string& text)>;
-  // `lease` outlives it.
-  MaintenanceReplica(const InvokerServices& wiring, const raft::Config& config, raft::Lease& lease,
-                     LogSink note);
+  // `lease` must outlive the replica.
+  MaintenanceReplica(const InvokerServices& services, const raft::Config& config, raft::Lease& lease,
+                     LogSink log);
   ~MaintenanceReplica() override;
-  void attach(raft::RaftReplica& member);  // once, before the loop's next turn
+  // Connects the state machine to its log and starts the timers. To be called once, before the event loop
+  // runs; `replica` must outlive this object.
+  void attach(raft::RaftReplica& replica);
 
+  // Whether the member may accept calls: it has held a lease, and its store has not failed.
   bool ready() const { return !config_.serves || (lease_.was_ever_held() && !failed_); }
   bool may_send(const std::string& host);
+  // To be called before calls are written to hosts: withdraws access if the lease has expired meanwhile.
   void before_writes();
   void attempt_ended(const std::string& host, const core::Call& call, core::Outcome outcome);
+  // Handles the admin requests under /-/works; nothing for all other paths.
   std::optional<admin::Response> handle_request(const admin::Request& request);
+
   const MaintenanceState& state() const { return state_; }
   bool sees_down(const std::string& host) const { return host_access_.sees_down(host); }
   bool is_leased() const { return !failed_ && lease_.is_held(now()); }
   bool has_failed() const { return failed_; }
-  // What this member says for others that it represents, beside what it says for itself, each up to an index
-  // of the log: what all that hold a lease have applied, what all have applied that go on with a lease or
-  // without, and what nothing that is under way at any of them goes against.
+
+  // The progress of the sessions this member represents, each up to an index of the log.
   struct SessionAggregate {
-    std::uint64_t applied_index = 0, followed_index = 0, quiesced_index = 0;
+    std::uint64_t applied_index = 0;   // applied by all sessions that hold a lease
+    std::uint64_t followed_index = 0;  // applied by all sessions that continue, with or without a lease
+    std::uint64_t quiesced_index = 0;  // no call in flight at any session conflicts with entries up to here
   };
   using AggregateSource = std::function<SessionAggregate()>;
   using MergeObservations = std::function<HostObservations(HostObservations own)>;
-  void set_aggregate_source(AggregateSource represent, MergeObservations merge_views) {
-    aggregate_source_ = std::move(represent);
-    merge_observations_ = std::move(merge_views);
+  // Makes heartbeats cover the represented sessions too. Both functions are called at every heartbeat.
+  void set_aggregate_source(AggregateSource source, MergeObservations merge) {
+    aggregate_source_ = std::move(source);
+    merge_observations_ = std::move(merge);
   }
-  // Grows whenever the board may have changed in more than signs of life.
+
+  // Increases whenever the state may have changed in more than heartbeats.
   std::uint64_t version() const { return version_; }
-  // Told whenever an entry has been applied, or the lease has come or gone.
-  void set_change_handler(std::function<void()> changed) { change_handler_ = std::move(changed); }
-  // The one member that leads, once all that was agreed before it has been applied here.
+  // `handler` is called whenever an entry has been applied, or the lease has been gained or lost.
+  void set_change_handler(std::function<void()> handler) { change_handler_ = std::move(handler); }
+  // Whether this member leads and has applied everything committed before its term. Proposes the read
+  // barrier that establishes this where needed.
   bool is_ready_leader();
 
   const char* name() const override { return "works"; }
   void apply(std::uint64_t index, const std::string& entry) override;
   std::string snapshot() override;
   bool restore(const std::string& snapshot) override;
-  void handle_message(const std::string& word) override;
-  void on_store_failure(const std::string& why) override;
+  void handle_message(const std::string& message) override;
+  // The member stops for good: it revokes its lease and sends no further heartbeats.
+  void on_store_failure(const std::string& reason) override;
 
  private:
   InvokerServices services_;
@@ -70,14 +83,17 @@
   AggregateSource aggregate_source_;
   MergeObservations merge_observations_;
   std::uint64_t version_ = 0;
-  std::map<std::string, Heartbeat> pending_heartbeats_;  // at the one that leads: what is not in the log yet
+  std::map<std::string, Heartbeat> pending_heartbeats_;  // at the leader: received and not yet proposed
   std::function<void()> change_handler_;
-  net::EventLoop::TimerId heartbeat_timer_{}, leader_timer_{}, lease_timer_{}, lives_{};
-  bool failed_ = false, in_flight_ = false, has_joined_ = false;
-  std::uint64_t led_term_ = 0, readying_term_ = 0;
-  std::string last_sent_observations_, proposed_waiting_reason_;
+  net::EventLoop::TimerId heartbeat_timer_{}, leader_timer_{}, lease_timer_{}, incarnation_timer_{};
+  bool failed_ = false;
+  bool has_joined_ = false;
+  bool proposal_in_flight_ = false;
+  Millis proposed_at_{0};
+  std::uint64_t ready_term_ = 0;    // the term whose read barrier has been applied
+  std::uint64_t barrier_term_ = 0;  // the term whose read barrier has been proposed
+  std::string last_sent_observations_, proposed_waiting_reasons_;
   int heartbeats_without_observations_ = 0;
-  Millis flown_at_{0};
 
   Millis now() const { return services_.loop.now(); }
   const std::string& member_name() const { return config_.member; }
@@ -85,12 +101,12 @@
   void send_heartbeat();
   void run_leader();
   void propose(const LogEntry& entry);
-  std::set<std::string> drained_hosts(const SessionAggregate* others) const;
-  void send_to_leader(const nlohmann::json& word);
-  void handle_heartbeat(Heartbeat&& beat);
+  std::set<std::string> drained_hosts(const SessionAggregate* sessions) const;
+  void send_to_leader(const nlohmann::json& message);
+  void handle_heartbeat(Heartbeat&& heartbeat);
+  void rejoin_after_removal();
+  void overtake_earlier_incarnation();
   void begin_new_incarnation();
-  void pass_earlier_lives();
-  void take_new_life();
   void log_applied_entry(const LogEntry& entry, const MaintenanceState::ProposalOutcome& outcome);
 };
 
--- a/src/maintenance/maintenance_replica_leader.cpp
+++ b/src/maintenance/maintenance_replica_leader.cpp
@@ -1,4 +1,4 @@
-// What the one member that leads does for works: it gathers signs of life and proposes what the order says.
+// The leader's part of MaintenanceReplica: collects heartbeats and proposes what the scheduler decides.
 #include "config/json_read.h"
 #include "maintenance/heartbeat_aggregator.h"
 #include "maintenance/maintenance_replica.h"
@@ -9,54 +9,54 @@
 using nlohmann::json;
 using Kind = LogEntry::Kind;
 
-constexpr Millis kFlightMost{10000};  // a proposal that is not answered for so long is taken as lost
+constexpr Millis kProposalTimeout{10000};  // after which a proposal without a result counts as lost
 
 }  // namespace
 
-void MaintenanceReplica::handle_message(const std::string& word) {
-  const json read = json::parse(word, nullptr, false);
-  if (!read.is_object()) return services_.counters.add("works.malformed");
-  if (const auto& b = config::key(read, "b"); !b.is_null()) {
-    auto beat = parse_heartbeat(b);
-    return beat ? handle_heartbeat(std::move(*beat)) : services_.counters.add("works.malformed");
+void MaintenanceReplica::handle_message(const std::string& text) {
+  const json message = json::parse(text, nullptr, false);
+  if (!message.is_object()) return services_.counters.add("works.malformed");
+  if (const auto& encoded = config::key(message, "b"); !encoded.is_null()) {
+    auto heartbeat = parse_heartbeat(encoded);
+    return heartbeat ? handle_heartbeat(std::move(*heartbeat)) : services_.counters.add("works.malformed");
   }
-  const auto entry = parse_entry(config::text(config::key(read, "e")));
+  const auto entry = parse_entry(config::text(config::key(message, "e")));
   if (!entry) return services_.counters.add("works.malformed");
   if (!entry->proposal.empty() && state_.find_outcome(entry->proposal) != nullptr) return;
   if (entry->kind == Kind::join && entry->incarnation <= state_.last_incarnation(entry->member)) return;
   if (!replica_->propose(*this, encode_entry(*entry))) services_.counters.add("works.not_proposed");
 }
 
-void MaintenanceReplica::handle_heartbeat(Heartbeat&& beat) {
-  Heartbeat& held = pending_heartbeats_[beat.member];
-  // What was seen and is not in the log yet goes with the newer sign of life.
-  if (!beat.observations && held.observations && held.incarnation == beat.incarnation)
-    beat.observations = std::move(held.observations);
-  held = std::move(beat);
+void MaintenanceReplica::handle_heartbeat(Heartbeat&& heartbeat) {
+  Heartbeat& pending = pending_heartbeats_[heartbeat.member];
+  // Observations that are not in the log yet are kept with the newer heartbeat.
+  if (!heartbeat.observations && pending.observations && pending.incarnation == heartbeat.incarnation)
+    heartbeat.observations = std::move(pending.observations);
+  pending = std::move(heartbeat);
 }
 
 bool MaintenanceReplica::is_ready_leader() {
   if (!replica_->is_leader()) return false;
   const std::uint64_t term = replica_->term();
-  if (led_term_ == term) return true;
-  if (readying_term_ == term) return false;
-  readying_term_ = term;
+  if (ready_term_ == term) return true;
+  if (barrier_term_ == term) return false;
+  barrier_term_ = term;
   pending_heartbeats_.clear();
-  in_flight_ = false;
-  LogEntry ask;
-  const bool asked = replica_->propose(*this, encode_entry(ask), [this, term](bool done) {
+  proposal_in_flight_ = false;
+  LogEntry barrier;
+  const bool proposed = replica_->propose(*this, encode_entry(barrier), [this, term](bool done) {
     if (!done) return;
-    led_term_ = term;
+    ready_term_ = term;
     log_("leads");
   });
-  if (!asked) readying_term_ = 0;
+  if (!proposed) barrier_term_ = 0;
   return false;
 }
 
 void MaintenanceReplica::propose(const LogEntry& entry) {
-  flown_at_ = now();
-  in_flight_ = replica_->propose(*this, encode_entry(entry), [this, term = replica_->term()](bool) {
-    if (term == led_term_) in_flight_ = false;
+  proposed_at_ = now();
+  proposal_in_flight_ = replica_->propose(*this, encode_entry(entry), [this, term = replica_->term()](bool) {
+    if (term == ready_term_) proposal_in_flight_ = false;
   });
 }
 
@@ -64,15 +64,16 @@
   leader_timer_ =
       services_.loop.schedule_at(now() + config_.terms.heartbeat_interval() / 2, [this] { run_leader(); });
   if (failed_ || !is_ready_leader()) return;
-  if (in_flight_ && now() - flown_at_ < kFlightMost) return;
+  if (proposal_in_flight_ && now() - proposed_at_ < kProposalTimeout) return;
   const auto next = scheduler_.next_entry(state_, now());
-  json waits = scheduler_.waiting_reasons();
-  const std::string told = waits.dump();
-  if (!pending_heartbeats_.empty() || told != proposed_waiting_reason_) {
-    const AggregatedHeartbeats gathered = aggregate_heartbeats(std::exchange(pending_heartbeats_, {}), told);
-    proposed_waiting_reason_ = told;
-    services_.counters.add("works.too_long", gathered.dropped);
-    for (const LogEntry& beats : gathered.entries) replica_->propose(*this, encode_entry(beats));
+  json reasons = scheduler_.waiting_reasons();
+  const std::string waiting_reasons = reasons.dump();
+  if (!pending_heartbeats_.empty() || waiting_reasons != proposed_waiting_reasons_) {
+    const AggregatedHeartbeats aggregated =
+        aggregate_heartbeats(std::exchange(pending_heartbeats_, {}), waiting_reasons);
+    proposed_waiting_reasons_ = waiting_reasons;
+    services_.counters.add("works.too_long", aggregated.dropped);
+    for (const LogEntry& entry : aggregated.entries) replica_->propose(*this, encode_entry(entry));
   }
   if (next) propose(*next);
 }
--- a/src/maintenance/maintenance_scheduler.cpp
+++ b/src/maintenance/maintenance_scheduler.cpp
@@ -9,17 +9,19 @@
 
 using Kind = LogEntry::Kind;
 
-constexpr Millis kUsualTau{60000};  // memory of the usual share of lost calls: longer than one host is away
-constexpr double kFalls = 0.05;     // so much above the usual the share may rise before no further host goes
-constexpr int kAhead = 2;           // so many times the hosts out at once are named ahead, to choose from
+// Time constant of the baseline of failed calls: longer than one host is away.
+constexpr Millis kBaselineTimeConstant{60000};
+// No further host is drained while the share of failed calls is this much above its baseline.
+constexpr double kMaxFailedShareRise = 0.05;
+constexpr int kSelectionFactor = 2;  // hosts selected ahead per host that may be out, to choose from
 
-std::string figure(double value) {
+std::string format_number(double value) {
   char text[32];
   std::snprintf(text, sizeof text, "%.3g", value);
   return text;
 }
 
-LogEntry about(Kind kind, const MaintenanceState::HostProgress& host, std::string reason) {
+LogEntry host_command(Kind kind, const MaintenanceState::HostProgress& host, std::string reason) {
   LogEntry out;
   out.kind = kind;
   out.job = host.job;
@@ -31,149 +33,155 @@
 
 }  // namespace
 
-bool MaintenanceScheduler::has_quiesced(const MaintenanceState::MemberProgress& m, const std::string& host,
-                                        std::uint64_t round, Millis now) const {
-  if (!m.serves) return true;
-  if (m.applied_index >= round && m.drained_hosts.count(host) != 0) return true;
-  return now - m.last_heartbeat_at >= terms_.presumed_dead_after();
+bool MaintenanceScheduler::has_quiesced(const MaintenanceState::MemberProgress& member,
+                                        const std::string& host, std::uint64_t drained_at_index,
+                                        Millis now) const {
+  if (!member.serves) return true;
+  if (member.applied_index >= drained_at_index && member.drained_hosts.count(host) != 0) return true;
+  return now - member.last_heartbeat_at >= terms_.presumed_dead_after();
 }
 
-// Whether what it last said of hosts is of now.
-bool MaintenanceScheduler::is_reporting(const MaintenanceState::MemberProgress& m, Millis now) const {
-  return m.serves && m.has_reported && now - m.last_heartbeat_at <= terms_.presumed_dead_after();
+// Whether the member's last observations are recent.
+bool MaintenanceScheduler::is_reporting(const MaintenanceState::MemberProgress& member, Millis now) const {
+  return member.serves && member.has_reported &&
+         now - member.last_heartbeat_at <= terms_.presumed_dead_after();
 }
 
-std::optional<LogEntry> MaintenanceScheduler::next_release(const MaintenanceState& board, Millis now) {
-  for (const auto& [id, h] : board.hosts()) {
-    if (h.stage != HostStage::draining) continue;
-    std::string over, silent;
-    for (const auto& [name, m] : board.members()) {
-      if (!has_quiesced(m, id, h.selected_at_index, now))
-        over += (over.empty() ? "" : ", ") + name;
-      else if (m.serves && m.drained_hosts.count(id) == 0)
-        silent += (silent.empty() ? "" : ", ") + name;
+std::optional<LogEntry> MaintenanceScheduler::next_release(const MaintenanceState& state, Millis now) {
+  for (const auto& [id, host] : state.hosts()) {
+    if (host.stage != HostStage::draining) continue;
+    std::string using_members, expired_members;
+    for (const auto& [name, member] : state.members()) {
+      if (!has_quiesced(member, id, host.selected_at_index, now))
+        using_members += (using_members.empty() ? "" : ", ") + name;
+      else if (member.serves && member.drained_hosts.count(id) == 0)
+        expired_members += (expired_members.empty() ? "" : ", ") + name;
     }
-    if (over.empty())
-      return about(Kind::release_to_operators, h,
-                   silent.empty() ? "all members are done with it"
-                                  : "the leases have run out of " + silent + "; all others are done");
-    waiting_reasons_[h.job] = "host " + id + " is still used, or may be, by " + over;
+    if (using_members.empty())
+      return host_command(Kind::release_to_operators, host,
+                          expired_members.empty()
+                              ? "all members are done with it"
+                              : "the leases have run out of " + expired_members + "; all others are done");
+    waiting_reasons_[host.job] = "host " + id + " is still used, or may be, by " + using_members;
   }
   return std::nullopt;
 }
 
-std::optional<LogEntry> MaintenanceScheduler::next_return(const MaintenanceState& board, Millis now) const {
-  for (const auto& [id, h] : board.hosts()) {
-    const MaintenanceJob& w = *board.find_job(h.job);
+std::optional<LogEntry> MaintenanceScheduler::next_return(const MaintenanceState& state, Millis now) const {
+  for (const auto& [id, host] : state.hosts()) {
+    const MaintenanceJob& job = *state.find_job(host.job);
     const auto seen_by = [&](std::set<std::string> HostObservations::*what) {
-      for (const auto& [name, m] : board.members()) {
-        if (m.has_reported && (m.observations.*what).count(id) != 0) return name;
+      for (const auto& [name, member] : state.members()) {
+        if (member.has_reported && (member.observations.*what).count(id) != 0) return name;
       }
       return std::string();
     };
-    if (h.stage == HostStage::out_of_service) {
-      const std::string by =
-          w.bounds.restart_is_return ? seen_by(&HostObservations::restarted) : std::string();
-      if (!by.empty()) return about(Kind::return_to_service, h, "it has started anew, says " + by);
-      if (!h.overdue && now - h.since > w.bounds.max_time_out)
-        return about(Kind::overdue, h,
-                     "out for longer than " + figure(w.bounds.max_time_out.count() / 1000) + " s");
+    if (host.stage == HostStage::out_of_service) {
+      const std::string reporter =
+          job.bounds.restart_is_return ? seen_by(&HostObservations::restarted) : std::string();
+      if (!reporter.empty())
+        return host_command(Kind::return_to_service, host, "it has started anew, says " + reporter);
+      if (!host.overdue && now - host.since > job.bounds.max_time_out)
+        return host_command(
+            Kind::overdue, host,
+            "out for longer than " + format_number(job.bounds.max_time_out.count() / 1000) + " s");
     }
-    if (h.stage == HostStage::slow_start) {
-      const std::string by = seen_by(&HostObservations::served);
-      if (!by.empty()) return about(Kind::complete, h, "it has served a call of " + by);
+    if (host.stage == HostStage::slow_start) {
+      const std::string reporter = seen_by(&HostObservations::served);
+      if (!reporter.empty()) return host_command(Kind::complete, host, "it has served a call of " + reporter);
     }
   }
   return std::nullopt;
 }
 
-// Hosts are named ahead, so that what a member without its lease leaves alone is never more than the works
-// may have out, and the next one is there to be taken at once.
-std::optional<LogEntry> MaintenanceScheduler::next_selection(const MaintenanceState& board) const {
-  int room = board.max_hosts_in_progress(board.min_listed_hosts()) - board.hosts_in_progress();
+// Hosts are selected ahead, so that a member without a lease avoids no more hosts than may be out, and the
+// next host can be drained at once.
+std::optional<LogEntry> MaintenanceScheduler::next_selection(const MaintenanceState& state) const {
+  int room = state.max_hosts_in_progress(state.min_listed_hosts()) - state.hosts_in_progress();
   LogEntry out;
   out.kind = Kind::select_hosts;
-  for (const auto& w : board.jobs()) {
-    if (w.state != MaintenanceJob::State::running) continue;
-    int named = 0;
-    for (const auto& [id, h] : board.hosts()) named += h.job == w.id && h.stage == HostStage::selected;
-    for (const auto& key : w.hosts) {
-      const auto found = board.hosts().find(key.id);
-      if (found == board.hosts().end() || found->second.stage != HostStage::waiting) continue;
-      if (room <= 0 || named >= kAhead * w.bounds.max_out) break;
+  for (const auto& job : state.jobs()) {
+    if (job.state != MaintenanceJob::State::running) continue;
+    int selected = 0;
+    for (const auto& [id, host] : state.hosts())
+      selected += host.job == job.id && host.stage == HostStage::selected;
+    for (const auto& key : job.hosts) {
+      const auto found = state.hosts().find(key.id);
+      if (found == state.hosts().end() || found->second.stage != HostStage::waiting) continue;
+      if (room <= 0 || selected >= kSelectionFactor * job.bounds.max_out) break;
       out.hosts.push_back(key.id);
-      ++named;
+      ++selected;
       --room;
     }
   }
   return out.hosts.empty() ? std::nullopt : std::optional<LogEntry>(out);
 }
 
-double MaintenanceScheduler::failed_share(const MaintenanceState& board, Millis now) const {
-  double asked = 0, lost = 0;
-  for (const auto& [name, m] : board.members()) {
-    if (!is_reporting(m, now)) continue;
-    asked += m.observations.calls_per_second;
-    lost += m.observations.failed_per_second;
+double MaintenanceScheduler::failed_share(const MaintenanceState& state, Millis now) const {
+  double calls = 0, failed = 0;
+  for (const auto& [name, member] : state.members()) {
+    if (!is_reporting(member, now)) continue;
+    calls += member.observations.calls_per_second;
+    failed += member.observations.failed_per_second;
   }
-  return asked > 0 ? std::min(1.0, lost / asked) : 0;
+  return calls > 0 ? std::min(1.0, failed / calls) : 0;
 }
 
-std::optional<double> MaintenanceScheduler::serving_value(const MaintenanceState& board,
+std::optional<double> MaintenanceScheduler::serving_value(const MaintenanceState& state,
                                                           const std::string& host, Millis now) const {
   std::optional<double> out;
-  for (const auto& [name, m] : board.members()) {
-    if (!is_reporting(m, now)) continue;
-    const auto found = m.observations.serving_value.find(host);
-    out = out.value_or(0) + (found == m.observations.serving_value.end() ? 0 : found->second);
+  for (const auto& [name, member] : state.members()) {
+    if (!is_reporting(member, now)) continue;
+    const auto found = member.observations.serving_value.find(host);
+    out = out.value_or(0) + (found == member.observations.serving_value.end() ? 0 : found->second);
   }
   return out;
 }
 
-std::string MaintenanceScheduler::obstacle(const MaintenanceState& board, const MaintenanceJob& work,
+std::string MaintenanceScheduler::obstacle(const MaintenanceState& state, const MaintenanceJob& job,
                                            Millis now) const {
-  for (const auto& [id, h] : board.hosts()) {
-    if (h.overdue) return "host " + id + " is " + h.reason + "; it is to come back first";
+  for (const auto& [id, host] : state.hosts()) {
+    if (host.overdue) return "host " + id + " is " + host.reason + "; it is to come back first";
   }
-  bool heard = false;
-  for (const auto& [name, m] : board.members()) {
-    if (!is_reporting(m, now)) continue;
-    heard = true;
-    for (const auto& id : m.observations.down) {
-      const auto found = board.hosts().find(id);
-      const bool ours = found != board.hosts().end() && counts_against_bounds(found->second.stage);
-      if (!ours) return "host " + id + " is down unasked, says " + name;
+  bool any_reporting = false;
+  for (const auto& [name, member] : state.members()) {
+    if (!is_reporting(member, now)) continue;
+    any_reporting = true;
+    for (const auto& id : member.observations.down) {
+      const auto found = state.hosts().find(id);
+      const bool expected = found != state.hosts().end() && counts_against_bounds(found->second.stage);
+      if (!expected) return "host " + id + " is down unasked, says " + name;
     }
   }
-  if (!heard) return "no member that serves calls tells what it sees";
-  const double share = failed_share(board, now);
-  if (share > usual_failed_share_ + kFalls)
-    return "service falls: " + figure(share * 100) + "% of calls are lost, usually " +
-           figure(usual_failed_share_ * 100) + "%";
-  if (board.last_return_at().count() > 0 && now - board.last_return_at() < work.bounds.pause)
-    return "a pause of " + figure(work.bounds.pause.count() / 1000) + " s after the last return";
+  if (!any_reporting) return "no member that serves calls tells what it sees";
+  const double share = failed_share(state, now);
+  if (share > baseline_failed_share_ + kMaxFailedShareRise)
+    return "service falls: " + format_number(share * 100) + "% of calls are lost, usually " +
+           format_number(baseline_failed_share_ * 100) + "%";
+  if (state.last_return_at().count() > 0 && now - state.last_return_at() < job.bounds.pause)
+    return "a pause of " + format_number(job.bounds.pause.count() / 1000) + " s after the last return";
   return {};
 }
 
-std::optional<LogEntry> MaintenanceScheduler::next_drain(const MaintenanceState& board,
-                                                         const MaintenanceJob& work, Millis now) {
-  if (work.state == MaintenanceJob::State::paused) {
-    waiting_reasons_.emplace(work.id, "paused");
+std::optional<LogEntry> MaintenanceScheduler::next_drain(const MaintenanceState& state,
+                                                         const MaintenanceJob& job, Millis now) {
+  if (job.state == MaintenanceJob::State::paused) {
+    waiting_reasons_.emplace(job.id, "paused");
     return std::nullopt;
   }
-  if (work.state != MaintenanceJob::State::running) return std::nullopt;
-  const std::string held_up = obstacle(board, work, now);
+  if (job.state != MaintenanceJob::State::running) return std::nullopt;
+  const std::string held_up = obstacle(state, job, now);
   std::string why = held_up;
   const MaintenanceState::HostProgress* best = nullptr;
   double least = 0, next = -1;
-  for (const auto& key : work.hosts) {
-    const auto found = board.hosts().find(key.id);
-    if (found == board.hosts().end() || found->second.stage != HostStage::selected) continue;
-    const MaintenanceState::HostProgress& h = found->second;
-    std::string not_now = board.exceeded_bound(work, key, board.min_listed_hosts());
-    for (const auto& [name, m] : board.members()) {
-      if (!m.serves || m.followed_index >= h.selected_at_index) continue;
-      not_now = m.applied_index < h.selected_at_index
+  for (const auto& key : job.hosts) {
+    const auto found = state.hosts().find(key.id);
+    if (found == state.hosts().end() || found->second.stage != HostStage::selected) continue;
+    const MaintenanceState::HostProgress& host = found->second;
+    std::string not_now = state.exceeded_bound(job, key, state.min_listed_hosts());
+    for (const auto& [name, member] : state.members()) {
+      if (!member.serves || member.followed_index >= host.selected_at_index) continue;
+      not_now = member.applied_index < host.selected_at_index
                     ? "member " + name + " does not follow: it is to come back or to leave"
                     : "an invoker of control node " + name + " may not know that " + key.id + " is next";
     }
@@ -181,45 +189,47 @@
       if (why.empty()) why = not_now;
       continue;
     }
-    const double costs = serving_value(board, key.id, now).value_or(0);
+    const double costs = serving_value(state, key.id, now).value_or(0);
     if (best != nullptr && costs >= least) {
       next = next < 0 ? costs : std::min(next, costs);
       continue;
     }
     if (best != nullptr) next = least;
-    best = &h;
+    best = &host;
     least = costs;
   }
   if (best == nullptr || !held_up.empty()) {
-    const auto open = [&](const auto& h) {
-      return h.second.job == work.id && h.second.stage == HostStage::waiting;
+    const auto open = [&](const auto& host) {
+      return host.second.job == job.id && host.second.stage == HostStage::waiting;
     };
-    const bool waits = std::any_of(board.hosts().begin(), board.hosts().end(), open);
+    const bool waits = std::any_of(state.hosts().begin(), state.hosts().end(), open);
     if (!why.empty())
-      waiting_reasons_.emplace(work.id, why);
+      waiting_reasons_.emplace(job.id, why);
     else if (waits)
-      waiting_reasons_.emplace(work.id, "as many hosts are in reach as may be");
+      waiting_reasons_.emplace(job.id, "as many hosts are in reach as may be");
     return std::nullopt;
   }
-  return about(Kind::start_drain, *best,
-               "its absence costs least now: " + figure(least) + " of worth a second" +
-                   (next < 0 ? std::string(", the only one at hand") : ", the next one " + figure(next)));
+  return host_command(
+      Kind::start_drain, *best,
+      "its absence costs least now: " + format_number(least) + " of worth a second" +
+          (next < 0 ? std::string(", the only one at hand") : ", the next one " + format_number(next)));
 }
 
-std::optional<LogEntry> MaintenanceScheduler::next_entry(const MaintenanceState& board, Millis now) {
+std::optional<LogEntry> MaintenanceScheduler::next_entry(const MaintenanceState& state, Millis now) {
   waiting_reasons_.clear();
-  const double share = failed_share(board, now);
-  const bool calm = board.hosts_in_progress() == 0 || share < usual_failed_share_;
-  if (usual_at_.count() == 0) usual_failed_share_ = share;
-  // Danger: what the works themselves cost would soon count as usual.
-  if (calm && usual_at_.count() > 0)
-    usual_failed_share_ += (1 - std::exp(-((now - usual_at_) / kUsualTau))) * (share - usual_failed_share_);
-  usual_at_ = now;
-  if (auto entry = next_release(board, now)) return entry;
-  if (auto entry = next_return(board, now)) return entry;
-  if (auto entry = next_selection(board)) return entry;
-  for (const auto& work : board.jobs()) {
-    if (auto entry = next_drain(board, work, now)) return entry;
+  const double share = failed_share(state, now);
+  const bool calm = state.hosts_in_progress() == 0 || share < baseline_failed_share_;
+  if (baseline_updated_at_.count() == 0) baseline_failed_share_ = share;
+  // Failures caused by the maintenance itself must not enter the baseline.
+  if (calm && baseline_updated_at_.count() > 0)
+    baseline_failed_share_ += (1 - std::exp(-((now - baseline_updated_at_) / kBaselineTimeConstant))) *
+                              (share - baseline_failed_share_);
+  baseline_updated_at_ = now;
+  if (auto entry = next_release(state, now)) return entry;
+  if (auto entry = next_return(state, now)) return entry;
+  if (auto entry = next_selection(state)) return entry;
+  for (const auto& job : state.jobs()) {
+    if (auto entry = next_drain(state, job, now)) return entry;
   }
   return std::nullopt;
 }
--- a/src/maintenance/timeline.h
+++ b/src/maintenance/timeline.h
@@ -1,5 +1,5 @@
-// A work's course, read from the lines that members write: who was out when, and what was served meanwhile.
-// No I/O.
+// Reconstructs the course of maintenance jobs from the log lines of the members, and renders it as a table or
+// a chart: which host was out when, and how many calls were served meanwhile. Does no I/O.
 #pragma once
 
 #include <cstdint>
@@ -9,24 +9,30 @@
 
 namespace lotusyard::maintenance {
 
-struct AppliedEntry {  // one agreed entry, as the member wrote it that applied it first
-  double at = 0;       // Unix milliseconds
+// One entry of the replicated log, as logged by the member that applied it first.
+struct AppliedEntry {
+  double at = 0;  // Unix milliseconds
   std::uint64_t index = 0;
-  std::string what, work, host, reason;
-  std::map<std::string, double> members;  // when each applied it
+  std::string what;  // the entry's kind, with " refused" appended if it had no effect
+  std::string job, host, reason;
+  std::map<std::string, double> members;  // when each member applied it, Unix milliseconds
 };
+
 struct Timeline {
-  std::vector<AppliedEntry> entries;  // by index
+  // Call rates of one member, in calls per second.
   struct CallRates {
-    double at = 0, asked = 0, lost = 0;  // calls a second at one member
+    double at = 0;  // Unix milliseconds
+    double asked = 0;
+    double lost = 0;
     std::string member;
   };
-  std::vector<CallRates> call_rates;  // in the order of time
-  std::string fault;  // members that tell of different entries under one index; empty: none do
+  std::vector<AppliedEntry> entries;  // ordered by index
+  std::vector<CallRates> call_rates;  // ordered by time
+  std::string fault;                  // set if members logged different entries for one index
 };
 
-Timeline parse_timeline(const std::vector<std::string>& lines);  // what is no such line is left out
-std::string render_table(const Timeline& course);
-std::string render_svg(const Timeline& course);  // SVG
+Timeline parse_timeline(const std::vector<std::string>& lines);  // ignores unrelated lines
+std::string render_table(const Timeline& timeline);              // plain text
+std::string render_svg(const Timeline& timeline);                // an SVG document
 
 }  // namespace lotusyard::maintenance
--- a/tests/lotusyard/gather_test.cpp
+++ b/tests/lotusyard/gather_test.cpp
@@ -40,7 +40,7 @@
   std::set<std::string> members;
   for (const LogEntry& entry : gathered.entries) {
     const std::string text = encode_entry(entry);
-    CHECK(text.size() <= max_entry_bytes);
+    CHECK(text.size() <= kMaxEntryBytes);
     const auto read = parse_entry(text);
     REQUIRE(read.has_value());
     for (const Heartbeat& beat : read->heartbeats) CHECK(members.insert(beat.member).second);
--- a/tests/lotusyard/works_test.cpp
+++ b/tests/lotusyard/works_test.cpp
@@ -513,7 +513,7 @@
   CHECK(watch.is_down("busy", now));
   watch.record_success("busy", 1, 1, now);
   CHECK_FALSE(watch.is_down("busy", now));
-  for (std::uint64_t f = 0; f < 3 * maintenance::HostObserver::max_functions; ++f)
+  for (std::uint64_t f = 0; f < 3 * maintenance::HostObserver::kMaxFunctions; ++f)
     watch.record_success("busy", f, 1, now);
 }
 
