--- a/src/maintenance/admin_endpoint.cpp
+++ b/src/maintenance/admin_endpoint.cpp
@@ -56,7 +56,7 @@
   return {{"member", member}, {"index", state.index()}, {"works", jobs}};
 }
 
-json outcome_to_json(const MaintenanceState::ProposalOutcome& outcome) {
+json outcome_to_json(const ProposalOutcome& outcome) {
   return {{"done", outcome.done}, {"why", outcome.why}, {"index", outcome.index}};
 }
 
--- a/src/maintenance/admin_endpoint.h
+++ b/src/maintenance/admin_endpoint.h
@@ -13,7 +13,7 @@
 
 // All jobs with the stage of each of their hosts, as seen by `member`.
 nlohmann::json jobs_to_json(const MaintenanceState& state, const std::string& member);
-nlohmann::json outcome_to_json(const MaintenanceState::ProposalOutcome& outcome);
+nlohmann::json outcome_to_json(const ProposalOutcome& outcome);
 
 // The result of parsing a proposal: either an entry for the leader, or the response that rejects it.
 struct OperatorProposal {
--- a/src/maintenance/maintenance_replica.cpp
+++ b/src/maintenance/maintenance_replica.cpp
@@ -179,8 +179,7 @@
   }
 }
 
-void MaintenanceReplica::log_applied_entry(const LogEntry& entry,
-                                           const MaintenanceState::ProposalOutcome& outcome) {
+void MaintenanceReplica::log_applied_entry(const LogEntry& entry, const ProposalOutcome& outcome) {
   log_(std::string(name_of(entry.kind)) + (outcome.done ? "" : " refused") +
        (entry.job.empty() ? "" : " work=" + entry.job) + (entry.host.empty() ? "" : " host=" + entry.host) +
        (entry.added_job ? " work=" + entry.added_job->id : "") +
--- a/src/maintenance/maintenance_scheduler.cpp
+++ b/src/maintenance/maintenance_scheduler.cpp
@@ -21,7 +21,7 @@
   return text;
 }
 
-LogEntry host_command(Kind kind, const MaintenanceState::HostProgress& host, std::string reason) {
+LogEntry host_command(Kind kind, const HostProgress& host, std::string reason) {
   LogEntry out;
   out.kind = kind;
   out.job = host.job;
@@ -31,18 +31,30 @@
   return out;
 }
 
+// Why the host cannot be drained for the job now; empty if it can.
+std::string drain_refusal(const MaintenanceState& state, const MaintenanceJob& job,
+                          const HostProgress& host) {
+  std::string out = state.budget().exceeded_bound(job, host.key);
+  for (const auto& [name, member] : state.members()) {
+    if (!member.serves || member.followed_index >= host.selected_at_index) continue;
+    out = member.applied_index < host.selected_at_index
+              ? "member " + name + " does not follow: it is to come back or to leave"
+              : "an invoker of control node " + name + " may not know that " + host.key.id + " is next";
+  }
+  return out;
+}
+
 }  // namespace
 
-bool MaintenanceScheduler::has_quiesced(const MaintenanceState::MemberProgress& member,
-                                        const std::string& host, std::uint64_t drained_at_index,
-                                        Millis now) const {
+bool MaintenanceScheduler::has_quiesced(const MemberProgress& member, const std::string& host,
+                                        std::uint64_t drained_at_index, Millis now) const {
   if (!member.serves) return true;
   if (member.applied_index >= drained_at_index && member.drained_hosts.count(host) != 0) return true;
   return now - member.last_heartbeat_at >= terms_.presumed_dead_after();
 }
 
 // Whether the member's last observations are recent.
-bool MaintenanceScheduler::is_reporting(const MaintenanceState::MemberProgress& member, Millis now) const {
+bool MaintenanceScheduler::is_reporting(const MemberProgress& member, Millis now) const {
   return member.serves && member.has_reported &&
          now - member.last_heartbeat_at <= terms_.presumed_dead_after();
 }
@@ -97,7 +109,8 @@
 // Hosts are selected ahead, so that a member without a lease avoids no more hosts than may be out, and the
 // next host can be drained at once.
 std::optional<LogEntry> MaintenanceScheduler::next_selection(const MaintenanceState& state) const {
-  int room = state.max_hosts_in_progress(state.min_listed_hosts()) - state.hosts_in_progress();
+  const DisruptionBudget budget = state.budget();
+  int room = budget.max_hosts_in_progress() - budget.hosts_in_progress();
   LogEntry out;
   out.kind = Kind::select_hosts;
   for (const auto& job : state.jobs()) {
@@ -127,33 +140,38 @@
   return calls > 0 ? std::min(1.0, failed / calls) : 0;
 }
 
-std::optional<double> MaintenanceScheduler::serving_value(const MaintenanceState& state,
-                                                          const std::string& host, Millis now) const {
-  std::optional<double> out;
+double MaintenanceScheduler::serving_value(const MaintenanceState& state, const std::string& host,
+                                           Millis now) const {
+  double out = 0;
   for (const auto& [name, member] : state.members()) {
     if (!is_reporting(member, now)) continue;
     const auto found = member.observations.serving_value.find(host);
-    out = out.value_or(0) + (found == member.observations.serving_value.end() ? 0 : found->second);
+    if (found != member.observations.serving_value.end()) out += found->second;
   }
   return out;
 }
 
-std::string MaintenanceScheduler::obstacle(const MaintenanceState& state, const MaintenanceJob& job,
-                                           Millis now) const {
-  for (const auto& [id, host] : state.hosts()) {
-    if (host.overdue) return "host " + id + " is " + host.reason + "; it is to come back first";
-  }
+std::string MaintenanceScheduler::unexpected_failure(const MaintenanceState& state, Millis now) const {
   bool any_reporting = false;
   for (const auto& [name, member] : state.members()) {
     if (!is_reporting(member, now)) continue;
     any_reporting = true;
     for (const auto& id : member.observations.down) {
       const auto found = state.hosts().find(id);
-      const bool expected = found != state.hosts().end() && counts_against_bounds(found->second.stage);
-      if (!expected) return "host " + id + " is down unasked, says " + name;
+      const bool is_expected = found != state.hosts().end() && counts_against_bounds(found->second.stage);
+      if (!is_expected) return "host " + id + " is down unasked, says " + name;
     }
   }
-  if (!any_reporting) return "no member that serves calls tells what it sees";
+  return any_reporting ? std::string() : "no member that serves calls tells what it sees";
+}
+
+std::string MaintenanceScheduler::obstacle(const MaintenanceState& state, const MaintenanceJob& job,
+                                           Millis now) const {
+  for (const auto& [id, host] : state.hosts()) {
+    if (host.overdue) return "host " + id + " is " + host.reason + "; it is to come back first";
+  }
+  std::string failure = unexpected_failure(state, now);
+  if (!failure.empty()) return failure;
   const double share = failed_share(state, now);
   if (share > baseline_failed_share_ + kMaxFailedShareRise)
     return "service falls: " + format_number(share * 100) + "% of calls are lost, usually " +
@@ -163,68 +181,71 @@
   return {};
 }
 
-std::optional<LogEntry> MaintenanceScheduler::next_drain(const MaintenanceState& state,
-                                                         const MaintenanceJob& job, Millis now) {
-  if (job.state == MaintenanceJob::State::paused) {
-    waiting_reasons_.emplace(job.id, "paused");
-    return std::nullopt;
-  }
-  if (job.state != MaintenanceJob::State::running) return std::nullopt;
-  const std::string held_up = obstacle(state, job, now);
-  std::string why = held_up;
-  const MaintenanceState::HostProgress* best = nullptr;
-  double least = 0, next = -1;
+MaintenanceScheduler::DrainCandidates MaintenanceScheduler::find_candidates(const MaintenanceState& state,
+                                                                            const MaintenanceJob& job,
+                                                                            Millis now) const {
+  DrainCandidates out;
   for (const auto& key : job.hosts) {
     const auto found = state.hosts().find(key.id);
     if (found == state.hosts().end() || found->second.stage != HostStage::selected) continue;
-    const MaintenanceState::HostProgress& host = found->second;
-    std::string not_now = state.exceeded_bound(job, key, state.min_listed_hosts());
-    for (const auto& [name, member] : state.members()) {
-      if (!member.serves || member.followed_index >= host.selected_at_index) continue;
-      not_now = member.applied_index < host.selected_at_index
-                    ? "member " + name + " does not follow: it is to come back or to leave"
-                    : "an invoker of control node " + name + " may not know that " + key.id + " is next";
-    }
-    if (!not_now.empty()) {
-      if (why.empty()) why = not_now;
+    const std::string refusal = drain_refusal(state, job, found->second);
+    if (!refusal.empty()) {
+      if (out.first_refusal.empty()) out.first_refusal = refusal;
       continue;
     }
-    const double costs = serving_value(state, key.id, now).value_or(0);
-    if (best != nullptr && costs >= least) {
-      next = next < 0 ? costs : std::min(next, costs);
-      continue;
+    const double value = serving_value(state, key.id, now);
+    if (out.best == nullptr || value < out.best_value) {
+      if (out.best != nullptr) out.next_value = out.best_value;
+      out.best = &found->second;
+      out.best_value = value;
+    } else {
+      out.next_value = std::min(out.next_value.value_or(value), value);
     }
-    if (best != nullptr) next = least;
-    best = &host;
-    least = costs;
   }
-  if (best == nullptr || !held_up.empty()) {
-    const auto open = [&](const auto& host) {
-      return host.second.job == job.id && host.second.stage == HostStage::waiting;
-    };
-    const bool waits = std::any_of(state.hosts().begin(), state.hosts().end(), open);
-    if (!why.empty())
-      waiting_reasons_.emplace(job.id, why);
-    else if (waits)
-      waiting_reasons_.emplace(job.id, "as many hosts are in reach as may be");
-    return std::nullopt;
+  return out;
+}
+
+std::optional<LogEntry> MaintenanceScheduler::next_drain(const MaintenanceState& state,
+                                                         const MaintenanceJob& job, Millis now) {
+  if (job.state == MaintenanceJob::State::paused) waiting_reasons_.emplace(job.id, "paused");
+  if (job.state != MaintenanceJob::State::running) return std::nullopt;
+  const std::string blocked = obstacle(state, job, now);
+  const DrainCandidates candidates = find_candidates(state, job, now);
+  if (candidates.best != nullptr && blocked.empty()) {
+    const std::string next = candidates.next_value ? ", the next one " + format_number(*candidates.next_value)
+                                                   : ", the only one at hand";
+    return host_command(
+        Kind::start_drain, *candidates.best,
+        "its absence costs least now: " + format_number(candidates.best_value) + " of worth a second" + next);
   }
-  return host_command(
-      Kind::start_drain, *best,
-      "its absence costs least now: " + format_number(least) + " of worth a second" +
-          (next < 0 ? std::string(", the only one at hand") : ", the next one " + format_number(next)));
+  const std::string& reason = blocked.empty() ? candidates.first_refusal : blocked;
+  const auto is_waiting = [&](const auto& host) {
+    return host.second.job == job.id && host.second.stage == HostStage::waiting;
+  };
+  if (!reason.empty())
+    waiting_reasons_.emplace(job.id, reason);
+  else if (std::any_of(state.hosts().begin(), state.hosts().end(), is_waiting))
+    waiting_reasons_.emplace(job.id, "as many hosts are in reach as may be");
+  return std::nullopt;
 }
 
-std::optional<LogEntry> MaintenanceScheduler::next_entry(const MaintenanceState& state, Millis now) {
-  waiting_reasons_.clear();
+void MaintenanceScheduler::update_baseline(const MaintenanceState& state, Millis now) {
   const double share = failed_share(state, now);
-  const bool calm = state.hosts_in_progress() == 0 || share < baseline_failed_share_;
-  if (baseline_updated_at_.count() == 0) baseline_failed_share_ = share;
+  const bool is_first = baseline_updated_at_.count() == 0;
   // Failures caused by the maintenance itself must not enter the baseline.
-  if (calm && baseline_updated_at_.count() > 0)
-    baseline_failed_share_ += (1 - std::exp(-((now - baseline_updated_at_) / kBaselineTimeConstant))) *
-                              (share - baseline_failed_share_);
+  const bool is_unaffected = state.budget().hosts_in_progress() == 0 || share < baseline_failed_share_;
+  if (is_first) {
+    baseline_failed_share_ = share;
+  } else if (is_unaffected) {
+    const double weight = 1 - std::exp(-((now - baseline_updated_at_) / kBaselineTimeConstant));
+    baseline_failed_share_ += weight * (share - baseline_failed_share_);
+  }
   baseline_updated_at_ = now;
+}
+
+std::optional<LogEntry> MaintenanceScheduler::next_entry(const MaintenanceState& state, Millis now) {
+  waiting_reasons_.clear();
+  update_baseline(state, now);
   if (auto entry = next_release(state, now)) return entry;
   if (auto entry = next_return(state, now)) return entry;
   if (auto entry = next_selection(state)) return entry;
--- a/src/maintenance/maintenance_scheduler.h
+++ b/src/maintenance/maintenance_scheduler.h
@@ -21,23 +21,32 @@
   const std::map<std::string, std::string>& waiting_reasons() const { return waiting_reasons_; }
 
  private:
+  // The selected hosts of a job that could be drained now, by the value that they serve.
+  struct DrainCandidates {
+    const HostProgress* best = nullptr;  // the one that serves least; null if there is none
+    double best_value = 0;               // value per second
+    std::optional<double> next_value;    // of the one after it
+    std::string first_refusal;           // why the first of the others cannot be drained
+  };
+
   raft::LeaseTerms terms_;
   std::map<std::string, std::string> waiting_reasons_;
   double baseline_failed_share_ = 0;  // moving average of the share of failed calls
   Millis baseline_updated_at_{0};
 
-  bool has_quiesced(const MaintenanceState::MemberProgress& member, const std::string& host,
-                    std::uint64_t drained_at_index, Millis now) const;
-  bool is_reporting(const MaintenanceState::MemberProgress& member, Millis now) const;
+  bool has_quiesced(const MemberProgress& member, const std::string& host, std::uint64_t drained_at_index,
+                    Millis now) const;
+  bool is_reporting(const MemberProgress& member, Millis now) const;
   void update_baseline(const MaintenanceState& state, Millis now);
   std::optional<LogEntry> next_release(const MaintenanceState& state, Millis now);
   std::optional<LogEntry> next_return(const MaintenanceState& state, Millis now) const;
   std::optional<LogEntry> next_selection(const MaintenanceState& state) const;
   std::optional<LogEntry> next_drain(const MaintenanceState& state, const MaintenanceJob& job, Millis now);
+  DrainCandidates find_candidates(const MaintenanceState& state, const MaintenanceJob& job, Millis now) const;
+  std::string unexpected_failure(const MaintenanceState& state, Millis now) const;
   std::string obstacle(const MaintenanceState& state, const MaintenanceJob& job, Millis now) const;
   double failed_share(const MaintenanceState& state, Millis now) const;
-  std::optional<double> serving_value(const MaintenanceState& state, const std::string& host,
-                                      Millis now) const;
+  double serving_value(const MaintenanceState& state, const std::string& host, Millis now) const;
 };
 
 }  // namespace lotusyard::maintenance
--- a/tests/lotusyard/works_test.cpp
+++ b/tests/lotusyard/works_test.cpp
@@ -283,7 +283,7 @@
   MaintenanceState board;
   std::uint64_t index = 0;
   Millis now{1000};
-  MaintenanceState::ProposalOutcome apply(const LogEntry& e) { return board.apply(++index, e, now); }
+  maintenance::ProposalOutcome apply(const LogEntry& e) { return board.apply(++index, e, now); }
   // One member that follows and has let go of what leaves.
   void follows(std::set<std::string> drained = {}, std::set<std::string> served = {}) {
     maintenance::Heartbeat b = beat_of("a", 1, index, 10);
@@ -301,7 +301,7 @@
   CHECK(t.apply(about(Kind::start_drain, "h0", 0)).why == "host: h0 is waiting");
   REQUIRE(t.apply(names({"h0", "h1", "h2", "h3", "h4", "h5"})).done);
   const std::uint64_t named = t.index;
-  CHECK(t.board.hosts_in_progress() == 5);  // half of the ten that are listed stays out of reach
+  CHECK(t.board.budget().hosts_in_progress() == 5);  // half of the ten that are listed stays out of reach
   CHECK_THAT(t.apply(about(Kind::start_drain, "h0", named)).why, Catch::Contains("member a does not know"));
   t.follows();
   CHECK(t.apply(about(Kind::start_drain, "h0", named - 1)).why == "host: h0 is named");
