--- a/src/maintenance/maintenance_replica.cpp
+++ b/src/maintenance/maintenance_replica.cpp
@@ -7,6 +7,7 @@
 #include "config/json_read.h"
 #include "core/fault_injection.h"
 #include "maintenance/admin_endpoint.h"
+#include "maintenance/log_line.h"
 
 namespace lotusyard::maintenance {
 namespace {
@@ -167,7 +168,7 @@
   // A repeated proposal has its outcome already.
   if (entry->kind == Kind::read_barrier || outcome.index != index) return;
   ++version_;
-  log_applied_entry(*entry, outcome);
+  log_(describe_applied_entry(*entry, outcome));
   // Entries applied before `attach` concern earlier incarnations; this one is new in any case.
   const bool left = outcome.done && entry->kind == Kind::leave && entry->member == member_name();
   if (left && replica_ != nullptr) rejoin_after_removal();
@@ -179,15 +180,6 @@
   }
 }
 
-void MaintenanceReplica::log_applied_entry(const LogEntry& entry, const ProposalOutcome& outcome) {
-  log_(std::string(name_of(entry.kind)) + (outcome.done ? "" : " refused") +
-       (entry.job.empty() ? "" : " work=" + entry.job) + (entry.host.empty() ? "" : " host=" + entry.host) +
-       (entry.added_job ? " work=" + entry.added_job->id : "") +
-       (entry.member.empty() ? "" : " of=" + entry.member) +
-       (entry.kind == Kind::change_job_state ? std::string(" state=") + name_of(entry.state) : "") +
-       " reason=\"" + (outcome.done ? entry.reason : outcome.why) + '"');
-}
-
 // This member was declared permanently gone, but is running.
 void MaintenanceReplica::rejoin_after_removal() {
   lease_ = raft::Lease(config_.terms, now());
--- a/src/maintenance/maintenance_replica.h
+++ b/src/maintenance/maintenance_replica.h
@@ -107,7 +107,6 @@
   void rejoin_after_removal();
   void overtake_earlier_incarnation();
   void begin_new_incarnation();
-  void log_applied_entry(const LogEntry& entry, const ProposalOutcome& outcome);
 };
 
 }  // namespace lotusyard::maintenance
--- a/src/maintenance/maintenance_scheduler.cpp
+++ b/src/maintenance/maintenance_scheduler.cpp
@@ -1,7 +1,6 @@
 #include "maintenance/maintenance_scheduler.h"
 
 #include <algorithm>
-#include <cmath>
 #include <cstdio>
 
 namespace lotusyard::maintenance {
@@ -9,10 +8,6 @@
 
 using Kind = LogEntry::Kind;
 
-// Time constant of the baseline of failed calls: longer than one host is away.
-constexpr Millis kBaselineTimeConstant{60000};
-// No further host is drained while the share of failed calls is this much above its baseline.
-constexpr double kMaxFailedShareRise = 0.05;
 constexpr int kSelectionFactor = 2;  // hosts selected ahead per host that may be out, to choose from
 
 std::string format_number(double value) {
@@ -173,9 +168,9 @@
   std::string failure = unexpected_failure(state, now);
   if (!failure.empty()) return failure;
   const double share = failed_share(state, now);
-  if (share > baseline_failed_share_ + kMaxFailedShareRise)
+  if (baseline_.is_exceeded_by(share))
     return "service falls: " + format_number(share * 100) + "% of calls are lost, usually " +
-           format_number(baseline_failed_share_ * 100) + "%";
+           format_number(baseline_.share() * 100) + "%";
   if (state.last_return_at().count() > 0 && now - state.last_return_at() < job.bounds.pause)
     return "a pause of " + format_number(job.bounds.pause.count() / 1000) + " s after the last return";
   return {};
@@ -229,23 +224,9 @@
   return std::nullopt;
 }
 
-void MaintenanceScheduler::update_baseline(const MaintenanceState& state, Millis now) {
-  const double share = failed_share(state, now);
-  const bool is_first = baseline_updated_at_.count() == 0;
-  // Failures caused by the maintenance itself must not enter the baseline.
-  const bool is_unaffected = state.budget().hosts_in_progress() == 0 || share < baseline_failed_share_;
-  if (is_first) {
-    baseline_failed_share_ = share;
-  } else if (is_unaffected) {
-    const double weight = 1 - std::exp(-((now - baseline_updated_at_) / kBaselineTimeConstant));
-    baseline_failed_share_ += weight * (share - baseline_failed_share_);
-  }
-  baseline_updated_at_ = now;
-}
-
 std::optional<LogEntry> MaintenanceScheduler::next_entry(const MaintenanceState& state, Millis now) {
   waiting_reasons_.clear();
-  update_baseline(state, now);
+  baseline_.update(failed_share(state, now), state.budget().hosts_in_progress() == 0, now);
   if (auto entry = next_release(state, now)) return entry;
   if (auto entry = next_return(state, now)) return entry;
   if (auto entry = next_selection(state)) return entry;
--- a/src/maintenance/maintenance_scheduler.h
+++ b/src/maintenance/maintenance_scheduler.h
@@ -5,6 +5,7 @@
 // the order of the stages itself.
 #pragma once
 
+#include "maintenance/failure_baseline.h"
 #include "maintenance/maintenance_state.h"
 #include "raft/lease.h"
 
@@ -31,13 +32,11 @@
 
   raft::LeaseTerms terms_;
   std::map<std::string, std::string> waiting_reasons_;
-  double baseline_failed_share_ = 0;  // moving average of the share of failed calls
-  Millis baseline_updated_at_{0};
+  FailureBaseline baseline_;
 
   bool has_quiesced(const MemberProgress& member, const std::string& host, std::uint64_t drained_at_index,
                     Millis now) const;
   bool is_reporting(const MemberProgress& member, Millis now) const;
-  void update_baseline(const MaintenanceState& state, Millis now);
   std::optional<LogEntry> next_release(const MaintenanceState& state, Millis now);
   std::optional<LogEntry> next_return(const MaintenanceState& state, Millis now) const;
   std::optional<LogEntry> next_selection(const MaintenanceState& state) const;
