--- a/src/maintenance/admin_endpoint.cpp
+++ b/src/maintenance/admin_endpoint.cpp
@@ -3,12 +3,12 @@
 #include <algorithm>
 
 #include "config/json_read.h"
+#include "maintenance/log_entry_codec.h"
 
 namespace lotusyard::maintenance {
 namespace {
 
 using nlohmann::json;
-using Kind = LogEntry::Kind;
 
 // Resolves a host selector against the listed hosts. Throws std::invalid_argument.
 json resolve_selection(const json& select, const std::map<std::string, core::ListedHost>& listed) {
@@ -30,6 +30,13 @@
   return out;
 }
 
+// Whether an operator may propose the command; all others are proposed by members.
+bool may_propose(const Command& command) {
+  return std::holds_alternative<AddJob>(command) || std::holds_alternative<ChangeJobState>(command) ||
+         std::holds_alternative<ChangeBounds>(command) || std::holds_alternative<ReturnToService>(command) ||
+         std::holds_alternative<Leave>(command) || std::holds_alternative<ReadBarrier>(command);
+}
+
 }  // namespace
 
 json jobs_to_json(const MaintenanceState& state, const std::string& member) {
@@ -80,11 +87,7 @@
     if (from.contains("bounds")) (void)parse_bounds(from.at("bounds"));
   } catch (const std::exception& error) { return reject(400, error.what()); }
   auto entry = parse_entry(from.dump());
-  static const Kind kAllowed[] = {Kind::add_job,       Kind::change_job_state,
-                                  Kind::change_bounds, Kind::return_to_service,
-                                  Kind::leave,         Kind::read_barrier};
-  if (!entry || std::find(std::begin(kAllowed), std::end(kAllowed), entry->kind) == std::end(kAllowed))
-    return reject(400, "no proposal that an operator can make");
+  if (!entry || !may_propose(entry->command)) return reject(400, "no proposal that an operator can make");
   if (encode_entry(*entry).size() > kMaxEntryBytes) return reject(413, "too long");
   return {{}, std::move(entry)};
 }
--- a/src/maintenance/heartbeat_aggregator.cpp
+++ b/src/maintenance/heartbeat_aggregator.cpp
@@ -2,14 +2,13 @@
 
 #include <utility>
 
+#include "maintenance/log_entry_codec.h"
+
 namespace lotusyard::maintenance {
 namespace {
 
-LogEntry empty_entry(const std::string& reason) {
-  LogEntry out;
-  out.kind = LogEntry::Kind::heartbeats;
-  out.reason = reason;
-  return out;
+LogEntry make_entry(std::vector<Heartbeat> heartbeats, const std::string& reason) {
+  return {RecordHeartbeats{std::move(heartbeats)}, reason, {}};
 }
 
 }  // namespace
@@ -18,8 +17,8 @@
 AggregatedHeartbeats aggregate_heartbeats(std::map<std::string, Heartbeat>&& heartbeats,
                                           const std::string& reason) {
   AggregatedHeartbeats out;
-  out.entries.push_back(empty_entry(reason));
-  const std::size_t empty_size = encode_entry(out.entries.back()).size();
+  std::vector<Heartbeat> batch;
+  const std::size_t empty_size = encode_entry(make_entry({}, reason)).size();
   std::size_t size = empty_size;
   for (auto& [member, heartbeat] : heartbeats) {
     const std::size_t added_size =
@@ -29,12 +28,13 @@
       continue;
     }
     if (size + added_size > kMaxEntryBytes) {
-      out.entries.push_back(empty_entry(reason));
+      out.entries.push_back(make_entry(std::exchange(batch, {}), reason));
       size = empty_size;
     }
     size += added_size;
-    out.entries.back().heartbeats.push_back(std::move(heartbeat));
+    batch.push_back(std::move(heartbeat));
   }
+  out.entries.push_back(make_entry(std::move(batch), reason));
   heartbeats.clear();
   return out;
 }
--- a/src/maintenance/maintenance_replica.cpp
+++ b/src/maintenance/maintenance_replica.cpp
@@ -7,13 +7,13 @@
 #include "config/json_read.h"
 #include "core/fault_injection.h"
 #include "maintenance/admin_endpoint.h"
+#include "maintenance/log_entry_codec.h"
 #include "maintenance/log_line.h"
 
 namespace lotusyard::maintenance {
 namespace {
 
 using nlohmann::json;
-using Kind = LogEntry::Kind;
 
 constexpr int kHeartbeatsPerObservation = 8;  // unchanged observations are sent again after so many
 const std::string kPathPrefix = "/-/works/";
@@ -80,11 +80,8 @@
   const auto self = state_.members().find(member_name());
   if (self == state_.members().end() || self->second.incarnation != replica_->incarnation()) {
     overtake_earlier_incarnation();
-    LogEntry join;
-    join.kind = Kind::join;
-    join.member = member_name();
-    join.incarnation = replica_->incarnation();
-    return send_to_leader({{"e", encode_entry(join)}});
+    const Join join{member_name(), replica_->incarnation(), true};
+    return send_to_leader({{"e", encode_entry({join, {}, {}})}});
   }
   has_joined_ = true;
   Heartbeat heartbeat{member_name(),
@@ -150,27 +147,18 @@
   }
   const auto outcome = state_.apply(index, *entry, now());
   services_.counters.add("works.entries");
-  if (entry->kind == Kind::heartbeats) {
-    for (const auto& heartbeat : entry->heartbeats) {
-      // A heartbeat may have been in flight when its member was removed or began a new incarnation.
-      const auto self = state_.members().find(heartbeat.member);
-      const bool is_current =
-          self != state_.members().end() && self->second.incarnation == heartbeat.incarnation;
-      if (heartbeat.member != member_name()) continue;
-      const bool this_incarnation = replica_ != nullptr && heartbeat.incarnation == replica_->incarnation();
-      if (is_current && this_incarnation) lease_.renew(heartbeat.sent_at);
-      // The log records clock readings of earlier processes of this member.
-      if (!this_incarnation) services_.loop.remember_wall(Millis(heartbeat.sent_at));
-    }
+  if (const auto* command = std::get_if<RecordHeartbeats>(&entry->command)) {
+    for (const auto& heartbeat : command->heartbeats) renew_lease(heartbeat);
     if (!host_access_.leased()) return update_host_access();
     return change_handler_ ? change_handler_() : void();
   }
   // A repeated proposal has its outcome already.
-  if (entry->kind == Kind::read_barrier || outcome.index != index) return;
+  if (holds<ReadBarrier>(*entry) || outcome.index != index) return;
   ++version_;
   log_(describe_applied_entry(*entry, outcome));
   // Entries applied before `attach` concern earlier incarnations; this one is new in any case.
-  const bool left = outcome.done && entry->kind == Kind::leave && entry->member == member_name();
+  const auto* leave = std::get_if<Leave>(&entry->command);
+  const bool left = outcome.done && leave != nullptr && leave->member == member_name();
   if (left && replica_ != nullptr) rejoin_after_removal();
   update_host_access();
   // The entry may make the next one due.
@@ -180,6 +168,18 @@
   }
 }
 
+// Renews the lease by a heartbeat of this process. Heartbeats of earlier processes of this member only tell
+// what their clocks showed.
+void MaintenanceReplica::renew_lease(const Heartbeat& heartbeat) {
+  if (heartbeat.member != member_name()) return;
+  const bool this_incarnation = replica_ != nullptr && heartbeat.incarnation == replica_->incarnation();
+  if (!this_incarnation) return services_.loop.remember_wall(Millis(heartbeat.sent_at));
+  // The heartbeat may have been in flight when the member was removed or began a new incarnation.
+  const auto self = state_.members().find(heartbeat.member);
+  const bool is_current = self != state_.members().end() && self->second.incarnation == heartbeat.incarnation;
+  if (is_current) lease_.renew(heartbeat.sent_at);
+}
+
 // This member was declared permanently gone, but is running.
 void MaintenanceReplica::rejoin_after_removal() {
   lease_ = raft::Lease(config_.terms, now());
--- a/src/maintenance/maintenance_replica.h
+++ b/src/maintenance/maintenance_replica.h
@@ -104,6 +104,7 @@
   std::set<std::string> drained_hosts(const SessionAggregate* sessions) const;
   void send_to_leader(const nlohmann::json& message);
   void handle_heartbeat(Heartbeat&& heartbeat);
+  void renew_lease(const Heartbeat& heartbeat);
   void rejoin_after_removal();
   void overtake_earlier_incarnation();
   void begin_new_incarnation();
--- a/src/maintenance/maintenance_replica_leader.cpp
+++ b/src/maintenance/maintenance_replica_leader.cpp
@@ -1,13 +1,13 @@
 // The leader's part of MaintenanceReplica: collects heartbeats and proposes what the scheduler decides.
 #include "config/json_read.h"
 #include "maintenance/heartbeat_aggregator.h"
+#include "maintenance/log_entry_codec.h"
 #include "maintenance/maintenance_replica.h"
 
 namespace lotusyard::maintenance {
 namespace {
 
 using nlohmann::json;
-using Kind = LogEntry::Kind;
 
 constexpr Millis kProposalTimeout{10000};  // after which a proposal without a result counts as lost
 
@@ -23,7 +23,8 @@
   const auto entry = parse_entry(config::text(config::key(message, "e")));
   if (!entry) return services_.counters.add("works.malformed");
   if (!entry->proposal.empty() && state_.find_outcome(entry->proposal) != nullptr) return;
-  if (entry->kind == Kind::join && entry->incarnation <= state_.last_incarnation(entry->member)) return;
+  const auto* join = std::get_if<Join>(&entry->command);
+  if (join != nullptr && join->incarnation <= state_.last_incarnation(join->member)) return;
   if (!replica_->propose(*this, encode_entry(*entry))) services_.counters.add("works.not_proposed");
 }
 
@@ -43,7 +44,7 @@
   barrier_term_ = term;
   pending_heartbeats_.clear();
   proposal_in_flight_ = false;
-  LogEntry barrier;
+  const LogEntry barrier{ReadBarrier{}, {}, {}};
   const bool proposed = replica_->propose(*this, encode_entry(barrier), [this, term](bool done) {
     if (!done) return;
     ready_term_ = term;
--- a/src/maintenance/maintenance_scheduler.cpp
+++ b/src/maintenance/maintenance_scheduler.cpp
@@ -6,8 +6,6 @@
 namespace lotusyard::maintenance {
 namespace {
 
-using Kind = LogEntry::Kind;
-
 constexpr int kSelectionFactor = 2;  // hosts selected ahead per host that may be out, to choose from
 
 std::string format_number(double value) {
@@ -16,14 +14,13 @@
   return text;
 }
 
-LogEntry host_command(Kind kind, const HostProgress& host, std::string reason) {
-  LogEntry out;
-  out.kind = kind;
-  out.job = host.job;
-  out.host = host.key.id;
-  out.selected_at_index = host.selected_at_index;
-  out.reason = std::move(reason);
-  return out;
+template <typename Transition>
+LogEntry host_command(const HostProgress& host, std::string reason) {
+  Transition transition;
+  transition.job = host.job;
+  transition.host = host.key.id;
+  transition.selected_at_index = host.selected_at_index;
+  return {std::move(transition), std::move(reason), {}};
 }
 
 // Why the host cannot be drained for the job now; empty if it can.
@@ -65,10 +62,10 @@
         expired_members += (expired_members.empty() ? "" : ", ") + name;
     }
     if (using_members.empty())
-      return host_command(Kind::release_to_operators, host,
-                          expired_members.empty()
-                              ? "all members are done with it"
-                              : "the leases have run out of " + expired_members + "; all others are done");
+      return host_command<ReleaseToOperators>(
+          host, expired_members.empty()
+                    ? "all members are done with it"
+                    : "the leases have run out of " + expired_members + "; all others are done");
     waiting_reasons_[host.job] = "host " + id + " is still used, or may be, by " + using_members;
   }
   return std::nullopt;
@@ -87,15 +84,14 @@
       const std::string reporter =
           job.bounds.restart_is_return ? seen_by(&HostObservations::restarted) : std::string();
       if (!reporter.empty())
-        return host_command(Kind::return_to_service, host, "it has started anew, says " + reporter);
+        return host_command<ReturnToService>(host, "it has started anew, says " + reporter);
       if (!host.overdue && now - host.since > job.bounds.max_time_out)
-        return host_command(
-            Kind::overdue, host,
-            "out for longer than " + format_number(job.bounds.max_time_out.count() / 1000) + " s");
+        return host_command<Overdue>(
+            host, "out for longer than " + format_number(job.bounds.max_time_out.count() / 1000) + " s");
     }
     if (host.stage == HostStage::slow_start) {
       const std::string reporter = seen_by(&HostObservations::served);
-      if (!reporter.empty()) return host_command(Kind::complete, host, "it has served a call of " + reporter);
+      if (!reporter.empty()) return host_command<Complete>(host, "it has served a call of " + reporter);
     }
   }
   return std::nullopt;
@@ -106,8 +102,7 @@
 std::optional<LogEntry> MaintenanceScheduler::next_selection(const MaintenanceState& state) const {
   const DisruptionBudget budget = state.budget();
   int room = budget.max_hosts_in_progress() - budget.hosts_in_progress();
-  LogEntry out;
-  out.kind = Kind::select_hosts;
+  SelectHosts out;
   for (const auto& job : state.jobs()) {
     if (job.state != MaintenanceJob::State::running) continue;
     int selected = 0;
@@ -122,7 +117,8 @@
       --room;
     }
   }
-  return out.hosts.empty() ? std::nullopt : std::optional<LogEntry>(out);
+  if (out.hosts.empty()) return std::nullopt;
+  return LogEntry{std::move(out), {}, {}};
 }
 
 double MaintenanceScheduler::failed_share(const MaintenanceState& state, Millis now) const {
@@ -209,8 +205,8 @@
   if (candidates.best != nullptr && blocked.empty()) {
     const std::string next = candidates.next_value ? ", the next one " + format_number(*candidates.next_value)
                                                    : ", the only one at hand";
-    return host_command(
-        Kind::start_drain, *candidates.best,
+    return host_command<StartDrain>(
+        *candidates.best,
         "its absence costs least now: " + format_number(candidates.best_value) + " of worth a second" + next);
   }
   const std::string& reason = blocked.empty() ? candidates.first_refusal : blocked;
--- a/src/maintenance/maintenance_state.cpp
+++ b/src/maintenance/maintenance_state.cpp
@@ -3,26 +3,10 @@
 #include <algorithm>
 #include <iterator>
 
+#include "maintenance/refusals.h"
 #include "maintenance/snapshot_codec.h"
 
 namespace lotusyard::maintenance {
-namespace {
-
-using nlohmann::json;
-using Kind = LogEntry::Kind;
-
-bool is_final(MaintenanceJob::State state) {
-  return state == MaintenanceJob::State::done || state == MaintenanceJob::State::cancelled;
-}
-
-// Why a job cannot be changed; empty if it can. `job` is null if there is no job `id`.
-std::string change_refusal(const MaintenanceJob* job, const std::string& id) {
-  if (job == nullptr) return "work: no work " + id;
-  if (is_final(job->state)) return "work: " + id + " is " + name_of(job->state);
-  return {};
-}
-
-}  // namespace
 
 MaintenanceJob* MaintenanceState::find_mutable_job(const std::string& id) {
   const auto found = std::find_if(records_.jobs.begin(), records_.jobs.end(),
@@ -44,43 +28,34 @@
   if (!entry.proposal.empty()) {
     if (const ProposalOutcome* earlier = find_outcome(entry.proposal)) return *earlier;
   }
-  const std::string refusal = apply_command(entry, now);
+  const Context context{entry.reason, now};
+  const auto execute_command = [&](const auto& command) { return execute(command, context); };
+  const std::string refusal = std::visit(execute_command, entry.command);
   const ProposalOutcome outcome{refusal.empty(), refusal, index};
   if (!entry.proposal.empty()) records_.outcomes.remember(entry.proposal, outcome);
   return outcome;
 }
 
-std::string MaintenanceState::apply_command(const LogEntry& entry, Millis now) {
-  switch (entry.kind) {
-    case Kind::read_barrier: return {};
-    case Kind::heartbeats: return record_heartbeats(entry, now);
-    case Kind::join: {
-      const bool joined = records_.members.join(entry.member, entry.incarnation, entry.serves, now);
-      return joined ? std::string() : "member: this life is not a new one";
-    }
-    case Kind::leave: return records_.members.remove(entry.member) ? std::string() : "member: no such member";
-    case Kind::add_job: return add_job(entry, now);
-    case Kind::change_job_state: return change_job_state(entry);
-    case Kind::change_bounds: return change_bounds(entry);
-    case Kind::select_hosts: return select_hosts(entry, now);
-    case Kind::start_drain:
-    case Kind::release_to_operators:
-    case Kind::return_to_service:
-    case Kind::complete:
-    case Kind::overdue: return advance_host(entry, now);
-  }
-  return "unknown";
-}
+std::string MaintenanceState::execute(const ReadBarrier&, const Context&) { return {}; }
 
-std::string MaintenanceState::record_heartbeats(const LogEntry& entry, Millis now) {
-  for (const auto& heartbeat : entry.heartbeats) records_.members.record(heartbeat, now);
-  records_.waiting_reason = entry.reason;
+std::string MaintenanceState::execute(const RecordHeartbeats& command, const Context& context) {
+  for (const auto& heartbeat : command.heartbeats) records_.members.record(heartbeat, context.now);
+  records_.waiting_reason = context.reason;
   return {};
 }
 
-std::string MaintenanceState::add_job(const LogEntry& entry, Millis now) {
-  if (!entry.added_job) return "work: missing";
-  const MaintenanceJob& job = *entry.added_job;
+std::string MaintenanceState::execute(const Join& command, const Context& context) {
+  const bool joined = records_.members.join(command.member, command.incarnation, command.serves, context.now);
+  return joined ? std::string() : "member: this life is not a new one";
+}
+
+std::string MaintenanceState::execute(const Leave& command, const Context&) {
+  return records_.members.remove(command.member) ? std::string() : "member: no such member";
+}
+
+std::string MaintenanceState::execute(const AddJob& command, const Context& context) {
+  if (!command.job) return "work: missing";
+  const MaintenanceJob& job = *command.job;
   if (find_job(job.id) != nullptr) return "id: there is a work " + job.id + " already";
   if (job.bounds.max_out > static_cast<int>(job.hosts.size()))
     return "out: " + std::to_string(job.bounds.max_out) + " out at once of " +
@@ -98,30 +73,30 @@
     HostProgress& host = records_.hosts[key.id];
     host.key = key;
     host.job = job.id;
-    host.since = now;
+    host.since = context.now;
   }
   return {};
 }
 
-std::string MaintenanceState::change_bounds(const LogEntry& entry) {
-  MaintenanceJob* job = find_mutable_job(entry.job);
-  std::string refusal = change_refusal(job, entry.job);
+std::string MaintenanceState::execute(const ChangeBounds& command, const Context&) {
+  MaintenanceJob* job = find_mutable_job(command.job);
+  std::string refusal = change_refusal(job, command.job);
   if (!refusal.empty()) return refusal;
-  if (!entry.bounds) return "bounds: missing";
-  if (entry.bounds->max_out > static_cast<int>(job->hosts.size())) return "out: more than there are hosts";
-  job->bounds = *entry.bounds;
+  if (!command.bounds) return "bounds: missing";
+  if (command.bounds->max_out > static_cast<int>(job->hosts.size())) return "out: more than there are hosts";
+  job->bounds = *command.bounds;
   return {};
 }
 
-std::string MaintenanceState::change_job_state(const LogEntry& entry) {
-  MaintenanceJob* job = find_mutable_job(entry.job);
-  std::string refusal = change_refusal(job, entry.job);
+std::string MaintenanceState::execute(const ChangeJobState& command, const Context&) {
+  MaintenanceJob* job = find_mutable_job(command.job);
+  std::string refusal = change_refusal(job, command.job);
   if (!refusal.empty()) return refusal;
-  if (entry.state == MaintenanceJob::State::done) return "state: a work is done when its hosts are back";
-  job->state = entry.state;
-  if (entry.state != MaintenanceJob::State::cancelled) return {};
-  release_untouched_hosts(entry.job);
-  close_if_done(entry.job);
+  if (command.state == MaintenanceJob::State::done) return "state: a work is done when its hosts are back";
+  job->state = command.state;
+  if (command.state != MaintenanceJob::State::cancelled) return {};
+  release_untouched_hosts(command.job);
+  close_if_done(command.job);
   return {};
 }
 
@@ -133,73 +108,87 @@
   }
 }
 
-std::string MaintenanceState::select_hosts(const LogEntry& entry, Millis now) {
-  for (const auto& id : entry.hosts) {
+std::string MaintenanceState::execute(const SelectHosts& command, const Context& context) {
+  for (const auto& id : command.hosts) {
     const auto found = records_.hosts.find(id);
     if (found == records_.hosts.end() || found->second.stage != HostStage::waiting) continue;
     HostProgress& host = found->second;
     if (find_job(host.job)->state != MaintenanceJob::State::running || !budget().has_room()) continue;
     host.stage = HostStage::selected;
     host.selected_at_index = records_.index;
-    host.since = now;
+    host.since = context.now;
   }
   return {};
 }
 
-std::string MaintenanceState::advance_host(const LogEntry& entry, Millis now) {
-  const auto found = records_.hosts.find(entry.host);
-  if (found == records_.hosts.end()) return "host: " + entry.host + " is in no work";
-  HostProgress& host = found->second;
-  std::string refusal = advance_stage(entry, host);
-  if (!refusal.empty()) return refusal;
-  host.reason = entry.reason;
-  if (entry.kind == Kind::overdue) return {};
-  host.since = now;
-  if (entry.kind != Kind::complete) return {};
-  records_.last_return_at = now;
-  close_if_done(std::string(host.job));  // a copy: the host may be erased
-  return {};
+HostProgress* MaintenanceState::find_mutable_host(const std::string& id) {
+  const auto found = records_.hosts.find(id);
+  return found == records_.hosts.end() ? nullptr : &found->second;
 }
 
-std::string MaintenanceState::advance_stage(const LogEntry& entry, HostProgress& host) {
-  const std::string wrong_stage = "host: " + entry.host + " is " + name_of(host.stage);
-  const bool is_current = host.selected_at_index == entry.selected_at_index;
-  switch (entry.kind) {
-    case Kind::start_drain:
-      if (host.stage != HostStage::selected || !is_current) return wrong_stage;
-      return start_drain(host);
-    case Kind::release_to_operators:
-      if (host.stage != HostStage::draining || !is_current) return wrong_stage;
-      host.stage = HostStage::out_of_service;
-      host.released_to_operators = true;
-      return {};
-    case Kind::return_to_service:
-      if (host.stage != HostStage::out_of_service) return wrong_stage;
-      host.stage = HostStage::slow_start;
-      host.overdue = false;
-      host.selected_at_index = records_.index;
-      return {};
-    case Kind::complete:
-      if (host.stage != HostStage::slow_start) return wrong_stage;
-      host.stage = HostStage::returned;
-      return {};
-    default:
-      if (host.stage != HostStage::out_of_service) return wrong_stage;
-      host.overdue = true;
-      return {};
-  }
+void MaintenanceState::enter_stage(HostProgress& host, HostStage stage, const Context& context) {
+  host.stage = stage;
+  host.since = context.now;
+  host.reason = context.reason;
 }
 
-std::string MaintenanceState::start_drain(HostProgress& host) {
+std::string MaintenanceState::drain_refusal(const HostProgress& host) const {
   const MaintenanceJob& job = *find_job(host.job);
   if (job.state != MaintenanceJob::State::running) return "work: " + job.id + " is " + name_of(job.state);
   // A member that does not know of the selection would continue to use the host without its lease.
   if (const std::string* member = records_.members.find_member_behind(host.selected_at_index))
     return "member " + *member + " does not know that " + host.key.id + " is next";
-  std::string exceeded = budget().exceeded_bound(job, host.key);
-  if (!exceeded.empty()) return exceeded;
-  host.stage = HostStage::draining;
-  host.selected_at_index = records_.index;
+  return budget().exceeded_bound(job, host.key);
+}
+
+std::string MaintenanceState::execute(const StartDrain& command, const Context& context) {
+  HostProgress* host = find_mutable_host(command.host);
+  std::string refusal = stage_refusal(host, command, HostStage::selected);
+  if (!refusal.empty()) return refusal;
+  if (host->selected_at_index != command.selected_at_index) return wrong_stage(*host);
+  refusal = drain_refusal(*host);
+  if (!refusal.empty()) return refusal;
+  host->selected_at_index = records_.index;
+  enter_stage(*host, HostStage::draining, context);
+  return {};
+}
+
+std::string MaintenanceState::execute(const ReleaseToOperators& command, const Context& context) {
+  HostProgress* host = find_mutable_host(command.host);
+  std::string refusal = stage_refusal(host, command, HostStage::draining);
+  if (!refusal.empty()) return refusal;
+  if (host->selected_at_index != command.selected_at_index) return wrong_stage(*host);
+  host->released_to_operators = true;
+  enter_stage(*host, HostStage::out_of_service, context);
+  return {};
+}
+
+std::string MaintenanceState::execute(const ReturnToService& command, const Context& context) {
+  HostProgress* host = find_mutable_host(command.host);
+  std::string refusal = stage_refusal(host, command, HostStage::out_of_service);
+  if (!refusal.empty()) return refusal;
+  host->overdue = false;
+  host->selected_at_index = records_.index;
+  enter_stage(*host, HostStage::slow_start, context);
+  return {};
+}
+
+std::string MaintenanceState::execute(const Complete& command, const Context& context) {
+  HostProgress* host = find_mutable_host(command.host);
+  std::string refusal = stage_refusal(host, command, HostStage::slow_start);
+  if (!refusal.empty()) return refusal;
+  enter_stage(*host, HostStage::returned, context);
+  records_.last_return_at = context.now;
+  close_if_done(std::string(host->job));  // a copy: the host may be erased
+  return {};
+}
+
+std::string MaintenanceState::execute(const Overdue& command, const Context& context) {
+  HostProgress* host = find_mutable_host(command.host);
+  std::string refusal = stage_refusal(host, command, HostStage::out_of_service);
+  if (!refusal.empty()) return refusal;
+  host->overdue = true;
+  host->reason = context.reason;
   return {};
 }
 
@@ -236,9 +225,9 @@
   return out;
 }
 
-json MaintenanceState::snapshot() const { return encode_snapshot(records_); }
+nlohmann::json MaintenanceState::snapshot() const { return encode_snapshot(records_); }
 
-bool MaintenanceState::restore(const json& from, Millis now) {
+bool MaintenanceState::restore(const nlohmann::json& from, Millis now) {
   auto decoded = decode_snapshot(from, now);
   if (!decoded) return false;
   records_ = std::move(*decoded);
--- a/src/maintenance/maintenance_state.h
+++ b/src/maintenance/maintenance_state.h
@@ -50,17 +50,30 @@
  private:
   MaintenanceRecords records_;
 
-  // These return why the command is refused; empty if it took effect.
-  std::string apply_command(const LogEntry& entry, Millis now);
-  std::string record_heartbeats(const LogEntry& entry, Millis now);
-  std::string add_job(const LogEntry& entry, Millis now);
-  std::string change_job_state(const LogEntry& entry);
-  std::string change_bounds(const LogEntry& entry);
-  std::string select_hosts(const LogEntry& entry, Millis now);
-  std::string advance_host(const LogEntry& entry, Millis now);
-  std::string advance_stage(const LogEntry& entry, HostProgress& host);
-  std::string start_drain(HostProgress& host);
+  // What the commands of an entry need beside their own fields.
+  struct Context {
+    const std::string& reason;
+    Millis now;
+  };
 
+  // Each executes one command and returns why it is refused; empty if it took effect.
+  std::string execute(const RecordHeartbeats& command, const Context& context);
+  std::string execute(const Join& command, const Context& context);
+  std::string execute(const Leave& command, const Context& context);
+  std::string execute(const AddJob& command, const Context& context);
+  std::string execute(const ChangeJobState& command, const Context& context);
+  std::string execute(const ChangeBounds& command, const Context& context);
+  std::string execute(const SelectHosts& command, const Context& context);
+  std::string execute(const StartDrain& command, const Context& context);
+  std::string execute(const ReleaseToOperators& command, const Context& context);
+  std::string execute(const ReturnToService& command, const Context& context);
+  std::string execute(const Complete& command, const Context& context);
+  std::string execute(const Overdue& command, const Context& context);
+  std::string execute(const ReadBarrier& command, const Context& context);
+
+  std::string drain_refusal(const HostProgress& host) const;
+  HostProgress* find_mutable_host(const std::string& id);
+  static void enter_stage(HostProgress& host, HostStage stage, const Context& context);
   MaintenanceJob* find_mutable_job(const std::string& id);
   void release_untouched_hosts(const std::string& job_id);
   void close_if_done(const std::string& id);
--- a/tests/golden/maintenance_golden.cpp
+++ b/tests/golden/maintenance_golden.cpp
@@ -1,14 +1,12 @@
 // Maintenance jobs: log entries of every kind, the state's snapshot, and the admin endpoint's JSON.
 #include "golden_part.h"
 #include "maintenance/admin_endpoint.h"
+#include "maintenance/log_entry_codec.h"
 #include "maintenance_samples.h"
 
 namespace lotusyard::golden {
 namespace {
 
-using maintenance::LogEntry;
-using Kind = LogEntry::Kind;
-
 std::string reencode_entry(const std::string& bytes) {
   return maintenance::encode_entry(decoded(maintenance::parse_entry(bytes)));
 }
--- a/tests/golden/maintenance_samples.cpp
+++ b/tests/golden/maintenance_samples.cpp
@@ -6,65 +6,43 @@
 using maintenance::LogEntry;
 using maintenance::MaintenanceJob;
 using maintenance::Millis;
-using Kind = LogEntry::Kind;
 
-LogEntry entry(Kind kind) {
-  LogEntry out;
-  out.kind = kind;
-  return out;
-}
-
-LogEntry about_host(Kind kind, const std::string& host, std::uint64_t round) {
-  LogEntry out = entry(kind);
-  out.job = "job-1";
-  out.host = host;
-  out.selected_at_index = round;
-  return out;
+template <typename Transition>
+LogEntry about_host(const std::string& host, std::uint64_t round, const std::string& reason = {}) {
+  Transition transition;
+  transition.job = "job-1";
+  transition.host = host;
+  transition.selected_at_index = round;
+  return {transition, reason, {}};
 }
 
 LogEntry addition(const std::string& proposal, const MaintenanceJob& job) {
-  LogEntry out = entry(Kind::add_job);
-  out.proposal = proposal;
-  out.added_job = job;
-  return out;
+  return {maintenance::AddJob{job}, {}, proposal};
 }
 
 LogEntry alteration(MaintenanceJob::State state) {
-  LogEntry out = entry(Kind::change_job_state);
-  out.proposal = "proposal-" + std::string(maintenance::name_of(state));
-  out.job = "job-2";
-  out.state = state;
-  return out;
+  return {maintenance::ChangeJobState{"job-2", state},
+          {},
+          "proposal-" + std::string(maintenance::name_of(state))};
 }
 
 LogEntry joining(const std::string& member, std::uint64_t incarnation, bool serves) {
-  LogEntry out = entry(Kind::join);
-  out.member = member;
-  out.incarnation = incarnation;
-  out.serves = serves;
-  return out;
+  return {maintenance::Join{member, incarnation, serves}, {}, {}};
 }
 
 LogEntry heartbeats() {
-  LogEntry out = entry(Kind::heartbeats);
-  out.reason = R"({"job-1":"zone: 1 out at once"})";
+  maintenance::RecordHeartbeats out;
   out.heartbeats = {sample_heartbeat(), {"member-2", 2, 900, 4, {}, std::nullopt, std::nullopt}};
-  return out;
+  return {out, R"({"job-1":"zone: 1 out at once"})", {}};
 }
 
 LogEntry selection(const std::vector<std::string>& hosts) {
-  LogEntry out = entry(Kind::select_hosts);
-  out.job = "job-1";
-  out.hosts = hosts;
-  return out;
+  return {maintenance::SelectHosts{"job-1", hosts}, {}, {}};
 }
 
 LogEntry new_bounds() {
-  LogEntry out = entry(Kind::change_bounds);
-  out.proposal = "proposal-bounds";
-  out.job = "job-2";
-  out.bounds = maintenance::DisruptionBounds{3, 2, 1, 0.125, Millis(90000.5), Millis(250), true};
-  return out;
+  const maintenance::DisruptionBounds bounds{3, 2, 1, 0.125, Millis(90000.5), Millis(250), true};
+  return {maintenance::ChangeBounds{"job-2", bounds}, {}, "proposal-bounds"};
 }
 
 MaintenanceJob second_job() {
@@ -98,11 +76,8 @@
 }
 
 std::vector<std::pair<std::string, LogEntry>> sample_maintenance_entries() {
-  LogEntry leave = entry(Kind::leave);
-  leave.proposal = "proposal-leave";
-  leave.member = "member-3";
-  LogEntry late = about_host(Kind::overdue, "h2", 11);
-  late.reason = "not drained at member-2";
+  const LogEntry leave{maintenance::Leave{"member-3"}, {}, "proposal-leave"};
+  const LogEntry late = about_host<maintenance::Overdue>("h2", 11, "not drained at member-2");
   return {{"heartbeats", heartbeats()},
           {"join", joining("member-1", 7, true)},
           {"join not serving", joining("member-2", 2, false)},
@@ -114,12 +89,12 @@
           {"alter cancelled", alteration(MaintenanceJob::State::cancelled)},
           {"bounds", new_bounds()},
           {"name", selection({"h1", "h2"})},
-          {"take", about_host(Kind::start_drain, "h1", 9)},
-          {"touch", about_host(Kind::release_to_operators, "h1", 10)},
-          {"returned", about_host(Kind::return_to_service, "h1", 10)},
-          {"back", about_host(Kind::complete, "h1", 10)},
+          {"take", about_host<maintenance::StartDrain>("h1", 9)},
+          {"touch", about_host<maintenance::ReleaseToOperators>("h1", 10)},
+          {"returned", about_host<maintenance::ReturnToService>("h1", 10)},
+          {"back", about_host<maintenance::Complete>("h1", 10)},
           {"late", late},
-          {"ask", entry(Kind::read_barrier)},
+          {"ask", LogEntry{}},
           {"text that is no UTF-8", selection({"h\xc3\xa9", "\xff"})}};
 }
 
@@ -139,11 +114,11 @@
   apply(alteration(MaintenanceJob::State::paused));
   apply(selection({"h1", "h2", "h3"}));
   const std::uint64_t selected = index;
-  apply(about_host(Kind::start_drain, "h1", selected));
+  apply(about_host<maintenance::StartDrain>("h1", selected));
   const std::uint64_t taken = index;
-  apply(about_host(Kind::start_drain, "h2", selected));
-  apply(about_host(Kind::release_to_operators, "h1", taken));
-  apply(about_host(Kind::overdue, "h1", taken));
+  apply(about_host<maintenance::StartDrain>("h2", selected));
+  apply(about_host<maintenance::ReleaseToOperators>("h1", taken));
+  apply(about_host<maintenance::Overdue>("h1", taken));
   return out;
 }
 
--- a/tests/lotusyard/gather_test.cpp
+++ b/tests/lotusyard/gather_test.cpp
@@ -3,6 +3,7 @@
 #include <set>
 
 #include "maintenance/heartbeat_aggregator.h"
+#include "maintenance/log_entry_codec.h"
 
 using namespace lotusyard::maintenance;
 
@@ -29,7 +30,7 @@
   CHECK(aggregate_heartbeats(heard_from(3), "{}").entries.size() == 1);
   const AggregatedHeartbeats none = aggregate_heartbeats({}, "{}");
   REQUIRE(none.entries.size() == 1);
-  CHECK(none.entries[0].heartbeats.empty());
+  CHECK(std::get<RecordHeartbeats>(none.entries[0].command).heartbeats.empty());
   CHECK(none.entries[0].reason == "{}");
 }
 
@@ -43,7 +44,8 @@
     CHECK(text.size() <= kMaxEntryBytes);
     const auto read = parse_entry(text);
     REQUIRE(read.has_value());
-    for (const Heartbeat& beat : read->heartbeats) CHECK(members.insert(beat.member).second);
+    for (const Heartbeat& beat : std::get<RecordHeartbeats>(read->command).heartbeats)
+      CHECK(members.insert(beat.member).second);
   }
   CHECK(members.size() == 5000);
 }
@@ -54,5 +56,5 @@
   const AggregatedHeartbeats gathered = aggregate_heartbeats(std::move(heard), "{}");
   CHECK(gathered.dropped == 1);
   REQUIRE(gathered.entries.size() == 1);
-  CHECK(gathered.entries[0].heartbeats.size() == 2);
+  CHECK(std::get<RecordHeartbeats>(gathered.entries[0].command).heartbeats.size() == 2);
 }
--- a/tests/lotusyard/works_test.cpp
+++ b/tests/lotusyard/works_test.cpp
@@ -5,6 +5,7 @@
 
 #include "helper.h"
 #include "maintenance/host_observer.h"
+#include "maintenance/log_entry_codec.h"
 #include "maintenance/maintenance_scheduler.h"
 #include "maintenance/maintenance_state.h"
 #include "maintenance/timeline.h"
@@ -17,7 +18,6 @@
 using maintenance::LogEntry;
 using maintenance::MaintenanceJob;
 using maintenance::MaintenanceState;
-using Kind = maintenance::LogEntry::Kind;
 
 MaintenanceJob work_of(int hosts, int out, double usable = 0.5) {
   MaintenanceJob w;
@@ -28,23 +28,27 @@
   w.bounds.min_usable_share = usable;
   return w;
 }
-LogEntry about(Kind kind, const std::string& host = {}, std::uint64_t round = 0) {
-  LogEntry e;
-  e.kind = kind;
-  e.host = host;
-  e.selected_at_index = round;
-  return e;
+template <typename Transition>
+LogEntry about(const std::string& host, std::uint64_t round = 0) {
+  Transition transition;
+  transition.host = host;
+  transition.selected_at_index = round;
+  return {transition, {}, {}};
 }
-LogEntry adds(const MaintenanceJob& w) {
-  LogEntry e = about(Kind::add_job);
-  e.added_job = w;
-  return e;
+// The host of a transition; empty for all other commands.
+std::string host_of(const maintenance::Command& command) {
+  return std::visit(
+      [](const auto& typed) {
+        if constexpr (std::is_base_of_v<maintenance::HostTransition, std::decay_t<decltype(typed)>>)
+          return typed.host;
+        else
+          return std::string();
+      },
+      command);
 }
+LogEntry adds(const MaintenanceJob& w) { return {maintenance::AddJob{w}, {}, {}}; }
 LogEntry joins(const std::string& member, std::uint64_t life) {
-  LogEntry e = about(Kind::join);
-  e.member = member;
-  e.incarnation = life;
-  return e;
+  return {maintenance::Join{member, life, true}, {}, {}};
 }
 maintenance::Heartbeat beat_of(const std::string& member, std::uint64_t life, std::uint64_t has, int listed) {
   maintenance::Heartbeat b{member, life, 0, has, {}, maintenance::HostObservations()};
@@ -52,14 +56,10 @@
   return b;
 }
 LogEntry beats(std::vector<maintenance::Heartbeat> all) {
-  LogEntry e = about(Kind::heartbeats);
-  e.heartbeats = std::move(all);
-  return e;
+  return {maintenance::RecordHeartbeats{std::move(all)}, {}, {}};
 }
 LogEntry names(std::vector<std::string> hosts) {
-  LogEntry e = about(Kind::select_hosts);
-  e.hosts = std::move(hosts);
-  return e;
+  return {maintenance::SelectHosts{{}, std::move(hosts)}, {}, {}};
 }
 
 // One group as it could be: members with clocks of their own follow one log with delays, and use hosts.
@@ -122,7 +122,9 @@
     for (; p.follows < log.size(); ++p.follows) {
       const LogEntry& e = log[p.follows];
       p.board.apply(p.follows + 1, e, clock(p));
-      for (const auto& b : e.heartbeats) {
+      const auto* beats = std::get_if<maintenance::RecordHeartbeats>(&e.command);
+      if (beats == nullptr) continue;
+      for (const auto& b : beats->heartbeats) {
         if (b.member == p.name && b.incarnation == p.life) p.lease->renew(b.sent_at);
       }
     }
@@ -151,7 +153,7 @@
     for (; newest_follows < log.size(); ++newest_follows) {
       const LogEntry& e = log[newest_follows];
       const bool done = newest.apply(newest_follows + 1, e, Millis(now)).done;
-      touched += done && e.kind == Kind::release_to_operators;
+      touched += done && maintenance::holds<maintenance::ReleaseToOperators>(e);
     }
     std::set<std::string> out;
     int away = 0;
@@ -240,8 +242,8 @@
     if (!people[leader].up || !people[leader].reachable || below(random, 6) == 0) elect();
     // As an operator would: what is out comes back.
     if (const auto out = truly_touched(); !out.empty() && below(random, 2) == 0)
-      append(about(Kind::return_to_service,
-                   *std::next(out.begin(), static_cast<std::ptrdiff_t>(below(random, out.size())))));
+      append(about<maintenance::ReturnToService>(
+          *std::next(out.begin(), static_cast<std::ptrdiff_t>(below(random, out.size())))));
   }
   std::string run(int turns) {
     append(adds(work_of(hosts, 2)));
@@ -298,27 +300,28 @@
   REQUIRE(t.apply(joins("a", 1)).done);
   t.follows();
   REQUIRE(t.apply(adds(work_of(6, 2))).done);
-  CHECK(t.apply(about(Kind::start_drain, "h0", 0)).why == "host: h0 is waiting");
+  CHECK(t.apply(about<maintenance::StartDrain>("h0", 0)).why == "host: h0 is waiting");
   REQUIRE(t.apply(names({"h0", "h1", "h2", "h3", "h4", "h5"})).done);
   const std::uint64_t named = t.index;
   CHECK(t.board.budget().hosts_in_progress() == 5);  // half of the ten that are listed stays out of reach
-  CHECK_THAT(t.apply(about(Kind::start_drain, "h0", named)).why, Catch::Contains("member a does not know"));
+  CHECK_THAT(t.apply(about<maintenance::StartDrain>("h0", named)).why,
+             Catch::Contains("member a does not know"));
   t.follows();
-  CHECK(t.apply(about(Kind::start_drain, "h0", named - 1)).why == "host: h0 is named");
-  REQUIRE(t.apply(about(Kind::start_drain, "h0", named)).done);
+  CHECK(t.apply(about<maintenance::StartDrain>("h0", named - 1)).why == "host: h0 is named");
+  REQUIRE(t.apply(about<maintenance::StartDrain>("h0", named)).done);
   const std::uint64_t taken = t.index;
   CHECK(t.board.hosts_to_avoid(true) == std::set<std::string>{"h0"});
   CHECK(t.board.hosts_to_avoid(false).size() == 5);
-  REQUIRE(t.apply(about(Kind::start_drain, "h1", named)).done);
-  CHECK_THAT(t.apply(about(Kind::start_drain, "h2", named)).why, Catch::Contains("2 hosts may be out"));
-  CHECK(t.apply(about(Kind::return_to_service, "h0")).why == "host: h0 is leaving");
-  REQUIRE(t.apply(about(Kind::release_to_operators, "h0", taken)).done);
-  CHECK(t.apply(about(Kind::release_to_operators, "h0", taken)).why == "host: h0 is out");
-  REQUIRE(t.apply(about(Kind::return_to_service, "h0")).done);
-  CHECK_THAT(t.apply(about(Kind::start_drain, "h2", named)).why,
+  REQUIRE(t.apply(about<maintenance::StartDrain>("h1", named)).done);
+  CHECK_THAT(t.apply(about<maintenance::StartDrain>("h2", named)).why, Catch::Contains("2 hosts may be out"));
+  CHECK(t.apply(about<maintenance::ReturnToService>("h0")).why == "host: h0 is leaving");
+  REQUIRE(t.apply(about<maintenance::ReleaseToOperators>("h0", taken)).done);
+  CHECK(t.apply(about<maintenance::ReleaseToOperators>("h0", taken)).why == "host: h0 is out");
+  REQUIRE(t.apply(about<maintenance::ReturnToService>("h0")).done);
+  CHECK_THAT(t.apply(about<maintenance::StartDrain>("h2", named)).why,
              Catch::Contains("2 hosts may be out"));  // it is cold
-  REQUIRE(t.apply(about(Kind::complete, "h0")).done);
-  REQUIRE(t.apply(about(Kind::start_drain, "h2", named)).done);
+  REQUIRE(t.apply(about<maintenance::Complete>("h0")).done);
+  REQUIRE(t.apply(about<maintenance::StartDrain>("h2", named)).done);
 }
 
 TEST_CASE("works share their bounds, zones and kinds have their own, and paused works take nothing") {
@@ -338,26 +341,26 @@
   t.apply(names({"h0", "h1", "h2", "kh0", "kh1"}));
   const std::uint64_t named = t.index;
   t.follows();
-  REQUIRE(t.apply(about(Kind::start_drain, "h0", named)).done);
-  CHECK_THAT(t.apply(about(Kind::start_drain, "h2", named)).why, Catch::Contains("of zone east"));
-  CHECK_THAT(t.apply(about(Kind::start_drain, "kh0", named)).why,
+  REQUIRE(t.apply(about<maintenance::StartDrain>("h0", named)).done);
+  CHECK_THAT(t.apply(about<maintenance::StartDrain>("h2", named)).why, Catch::Contains("of zone east"));
+  CHECK_THAT(t.apply(about<maintenance::StartDrain>("kh0", named)).why,
              Catch::Contains("of zone east"));  // the other's bound
-  LogEntry pause = about(Kind::change_job_state);
+  maintenance::ChangeJobState pause;
   pause.job = "v";
   pause.state = MaintenanceJob::State::paused;
-  REQUIRE(t.apply(pause).done);
-  CHECK(t.apply(about(Kind::start_drain, "kh1", named)).why == "work: v is paused");
+  REQUIRE(t.apply({pause, {}, {}}).done);
+  CHECK(t.apply(about<maintenance::StartDrain>("kh1", named)).why == "work: v is paused");
   pause.state = MaintenanceJob::State::running;
-  REQUIRE(t.apply(pause).done);
-  REQUIRE(t.apply(about(Kind::start_drain, "kh1", named)).done);
-  CHECK_THAT(t.apply(about(Kind::start_drain, "h1", named)).why,
+  REQUIRE(t.apply({pause, {}, {}}).done);
+  REQUIRE(t.apply(about<maintenance::StartDrain>("kh1", named)).done);
+  CHECK_THAT(t.apply(about<maintenance::StartDrain>("h1", named)).why,
              Catch::Contains("of zone west may be out at once by work w"));
   pause.job = "w";
   pause.state = MaintenanceJob::State::cancelled;
-  REQUIRE(t.apply(pause).done);  // nobody may touch h0 yet: it is used again
+  REQUIRE(t.apply({pause, {}, {}}).done);  // nobody may touch h0 yet: it is used again
   CHECK(t.board.hosts_to_avoid(true) == std::set<std::string>{"kh1"});
   pause.state = MaintenanceJob::State::running;
-  CHECK(t.apply(pause).why == "work: w is cancelled");
+  CHECK(t.apply({pause, {}, {}}).why == "work: w is cancelled");
 }
 
 TEST_CASE("what can never be met is refused with its key") {
@@ -393,7 +396,7 @@
   CHECK(t.board.jobs().size() == 1);
   REQUIRE(t.board.find_outcome("p1") != nullptr);
   for (int i = 0; i < 300; ++i) {
-    LogEntry ask = about(Kind::read_barrier);
+    LogEntry ask;
     ask.proposal = "q" + std::to_string(i);
     t.apply(ask);
   }
@@ -438,22 +441,24 @@
     a.observations->failed_per_second = lost;
     t.apply(beats({a, b}));
   };
-  const auto step = [&](Kind kind, const std::string& host) {
+  const auto step = [&](const maintenance::Command& kind, const std::string& host) {
     const auto next = order.next_entry(t.board, t.now);
     REQUIRE(next);
-    CHECK(maintenance::name_of(next->kind) == std::string(maintenance::name_of(kind)));
-    CHECK(next->host == host);
+    CHECK(maintenance::name_of(next->command) == std::string(maintenance::name_of(kind)));
+    CHECK(host_of(next->command) == host);
     REQUIRE(t.apply(*next).done);
     return next->reason;
   };
   // Naming ahead is no step of a host's: it is followed at once.
   const auto idle = [&] {
     auto next = order.next_entry(t.board, t.now);
-    for (; next && next->kind == Kind::select_hosts; next = order.next_entry(t.board, t.now)) t.apply(*next);
+    for (; next && maintenance::holds<maintenance::SelectHosts>(*next);
+         next = order.next_entry(t.board, t.now))
+      t.apply(*next);
     return !next;
   };
   both(3, 1);
-  step(Kind::select_hosts, "");
+  step(maintenance::SelectHosts{}, "");
   CHECK(idle());
   CHECK_THAT(order.waiting_reasons().at("w"), Catch::Contains("does not follow"));
   both(3, 1, {"h9"});
@@ -463,7 +468,7 @@
   CHECK(idle());
   CHECK_THAT(order.waiting_reasons().at("w"), Catch::StartsWith("service falls: 30%"));
   both(3, 1);
-  CHECK_THAT(step(Kind::start_drain, "h1"), Catch::Contains("costs least now: 1 "));
+  CHECK_THAT(step(maintenance::StartDrain{}, "h1"), Catch::Contains("costs least now: 1 "));
   both(3, 1);
   CHECK(idle());
   CHECK_THAT(order.waiting_reasons().at("w"), Catch::Contains("still used, or may be, by a, b"));
@@ -475,23 +480,23 @@
   t.apply(beats({a}));
   CHECK(idle());
   t.now += Millis(1);
-  CHECK_THAT(step(Kind::release_to_operators, "h1"), Catch::Contains("leases have run out of b"));
+  CHECK_THAT(step(maintenance::ReleaseToOperators{}, "h1"), Catch::Contains("leases have run out of b"));
   t.now += Millis(60001);
   both(3, 1);
-  CHECK_THAT(step(Kind::overdue, "h1"), Catch::Contains("longer than 60 s"));
+  CHECK_THAT(step(maintenance::Overdue{}, "h1"), Catch::Contains("longer than 60 s"));
   CHECK(idle());
   CHECK_THAT(order.waiting_reasons().at("w"), Catch::Contains("h1"));
-  REQUIRE(t.apply(about(Kind::return_to_service, "h1")).done);
+  REQUIRE(t.apply(about<maintenance::ReturnToService>("h1")).done);
   CHECK(idle());  // it has not served yet
   t.follows({}, {"h1"});
-  CHECK(step(Kind::complete, "h1") == "it has served a call of a");
+  CHECK(step(maintenance::Complete{}, "h1") == "it has served a call of a");
   both(3, 1);
   t.now += Millis(1000);
   CHECK(idle());
   CHECK_THAT(order.waiting_reasons().at("w"), Catch::StartsWith("a pause of 5 s"));
   t.now += Millis(4000);
   both(3, 1);
-  step(Kind::start_drain, "h2");  // nothing is known to run there
+  step(maintenance::StartDrain{}, "h2");  // nothing is known to run there
 }
 
 TEST_CASE("a host is worth what it serves, and more where it serves a function alone") {
--- a/tests/scale/flat_hollow_log.cpp
+++ b/tests/scale/flat_hollow_log.cpp
@@ -2,6 +2,7 @@
 // processor time to word, read, apply, snapshot and restore. By name: lotusyard_scale_tests "[hollow-log]".
 #include <catch2/catch.hpp>
 
+#include "maintenance/log_entry_codec.h"
 #include "point.h"
 #include "tier.h"
 
@@ -17,9 +18,7 @@
 
 // A sign of life of every member at rest; with its view of `hosts` hosts of an open work, if `views`.
 BoardEntry beats_of(std::size_t members, bool views, std::size_t hosts) {
-  BoardEntry out;
-  out.kind = BoardEntry::Kind::heartbeats;
-  out.reason = "{}";
+  maintenance::RecordHeartbeats out;
   for (std::size_t i = 0; i < members; ++i) {
     Beat beat{member_name(i), kLife, kNow.count() + 0.123 * static_cast<double>(i), 123456, {}, std::nullopt};
     if (views) {
@@ -29,18 +28,17 @@
     }
     out.heartbeats.push_back(std::move(beat));
   }
-  return out;
+  return {std::move(out), "{}", {}};
 }
 
 MaintenanceState board_of(std::size_t members) {
   MaintenanceState out;
   std::uint64_t index = 0;
   for (std::size_t i = 0; i < members; ++i) {
-    BoardEntry join;
-    join.kind = BoardEntry::Kind::join;
+    maintenance::Join join;
     join.member = member_name(i);
     join.incarnation = kLife;
-    out.apply(++index, join, kNow);
+    out.apply(++index, {join, {}, {}}, kNow);
   }
   return out;
 }
--- a/tests/wall_clock/fleet_test.cpp
+++ b/tests/wall_clock/fleet_test.cpp
@@ -1,6 +1,7 @@
 // Members of a group under a wall clock that is set: certificates, lives and what the log tells of the clock.
 #include "compliance/compliance_filter.h"
 #include "helper.h"
+#include "maintenance/log_entry_codec.h"
 #include "maintenance/maintenance_replica.h"
 #include "net/socket.h"
 #include "raft/raft_replica.h"
@@ -146,11 +147,10 @@
   LoneMember lone(LoneMember::founded(file));
   REQUIRE(lone.soon([&] { return lone.member.is_leader(); }));
   // As the log would hold it: the earlier life was taken from a clock that was ahead.
-  maintenance::LogEntry join;
-  join.kind = maintenance::LogEntry::Kind::join;
+  maintenance::Join join;
   join.member = "a";
   join.incarnation = static_cast<std::uint64_t>((lone.clock.wall() + kHour).count());
-  REQUIRE(lone.member.propose(lone.coordinator, maintenance::encode_entry(join)));
+  REQUIRE(lone.member.propose(lone.coordinator, maintenance::encode_entry({join, {}, {}})));
   CHECK(lone.leased());
   CHECK(lone.member.incarnation() > join.incarnation);
 }
--- a/tests/wall_clock/membership_test.cpp
+++ b/tests/wall_clock/membership_test.cpp
@@ -85,10 +85,9 @@
 
 TEST_CASE("a host out for a work that starts anew is seen to, also with a smaller stamp") {
   maintenance::MaintenanceState board;
-  maintenance::LogEntry add;
-  add.kind = maintenance::LogEntry::Kind::add_job;
-  add.added_job =
-      maintenance::MaintenanceJob{"w", {{"h", "", ""}}, {}, maintenance::MaintenanceJob::State::running};
+  const maintenance::MaintenanceJob job{
+      "w", {{"h", "", ""}}, {}, maintenance::MaintenanceJob::State::running};
+  const maintenance::LogEntry add{maintenance::AddJob{job}, {}, {}};
   REQUIRE(board.apply(1, add, Millis(0)).done);
   auto out = board.snapshot();
   out["hosts"][0]["stage"] = static_cast<int>(maintenance::HostStage::out_of_service);
