--- a/src/gossip/gossip_service.cpp
+++ b/src/gossip/gossip_service.cpp
@@ -2,24 +2,34 @@
 
 #include <algorithm>
 #include <random>
+#include <set>
+#include <utility>
 
 namespace lotusyard::gossip {
 namespace {
 
-constexpr Millis kLookPace{1000}, kBeginPace{200};
-constexpr std::size_t kLongestMessage = 1U << 20;
+using nlohmann::json;
+
+constexpr Millis kObservationInterval{1000};
+constexpr Millis kJoinPollInterval{200};
+constexpr Millis kMinTimerDelay{1};
+constexpr std::size_t kMaxMessageBytes = 1U << 20;
+
+bool accepts_calls(const MemberRecord& record) {
+  return is_present(record.status) && record.status != MemberStatus::joining;
+}
 
 }  // namespace
 
-GossipService::GossipService(const InvokerServices& wiring, const raft::Config& config,
-                             raft::RaftReplica& member, SeesFailure fails, LogSink note)
-    : services_(wiring),
+GossipService::GossipService(const InvokerServices& services, const raft::Config& config,
+                             raft::RaftReplica& replica, FailureDetector detects_failure, LogSink log)
+    : services_(services),
       config_(config),
-      replica_(member),
-      sees_failure_(std::move(fails)),
-      log_(std::move(note)) {
+      replica_(replica),
+      detects_failure_(std::move(detects_failure)),
+      log_(std::move(log)) {
   replica_.set_gossip_handler(
-      [this](const std::string& from, const std::string& body) { handle_message(from, body); });
+      [this](const std::string& sender, const std::string& body) { handle_message(sender, body); });
   start_protocol();
   observe_hosts();
 }
@@ -30,112 +40,132 @@
   services_.loop.cancel(observation_timer_);
 }
 
-// Begins with the member's life: without a store it has none until it has been let in.
+// The protocol needs the replica's incarnation. A replica without a store has none until it has been admitted
+// to its group.
 void GossipService::start_protocol() {
-  const Millis now = services_.loop.now();
   if (!replica_.is_member()) {
-    period_timer_ = services_.loop.schedule_at(now + kBeginPace, [this] { start_protocol(); });
+    period_timer_ = services_.loop.schedule_at(now() + kJoinPollInterval, [this] { start_protocol(); });
     return;
   }
   std::vector<std::string> seed_addresses;
   for (const auto& peer : config_.members) seed_addresses.push_back(peer.address);
-  GossipTiming pace;
-  pace.period = *config_.view;
+  GossipTiming timing;
+  timing.period = config_.view.value();
   incarnation_ = replica_.incarnation();
-  swim_.emplace(MemberRecord{config_.member, config_.address, incarnation_, 0, MemberStatus::joining, {}},
-                seed_addresses, pace, std::random_device{}(), now);
-  if (serving_) swim_->serve(now);
+  const MemberRecord self{config_.member, config_.address, incarnation_, 0, MemberStatus::joining, {}};
+  protocol_.emplace(self, seed_addresses, timing, std::random_device{}(), now());
+  if (serving_) protocol_->serve(now());
   run_period();
 }
 
 void GossipService::leave() {
-  if (!swim_) return;
-  swim_->leave(services_.loop.now());
+  if (!protocol_) return;
+  protocol_->leave(now());
   send_outgoing();
 }
 
 void GossipService::serve() {
-  if (!std::exchange(serving_, true) && swim_) swim_->serve(services_.loop.now());
+  const bool was_serving = std::exchange(serving_, true);
+  if (!was_serving && protocol_) protocol_->serve(now());
 }
 
 void GossipService::run_period() {
-  const Millis now = services_.loop.now();
-  if (replica_.incarnation() != incarnation_) {  // it was said to be gone, and has begun anew
-    swim_.reset();
-    return start_protocol();
+  // The replica takes a new incarnation when the group has removed it and it joins again.
+  if (replica_.incarnation() != incarnation_) {
+    protocol_.reset();
+    start_protocol();
+    return;
   }
-  swim_->tick(now);
+  const Millis tick_time = now();
+  protocol_->tick(tick_time);
   send_outgoing();
-  const Millis due = std::min(swim_->next_deadline(), now + config_.view.value());
-  period_timer_ = services_.loop.schedule_at(std::max(due, now + Millis(1)), [this] { run_period(); });
+  const Millis deadline = std::min(protocol_->next_deadline(), tick_time + config_.view.value());
+  const Millis next = std::max(deadline, tick_time + kMinTimerDelay);
+  period_timer_ = services_.loop.schedule_at(next, [this] { run_period(); });
 }
 
 void GossipService::observe_hosts() {
-  observation_timer_ =
-      services_.loop.schedule_at(services_.loop.now() + kLookPace, [this] { observe_hosts(); });
-  if (!swim_) return;
-  std::set<std::string> listed, observers;
-  for (const auto& [id, member] : services_.endpoint_states.listed_hosts()) {
+  observation_timer_ = services_.loop.schedule_at(now() + kObservationInterval, [this] { observe_hosts(); });
+  if (!protocol_) return;
+  std::set<std::string> listed;
+  for (const auto& [id, host] : services_.endpoint_states.listed_hosts()) {
     listed.insert(id);
-    swim_->observe(id, member.entry.started.count(), !sees_failure_(id));
+    protocol_->observe(id, host.entry.started.count(), !detects_failure_(id));
   }
-  for (const auto& [name, known] : swim_->member_table().all()) {
-    if (is_present(known.record.status)) observers.insert(name);
+  std::set<std::string> observers;
+  for (const auto& [name, member] : protocol_->member_table().all()) {
+    if (is_present(member.record.status)) observers.insert(name);
   }
-  swim_->metadata().retain(listed, observers);
+  protocol_->metadata().retain(listed, observers);
 }
 
-void GossipService::handle_message(const std::string& member, const std::string& body) {
-  if (!swim_) return;
-  const auto message = body.size() > kLongestMessage ? std::nullopt : decode_message(body);
-  if (!message || message->self.name != member) return services_.counters.add("view.malformed");
+void GossipService::handle_message(const std::string& sender, const std::string& body) {
+  if (!protocol_) return;
+  const auto message = body.size() > kMaxMessageBytes ? std::nullopt : decode_message(body);
+  if (!message || message->self.name != sender) {
+    services_.counters.add("view.malformed");
+    return;
+  }
   services_.counters.add("view.heard");
-  swim_->receive(services_.loop.now(), *message);
+  protocol_->receive(now(), *message);
   send_outgoing();
 }
 
 void GossipService::send_outgoing() {
-  for (const auto& out : swim_->take_outgoing()) {
-    const bool went = replica_.send_gossip(out.address, encode_message(out.message));
-    services_.counters.add(went ? "view.sent" : "view.not_sent");
+  for (const auto& outgoing : protocol_->take_outgoing()) {
+    const bool sent = replica_.send_gossip(outgoing.address, encode_message(outgoing.message));
+    services_.counters.add(sent ? "view.sent" : "view.not_sent");
   }
-  const auto changes = swim_->take_changes();
-  for (const auto& peer : changes) {
-    services_.counters.add(std::string("view.") + name_of(peer.status));
-    log_("of=" + peer.name + " life=" + std::to_string(peer.incarnation) +
-         " standing=" + name_of(peer.status) +
-         (swim_->is_superseded() && peer.name == config_.member
-              ? " usurped: another process goes by this name"
-              : ""));
+  const auto changes = protocol_->take_changes();
+  for (const auto& record : changes) {
+    services_.counters.add(std::string("view.") + name_of(record.status));
+    log_change(record);
   }
-  if (!changes.empty() && change_handler_) change_handler_();
+  if (!changes.empty() && on_change_) on_change_();
+}
+
+void GossipService::log_change(const MemberRecord& record) {
+  const bool superseded = protocol_->is_superseded() && record.name == config_.member;
+  log_("of=" + record.name + " life=" + std::to_string(record.incarnation) + " standing=" +
+       name_of(record.status) + (superseded ? " usurped: another process goes by this name" : ""));
 }
 
 std::size_t GossipService::present_members() const {
-  if (!swim_) return 0;
-  const auto& all = swim_->member_table().all();
-  return static_cast<std::size_t>(std::count_if(all.begin(), all.end(), [](const auto& entry) {
-    return is_present(entry.second.record.status) && entry.second.record.status != MemberStatus::joining;
-  }));
+  if (!protocol_) return 0;
+  const auto& members = protocol_->member_table().all();
+  const auto counts = [](const auto& entry) { return accepts_calls(entry.second.record); };
+  return static_cast<std::size_t>(std::count_if(members.begin(), members.end(), counts));
+}
+
+json GossipService::members_to_json() const {
+  json members = json::object();
+  for (const auto& [name, member] : protocol_->member_table().all()) {
+    members[name] = {{"standing", name_of(member.record.status)},
+                     {"life", member.record.incarnation},
+                     {"round", member.record.refutation},
+                     {"address", member.record.address},
+                     {"for_ms", static_cast<std::int64_t>((now() - member.since).count())}};
+  }
+  return members;
+}
+
+json GossipService::hosts_to_json() const {
+  json hosts = json::object();
+  for (const auto& [id, host] : services_.endpoint_states.listed_hosts()) {
+    hosts[id] = {{"fails_for", protocol_->metadata().failure_reports(id)}};
+  }
+  return hosts;
 }
 
-nlohmann::json GossipService::status_to_json() const {
-  nlohmann::json members = nlohmann::json::object(), hosts = nlohmann::json::object();
-  if (!swim_) return {{"member", config_.member}, {"members", members}, {"hosts", hosts}};
-  for (const auto& [name, known] : swim_->member_table().all()) {
-    members[name] = {{"standing", name_of(known.record.status)},
-                     {"life", known.record.incarnation},
-                     {"round", known.record.refutation},
-                     {"address", known.record.address},
-                     {"for_ms", static_cast<std::int64_t>((services_.loop.now() - known.since).count())}};
+json GossipService::status_to_json() const {
+  if (!protocol_) {
+    return {{"member", config_.member}, {"members", json::object()}, {"hosts", json::object()}};
   }
-  for (const auto& [id, member] : services_.endpoint_states.listed_hosts())
-    hosts[id] = {{"fails_for", swim_->metadata().failure_reports(id)}};
   return {{"member", config_.member},
-          {"doubts", swim_->health_multiplier()},
-          {"usurped", swim_->is_superseded()},
-          {"members", members},
-          {"hosts", hosts}};
+          {"doubts", protocol_->health_multiplier()},
+          {"usurped", protocol_->is_superseded()},
+          {"members", members_to_json()},
+          {"hosts", hosts_to_json()}};
 }
 
 }  // namespace lotusyard::gossip
--- a/src/gossip/gossip_timing.h
+++ b/src/gossip/gossip_timing.h
@@ -1,8 +1,6 @@
-// How fast members look after one another, and how long one may stay suspected. No I/O.
+// Probe intervals, suspicion timeouts and size limits of the gossip protocol. No I/O.
 #pragma once
 
-#include <algorithm>
-#include <cmath>
 #include <cstddef>
 
 #include "gossip/member_record.h"
@@ -10,29 +8,33 @@
 namespace lotusyard::gossip {
 
 struct GossipTiming {
-  Millis period{500};               // one member is asked for a sign in each
-  double direct_probe_share = 0.3;  // part of it after which others are asked to try
-  std::size_t indirect_probes = 3;  // so many
-  double min_suspicion = 1.2,
-         max_suspicion = 6;    // periods for each tenfold of members that a suspected one has to speak up
-  std::size_t accusers = 3;    // so many that found it silent bring the one down to the other
-  int full_sync_periods = 30;  // periods between full exchanges with one that is here
-  int dead_sync_periods = 4;   // and with one that is not: so that parts of a fleet find each other again
-  Millis forget_dead_after{24 * 3600e3};  // a member gone for so long is forgotten
-  std::size_t max_members = 1024, max_piggybacked = 12;
-  int max_health_multiplier = 8;  // of itself: its periods and its patience grow by so many times at most
+  // Protocol period: one member is probed in each.
+  Millis period{500};
+  // Fraction of a period to wait for the direct probe before indirect probes are requested.
+  double direct_probe_fraction = 0.3;
+  // Members that are asked for an indirect probe.
+  std::size_t indirect_probes = 3;
+  // Bounds of the suspicion timeout, in periods for each power of ten in the cluster size.
+  double min_suspicion_periods = 1.2;
+  double max_suspicion_periods = 6;
+  // Independent confirmations of a suspicion that bring the timeout from its upper to its lower bound.
+  std::size_t suspicion_confirmations = 3;
+  // Periods between full syncs with a present member.
+  int full_sync_periods = 30;
+  // Periods between full syncs with a dead member or an unused seed address, which rejoin a partitioned
+  // cluster.
+  int dead_sync_periods = 4;
+  // Dead members are forgotten after this time.
+  Millis forget_dead_after{24 * 3600e3};
+  std::size_t max_members = 1024;
+  // Member records, and likewise host observations, piggybacked on one message.
+  std::size_t max_piggybacked = 12;
+  // Upper bound of the local health multiplier, by which a degraded member lengthens its own timeouts.
+  int max_health_multiplier = 8;
 
-  // With n members and the given number of accusers beside the first.
-  Millis suspicion_timeout(std::size_t n, std::size_t further) const {
-    const double tenfolds = std::max(2.0, std::log10(static_cast<double>(std::max<std::size_t>(n, 1))));
-    const std::size_t wanted = n > 2 ? std::min(accusers, n - 2) : 0;  // all but it and the first
-    const double low = min_suspicion * tenfolds,
-                 high = wanted == 0 ? low * 2 : max_suspicion / min_suspicion * low / 2;
-    const double part = wanted == 0 ? 0
-                                    : std::log(static_cast<double>(std::min(further, wanted)) + 1) /
-                                          std::log(static_cast<double>(wanted) + 1);
-    return period * std::max(low, high - (high - low) * part);
-  }
+  // Time for a suspected member to refute in a cluster of `cluster_size` members, when `confirmations`
+  // members besides the first have suspected it too.
+  Millis suspicion_timeout(std::size_t cluster_size, std::size_t confirmations) const;
 };
 
 }  // namespace lotusyard::gossip
--- a/src/gossip/member_metadata.cpp
+++ b/src/gossip/member_metadata.cpp
@@ -1,56 +1,65 @@
 #include "gossip/member_metadata.h"
 
 #include <algorithm>
+#include <iterator>
 
 #include "core/fault_injection.h"
 
 namespace lotusyard::gossip {
 
-MemberMetadata::MergeResult MemberMetadata::merge(const HostObservation& fact) {
-  if (hosts_.size() >= max_hosts && hosts_.count(fact.host) == 0) return MergeResult::rejected;
-  Host& host = hosts_[fact.host];
-  if (fact.host_incarnation < host.incarnation && !fault_injected("earlier-life"))
-    return MergeResult::unchanged;
-  if (fact.host_incarnation > host.incarnation) {
-    host.incarnation = fact.host_incarnation;
+MemberMetadata::MergeResult MemberMetadata::merge(const HostObservation& observation) {
+  const bool is_known = hosts_.count(observation.host) != 0;
+  if (!is_known && hosts_.size() >= kMaxHosts) return MergeResult::rejected;
+  Host& host = hosts_[observation.host];
+  const bool is_stale = observation.host_incarnation < host.incarnation;
+  if (is_stale && !fault_injected("earlier-life")) return MergeResult::unchanged;
+  if (observation.host_incarnation > host.incarnation) {
+    host.incarnation = observation.host_incarnation;
     host.by_observer.clear();
   }
-  const auto [mine, fresh] = host.by_observer.try_emplace(fact.observer, fact);
-  if (fresh) return MergeResult::updated;
-  if (!fault_injected("merge-order") && !(mine->second.order() < fact.order())) return MergeResult::unchanged;
-  mine->second = fact;
+  const auto [entry, inserted] = host.by_observer.try_emplace(observation.observer, observation);
+  if (inserted) return MergeResult::updated;
+  const bool is_newer = entry->second.precedence() < observation.precedence();
+  if (!is_newer && !fault_injected("merge-order")) return MergeResult::unchanged;
+  entry->second = observation;
   return MergeResult::updated;
 }
 
 void MemberMetadata::retain(const std::set<std::string>& listed, const std::set<std::string>& observers) {
-  for (auto i = hosts_.begin(); i != hosts_.end();) {
-    auto& by = i->second.by_observer;
-    for (auto j = by.begin(); j != by.end();) j = observers.count(j->first) == 0 ? by.erase(j) : std::next(j);
-    i = listed.count(i->first) == 0 ? hosts_.erase(i) : std::next(i);
+  for (auto host = hosts_.begin(); host != hosts_.end();) {
+    auto& by_observer = host->second.by_observer;
+    for (auto entry = by_observer.begin(); entry != by_observer.end();) {
+      const bool is_gone = observers.count(entry->first) == 0;
+      entry = is_gone ? by_observer.erase(entry) : std::next(entry);
+    }
+    const bool is_unlisted = listed.count(host->first) == 0;
+    host = is_unlisted ? hosts_.erase(host) : std::next(host);
   }
 }
 
 std::vector<HostObservation> MemberMetadata::all() const {
-  std::vector<HostObservation> out;
+  std::vector<HostObservation> observations;
   for (const auto& [id, host] : hosts_) {
-    for (const auto& [observer, fact] : host.by_observer) out.push_back(fact);
+    for (const auto& [observer, observation] : host.by_observer) observations.push_back(observation);
   }
-  return out;
+  return observations;
 }
 
 const HostObservation* MemberMetadata::find(const std::string& host, const std::string& observer) const {
   const auto found = hosts_.find(host);
   if (found == hosts_.end()) return nullptr;
-  const auto mine = found->second.by_observer.find(observer);
-  return mine == found->second.by_observer.end() ? nullptr : &mine->second;
+  const auto& by_observer = found->second.by_observer;
+  const auto entry = by_observer.find(observer);
+  return entry == by_observer.end() ? nullptr : &entry->second;
 }
 
 std::size_t MemberMetadata::failure_reports(const std::string& host) const {
   const auto found = hosts_.find(host);
   if (found == hosts_.end()) return 0;
-  const auto& by = found->second.by_observer;
-  return static_cast<std::size_t>(
-      std::count_if(by.begin(), by.end(), [](const auto& entry) { return !entry.second.usable; }));
+  const auto& by_observer = found->second.by_observer;
+  const auto reports_failure = [](const auto& entry) { return !entry.second.usable; };
+  const auto reports = std::count_if(by_observer.begin(), by_observer.end(), reports_failure);
+  return static_cast<std::size_t>(reports);
 }
 
 }  // namespace lotusyard::gossip
--- a/src/gossip/member_metadata.h
+++ b/src/gossip/member_metadata.h
@@ -1,6 +1,8 @@
-// What members have seen of hosts: each record is one member's observation of one life of one host. No I/O.
+// Observations of hosts that members share by gossip. No I/O.
 #pragma once
 
+#include <cstddef>
+#include <cstdint>
 #include <map>
 #include <set>
 #include <string>
@@ -11,36 +13,45 @@
 
 namespace lotusyard::gossip {
 
+// What one member has observed of one incarnation of one host.
 struct HostObservation {
   std::string host;
-  double host_incarnation = 0;  // when it started, as the list says; Unix milliseconds
+  double host_incarnation = 0;  // start time of the host in the endpoint list; Unix milliseconds
   std::string observer;
-  std::uint64_t observer_incarnation = 0,
-                sequence = 0;  // the stamp grows with each record of this observer's life
+  std::uint64_t observer_incarnation = 0;
+  std::uint64_t sequence = 0;  // grows with each observation within the observer's incarnation
   bool usable = true;
 
-  auto order() const { return std::tie(observer_incarnation, sequence, usable); }
+  auto precedence() const { return std::tie(observer_incarnation, sequence, usable); }
 };
 
+// For each host, the latest observation of every member. Merging is a join in a lattice, so the order and
+// repetition of messages have no influence on the result.
 class MemberMetadata {
  public:
-  static constexpr std::size_t max_hosts = 4096;
+  static constexpr std::size_t kMaxHosts = 4096;
   enum class MergeResult { updated, unchanged, rejected };
-  // An observation of a later life of the host outdoes all of earlier ones; of one life each observer's
-  // latest counts. That is a lattice: order and repetition change nothing.
-  MergeResult merge(const HostObservation& fact);
-  // The tables shrink here alone: hosts that are listed no more, observers that are gone.
+
+  // Merges one observation. An observation of a later incarnation of the host replaces all of earlier ones;
+  // within an incarnation the latest of each observer is kept. Rejected: there are kMaxHosts others already.
+  MergeResult merge(const HostObservation& observation);
+
+  // Removes hosts that are not in `listed` and observations of members that are not in `observers`. Nothing
+  // else removes entries.
   void retain(const std::set<std::string>& listed, const std::set<std::string>& observers);
 
   std::vector<HostObservation> all() const;
+  // Null if there is none; valid until the next merge or retain.
   const HostObservation* find(const std::string& host, const std::string& observer) const;
-  std::size_t failure_reports(const std::string& host) const;  // how many members see that life of it fail
+  // Number of members that report the latest known incarnation of the host as not usable.
+  std::size_t failure_reports(const std::string& host) const;
+  // Number of hosts with entries.
   std::size_t hosts() const { return hosts_.size(); }
 
  private:
   struct Host {
     double incarnation = 0;
-    std::map<std::string, HostObservation> by_observer;  // observer
+    std::map<std::string, HostObservation> by_observer;
   };
   std::map<std::string, Host> hosts_;
 };
--- a/src/gossip/member_record.h
+++ b/src/gossip/member_record.h
@@ -1,4 +1,4 @@
-// What is passed on about one member, and which of two records of it holds. No I/O.
+// The gossiped state of one member, and which of two records of it is newer. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -11,24 +11,35 @@
 
 using policy::Millis;
 
-// In the order in which one outdoes the other where all else is the same.
+// In ascending precedence: of two records that are otherwise equal, the greater status supersedes. The values
+// are encoded in messages.
 enum class MemberStatus : std::uint8_t { joining, alive, suspect, dead, left };
-const char* name_of(MemberStatus standing);
-inline bool is_present(MemberStatus s) { return s < MemberStatus::dead; }
 
-// `life` is kept in the member's store and grows with each start; `round` counts, within a life, how often
-// the member has spoken against gossip about itself. Only the member itself makes either grow.
+// The lower-case name, as in admin JSON, counters and log lines.
+const char* name_of(MemberStatus status);
+
+// True unless the member is dead or has left.
+inline bool is_present(MemberStatus status) { return status < MemberStatus::dead; }
+
 struct MemberRecord {
-  std::string name, address;
-  std::uint64_t incarnation = 0, refutation = 0;
+  std::string name;
+  std::string address;
+  // Kept in the member's store; grows with each start. Only the member itself increases it.
+  std::uint64_t incarnation = 0;
+  // Counts the suspicions that the member has refuted within an incarnation. Only the member itself increases
+  // it.
+  std::uint64_t refutation = 0;
   MemberStatus status = MemberStatus::joining;
-  std::string suspected_by;  // who suspects it; tells two accusers apart, and decides nothing
+  // The member that suspects this one. Distinguishes independent suspicions; no part of the precedence.
+  std::string suspected_by;
 
-  auto order() const { return std::tie(incarnation, address, refutation, status); }
+  auto precedence() const { return std::tie(incarnation, address, refutation, status); }
 };
 
-// Records of one name are totally ordered, so that taking the greater of two is commutative, associative and
-// idempotent: order, repetition and loss of messages change nothing in the end.
-inline bool supersedes(const MemberRecord& a, const MemberRecord& b) { return b.order() < a.order(); }
+// Records of one member are totally ordered, so merging by taking the greater one is commutative, associative
+// and idempotent: members converge whatever the order, repetition and loss of messages.
+inline bool supersedes(const MemberRecord& candidate, const MemberRecord& current) {
+  return current.precedence() < candidate.precedence();
+}
 
 }  // namespace lotusyard::gossip
--- a/src/gossip/member_table.cpp
+++ b/src/gossip/member_table.cpp
@@ -1,90 +1,108 @@
 #include "gossip/member_table.h"
 
+#include <algorithm>
+#include <iterator>
 #include <limits>
 
 namespace lotusyard::gossip {
 
 const MemberRecord* MemberTable::find(const std::string& name) const {
-  const auto found = all_.find(name);
-  return found == all_.end() ? nullptr : &found->second.record;
+  const auto found = members_.find(name);
+  return found == members_.end() ? nullptr : &found->second.record;
 }
 
-void MemberTable::book(const Member& known, int by) {
-  if (is_present(known.record.status)) here_ += static_cast<std::size_t>(by);
-  if (known.record.status != MemberStatus::suspect) return;
-  if (by > 0)
-    suspects_.insert(known.record.name);
-  else
-    suspects_.erase(known.record.name);
+void MemberTable::add_to_counts(const MemberRecord& record) {
+  if (is_present(record.status)) ++present_count_;
+  if (record.status == MemberStatus::suspect) suspects_.insert(record.name);
 }
 
-// The one gone for longest gives its place to another; false: nobody is gone.
-bool MemberTable::make_room() {
-  auto oldest = all_.end();
-  for (auto i = all_.begin(); i != all_.end(); ++i) {
-    if (is_present(i->second.record.status)) continue;
-    if (oldest == all_.end() || i->second.since < oldest->second.since) oldest = i;
+void MemberTable::remove_from_counts(const MemberRecord& record) {
+  if (is_present(record.status)) --present_count_;
+  if (record.status == MemberStatus::suspect) suspects_.erase(record.name);
+}
+
+// Returns false if no member is absent.
+bool MemberTable::evict_longest_absent() {
+  auto oldest = members_.end();
+  for (auto member = members_.begin(); member != members_.end(); ++member) {
+    if (is_present(member->second.record.status)) continue;
+    const bool is_older = oldest == members_.end() || member->second.since < oldest->second.since;
+    if (is_older) oldest = member;
   }
-  if (oldest == all_.end()) return false;
-  all_.erase(oldest);
+  if (oldest == members_.end()) return false;
+  members_.erase(oldest);
   return true;
 }
 
-MemberTable::MergeResult MemberTable::merge(const MemberRecord& peer, Millis now) {
-  auto found = all_.find(peer.name);
-  if (found == all_.end()) {
-    if (all_.size() >= pace_.max_members && !make_room()) return MergeResult::rejected;
-    found = all_.emplace(peer.name, Member{peer, now, {}}).first;
+MemberTable::MergeResult MemberTable::merge(const MemberRecord& record, Millis now) {
+  auto found = members_.find(record.name);
+  if (found == members_.end()) {
+    const bool is_full = members_.size() >= timing_.max_members;
+    if (is_full && !evict_longest_absent()) return MergeResult::rejected;
+    found = members_.emplace(record.name, Member{record, now, {}}).first;
   } else {
     Member& known = found->second;
-    const bool same = !supersedes(known.record, peer) && !supersedes(peer, known.record);
-    if (same && peer.status == MemberStatus::suspect && known.accusers.size() <= pace_.accusers)
-      return known.accusers.insert(peer.suspected_by).second ? MergeResult::more_accusers
-                                                             : MergeResult::unchanged;
-    if (!supersedes(peer, known.record)) return MergeResult::unchanged;
-    book(known, -1);
-    known = {peer, now, {}};
+    if (!supersedes(record, known.record)) return merge_confirmation(known, record);
+    remove_from_counts(known.record);
+    known = {record, now, {}};
   }
-  book(found->second, 1);
-  if (peer.status == MemberStatus::suspect) found->second.accusers.insert(peer.suspected_by);
+  add_to_counts(record);
+  if (record.status == MemberStatus::suspect) found->second.suspecting.insert(record.suspected_by);
   return MergeResult::updated;
 }
 
-Millis MemberTable::until(const Member& known, double stretch) const {
-  const std::size_t further = known.accusers.empty() ? 0 : known.accusers.size() - 1;
-  return known.since + pace_.suspicion_timeout(here_, further) * stretch;
+// For a record that does not supersede the known one: it may still come from one more suspecting member.
+MemberTable::MergeResult MemberTable::merge_confirmation(Member& member, const MemberRecord& record) const {
+  const bool is_older = supersedes(member.record, record);
+  if (is_older || record.status != MemberStatus::suspect) return MergeResult::unchanged;
+  if (member.suspecting.size() > timing_.suspicion_confirmations) return MergeResult::unchanged;
+  const bool inserted = member.suspecting.insert(record.suspected_by).second;
+  return inserted ? MergeResult::confirmed : MergeResult::unchanged;
+}
+
+Millis MemberTable::suspicion_expiry(const Member& member, double timeout_multiplier) const {
+  const std::size_t confirmations = member.suspecting.empty() ? 0 : member.suspecting.size() - 1;
+  return member.since + timing_.suspicion_timeout(present_count_, confirmations) * timeout_multiplier;
 }
 
-std::vector<MemberRecord> MemberTable::expired_suspects(Millis now, double stretch) const {
-  std::vector<MemberRecord> out;
+std::vector<MemberRecord> MemberTable::expired_suspects(Millis now, double timeout_multiplier) const {
+  std::vector<MemberRecord> expired;
   for (const auto& name : suspects_) {
-    const Member& known = all_.at(name);
-    if (now >= until(known, stretch)) out.push_back(known.record);
+    const Member& member = members_.at(name);
+    if (now >= suspicion_expiry(member, timeout_multiplier)) expired.push_back(member.record);
   }
-  return out;
+  return expired;
 }
 
-Millis MemberTable::next_suspicion_expiry(double stretch) const {
-  Millis out(std::numeric_limits<double>::infinity());
-  for (const auto& name : suspects_) out = std::min(out, until(all_.at(name), stretch));
-  return out;
+Millis MemberTable::next_suspicion_expiry(double timeout_multiplier) const {
+  Millis next(std::numeric_limits<double>::infinity());
+  for (const auto& name : suspects_) {
+    next = std::min(next, suspicion_expiry(members_.at(name), timeout_multiplier));
+  }
+  return next;
 }
 
-void MemberTable::later(Millis by) {
-  for (const auto& name : suspects_) all_.at(name).since += by;
+void MemberTable::extend_suspicions(Millis by) {
+  for (const auto& name : suspects_) members_.at(name).since += by;
 }
 
-void MemberTable::forget(Millis now, const std::string& self) {
-  for (auto i = all_.begin(); i != all_.end();) {
-    const bool old = !is_present(i->second.record.status) && now - i->second.since > pace_.forget_dead_after;
-    i = old && i->first != self ? all_.erase(i) : std::next(i);
+void MemberTable::forget_dead(Millis now, const std::string& self) {
+  for (auto member = members_.begin(); member != members_.end();) {
+    const bool is_absent = !is_present(member->second.record.status);
+    const bool is_expired = is_absent && now - member->second.since > timing_.forget_dead_after;
+    const bool is_self = member->first == self;
+    member = is_expired && !is_self ? members_.erase(member) : std::next(member);
   }
 }
 
 void MemberTable::forget_all_but(const std::string& self) {
-  for (auto i = all_.begin(); i != all_.end();) {
-    if (i->first != self) book(i->second, -1);
-    i = i->first == self ? std::next(i) : all_.erase(i);
+  for (auto member = members_.begin(); member != members_.end();) {
+    if (member->first == self) {
+      ++member;
+      continue;
+    }
+    remove_from_counts(member->second.record);
+    member = members_.erase(member);
   }
 }
 
--- a/src/gossip/member_table.h
+++ b/src/gossip/member_table.h
@@ -1,7 +1,7 @@
-// Everyone that one member knows of, and what it believes of each. Records are merged here alone, and the
-// table shrinks here alone. No I/O; the time is passed in.
+// All members that this one knows, with what it believes of each. No I/O; the time is passed in.
 #pragma once
 
+#include <cstddef>
 #include <map>
 #include <set>
 #include <string>
@@ -16,38 +16,50 @@
  public:
   struct Member {
     MemberRecord record;
-    Millis since{0};                 // when it came to this standing, as seen here
-    std::set<std::string> accusers;  // while it is suspected
+    Millis since{0};                     // when this table accepted the record
+    std::set<std::string> suspecting{};  // members known to suspect this one
   };
   enum class MergeResult {
     updated,
-    more_accusers,
+    confirmed,  // one more member is known to suspect it
     unchanged,
-    rejected
-  };  // louder: one more member suspects it
-
-  explicit MemberTable(const GossipTiming& pace) : pace_(pace) {}
-  MergeResult merge(const MemberRecord& peer, Millis now);
-  // Those whose time to speak up is over. `stretch`: how many times longer a member that doubts itself waits.
-  std::vector<MemberRecord> expired_suspects(Millis now, double stretch) const;
-  Millis next_suspicion_expiry(double stretch) const;
-  void later(Millis by);  // this member saw nothing for so long: nobody's time ran meanwhile
-  void forget(Millis now, const std::string& self);
+    rejected  // the table is full of present members
+  };
+
+  // `timing` must outlive the table.
+  explicit MemberTable(const GossipTiming& timing) : timing_(timing) {}
+
+  // Keeps the newer of the known record and `record`.
+  MergeResult merge(const MemberRecord& record, Millis now);
+
+  // The suspected members whose suspicion has timed out. Timeouts are multiplied by `timeout_multiplier`, the
+  // local health multiplier.
+  std::vector<MemberRecord> expired_suspects(Millis now, double timeout_multiplier) const;
+  // When the next suspicion times out; infinite if no member is suspected.
+  Millis next_suspicion_expiry(double timeout_multiplier) const;
+  // Extends all suspicions by a time in which this process did not run.
+  void extend_suspicions(Millis by);
+
+  // Removes the members that have been absent for longer than the configured time, but not `self`.
+  void forget_dead(Millis now, const std::string& self);
   void forget_all_but(const std::string& self);
 
-  const std::map<std::string, Member>& all() const { return all_; }
+  const std::map<std::string, Member>& all() const { return members_; }
+  // Null if the member is unknown; valid until the table changes.
   const MemberRecord* find(const std::string& name) const;
-  std::size_t present_count() const { return here_; }
+  std::size_t present_count() const { return present_count_; }
 
  private:
-  const GossipTiming& pace_;
-  std::map<std::string, Member> all_;
+  const GossipTiming& timing_;
+  std::map<std::string, Member> members_;
   std::set<std::string> suspects_;
-  std::size_t here_ = 0;
+  std::size_t present_count_ = 0;
 
-  Millis until(const Member& known, double stretch) const;
-  void book(const Member& known, int by);  // in what is counted
-  bool make_room();
+  Millis suspicion_expiry(const Member& member, double timeout_multiplier) const;
+  void add_to_counts(const MemberRecord& record);
+  void remove_from_counts(const MemberRecord& record);
+  MergeResult merge_confirmation(Member& member, const MemberRecord& record) const;
+  bool evict_longest_absent();
 };
 
 }  // namespace lotusyard::gossip
--- a/src/gossip/swim_protocol.cpp
+++ b/src/gossip/swim_protocol.cpp
@@ -11,11 +11,6 @@
 
 }  // namespace
 
-const char* name_of(MemberStatus standing) {
-  static const char* const names[] = {"joining", "alive", "suspect", "dead", "left"};
-  return names[static_cast<std::size_t>(standing)];
-}
-
 SwimProtocol::SwimProtocol(MemberRecord self, std::vector<std::string> seed_addresses, GossipTiming pace,
                            std::uint64_t seed, Millis now)
     : pace_(pace),
@@ -47,7 +42,7 @@
   // Danger: a process that was stopped would take the silence of that time for others' deaths.
   if (const Millis gap = now - ticked_; gap > pace_.period * kStalled && !fault_injected("stall")) {
     ++counts_.stalls;
-    member_table_.later(gap);
+    member_table_.extend_suspicions(gap);
     probe_ = {};
     period_ends_ = now + pace_.period;
     raise_health_multiplier(pace_.max_health_multiplier / 2);
@@ -91,8 +86,8 @@
 void SwimProtocol::begin_period(Millis now) {
   ++periods_;
   period_ends_ = now + pace_.period * stretched_period();
-  direct_by_ = now + pace_.period * pace_.direct_probe_share * stretched_period();
-  member_table_.forget(now, self_.name);
+  direct_by_ = now + pace_.period * pace_.direct_probe_fraction * stretched_period();
+  member_table_.forget_dead(now, self_.name);
   while (!errands_.empty() && errands_.front().until < now) errands_.pop_front();
   request_full_sync();
   const std::string name = next_probe_target();
--- a/src/gossip/swim_protocol_receive.cpp
+++ b/src/gossip/swim_protocol_receive.cpp
@@ -63,7 +63,7 @@
   switch (member_table_.merge(peer, now)) {
     case MemberTable::MergeResult::rejected: ++counts_.refused; return;
     case MemberTable::MergeResult::unchanged: return;
-    case MemberTable::MergeResult::more_accusers: return peers_told_.enqueue(peer.name);
+    case MemberTable::MergeResult::confirmed: return peers_told_.enqueue(peer.name);
     case MemberTable::MergeResult::updated: break;
   }
   peers_told_.enqueue(peer.name);
