--- a/src/gossip/swim_protocol.cpp
+++ b/src/gossip/swim_protocol.cpp
@@ -1,187 +1,250 @@
 #include "gossip/swim_protocol.h"
 
 #include <algorithm>
+#include <limits>
+#include <optional>
 
 #include "core/fault_injection.h"
+#include "gossip/absent_members.h"
 
 namespace lotusyard::gossip {
 namespace {
 
-constexpr double kStalled = 2.5;  // periods without a tick: this process did not run, others were not silent
+// Periods without a tick after which this process counts as paused.
+constexpr double kPausePeriods = 2.5;
+// Periods for which a relayed probe waits for its ack.
+constexpr int kRelayPeriods = 4;
+// A member that has just started requests a full sync in each of its first periods.
+constexpr int kInitialSyncPeriods = 2;
+// For messages that answer no probe.
+constexpr std::uint64_t kNoProbe = 0;
 
 }  // namespace
 
-SwimProtocol::SwimProtocol(MemberRecord self, std::vector<std::string> seed_addresses, GossipTiming pace,
-                           std::uint64_t seed, Millis now)
-    : pace_(pace),
-      self_(std::move(self)),
+SwimProtocol::SwimProtocol(MemberRecord self, std::vector<std::string> seed_addresses,
+                           const GossipTiming& timing, std::uint64_t seed, Millis now)
+    : timing_(timing),
       seed_addresses_(std::move(seed_addresses)),
       random_(seed),
-      member_table_(pace_),
-      ticked_(now),
-      period_ends_(now),
-      heard_(now) {
-  member_table_.merge(self_, now);
-  peers_told_.enqueue(self_.name);
-}
-
-void SwimProtocol::raise_health_multiplier(int by) {
-  doubts_ = std::clamp(doubts_ + by, 0, pace_.max_health_multiplier);
-}
+      health_(timing.max_health_multiplier),
+      probe_order_(random_),
+      state_(std::move(self), timing_, health_, probe_order_, now),
+      last_tick_at_(now),
+      period_ends_at_(now),
+      last_received_at_(now) {}
 
 Millis SwimProtocol::next_deadline() const {
-  if (usurped_ || gone_) return Millis(std::numeric_limits<double>::infinity());
-  Millis out = std::min(
-      {period_ends_, ticked_ + pace_.period, member_table_.next_suspicion_expiry(stretched_period())});
-  if (!probe_.name.empty() && !probe_.answered && !probe_.helped) out = std::min(out, direct_by_);
-  return out;
+  if (is_silent()) return Millis(std::numeric_limits<double>::infinity());
+  const Millis suspicion_expiry = member_table().next_suspicion_expiry(health_.timeout_multiplier());
+  const Millis next = std::min({period_ends_at_, last_tick_at_ + timing_.period, suspicion_expiry});
+  return probe_.awaits_direct_ack() ? std::min(next, direct_probe_deadline_) : next;
 }
 
 void SwimProtocol::tick(Millis now) {
-  if (usurped_ || gone_) return;
-  // Danger: a process that was stopped would take the silence of that time for others' deaths.
-  if (const Millis gap = now - ticked_; gap > pace_.period * kStalled && !fault_injected("stall")) {
-    ++counts_.stalls;
-    member_table_.extend_suspicions(gap);
-    probe_ = {};
-    period_ends_ = now + pace_.period;
-    raise_health_multiplier(pace_.max_health_multiplier / 2);
-  }
-  ticked_ = now;
-  // Danger: one that was cut off for longer than others remember would bring back who was forgotten.
-  if (now - heard_ > pace_.forget_dead_after) {
-    member_table_.forget_all_but(self_.name);
-    heard_ = now;
-  }
-  for (MemberRecord& peer : member_table_.expired_suspects(now, stretched_period())) {
-    peer.status = MemberStatus::dead;
-    peer.suspected_by = self_.name;
-    ++counts_.died;
-    merge_record(peer, now);
-  }
-  const bool waits = !probe_.name.empty() && !probe_.answered;
-  if (waits && !probe_.helped && now >= direct_by_) probe_for_other();
-  if (now < period_ends_) return;
+  if (is_silent()) return;
+  detect_pause(now);
+  last_tick_at_ = now;
+  forget_after_isolation(now);
+  state_.declare_expired_suspects_dead(now);
+  const bool is_direct_probe_over = now >= direct_probe_deadline_;
+  if (probe_.awaits_direct_ack() && is_direct_probe_over) request_indirect_probes();
+  if (now < period_ends_at_) return;
   end_period(now);
   begin_period(now);
 }
 
+// A process that was paused would take its own silence for that of the others, so the time is not counted.
+void SwimProtocol::detect_pause(Millis now) {
+  const Millis gap = now - last_tick_at_;
+  if (gap <= timing_.period * kPausePeriods || fault_injected("stall")) return;
+  state_.record_pause(gap);
+  probe_ = {};
+  period_ends_at_ = now + timing_.period;
+}
+
+// A member that was isolated for longer than others remember the dead would bring forgotten members back.
+void SwimProtocol::forget_after_isolation(Millis now) {
+  if (now - last_received_at_ <= timing_.forget_dead_after) return;
+  state_.forget_others();
+  last_received_at_ = now;
+}
+
 void SwimProtocol::end_period(Millis now) {
   const Probe probe = std::exchange(probe_, {});
-  if (probe.name.empty()) return;
-  if (probe.answered) return raise_health_multiplier(-1);
-  // Those that were asked to try would have said that they got none either: their silence is about this
-  // member.
-  raise_health_multiplier(probe.asked > probe.nacks ? 1 : 0);
-  const MemberRecord* there = member_table_.find(probe.name);
-  if (there == nullptr || !is_present(there->status)) return;
-  MemberRecord peer = *there;
-  peer.status = MemberStatus::suspect;
-  peer.suspected_by = self_.name;
-  ++counts_.suspected;
-  merge_record(peer, now);
-  send(peer.address, Message::Kind::nack, 0, {}, &peer);  // it may speak against that at once
+  if (probe.target.empty()) return;
+  if (probe.acked) {
+    health_.improve();
+    return;
+  }
+  // Members that were asked for an indirect probe send a nack even if the target is silent. A missing nack
+  // therefore says that this member is the one that does not receive in time.
+  if (probe.indirect_probes > probe.nacks) health_.degrade(1);
+  const MemberRecord* target = member_table().find(probe.target);
+  if (target == nullptr || !is_present(target->status)) return;
+  const MemberRecord suspected = state_.suspect(*target, now);
+  // The suspected member learns of it at once, so that it can refute.
+  send_urgent(suspected.address, suspected);
 }
 
 void SwimProtocol::begin_period(Millis now) {
   ++periods_;
-  period_ends_ = now + pace_.period * stretched_period();
-  direct_by_ = now + pace_.period * pace_.direct_probe_fraction * stretched_period();
-  member_table_.forget_dead(now, self_.name);
-  while (!errands_.empty() && errands_.front().until < now) errands_.pop_front();
-  request_full_sync();
-  const std::string name = next_probe_target();
-  const MemberRecord* peer = name.empty() ? nullptr : member_table_.find(name);
-  if (peer == nullptr) return;
-  probe_ = {name, ++number_, false, false, 0, 0};
-  send(peer->address, Message::Kind::ping, number_, {},
-       peer->status == MemberStatus::suspect ? peer : nullptr);
-}
-
-// Everybody once, in an order of this member's own, before anybody twice: the time until one is asked is
-// bounded.
-std::string SwimProtocol::next_probe_target() {
-  for (int twice = 0; twice < 2; ++twice) {
-    while (!turn_.empty()) {
-      const std::string name = turn_.front();
-      turn_.pop_front();
-      const MemberRecord* peer = member_table_.find(name);
-      if (peer != nullptr && is_present(peer->status)) return name;
-    }
-    for (const auto& [name, known] : member_table_.all()) {
-      if (name != self_.name && is_present(known.record.status)) turn_.push_back(name);
-    }
-    std::shuffle(turn_.begin(), turn_.end(), random_);
+  period_ends_at_ = now + timing_.period * health_.timeout_multiplier();
+  direct_probe_deadline_ =
+      now + timing_.period * timing_.direct_probe_fraction * health_.timeout_multiplier();
+  state_.forget_dead(now);
+  relay_.remove_expired(now);
+  start_full_syncs();
+  start_probe();
+}
+
+void SwimProtocol::start_probe() {
+  const std::string name = probe_order_.next(member_table(), self().name);
+  const MemberRecord* target = name.empty() ? nullptr : member_table().find(name);
+  if (target == nullptr) return;
+  probe_ = {};
+  probe_.target = name;
+  probe_.number = ++last_probe_number_;
+  const bool is_suspect = target->status == MemberStatus::suspect;
+  send(target->address, Message::Kind::ping, probe_.number, {}, is_suspect ? target : nullptr);
+}
+
+void SwimProtocol::request_indirect_probes() {
+  probe_.indirect_requested = true;
+  for (const MemberRecord* helper : sample_present(timing_.indirect_probes, probe_.target)) {
+    if (helper->status == MemberStatus::suspect) continue;
+    ++probe_.indirect_probes;
+    send(helper->address, Message::Kind::ping_request, probe_.number, probe_.target);
   }
-  return {};
-}
-
-// Full exchanges: with one that is here now and then, and more often with one that is not, or a seed address
-// that nobody is known behind. Danger: each part of a fleet that was cut apart takes the other for dead, and
-// asks nobody there.
-void SwimProtocol::request_full_sync() {
-  const auto some_here = random_members(1, {});
-  const auto turn = [this](int every) {
-    return periods_ % every == static_cast<int>(self_.incarnation % every);
-  };
-  // More to tell than messages carry: one is told all of it, as after a cut has healed.
-  const bool much = peers_told_.size() > 2 * pace_.max_piggybacked;
-  if (!some_here.empty() && (turn(pace_.full_sync_periods) || much || periods_ <= 2))
-    send(some_here[0]->address, Message::Kind::sync, 0, {});
-  if (!some_here.empty() && !turn(pace_.dead_sync_periods)) return;
-  std::vector<std::string> places = seed_addresses_;
-  for (const auto& [name, known] : member_table_.all()) {
-    if (is_present(known.record.status))
-      places.erase(std::remove(places.begin(), places.end(), known.record.address), places.end());
-    else if (known.record.status == MemberStatus::dead)
-      places.push_back(known.record.address);
+}
+
+// Incarnations differ between members, which spreads their full syncs over the periods.
+bool SwimProtocol::is_sync_period(int interval) const {
+  return periods_ % interval == static_cast<int>(self().incarnation % static_cast<std::uint64_t>(interval));
+}
+
+// Full syncs repair what dissemination has missed. Those with absent members are more frequent: each part of
+// a partitioned cluster takes the other for dead and probes nobody there, so nothing else would rejoin them.
+void SwimProtocol::start_full_syncs() {
+  const auto present = sample_present(1, {});
+  if (present.empty()) {
+    sync_with_absent_member();
+    return;
   }
-  places.erase(std::remove(places.begin(), places.end(), self_.address), places.end());
-  if (!places.empty()) send(places[random_() % places.size()], Message::Kind::sync, 0, {});
-}
-
-std::vector<const MemberRecord*> SwimProtocol::random_members(std::size_t most, const std::string& but) {
-  std::vector<const MemberRecord*> out;
-  std::size_t met = 0;
-  for (const auto& [name, known] : member_table_.all()) {  // each with the same chance
-    if (name == self_.name || name == but || !is_present(known.record.status)) continue;
-    ++met;
-    if (out.size() < most)
-      out.push_back(&known.record);
-    else if (const std::size_t at = random_() % met; at < most)
-      out[at] = &known.record;
+  const bool is_initial = periods_ <= kInitialSyncPeriods;
+  const bool is_due = is_initial || is_sync_period(timing_.full_sync_periods);
+  if (is_due || state_.has_dissemination_backlog()) {
+    send(present.front()->address, Message::Kind::sync, kNoProbe, {});
   }
-  return out;
+  if (is_sync_period(timing_.dead_sync_periods)) sync_with_absent_member();
+}
+
+void SwimProtocol::sync_with_absent_member() {
+  const auto addresses = absent_addresses(member_table(), seed_addresses_, self().address);
+  if (addresses.empty()) return;
+  send(addresses[random_() % addresses.size()], Message::Kind::sync, kNoProbe, {});
 }
 
-void SwimProtocol::probe_for_other() {
-  probe_.helped = true;
-  for (const MemberRecord* other : random_members(pace_.indirect_probes, probe_.name)) {
-    if (other->status == MemberStatus::suspect) continue;
-    ++probe_.asked;
-    send(other->address, Message::Kind::ping_request, probe_.number, probe_.name);
+void SwimProtocol::serve(Millis now) { state_.set_serving(now); }
+
+void SwimProtocol::leave(Millis now) {
+  state_.set_left(now);
+  for (const MemberRecord* other : sample_present(timing_.indirect_probes, {})) {
+    send_urgent(other->address, self());
   }
+  left_ = true;
 }
 
-void SwimProtocol::serve(Millis now) {
-  if (self_.status != MemberStatus::joining) return;
-  self_.status = MemberStatus::alive;
-  merge_record(self_, now);
+void SwimProtocol::observe(const std::string& host, double host_incarnation, bool usable) {
+  state_.observe(host, host_incarnation, usable);
 }
 
-void SwimProtocol::leave(Millis now) {
-  self_.status = MemberStatus::left;
-  ++self_.refutation;
-  merge_record(self_, now);
-  for (const MemberRecord* other : random_members(pace_.indirect_probes, {}))
-    send(other->address, Message::Kind::nack, 0, {}, &self_);
-  gone_ = true;
-}
-
-void SwimProtocol::observe(const std::string& host, double host_life, bool usable) {
-  const HostObservation* before = facts_.find(host, self_.name);
-  const bool same = before != nullptr && before->host_incarnation == host_life && before->usable == usable;
-  if (!same) merge_record(HostObservation{host, host_life, self_.name, self_.incarnation, ++stamp_, usable});
+void SwimProtocol::receive(Millis now, const Message& message) {
+  if (is_silent()) return;
+  last_received_at_ = now;
+  const std::uint64_t previous_refutation = self().refutation;
+  state_.merge_all(message, now);
+  if (is_superseded()) return;
+  if (self().refutation > previous_refutation) announce_refutation(message);
+  switch (message.kind) {
+    case Message::Kind::ping: handle_ping(message); break;
+    case Message::Kind::ping_request: handle_ping_request(message, now); break;
+    case Message::Kind::ack: handle_ack(message); break;
+    case Message::Kind::nack: handle_nack(message); break;
+    case Message::Kind::sync: send(message.self.address, Message::Kind::sync_reply, kNoProbe, {}); break;
+    case Message::Kind::sync_reply: break;
+  }
+}
+
+// The sender of the suspicion and some others learn of the refutation at once: the fewer members wait for
+// dissemination, the fewer declare this one dead. The answer to a ping carries this member's record anyway.
+void SwimProtocol::announce_refutation(const Message& cause) {
+  if (cause.kind != Message::Kind::ping) send_urgent(cause.self.address, self());
+  for (const MemberRecord* other : sample_present(2 * timing_.indirect_probes, cause.self.name)) {
+    send_urgent(other->address, self());
+  }
+}
+
+// A sender that is suspected may not know it, and could not refute; answers carry the newer record to it.
+const MemberRecord* SwimProtocol::newer_record_of_sender(const Message& message) const {
+  const MemberRecord* known = member_table().find(message.self.name);
+  const bool is_newer = known != nullptr && supersedes(*known, message.self);
+  return is_newer ? known : nullptr;
+}
+
+void SwimProtocol::handle_ping(const Message& ping) {
+  send(ping.self.address, Message::Kind::ack, ping.number, self().name, newer_record_of_sender(ping));
+}
+
+void SwimProtocol::handle_ping_request(const Message& request, Millis now) {
+  const MemberRecord* target = member_table().find(request.subject);
+  if (target == nullptr || relay_.is_full()) return;
+  const std::uint64_t own_number = ++last_probe_number_;
+  const Millis expires_at = now + timing_.period * kRelayPeriods;
+  relay_.add({request.number, own_number, request.self.address, request.subject, expires_at});
+  send(request.self.address, Message::Kind::nack, request.number, request.subject,
+       newer_record_of_sender(request));
+  send(target->address, Message::Kind::ping, own_number, {}, target);
+}
+
+void SwimProtocol::handle_ack(const Message& ack) {
+  if (answers_own_probe(ack)) probe_.acked = true;
+  const auto relayed = relay_.take_answered(ack.number, ack.subject);
+  if (!relayed) return;
+  const MemberRecord* target = member_table().find(relayed->target);
+  send(relayed->requester_address, Message::Kind::ack, relayed->requester_number, relayed->target, target);
+}
+
+void SwimProtocol::handle_nack(const Message& nack) {
+  if (answers_own_probe(nack)) ++probe_.nacks;
+}
+
+bool SwimProtocol::answers_own_probe(const Message& answer) const {
+  return answer.number == probe_.number && answer.subject == probe_.target;
+}
+
+std::vector<const MemberRecord*> SwimProtocol::sample_present(std::size_t limit,
+                                                              const std::string& excluded) {
+  return state_.sample_present(limit, excluded, random_);
+}
+
+void SwimProtocol::send_urgent(const std::string& address, const MemberRecord& update) {
+  send(address, Message::Kind::nack, kNoProbe, {}, &update);
+}
+
+void SwimProtocol::send(const std::string& address, Message::Kind kind, std::uint64_t number,
+                        const std::string& subject, const MemberRecord* urgent_update) {
+  Message message;
+  message.kind = kind;
+  message.number = number;
+  message.self = self();
+  message.subject = subject;
+  if (urgent_update != nullptr) message.members.push_back(*urgent_update);
+  if (is_full_sync(kind)) {
+    state_.attach_full_state(message);
+  } else {
+    state_.attach_updates(message);
+  }
+  outgoing_.push_back({address, std::move(message)});
 }
 
 }  // namespace lotusyard::gossip
