--- a/src/node/cluster_member.h
+++ b/src/node/cluster_member.h
@@ -1,9 +1,11 @@
-// The parts of one member of a group, joined: they share its log, its links and its lease, and are the
-// invoker's companion together.
+// One member of a group: composes its replicated state machines, gossip and control node, which share the
+// member's log, peer connections and lease.
 #pragma once
 
+#include <functional>
 #include <memory>
 #include <optional>
+#include <string>
 
 #include "app/app.h"
 #include "compliance/compliance_replica.h"
@@ -15,15 +17,20 @@
 
 namespace lotusyard::node {
 
+// Extends an invoker by what its group has decided: which hosts it may call, for which tenants, at which
+// share.
 class ClusterMember final : public InvokerExtension, private policy::HostFilter {
  public:
-  // `control`: this member is a control node, too.
-  ClusterMember(const InvokerServices& wiring, const raft::Config& config,
+  // `control`: set if this member is a control node, too. The services must outlive the member. Throws
+  // config::ConfigError if the control node cannot listen.
+  ClusterMember(const InvokerServices& services, const raft::Config& config,
                 const std::optional<control::NodeConfig>& control);
 
   bool ready() const override { return maintenance_.ready(); }
   bool may_send(const std::string& host, const core::Call* call, std::uint64_t function) override;
   policy::HostFilter* host_filter() override { return this; }
+  // The policy asks this for each host that it considers. It does not consider hosts that the endpoint list,
+  // operators or maintenance have excluded.
   bool allows(const std::string& tenant, std::uint64_t function, const std::string& host) override;
   void on_rejected(const core::Call& call) override { compliance_.filter().on_rejected(call); }
   void drain() override;
@@ -35,23 +42,29 @@
   InvokerServices services_;
   const raft::Config config_;
   raft::Lease lease_;
-  bool constructed_ = false;
+  bool constructed_ = false;  // false while `replica_` is not to be read
   maintenance::MaintenanceReplica maintenance_;
   quota::QuotaReplica quota_;
   compliance::ComplianceReplica compliance_;
-  raft::RaftReplica replica_;  // it calls the parts from its construction on
+  raft::RaftReplica replica_;  // calls the state machines from its construction on
   std::optional<gossip::GossipService> gossip_;
   std::optional<ControlRole> control_role_;
 
+  void start_control_role(const control::NodeConfig& control);
+  void start_gossip();
   void update_lease();
   InvokerServices quota_services();
-
-  void log_event(const std::string& part, const std::string& text) const;
+  void set_share(double share);
+  std::function<void(const std::string& text)> event_sink(const std::string& component) const;
+  void log_event(const std::string& component, const std::string& text) const;
+  admin::Response view_response() const;
+  nlohmann::json members_to_json() const;
+  nlohmann::json servers_to_json() const;
   nlohmann::json group_to_json() const;
 };
 
-// For lotusyard_cluster: a member where the file has a part `group`, an invoker with a session where it has
-// only a part `control`, else nothing.
-std::unique_ptr<InvokerExtension> make_extension(const InvokerServices& wiring, const nlohmann::json& file);
+// The extension that a configuration file asks for: a ClusterMember if it has a section `group`, a
+// SessionInvoker if it has only a section `control`, otherwise null. Throws config::ConfigError.
+std::unique_ptr<InvokerExtension> make_extension(const InvokerServices& services, const nlohmann::json& file);
 
 }  // namespace lotusyard::node
--- a/src/node/control_role.cpp
+++ b/src/node/control_role.cpp
@@ -10,42 +10,46 @@
 
 using nlohmann::json;
 
-const std::string kViews = "works";  // the part for which sessions forward what they see
+// The component under which sessions forward host observations; on the wire.
+const std::string kObservationsComponent = "works";
 
 control::ControlNode::Config node_config(const raft::Config& group, const control::NodeConfig& config,
-                                         std::uint64_t life) {
-  control::ControlNode::Config out;
-  out.cluster = group.cluster;
-  out.self = config.self;
-  out.life = life;
-  out.terms = group.terms;
-  out.terms.max_offline = config.offline;
-  out.sessions = config.sessions;
-  return out;
+                                         std::uint64_t incarnation) {
+  control::ControlNode::Config node;
+  node.cluster = group.cluster;
+  node.self = config.self;
+  node.life = incarnation;
+  node.terms = group.terms;
+  node.terms.max_offline = config.offline;
+  node.sessions = config.sessions;
+  return node;
 }
 
 }  // namespace
 
-ControlRole::ControlRole(const InvokerServices& wiring, const raft::Config& group,
-                         const control::NodeConfig& config, raft::RaftReplica& member,
-                         maintenance::MaintenanceReplica& coordinator, compliance::ComplianceReplica& officer,
-                         const raft::Lease& lease, LogSink note)
-    : services_(wiring),
-      maintenance_(coordinator),
-      compliance_(officer),
+ControlRole::ControlRole(const InvokerServices& services, const raft::Config& group,
+                         const control::NodeConfig& config, raft::RaftReplica& replica,
+                         maintenance::MaintenanceReplica& maintenance,
+                         compliance::ComplianceReplica& compliance, const raft::Lease& lease, LogSink log)
+    : services_(services),
+      maintenance_(maintenance),
+      compliance_(compliance),
       lease_(lease),
-      log_(std::move(note)),
-      server_(wiring.loop, wiring.counters, node_config(group, config, member.incarnation())) {
+      log_(std::move(log)),
+      server_(services.loop, services.counters, node_config(group, config, replica.incarnation())) {
   control::ControlNode& node = server_.node();
   node.set_nodes(config.nodes);
-  node.when_forwarded([this](auto session, const control::Forward& word) { handle_forward(session, word); });
-  node.divide_by([this](auto session, maintenance::Millis until) { return share_of(session, until); });
-  if (!server_.listen(config.listen))
+  node.when_forwarded(
+      [this](auto session, const control::Forward& forward) { handle_forward(session, forward); });
+  node.divide_by(
+      [this](auto session, maintenance::Millis lease_until) { return share_of(session, lease_until); });
+  if (!server_.listen(config.listen)) {
     throw config::ConfigError("configuration: control.listen: cannot listen on " + config.listen);
-  member.set_observer(this);
+  }
+  replica.set_observer(this);
   maintenance_.set_aggregate_source(
       [this] { return aggregate_sessions(); },
-      [this](maintenance::HostObservations own) { return views_.merged(std::move(own)); });
+      [this](maintenance::HostObservations own) { return observations_.merged(std::move(own)); });
   compliance_.set_sessions_quiesced([this](std::uint64_t index) { return floors_.settled >= index; });
   log_("sessions are taken on " + server_.address());
 }
@@ -55,7 +59,8 @@
   compliance_.set_sessions_quiesced({});
 }
 
-// Danger: a change that is passed on under an index below its own would count as applied too early.
+// Each delta goes out under the index of its own entry. Under a lower one, sessions would confirm it before
+// they have it.
 void ControlRole::log_applied(std::uint64_t index) {
   control::ControlNode& node = server_.node();
   if (!rebuild_records_ && version() == records_version_) return node.applied(index, {});
@@ -75,42 +80,38 @@
   server_.node().set_lease(holds ? lease_.expires_at() : maintenance::Millis(0));
 }
 
-// Danger: a smaller part holds from the entry on that is being applied now, which is not counted as applied
-// yet.
+// A smaller share is valid from the entry that is being applied now, which does not count as applied yet.
 void ControlRole::set_share(double share) {
-  shares_told_ = true;
+  has_share_ = true;
   allotment_.set_part(share, server_.node().changes().applied() + 1);
 }
 
 std::optional<double> ControlRole::share_of(control::SessionTable::SessionId session,
                                             maintenance::Millis lease_until) {
-  if (!shares_told_) return std::nullopt;
+  if (!has_share_) return std::nullopt;
   return allotment_.grant(session, server_.node().sessions().connected(), lease_until, now());
 }
 
 maintenance::MaintenanceReplica::SessionAggregate ControlRole::aggregate_sessions() {
-  const auto known = [this](SessionObservations::SessionId id) {
-    return server_.node().sessions().known(id);
+  const auto is_known = [this](SessionObservations::SessionId session) {
+    return server_.node().sessions().known(session);
   };
-  views_.retain(known);
+  observations_.retain(is_known);
   floors_ = server_.node().floors(now());
   return {allotment_.respected(floors_.applied, now()), floors_.followed, floors_.settled};
 }
 
 void ControlRole::handle_forward(control::SessionTable::SessionId session, const control::Forward& forward) {
-  const bool taken = forward.part == kViews && views_.update(session, forward.word);
-  if (!taken) services_.counters.add("control.malformed_words");
+  const bool is_known_component = forward.part == kObservationsComponent;
+  const bool accepted = is_known_component && observations_.update(session, forward.word);
+  if (!accepted) services_.counters.add("control.malformed_words");
 }
 
 json ControlRole::status_to_json() const {
   const auto& sessions = server_.node().sessions();
-  return {{"sessions", sessions.connected()},
-          {"counted", sessions.size()},
-          {"applied", floors_.applied},
-          {"followed", floors_.followed},
-          {"settled", floors_.settled},
-          {"records", records_.size()},
-          {"views", views_.size()}};
+  return {{"sessions", sessions.connected()}, {"counted", sessions.size()}, {"applied", floors_.applied},
+          {"followed", floors_.followed},     {"settled", floors_.settled}, {"records", records_.size()},
+          {"views", observations_.size()}};
 }
 
 }  // namespace lotusyard::node
--- a/src/node/control_role.h
+++ b/src/node/control_role.h
@@ -1,5 +1,5 @@
-// What makes a member of the group a control node: it serves sessions of invokers that are no members, passes
-// the group's records on to them, and speaks for all of them in its own sign of life.
+// The control node of a member: it serves sessions of invokers that are not members of the group, replicates
+// the group's records to them, and reports an aggregate of all sessions in the member's heartbeat.
 #pragma once
 
 #include <functional>
@@ -17,22 +17,28 @@
 
 namespace lotusyard::node {
 
+// Sessions receive the records as a snapshot and then as deltas, each under the log index that it belongs to.
 class ControlRole final : public raft::RaftReplica::Observer {
  public:
   using LogSink = std::function<void(const std::string& text)>;
-  // All that it is given outlives it. Throws config::ConfigError if it cannot listen.
-  ControlRole(const InvokerServices& wiring, const raft::Config& group, const control::NodeConfig& config,
-              raft::RaftReplica& member, maintenance::MaintenanceReplica& coordinator,
-              compliance::ComplianceReplica& officer, const raft::Lease& lease, LogSink note);
+  // Starts to listen. All references must outlive this object. Throws config::ConfigError if it cannot
+  // listen.
+  ControlRole(const InvokerServices& services, const raft::Config& group, const control::NodeConfig& config,
+              raft::RaftReplica& replica, maintenance::MaintenanceReplica& maintenance,
+              compliance::ComplianceReplica& compliance, const raft::Lease& lease, LogSink log);
   ~ControlRole() override;
 
-  // From the member: an entry of the log has been applied, or the whole state was replaced.
+  // From the replica: the entry at `index` has been applied; the whole state has been replaced by a snapshot.
   void log_applied(std::uint64_t index) override;
   void log_restored() override { rebuild_records_ = true; }
 
-  void update_lease();                          // the lease may have come or gone
-  void set_share(double share);                 // this node's part of a cold host's budget
-  void shut_down() { server_.node().leave(); }  // the process ends
+  // To be called when the member's lease may have changed; sessions' leases end no later than this one.
+  void update_lease();
+  // Sets this node's share of the slow-start budget, which it divides among its sessions.
+  void set_share(double share);
+  // Tells sessions to move to other nodes, because the process ends.
+  void shut_down() { server_.node().leave(); }
+  // For the admin endpoint's `/-/group`.
   nlohmann::json status_to_json() const;
 
  private:
@@ -42,13 +48,13 @@
   const raft::Lease& lease_;
   LogSink log_;
   control::NodeServer server_;
-  SessionObservations views_;
+  SessionObservations observations_;
   control::Allotment allotment_;
   control::Records records_;
   std::uint64_t records_version_ = 0;
-  bool rebuild_records_ = true;  // the records are to be given anew, in whole
-  bool shares_told_ = false;
-  control::Floors floors_;
+  bool rebuild_records_ = true;  // sessions need a snapshot, because deltas are not known
+  bool has_share_ = false;
+  control::Floors floors_;  // over all sessions, at the last heartbeat
 
   maintenance::Millis now() const { return services_.loop.now(); }
   std::uint64_t version() const { return maintenance_.version() + compliance_.version(); }
--- a/src/node/event_log.cpp
+++ b/src/node/event_log.cpp
@@ -5,15 +5,16 @@
 
 namespace lotusyard::node {
 
-void write_event(const std::string& part, policy::Millis at, const std::string& member,
+void write_event(const std::string& component, policy::Millis at, const std::string& member,
                  const std::string& text) {
-  static const auto out = [] {
-    auto made = spdlog::stdout_logger_st("lines");
-    made->set_pattern("%v");
-    made->flush_on(spdlog::level::info);  // a process that is killed has told all that it did
-    return made;
+  static const auto logger = [] {
+    auto created = spdlog::stdout_logger_st("lines");
+    created->set_pattern("%v");
+    // The lines of a process that is killed must not be lost in a buffer.
+    created->flush_on(spdlog::level::info);
+    return created;
   }();
-  out->info("{} at={} member={} {}", part, static_cast<std::int64_t>(at.count()), member, text);
+  logger->info("{} at={} member={} {}", component, static_cast<std::int64_t>(at.count()), member, text);
 }
 
 }  // namespace lotusyard::node
--- a/src/node/event_log.h
+++ b/src/node/event_log.h
@@ -1,4 +1,4 @@
-// What a member writes down of its group, a line each, on standard output.
+// Event lines of a cluster program, on standard output.
 #pragma once
 
 #include <string>
@@ -7,8 +7,9 @@
 
 namespace lotusyard::node {
 
-// `part at=<Unix ms> member=<member> <text>`
-void write_event(const std::string& part, policy::Millis at, const std::string& member,
+// Writes and flushes one line: `<component> at=<Unix ms> member=<member> <text>`. `text` is in `key=value`
+// form. Not safe for use by several threads.
+void write_event(const std::string& component, policy::Millis at, const std::string& member,
                  const std::string& text);
 
 }  // namespace lotusyard::node
--- a/src/node/quiescence_tracker.h
+++ b/src/node/quiescence_tracker.h
@@ -1,5 +1,5 @@
-// Up to which index of the log nothing that a change forbids is still under way at this process: no call at a
-// host that is to be left alone, none under a certificate that was revoked. No I/O; the time is passed in.
+// Up to which index of the group's log this process has quiesced: it makes no call any more that a change up
+// to this index forbids. No I/O; the time is passed in.
 #pragma once
 
 #include <functional>
@@ -13,23 +13,29 @@
 
 namespace lotusyard::node {
 
+// A drained host is quiesced once this process has no call in flight there; a revoked certificate once every
+// call that may have been sent under it has timed out.
 class QuiescenceTracker {
  public:
-  using HostIsFree = std::function<bool(const std::string& host)>;  // no call of this process is there
-  // `last_call`: no call stays at a host for longer after it went out.
-  explicit QuiescenceTracker(maintenance::Millis last_call) : max_attempt_time_(last_call) {}
+  // Whether this process has no call in flight at the host and sends none.
+  using HostIsFree = std::function<bool(const std::string& host)>;
 
-  // `position`: what board and book are as of.
-  control::Index quiesced_index(const maintenance::MaintenanceState& board,
-                                const compliance::CertificateState& book, control::Index position,
-                                const HostIsFree& free, maintenance::Millis now);
+  // `max_attempt_time`: the longest time that an attempt stays in flight.
+  explicit QuiescenceTracker(maintenance::Millis max_attempt_time) : max_attempt_time_(max_attempt_time) {}
+
+  // `position`: the log index of both states; also the greatest result.
+  control::Index quiesced_index(const maintenance::MaintenanceState& maintenance,
+                                const compliance::CertificateState& certificates, control::Index position,
+                                const HostIsFree& is_free, maintenance::Millis now);
 
  private:
-  using Revocation = std::pair<std::string, control::Index>;  // a certificate, and when it was revoked
+  using Revocation = std::pair<std::string, control::Index>;  // certificate and log index of its revocation
+
   maintenance::Millis max_attempt_time_;
-  std::map<Revocation, maintenance::Millis> revoked_since_;  // that this process knows of each
+  std::map<Revocation, maintenance::Millis> revoked_since_;  // when this process first saw each
 
-  control::Index before_revocations(const compliance::CertificateState& book, maintenance::Millis now);
+  control::Index index_before_revocations(const compliance::CertificateState& certificates,
+                                          maintenance::Millis now);
 };
 
 }  // namespace lotusyard::node
--- a/src/node/session_invoker.h
+++ b/src/node/session_invoker.h
@@ -1,5 +1,5 @@
-// An invoker that is no member of the group: it has a session with a control node, which gives it the
-// group's records and a lease, and is held to them as a member is held to the log.
+// An invoker that is not a member of the group. It has a session with a control node, from which it receives
+// a lease and the group's records: a snapshot first, then deltas. It obeys them as a member obeys the log.
 #pragma once
 
 #include <optional>
@@ -14,11 +14,15 @@
 
 namespace lotusyard::node {
 
+// Without a lease it calls no host that maintenance may select next; after the configured offline time
+// without one it calls none at all.
 class SessionInvoker final : public InvokerExtension, private policy::HostFilter {
  public:
-  SessionInvoker(const InvokerServices& wiring, const control::InvokerConfig& config);
+  // Opens the session. The services must outlive the invoker.
+  SessionInvoker(const InvokerServices& services, const control::InvokerConfig& config);
   ~SessionInvoker() override;
 
+  // Whether it has held a lease and can read the records.
   bool ready() const override { return client_.session().ever_held() && !failed_; }
   bool may_send(const std::string& host, const core::Call* call, std::uint64_t function) override;
   policy::HostFilter* host_filter() override { return this; }
@@ -37,22 +41,28 @@
   compliance::ComplianceFilter compliance_filter_;
   QuiescenceTracker quiescence_;
   control::SessionClient client_;
-  net::EventLoop::TimerId report_timer_{}, lease_timer_{};
-  maintenance::Millis armed_for_{0};  // the end of the lease at which `lease_ends_` rings
+  net::EventLoop::TimerId report_timer_{};
+  net::EventLoop::TimerId lease_timer_{};
+  maintenance::Millis lease_timer_due_{0};  // end of the lease for which the timer is set
   std::string last_sent_observations_;
   std::optional<double> applied_share_;
-  bool failed_ = false, suspended_ = true;
+  bool failed_ = false;    // the records cannot be read
+  bool suspended_ = true;  // no calls are made
 
   maintenance::Millis now() const { return services_.loop.now(); }
   bool is_leased() const { return !failed_ && client_.session().holds(now()); }
   maintenance::StateFreshness freshness() const;
-  void replicate();
+  void apply_records();
   void update_host_access();
+  void update_after_lease_change();
+  void schedule_lease_timer();
+  bool is_free(const std::string& host) const;
   void send_report();
   void send_observations();
   void apply_share();
-  void fail(const std::string& why);
-  void log_event(const std::string& part, const std::string& text) const;
+  void fail(const std::string& reason);
+  void log_event(const std::string& component, const std::string& text) const;
+  nlohmann::json avoided_hosts_to_json() const;
   nlohmann::json status_to_json() const;
 };
 
--- a/src/node/state_records.cpp
+++ b/src/node/state_records.cpp
@@ -7,59 +7,71 @@
 
 using nlohmann::json;
 
-// The kinds of records, as the first part of their keys.
-const std::string kHosts = "maintenance/host/";
-const std::string kWorks = "maintenance/work/";
-const std::string kRegimes = "compliance/regime/";
-const std::string kTenants = "compliance/tenant/";
-const std::string kCertificates = "compliance/certificate/";
+// Prefixes of the keys. They are on the wire: `work` is a maintenance job.
+const std::string kHostPrefix = "maintenance/host/";
+const std::string kJobPrefix = "maintenance/work/";
+const std::string kRegimePrefix = "compliance/regime/";
+const std::string kTenantPrefix = "compliance/tenant/";
+const std::string kCertificatePrefix = "compliance/certificate/";
 
-std::string dumped(const json& value) { return value.dump(-1, ' ', false, json::error_handler_t::replace); }
+std::string to_text(const json& value) { return value.dump(-1, ' ', false, json::error_handler_t::replace); }
 
-void add_rows(control::Records& out, const std::string& prefix, const json& rows, const char* name) {
-  for (const auto& row : rows) out[prefix + row.at(name).get<std::string>()] = dumped(row);
+bool has_prefix(const std::string& key, const std::string& prefix) {
+  return key.compare(0, prefix.size(), prefix) == 0;
 }
 
-// Calls `use` with the rest of the key and the value of each record of a kind. Throws json::exception.
-template <typename Use>
-void each_of(const control::Records& records, const std::string& prefix, const Use& use) {
+// Adds one record for each row; `name_field` is the field that names a row.
+void add_rows(control::Records& records, const std::string& prefix, const json& rows,
+              const char* name_field) {
+  for (const auto& row : rows) records[prefix + row.at(name_field).get<std::string>()] = to_text(row);
+}
+
+// Calls `visit` with the rest of the key and the value of each record whose key has the prefix. Throws
+// json::exception if a value is malformed.
+template <typename Visitor>
+void visit_records(const control::Records& records, const std::string& prefix, const Visitor& visit) {
   for (auto record = records.lower_bound(prefix); record != records.end(); ++record) {
-    if (record->first.compare(0, prefix.size(), prefix) != 0) return;
-    use(record->first.substr(prefix.size()), json::parse(record->second));
+    if (!has_prefix(record->first, prefix)) return;
+    visit(record->first.substr(prefix.size()), json::parse(record->second));
   }
 }
 
 json rows_of(const control::Records& records, const std::string& prefix) {
-  json out = json::array();
-  each_of(records, prefix, [&out](const std::string&, const json& row) { out.push_back(row); });
-  return out;
+  json rows = json::array();
+  visit_records(records, prefix, [&rows](const std::string&, const json& row) { rows.push_back(row); });
+  return rows;
 }
 
 }  // namespace
 
-control::Records records_of(const maintenance::MaintenanceState& board,
-                            const compliance::CertificateState& book) {
-  control::Records out;
-  const json agreed = board.snapshot();
-  add_rows(out, kHosts, agreed.at("hosts"), "id");
-  add_rows(out, kWorks, agreed.at("works"), "id");
-  const json rules = book.snapshot();
-  add_rows(out, kRegimes, rules.at("regimes"), "name");
-  add_rows(out, kCertificates, rules.at("certificates"), "name");
-  for (const auto& [tenant, regimes] : rules.at("tenants").items()) out[kTenants + tenant] = dumped(regimes);
-  return out;
+control::Records records_of(const maintenance::MaintenanceState& maintenance,
+                            const compliance::CertificateState& certificates) {
+  control::Records records;
+  const json maintenance_rows = maintenance.snapshot();
+  add_rows(records, kHostPrefix, maintenance_rows.at("hosts"), "id");
+  add_rows(records, kJobPrefix, maintenance_rows.at("works"), "id");
+  const json compliance_rows = certificates.snapshot();
+  add_rows(records, kRegimePrefix, compliance_rows.at("regimes"), "name");
+  add_rows(records, kCertificatePrefix, compliance_rows.at("certificates"), "name");
+  for (const auto& [tenant, regimes] : compliance_rows.at("tenants").items()) {
+    records[kTenantPrefix + tenant] = to_text(regimes);
+  }
+  return records;
 }
 
 std::optional<maintenance::MaintenanceState> maintenance_state_from(const control::Records& records,
                                                                     control::Index index,
                                                                     maintenance::Millis now) {
   try {
-    const json snapshot = {
-        {"index", index},           {"hosts", rows_of(records, kHosts)}, {"works", rows_of(records, kWorks)},
-        {"members", json::array()}, {"lives", json::object()},           {"outcomes", json::array()}};
-    maintenance::MaintenanceState out;
-    if (!out.restore(snapshot, now)) return std::nullopt;
-    return out;
+    const json snapshot = {{"index", index},
+                           {"hosts", rows_of(records, kHostPrefix)},
+                           {"works", rows_of(records, kJobPrefix)},
+                           {"members", json::array()},
+                           {"lives", json::object()},
+                           {"outcomes", json::array()}};
+    maintenance::MaintenanceState state;
+    if (!state.restore(snapshot, now)) return std::nullopt;
+    return state;
   } catch (const json::exception&) { return std::nullopt; }
 }
 
@@ -67,17 +79,19 @@
                                                                    control::Index index) {
   try {
     json tenants = json::object();
-    each_of(records, kTenants,
-            [&tenants](const std::string& tenant, const json& regimes) { tenants[tenant] = regimes; });
+    const auto add_tenant = [&tenants](const std::string& tenant, const json& regimes) {
+      tenants[tenant] = regimes;
+    };
+    visit_records(records, kTenantPrefix, add_tenant);
     const json snapshot = {{"index", index},
-                           {"regimes", rows_of(records, kRegimes)},
-                           {"certificates", rows_of(records, kCertificates)},
+                           {"regimes", rows_of(records, kRegimePrefix)},
+                           {"certificates", rows_of(records, kCertificatePrefix)},
                            {"tenants", tenants},
                            {"told", json::object()},
                            {"outcomes", json::array()}};
-    compliance::CertificateState out;
-    if (!out.restore(snapshot)) return std::nullopt;
-    return out;
+    compliance::CertificateState state;
+    if (!state.restore(snapshot)) return std::nullopt;
+    return state;
   } catch (const json::exception&) { return std::nullopt; }
 }
 
--- a/src/node/state_records.h
+++ b/src/node/state_records.h
@@ -1,5 +1,5 @@
-// The records that invokers without a place in the log are given: hosts and works of the board, regimes,
-// tenants and certificates of the book, and back again.
+// Conversion between the replicated state of the group and the records that sessions carry: hosts and jobs of
+// maintenance; regimes, tenants and certificates of compliance. No I/O.
 #pragma once
 
 #include <optional>
@@ -11,10 +11,13 @@
 
 namespace lotusyard::node {
 
-control::Records records_of(const maintenance::MaintenanceState& board,
-                            const compliance::CertificateState& book);
+// Keys are `<kind>/<name>`, values are JSON.
+control::Records records_of(const maintenance::MaintenanceState& maintenance,
+                            const compliance::CertificateState& certificates);
 
-// Nothing: the records are of another version of the program.
+// The state that `records` describe at log index `index`. Nothing if they can't be read, which means that
+// another version of the program has written them. Members and outcomes of requests are not part of the
+// records.
 std::optional<maintenance::MaintenanceState> maintenance_state_from(const control::Records& records,
                                                                     control::Index index,
                                                                     maintenance::Millis now);
