--- a/src/gossip/probe_order.cpp
+++ b/src/gossip/probe_order.cpp
@@ -2,6 +2,7 @@
 
 #include <algorithm>
 #include <cstddef>
+#include <utility>
 
 namespace lotusyard::gossip {
 
@@ -19,7 +20,7 @@
 
 std::string ProbeOrder::take_present(const MemberTable& members) {
   while (!remaining_.empty()) {
-    const std::string name = remaining_.front();
+    std::string name = std::move(remaining_.front());
     remaining_.pop_front();
     const MemberRecord* record = members.find(name);
     if (record != nullptr && is_present(record->status)) return name;
