--- a/src/compliance/compliance_filter.h
+++ b/src/compliance/compliance_filter.h
@@ -1,5 +1,5 @@
-// Holds one process to the book of regimes and certificates: which hosts the module may consider for a call,
-// and the last check before anything goes out.
+// Enforces the compliance state in one process: which hosts the policy may consider for a call, and a final
+// check before anything is written to a host.
 #pragma once
 
 #include <functional>
@@ -14,29 +14,43 @@
 class ComplianceFilter {
  public:
   using LogSink = std::function<void(const std::string& text)>;
-  using IsLeased = std::function<bool()>;  // whether this process's lease holds: the book is current
-  // The book outlives it.
-  ComplianceFilter(const InvokerServices& wiring, const CertificateState& book, IsLeased knows, LogSink note);
+  // Whether this process holds its lease, so that the state is current.
+  using IsLeased = std::function<bool()>;
 
-  // To be called whenever the lease may have come or gone.
+  // Keeps references to the services and to the state; both must outlive the filter.
+  ComplianceFilter(const InvokerServices& services, const CertificateState& state, IsLeased is_leased,
+                   LogSink log);
+
+  // To be called whenever the lease may have been gained or lost. On loss, requests to certified hosts that
+  // have not been written yet are aborted.
   void update();
+
+  // Whether the host may serve a call of the tenant now.
   FilterResult check(const std::string& tenant, const std::string& host) const;
-  // Whether the module may consider the host for a call of this tenant. Remembers who asked for the function.
+
+  // Whether the policy may consider the host for a call of the tenant. Remembers the tenant as the last one
+  // that used the function, for the check of later loads of the function.
   bool allows_host(const std::string& tenant, std::uint64_t function, const std::string& host);
-  // The last check: a call, a load of the function, or what names neither. A refusal is counted.
+
+  // Final check before a write to the host. `call` is null for a load of the function; the function is 0 if
+  // the write concerns neither. Rejections are counted and logged.
   bool may_send(const std::string& host, const core::Call* call, std::uint64_t function) const;
-  // A call never went out: counted and noted if these rules are the reason.
+
+  // Counts and logs a call that was never sent, if no listed host was allowed to serve it.
   void on_rejected(const core::Call& call) const;
 
  private:
-  static constexpr std::size_t max_functions = 8192;
+  static constexpr std::size_t kMaxFunctions = 8192;
+
   InvokerServices services_;
   const CertificateState& state_;
   IsLeased is_leased_;
   LogSink log_;
   bool was_leased_ = false;
-  std::unordered_map<std::uint64_t, std::string> tenant_of_;  // by function: who asked for it last
+  // The tenant that used a function last, by function.
+  std::unordered_map<std::uint64_t, std::string> last_tenant_;
 
+  HostLocation locate(const std::string& host) const;
   bool check_before_write(const std::string& tenant, const std::string& host) const;
 };
 
--- a/src/compliance/compliance_replica.cpp
+++ b/src/compliance/compliance_replica.cpp
@@ -1,6 +1,6 @@
 #include "compliance/compliance_replica.h"
 
-#include <algorithm>
+#include "compliance/log_entry_codec.h"
 
 namespace lotusyard::compliance {
 namespace {
@@ -8,156 +8,279 @@
 using nlohmann::json;
 using State = Certificate::State;
 
-constexpr int kAgain = 4;  // turns after which a proposal that changed nothing is made again
-const std::string kPath = "/-/compliance/";
+// Periods after which the leader repeats a proposal that has not been applied.
+constexpr int kProposalRetryPeriods = 4;
+
+constexpr int kHttpOk = 200;
+constexpr int kHttpAccepted = 202;
+constexpr int kHttpBadRequest = 400;
+constexpr int kHttpNotFound = 404;
+constexpr int kHttpMethodNotAllowed = 405;
+constexpr int kHttpUnavailable = 503;
+
+const std::string kStatusPath = "/-/compliance";
+const std::string kPathPrefix = "/-/compliance/";
+
+Millis period_of(const raft::Config& config) {
+  return config.terms.heartbeat_interval() / 2;
+}
+
+// The admin endpoint's names of the states.
+const char* state_name(State state) {
+  switch (state) {
+    case State::valid:
+      return "stands";
+    case State::revoking:
+      return "ending";
+    case State::ended:
+      return "ended";
+  }
+  return "";
+}
+
+std::string join(const std::vector<std::string>& names) {
+  std::string out;
+  for (const auto& name : names) {
+    out += (out.empty() ? "" : ", ") + name;
+  }
+  return out;
+}
 
 }  // namespace
 
-ComplianceReplica::ComplianceReplica(const InvokerServices& wiring, const raft::Config& config,
-                                     maintenance::MaintenanceReplica& coordinator, LogSink note)
-    : services_(wiring),
+ComplianceReplica::ComplianceReplica(const InvokerServices& services, const raft::Config& config,
+                                     maintenance::MaintenanceReplica& maintenance, LogSink log)
+    : services_(services),
       config_(config),
-      maintenance_(coordinator),
-      log_(std::move(note)),
+      maintenance_(maintenance),
+      log_(std::move(log)),
       filter_(
-          wiring, state_, [this] { return maintenance_.is_leased(); }, log_) {}
+          services, state_, [this] { return maintenance_.is_leased(); }, log_) {}
 
-void ComplianceReplica::attach(raft::RaftReplica& member) {
-  replica_ = &member;
+void ComplianceReplica::attach(raft::RaftReplica& replica) {
+  replica_ = &replica;
   update();
   run_periodic();
 }
 
-void ComplianceReplica::update() { filter_.update(); }
+void ComplianceReplica::update() {
+  filter_.update();
+}
 
 void ComplianceReplica::apply(std::uint64_t index, const std::string& text) {
-  LogEntry entry;
+  std::optional<LogEntry> entry;
   try {
     entry = parse_entry(json::parse(text));
-  } catch (const std::exception& fault) {
+  } catch (const std::exception& error) {
     services_.counters.add("compliance.unreadable");
     return maintenance_.on_store_failure("entry " + std::to_string(index) +
-                                         " of the log cannot be read: " + fault.what());
+                                         " of the log cannot be read: " + error.what());
   }
-  proposed_ = Millis(0);
-  const auto outcome = state_.apply(index, entry);
+  last_proposal_at_ = Millis(0);
+  const auto outcome = state_.apply(index, *entry);
   ++version_;
-  if (outcome.index != index || entry.kind == LogEntry::Kind::acknowledge) return;
+  const bool is_repeated = outcome.index != index;
+  if (is_repeated || std::holds_alternative<Acknowledge>(entry->command)) {
+    return;
+  }
   log_("entry=" + std::to_string(index) + ' ' + text + (outcome.done ? "" : " refused: " + outcome.why));
-  if (!outcome.done || entry.kind != LogEntry::Kind::revoke) return;
+  const auto* revoke = std::get_if<Revoke>(&entry->command);
+  if (outcome.done && revoke != nullptr) {
+    on_revoked(revoke->certificate);
+  }
+}
+
+void ComplianceReplica::on_revoked(const std::string& certificate) {
   services_.counters.add("compliance.revoked");
-  unused_since_[entry.name] = services_.loop.now();
-  services_.host_connections.abort_unsent(state_.certificates().at(entry.name).host);
+  unused_since_[certificate] = services_.loop.now();
+  services_.host_connections.abort_unsent(state_.certificates().at(certificate).host);
 }
 
 bool ComplianceReplica::restore(const std::string& snapshot) {
-  if (snapshot.empty()) return true;
+  if (snapshot.empty()) {
+    return true;
+  }
   ++version_;
   return state_.restore(json::parse(snapshot, nullptr, false));
 }
 
-// A certificate is used no more once every call that may have gone out under it has run out of time.
 void ComplianceReplica::run_periodic() {
-  const Millis now = services_.loop.now();
   periodic_timer_ =
-      services_.loop.schedule_at(now + config_.terms.heartbeat_interval() / 2, [this] { run_periodic(); });
-  for (const auto& [name, c] : state_.certificates()) {
-    if (c.state != State::revoking || state_.has_acknowledged(name, config_.member, replica_->incarnation()))
-      continue;
-    const Millis since = unused_since_.try_emplace(name, now).first->second;
-    if (now - since < config_.terms.max_attempt_time || !config_.serves) continue;
-    if (sessions_quiesced_ && !sessions_quiesced_(c.revoked_at_index)) continue;
-    LogEntry told;
-    told.kind = LogEntry::Kind::acknowledge;
-    told.name = name;
-    told.member = config_.member;
-    told.incarnation = replica_->incarnation();
-    told.revoked_at_index = c.revoked_at_index;
-    replica_->send_to_leader(*this, encode_entry(told));
-  }
-  for (auto i = unused_since_.begin(); i != unused_since_.end();) {
-    const auto found = state_.certificates().find(i->first);
-    const bool over = found == state_.certificates().end() || found->second.state != State::revoking;
-    i = over ? unused_since_.erase(i) : std::next(i);
-  }
-  if (maintenance_.is_ready_leader() && now - proposed_ >= config_.terms.heartbeat_interval() / 2 * kAgain)
+      services_.loop.schedule_at(services_.loop.now() + period_of(config_), [this] { run_periodic(); });
+  acknowledge_revocations();
+  forget_finished_revocations();
+  if (maintenance_.is_ready_leader() && may_propose_again()) {
     run_leader();
+  }
 }
 
-std::string ComplianceReplica::members_not_acknowledged(const Certificate& c) const {
-  std::string out;
-  for (const auto& [name, m] : maintenance_.state().members()) {
-    const bool silent = services_.loop.now() - m.last_heartbeat_at >= config_.terms.presumed_dead_after();
-    if (m.serves && !silent && !state_.has_acknowledged(c.name, name, m.incarnation))
-      out += (out.empty() ? "" : ", ") + name;
+void ComplianceReplica::acknowledge_revocations() {
+  for (const auto& [name, certificate] : state_.certificates()) {
+    const bool is_pending = certificate.state == State::revoking &&
+                            !state_.has_acknowledged(name, config_.member, replica_->incarnation());
+    if (!is_pending || !is_unused(name, certificate)) {
+      continue;
+    }
+    const Acknowledge command{name, config_.member, replica_->incarnation(), certificate.revoked_at_index};
+    replica_->send_to_leader(*this, encode_entry({command}));
+  }
+}
+
+// A revoked certificate is unused once every call that may have been sent under it has reached its deadline,
+// here and in the sessions that this member represents.
+bool ComplianceReplica::is_unused(const std::string& name, const Certificate& certificate) {
+  const Millis now = services_.loop.now();
+  const Millis unused_since = unused_since_.try_emplace(name, now).first->second;
+  if (now - unused_since < config_.terms.max_attempt_time || !config_.serves) {
+    return false;
+  }
+  return !sessions_quiesced_ || sessions_quiesced_(certificate.revoked_at_index);
+}
+
+void ComplianceReplica::forget_finished_revocations() {
+  for (auto current = unused_since_.begin(); current != unused_since_.end();) {
+    const auto found = state_.certificates().find(current->first);
+    const bool is_finished = found == state_.certificates().end() || found->second.state != State::revoking;
+    current = is_finished ? unused_since_.erase(current) : std::next(current);
+  }
+}
+
+bool ComplianceReplica::may_propose_again() const {
+  return services_.loop.now() - last_proposal_at_ >= period_of(config_) * kProposalRetryPeriods;
+}
+
+// Members that may still use the revoked certificate. Those presumed dead have lost their lease.
+std::vector<std::string> ComplianceReplica::members_not_acknowledged(const std::string& certificate) const {
+  std::vector<std::string> out;
+  for (const auto& [name, member] : maintenance_.state().members()) {
+    const Millis silence = services_.loop.now() - member.last_heartbeat_at;
+    const bool is_serving = member.serves && silence < config_.terms.presumed_dead_after();
+    if (is_serving && !state_.has_acknowledged(certificate, name, member.incarnation)) {
+      out.push_back(name);
+    }
   }
   return out;
 }
 
 void ComplianceReplica::run_leader() {
-  for (const auto& [name, c] : state_.certificates()) {
-    if (c.state != State::revoking || !members_not_acknowledged(c).empty()) continue;
-    LogEntry ended;
-    ended.kind = LogEntry::Kind::finish_revocation;
-    ended.name = name;
-    ended.revoked_at_index = c.revoked_at_index;
-    if (replica_->propose(*this, encode_entry(ended))) proposed_ = services_.loop.now();
+  for (const auto& [name, certificate] : state_.certificates()) {
+    if (certificate.state != State::revoking || !members_not_acknowledged(name).empty()) {
+      continue;
+    }
+    const FinishRevocation command{name, certificate.revoked_at_index};
+    if (replica_->propose(*this, encode_entry({command}))) {
+      last_proposal_at_ = services_.loop.now();
+    }
   }
 }
 
-void ComplianceReplica::handle_message(const std::string& word) {
+// Only the leader itself finishes revocations, and an acknowledgement is needed once.
+bool ComplianceReplica::should_propose(const Command& command) const {
+  if (const auto* acknowledge = std::get_if<Acknowledge>(&command)) {
+    return !state_.has_acknowledged(acknowledge->certificate, acknowledge->member, acknowledge->incarnation);
+  }
+  return !std::holds_alternative<FinishRevocation>(command);
+}
+
+void ComplianceReplica::handle_message(const std::string& message) {
   try {
-    const LogEntry entry = parse_entry(json::parse(word));
-    if (entry.kind == LogEntry::Kind::acknowledge &&
-        state_.has_acknowledged(entry.name, entry.member, entry.incarnation))
-      return;
-    if (entry.kind != LogEntry::Kind::finish_revocation) replica_->propose(*this, encode_entry(entry));
-  } catch (const std::exception&) { services_.counters.add("compliance.malformed"); }
+    const LogEntry entry = parse_entry(json::parse(message));
+    if (should_propose(entry.command)) {
+      replica_->propose(*this, encode_entry(entry));
+    }
+  } catch (const std::exception&) {
+    services_.counters.add("compliance.malformed");
+  }
+}
+
+json ComplianceReplica::certificate_status_to_json(const Certificate& certificate) const {
+  std::string waits_for;
+  if (certificate.state == State::revoking) {
+    waits_for = join(members_not_acknowledged(certificate.name));
+  }
+  return {{"host", certificate.host},
+          {"regime", certificate.regime},
+          {"state", state_name(certificate.state)},
+          {"waits_for", waits_for}};
 }
 
 json ComplianceReplica::status_to_json() const {
   json certificates = json::object();
-  static const char* const states[] = {"stands", "ending", "ended"};
-  for (const auto& [name, c] : state_.certificates())
-    certificates[name] = {{"host", c.host},
-                          {"regime", c.regime},
-                          {"state", states[static_cast<std::size_t>(c.state)]},
-                          {"waits_for", c.state == State::revoking ? members_not_acknowledged(c) : ""}};
+  for (const auto& [name, certificate] : state_.certificates()) {
+    certificates[name] = certificate_status_to_json(certificate);
+  }
   json regimes = json::array();
-  for (const auto& [name, r] : state_.regimes()) regimes.push_back(name);
+  for (const auto& [name, regime] : state_.regimes()) {
+    regimes.push_back(name);
+  }
   return {{"member", config_.member}, {"index", state_.index()},      {"knows", maintenance_.is_leased()},
           {"regimes", regimes},       {"certificates", certificates}, {"tenants", state_.tenants()}};
 }
 
 std::optional<admin::Response> ComplianceReplica::handle_request(const admin::Request& request) {
-  const bool get = request.method == "GET";
-  if (request.path == "/-/compliance")
-    return get ? admin::Response{200, status_to_json().dump()} : admin::Response{405, "GET"};
-  if (request.path.compare(0, kPath.size(), kPath) != 0) return std::nullopt;
-  const std::string rest = request.path.substr(kPath.size());
-  const auto slash = rest.find('/');
-  const std::string verb = rest.substr(0, slash),
-                    what = slash == std::string::npos ? "" : rest.substr(slash + 1);
-  if (verb == "outcome") {
-    const auto* outcome = state_.find_outcome(what);
-    if (outcome == nullptr) return admin::Response{404, "not known here"};
-    return admin::Response{200, json{{"done", outcome->done}, {"why", outcome->why}}.dump()};
-  }
-  if (verb != "propose") return std::nullopt;
-  if (get) return admin::Response{405, "POST"};
+  const bool is_get = request.method == "GET";
+  if (request.path == kStatusPath) {
+    return is_get ? admin::Response{kHttpOk, status_to_json().dump()}
+                  : admin::Response{kHttpMethodNotAllowed, "GET"};
+  }
+  if (request.path.compare(0, kPathPrefix.size(), kPathPrefix) != 0) {
+    return std::nullopt;
+  }
+  const std::string path = request.path.substr(kPathPrefix.size());
+  const auto slash = path.find('/');
+  const std::string action = path.substr(0, slash);
+  const std::string argument = slash == std::string::npos ? "" : path.substr(slash + 1);
+  if (action == "outcome") {
+    return handle_outcome_query(argument);
+  }
+  if (action != "propose") {
+    return std::nullopt;
+  }
+  return is_get ? admin::Response{kHttpMethodNotAllowed, "POST"} : handle_proposal(argument);
+}
+
+admin::Response ComplianceReplica::handle_outcome_query(const std::string& proposal_id) const {
+  const auto* outcome = state_.find_outcome(proposal_id);
+  if (outcome == nullptr) {
+    return {kHttpNotFound, "not known here"};
+  }
+  return {kHttpOk, json{{"done", outcome->done}, {"why", outcome->why}}.dump()};
+}
+
+// Validates an operator's proposal and fills in what the operator does not know; a response if it is
+// rejected.
+std::optional<admin::Response> ComplianceReplica::complete_proposal(LogEntry& entry) const {
+  if (!is_operator_command(entry.command)) {
+    return admin::Response{kHttpBadRequest, "t: no proposal that an operator can make"};
+  }
+  if (entry.proposal_id.empty()) {
+    return admin::Response{kHttpBadRequest, "id: 1 to 128 bytes are needed"};
+  }
+  auto* certify = std::get_if<Certify>(&entry.command);
+  if (certify == nullptr) {
+    return std::nullopt;
+  }
+  Certificate& certificate = certify->certificate;
+  const auto listed = services_.endpoint_states.find_listed(certificate.host);
+  if (!listed) {
+    return admin::Response{kHttpBadRequest, "host: unknown host " + certificate.host};
+  }
+  certificate.host_incarnation = listed->entry.started.count();
+  return std::nullopt;
+}
+
+admin::Response ComplianceReplica::handle_proposal(const std::string& text) {
   try {
-    LogEntry entry = parse_entry(json::parse(what));
-    if (entry.kind > LogEntry::Kind::revoke)
-      return admin::Response{400, "t: no proposal that an operator can make"};
-    if (entry.proposal.empty()) return admin::Response{400, "id: 1 to 128 bytes are needed"};
-    if (entry.kind == LogEntry::Kind::certify) {
-      const auto listed = services_.endpoint_states.find_listed(entry.certificate.host);
-      if (!listed) return admin::Response{400, "host: unknown host " + entry.certificate.host};
-      entry.certificate.host_incarnation = listed->entry.started.count();
+    LogEntry entry = parse_entry(json::parse(text));
+    if (const auto rejection = complete_proposal(entry)) {
+      return *rejection;
     }
-    const bool went = replica_->send_to_leader(*this, encode_entry(entry));
-    return went ? admin::Response{202, "taken"} : admin::Response{503, "nobody is known to lead"};
-  } catch (const std::exception& fault) { return admin::Response{400, fault.what()}; }
+    const bool is_sent = replica_->send_to_leader(*this, encode_entry(entry));
+    return is_sent ? admin::Response{kHttpAccepted, "taken"}
+                   : admin::Response{kHttpUnavailable, "nobody is known to lead"};
+  } catch (const std::exception& error) {
+    return {kHttpBadRequest, error.what()};
+  }
 }
 
 }  // namespace lotusyard::compliance
--- a/src/compliance/compliance_replica.h
+++ b/src/compliance/compliance_replica.h
@@ -1,7 +1,13 @@
-// Regimes and certificates at one member: its part of the log, what it says of revocations, what it proposes
-// when it leads, and what operators ask. What is decided stands in `book`.
+// One member's replica of the compliance state: applies the replicated log, acknowledges revocations,
+// finishes them while leading, and answers operators' requests at the admin endpoint.
 #pragma once
 
+#include <functional>
+#include <map>
+#include <optional>
+#include <string>
+#include <utility>
+
 #include "app/app.h"
 #include "compliance/compliance_filter.h"
 #include "maintenance/maintenance_replica.h"
@@ -12,29 +18,40 @@
 class ComplianceReplica final : public raft::ReplicatedStateMachine {
  public:
   using LogSink = std::function<void(const std::string& text)>;
-  // The coordinator outlives it: its signs of life and its lease are what a member's knowledge goes by.
-  ComplianceReplica(const InvokerServices& wiring, const raft::Config& config,
-                    maintenance::MaintenanceReplica& coordinator, LogSink note);
+  // Whether every session that this member represents has quiesced past the log index.
+  using SessionsQuiesced = std::function<bool(std::uint64_t index)>;
+
+  // Keeps references to the services and to the maintenance replica, whose heartbeats and lease it depends
+  // on; both must outlive it.
+  ComplianceReplica(const InvokerServices& services, const raft::Config& config,
+                    maintenance::MaintenanceReplica& maintenance, LogSink log);
   ~ComplianceReplica() override { services_.loop.cancel(periodic_timer_); }
-  void attach(raft::RaftReplica& member);
-  void update();  // the lease may have come or gone
+
+  // Starts the periodic work. The Raft replica must outlive this one.
+  void attach(raft::RaftReplica& replica);
+
+  // To be called whenever the lease may have been gained or lost.
+  void update();
 
   ComplianceFilter& filter() { return filter_; }
-  // Whether all that this member represents have settled past an index of the log; it speaks for itself alone
-  // without one.
-  using SessionsQuiesced = std::function<bool(std::uint64_t index)>;
-  void set_sessions_quiesced(SessionsQuiesced others_settled) {
-    sessions_quiesced_ = std::move(others_settled);
+  const CertificateState& state() const { return state_; }
+
+  // Without it the member acknowledges revocations for itself alone.
+  void set_sessions_quiesced(SessionsQuiesced sessions_quiesced) {
+    sessions_quiesced_ = std::move(sessions_quiesced);
   }
-  std::uint64_t version() const { return version_; }  // grows whenever the book may have changed
+
+  // Grows whenever the state may have changed.
+  std::uint64_t version() const { return version_; }
+
+  // Response to a request of the admin endpoint; empty if the path is not one of this module.
   std::optional<admin::Response> handle_request(const admin::Request& request);
-  const CertificateState& state() const { return state_; }
 
   const char* name() const override { return "compliance"; }
   void apply(std::uint64_t index, const std::string& entry) override;
   std::string snapshot() override { return state_.snapshot().dump(); }
   bool restore(const std::string& snapshot) override;
-  void handle_message(const std::string& word) override;
+  void handle_message(const std::string& message) override;
   void on_store_failure(const std::string&) override { update(); }
 
  private:
@@ -48,13 +65,29 @@
   SessionsQuiesced sessions_quiesced_;
   std::uint64_t version_ = 0;
   net::EventLoop::TimerId periodic_timer_{};
-  std::map<std::string, Millis> unused_since_;  // by revoked certificate: since when it is not used here
-  Millis proposed_{0};
+  // When this member stopped to use a revoked certificate, by certificate.
+  std::map<std::string, Millis> unused_since_;
+  // When this member last proposed an entry as leader; 0 once an entry has been applied since.
+  Millis last_proposal_at_{0};
 
   void run_periodic();
+  void acknowledge_revocations();
+  bool is_unused(const std::string& name, const Certificate& certificate);
+  void forget_finished_revocations();
+
   void run_leader();
-  std::string members_not_acknowledged(const Certificate& certificate) const;  // members; empty: for none
+  bool may_propose_again() const;
+  std::vector<std::string> members_not_acknowledged(const std::string& certificate) const;
+
+  void on_revoked(const std::string& certificate);
+  bool should_propose(const Command& command) const;
+
+  admin::Response handle_outcome_query(const std::string& proposal_id) const;
+  admin::Response handle_proposal(const std::string& text);
+  std::optional<admin::Response> complete_proposal(LogEntry& entry) const;
+
   nlohmann::json status_to_json() const;
+  nlohmann::json certificate_status_to_json(const Certificate& certificate) const;
 };
 
 }  // namespace lotusyard::compliance
--- a/tests/golden/compliance_samples.cpp
+++ b/tests/golden/compliance_samples.cpp
@@ -3,55 +3,44 @@
 namespace lotusyard::golden {
 namespace {
 
+using compliance::Acknowledge;
 using compliance::Certificate;
+using compliance::Certify;
+using compliance::FinishRevocation;
 using compliance::LogEntry;
 using compliance::Millis;
-using Kind = LogEntry::Kind;
-
-LogEntry entry(Kind kind, const std::string& proposal) {
-  LogEntry out;
-  out.kind = kind;
-  out.proposal = proposal;
-  return out;
-}
+using compliance::PutRegime;
+using compliance::PutTenant;
+using compliance::Revoke;
 
 LogEntry regime(const std::string& name, const std::string& zone, bool exclusive) {
-  LogEntry out = entry(Kind::put_regime, "proposal-" + name);
-  out.regime = {name, zone, exclusive};
-  return out;
+  return {PutRegime{{name, zone, exclusive}}, "proposal-" + name};
 }
 
 LogEntry tenant(const std::string& name, const std::set<std::string>& regimes) {
-  LogEntry out = entry(Kind::put_tenant, "proposal-" + name);
-  out.tenant = name;
-  out.regimes = regimes;
-  return out;
+  return {PutTenant{name, regimes}, "proposal-" + name};
 }
 
-LogEntry certification(const std::string& name, bool outlives_start) {
-  LogEntry out = entry(Kind::certify, "proposal-" + name);
-  out.certificate.name = name;
-  out.certificate.host = "h1";
-  out.certificate.regime = "card-data";
-  out.certificate.valid_from = Millis(1700000000000.5);
-  out.certificate.valid_until = Millis(1700086400000);
-  out.certificate.survives_restart = outlives_start;
-  out.certificate.host_incarnation = outlives_start ? 0 : 1699999990000.25;
-  return out;
+LogEntry certification(const std::string& name, bool survives_restart) {
+  Certificate certificate;
+  certificate.name = name;
+  certificate.host = "h1";
+  certificate.regime = "card-data";
+  certificate.valid_from = Millis(1700000000000.5);
+  certificate.valid_until = Millis(1700086400000);
+  certificate.survives_restart = survives_restart;
+  certificate.host_incarnation = survives_restart ? 0 : 1699999990000.25;
+  return {Certify{certificate}, "proposal-" + name};
 }
 
-LogEntry about_certificate(Kind kind, const std::string& name, std::uint64_t round) {
-  LogEntry out = entry(kind, "");
-  out.name = name;
-  out.revoked_at_index = round;
-  return out;
+LogEntry revocation(const std::string& certificate) { return {Revoke{certificate}}; }
+
+LogEntry acknowledgement(const std::string& certificate, std::uint64_t revoked_at_index) {
+  return {Acknowledge{certificate, "member-1", 1ULL << 60, revoked_at_index}};
 }
 
-LogEntry notified(const std::string& name, std::uint64_t round) {
-  LogEntry out = about_certificate(Kind::acknowledge, name, round);
-  out.member = "member-1";
-  out.incarnation = 1ULL << 60;
-  return out;
+LogEntry end_of_revocation(const std::string& certificate, std::uint64_t revoked_at_index) {
+  return {FinishRevocation{certificate, revoked_at_index}};
 }
 
 }  // namespace
@@ -64,15 +53,15 @@
           {"tenant without name", tenant("", {"health"})},
           {"certify", certification("certificate-1", false)},
           {"certify for restarts", certification("certificate-2", true)},
-          {"revoke", about_certificate(Kind::revoke, "certificate-1", 0)},
-          {"told", notified("certificate-1", 8)},
-          {"ended", about_certificate(Kind::finish_revocation, "certificate-1", 8)}};
+          {"revoke", revocation("certificate-1")},
+          {"told", acknowledgement("certificate-1", 8)},
+          {"ended", end_of_revocation("certificate-1", 8)}};
 }
 
 compliance::CertificateState sample_compliance_state() {
   compliance::CertificateState out;
   std::uint64_t index = 0;
-  const auto apply = [&](const LogEntry& e) { return out.apply(++index, e); };
+  const auto apply = [&](const LogEntry& entry) { return out.apply(++index, entry); };
   apply(regime("card-data", "zone-a", true));
   apply(regime("health", "", false));
   apply(tenant("tenant-1", {"card-data", "health"}));
@@ -80,10 +69,10 @@
   apply(tenant("tenant-3", {"unknown"}));  // refused
   for (const char* name : {"certificate-1", "certificate-2", "certificate-3"})
     apply(certification(name, name == std::string("certificate-2")));
-  apply(about_certificate(Kind::revoke, "certificate-1", 0));
-  apply(notified("certificate-1", index));
-  apply(about_certificate(Kind::revoke, "certificate-3", 0));
-  apply(about_certificate(Kind::finish_revocation, "certificate-3", index));
+  apply(revocation("certificate-1"));
+  apply(acknowledgement("certificate-1", index));
+  apply(revocation("certificate-3"));
+  apply(end_of_revocation("certificate-3", index));
   return out;
 }
 
--- a/tests/golden/maintenance_samples.h
+++ b/tests/golden/maintenance_samples.h
@@ -6,6 +6,7 @@
 #include <vector>
 
 #include "compliance/certificate_state.h"
+#include "compliance/log_entry_codec.h"
 #include "maintenance/maintenance_state.h"
 
 namespace lotusyard::golden {
--- a/tests/lotusyard/compliance_test.cpp
+++ b/tests/lotusyard/compliance_test.cpp
@@ -2,14 +2,13 @@
 #include "breaks_here.h"
 #include "catch2/catch.hpp"
 #include "compliance/certificate_state.h"
+#include "compliance/log_entry_codec.h"
 
 namespace lotusyard::test {
 namespace {
 
 using compliance::CertificateState;
-using compliance::LogEntry;
 using compliance::Millis;
-using Kind = compliance::LogEntry::Kind;
 using nlohmann::json;
 
 struct Desk {
@@ -149,5 +148,16 @@
   CHECK_FALSE(book.restore({{"index", 1}}));
 }
 
+TEST_CASE("an encoded entry keeps the valid fields that its command does not use, and rejects invalid ones") {
+  const json revoke = {{"t", "revoke"}, {"name", "c1"}, {"id", "r"},
+                       {"member", "a"}, {"life", 3},    {"round", 9}};
+  CHECK(json::parse(compliance::encode_entry(compliance::parse_entry(revoke))) == revoke);
+  json regime = {
+      {"t", "regime"}, {"regime", {{"name", "r"}, {"zone", ""}, {"exclusive", false}}}, {"name", "x"}};
+  CHECK(json::parse(compliance::encode_entry(compliance::parse_entry(regime))) == regime);
+  regime["life"] = -1;
+  CHECK_THROWS_WITH(compliance::parse_entry(regime), "life: a whole number is needed");
+}
+
 }  // namespace
 }  // namespace lotusyard::test
--- a/tests/lotusyard/session_member_test.cpp
+++ b/tests/lotusyard/session_member_test.cpp
@@ -34,29 +34,19 @@
 
 compliance::CertificateState book_with_certificate() {
   compliance::CertificateState out;
-  compliance::LogEntry regime;
-  regime.regime = {"gdpr", "", false};
-  out.apply(1, regime);
-  compliance::LogEntry tenant;
-  tenant.kind = compliance::LogEntry::Kind::put_tenant;
-  tenant.tenant = "acme";
-  tenant.regimes = {"gdpr"};
-  out.apply(2, tenant);
-  compliance::LogEntry certify;
-  certify.kind = compliance::LogEntry::Kind::certify;
-  certify.certificate.name = "c1";
-  certify.certificate.host = "h1";
-  certify.certificate.regime = "gdpr";
-  certify.certificate.valid_until = Millis(1e12);
-  out.apply(3, certify);
+  out.apply(1, {compliance::PutRegime{{"gdpr", "", false}}});
+  out.apply(2, {compliance::PutTenant{"acme", {"gdpr"}}});
+  compliance::Certificate certificate;
+  certificate.name = "c1";
+  certificate.host = "h1";
+  certificate.regime = "gdpr";
+  certificate.valid_until = Millis(1e12);
+  out.apply(3, {compliance::Certify{certificate}});
   return out;
 }
 
 void revoke(compliance::CertificateState& book, std::uint64_t index) {
-  compliance::LogEntry entry;
-  entry.kind = compliance::LogEntry::Kind::revoke;
-  entry.name = "c1";
-  REQUIRE(book.apply(index, entry).done);
+  REQUIRE(book.apply(index, {compliance::Revoke{"c1"}}).done);
 }
 
 }  // namespace
--- a/tests/scale/flat_hollow_log.cpp
+++ b/tests/scale/flat_hollow_log.cpp
@@ -153,11 +153,13 @@
 }
 
 compliance::LogEntry certificate(std::size_t i) {
-  compliance::LogEntry out;
-  out.kind = compliance::LogEntry::Kind::certify;
-  out.certificate = {"certificate" + std::to_string(i), host_name(i), "r", gossip::Millis(1),
-                     gossip::Millis(4e12)};
-  return out;
+  compliance::Certificate out;
+  out.name = "certificate" + std::to_string(i);
+  out.host = host_name(i);
+  out.regime = "r";
+  out.valid_from = gossip::Millis(1);
+  out.valid_until = gossip::Millis(4e12);
+  return {compliance::Certify{out}};
 }
 
 TEST_CASE("the book, by certificates", "[.][scale][hollow-log]") {
@@ -167,13 +169,8 @@
     costs.at = costs.given["certificates"] = static_cast<double>(certificates);
     const double before = allocated_bytes();
     CertificateState book;
-    compliance::LogEntry regime, tenant;
-    regime.regime = {"r", "", false};
-    tenant.kind = compliance::LogEntry::Kind::put_tenant;
-    tenant.tenant = "t";
-    tenant.regimes = {"r"};
-    REQUIRE(book.apply(1, regime).done);
-    REQUIRE(book.apply(2, tenant).done);
+    REQUIRE(book.apply(1, {compliance::PutRegime{{"r", "", false}}}).done);
+    REQUIRE(book.apply(2, {compliance::PutTenant{"t", {"r"}}}).done);
     for (std::size_t i = 0; i < certificates; ++i) REQUIRE(book.apply(3 + i, certificate(i)).done);
     costs.point("state_bytes", {allocated_bytes() - before});
     const compliance::HostLocation last{host_name(certificates - 1), "", 0};
--- a/tests/scale/tier.h
+++ b/tests/scale/tier.h
@@ -2,6 +2,7 @@
 #pragma once
 
 #include "compliance/certificate_state.h"
+#include "compliance/log_entry_codec.h"
 #include "gossip/swim_protocol.h"
 #include "maintenance/maintenance_state.h"
 #include "quota/quota_epochs.h"
