--- a/src/compliance/compliance_replica.cpp
+++ b/src/compliance/compliance_replica.cpp
@@ -11,41 +11,10 @@
 // Periods after which the leader repeats a proposal that has not been applied.
 constexpr int kProposalRetryPeriods = 4;
 
-constexpr int kHttpOk = 200;
-constexpr int kHttpAccepted = 202;
-constexpr int kHttpBadRequest = 400;
-constexpr int kHttpNotFound = 404;
-constexpr int kHttpMethodNotAllowed = 405;
-constexpr int kHttpUnavailable = 503;
-
-const std::string kStatusPath = "/-/compliance";
-const std::string kPathPrefix = "/-/compliance/";
-
 Millis period_of(const raft::Config& config) {
   return config.terms.heartbeat_interval() / 2;
 }
 
-// The admin endpoint's names of the states.
-const char* state_name(State state) {
-  switch (state) {
-    case State::valid:
-      return "stands";
-    case State::revoking:
-      return "ending";
-    case State::ended:
-      return "ended";
-  }
-  return "";
-}
-
-std::string join(const std::vector<std::string>& names) {
-  std::string out;
-  for (const auto& name : names) {
-    out += (out.empty() ? "" : ", ") + name;
-  }
-  return out;
-}
-
 }  // namespace
 
 ComplianceReplica::ComplianceReplica(const InvokerServices& services, const raft::Config& config,
@@ -55,7 +24,11 @@
       maintenance_(maintenance),
       log_(std::move(log)),
       filter_(
-          services, state_, [this] { return maintenance_.is_leased(); }, log_) {}
+          services, state_, [this] { return maintenance_.is_leased(); }, log_),
+      admin_(
+          services, config_.member, state_, maintenance_,
+          [this](const std::string& certificate) { return members_not_acknowledged(certificate); },
+          [this](const LogEntry& entry) { return replica_->send_to_leader(*this, encode_entry(entry)); }) {}
 
 void ComplianceReplica::attach(raft::RaftReplica& replica) {
   replica_ = &replica;
@@ -193,94 +166,4 @@
   }
 }
 
-json ComplianceReplica::certificate_status_to_json(const Certificate& certificate) const {
-  std::string waits_for;
-  if (certificate.state == State::revoking) {
-    waits_for = join(members_not_acknowledged(certificate.name));
-  }
-  return {{"host", certificate.host},
-          {"regime", certificate.regime},
-          {"state", state_name(certificate.state)},
-          {"waits_for", waits_for}};
-}
-
-json ComplianceReplica::status_to_json() const {
-  json certificates = json::object();
-  for (const auto& [name, certificate] : state_.certificates()) {
-    certificates[name] = certificate_status_to_json(certificate);
-  }
-  json regimes = json::array();
-  for (const auto& [name, regime] : state_.regimes()) {
-    regimes.push_back(name);
-  }
-  return {{"member", config_.member}, {"index", state_.index()},      {"knows", maintenance_.is_leased()},
-          {"regimes", regimes},       {"certificates", certificates}, {"tenants", state_.tenants()}};
-}
-
-std::optional<admin::Response> ComplianceReplica::handle_request(const admin::Request& request) {
-  const bool is_get = request.method == "GET";
-  if (request.path == kStatusPath) {
-    return is_get ? admin::Response{kHttpOk, status_to_json().dump()}
-                  : admin::Response{kHttpMethodNotAllowed, "GET"};
-  }
-  if (request.path.compare(0, kPathPrefix.size(), kPathPrefix) != 0) {
-    return std::nullopt;
-  }
-  const std::string path = request.path.substr(kPathPrefix.size());
-  const auto slash = path.find('/');
-  const std::string action = path.substr(0, slash);
-  const std::string argument = slash == std::string::npos ? "" : path.substr(slash + 1);
-  if (action == "outcome") {
-    return handle_outcome_query(argument);
-  }
-  if (action != "propose") {
-    return std::nullopt;
-  }
-  return is_get ? admin::Response{kHttpMethodNotAllowed, "POST"} : handle_proposal(argument);
-}
-
-admin::Response ComplianceReplica::handle_outcome_query(const std::string& proposal_id) const {
-  const auto* outcome = state_.find_outcome(proposal_id);
-  if (outcome == nullptr) {
-    return {kHttpNotFound, "not known here"};
-  }
-  return {kHttpOk, json{{"done", outcome->done}, {"why", outcome->why}}.dump()};
-}
-
-// Validates an operator's proposal and fills in what the operator does not know; a response if it is
-// rejected.
-std::optional<admin::Response> ComplianceReplica::complete_proposal(LogEntry& entry) const {
-  if (!is_operator_command(entry.command)) {
-    return admin::Response{kHttpBadRequest, "t: no proposal that an operator can make"};
-  }
-  if (entry.proposal_id.empty()) {
-    return admin::Response{kHttpBadRequest, "id: 1 to 128 bytes are needed"};
-  }
-  auto* certify = std::get_if<Certify>(&entry.command);
-  if (certify == nullptr) {
-    return std::nullopt;
-  }
-  Certificate& certificate = certify->certificate;
-  const auto listed = services_.endpoint_states.find_listed(certificate.host);
-  if (!listed) {
-    return admin::Response{kHttpBadRequest, "host: unknown host " + certificate.host};
-  }
-  certificate.host_incarnation = listed->entry.started.count();
-  return std::nullopt;
-}
-
-admin::Response ComplianceReplica::handle_proposal(const std::string& text) {
-  try {
-    LogEntry entry = parse_entry(json::parse(text));
-    if (const auto rejection = complete_proposal(entry)) {
-      return *rejection;
-    }
-    const bool is_sent = replica_->send_to_leader(*this, encode_entry(entry));
-    return is_sent ? admin::Response{kHttpAccepted, "taken"}
-                   : admin::Response{kHttpUnavailable, "nobody is known to lead"};
-  } catch (const std::exception& error) {
-    return {kHttpBadRequest, error.what()};
-  }
-}
-
 }  // namespace lotusyard::compliance
--- a/src/compliance/compliance_replica.h
+++ b/src/compliance/compliance_replica.h
@@ -7,8 +7,10 @@
 #include <optional>
 #include <string>
 #include <utility>
+#include <vector>
 
 #include "app/app.h"
+#include "compliance/compliance_admin.h"
 #include "compliance/compliance_filter.h"
 #include "maintenance/maintenance_replica.h"
 #include "raft/raft_replica.h"
@@ -45,7 +47,9 @@
   std::uint64_t version() const { return version_; }
 
   // Response to a request of the admin endpoint; empty if the path is not one of this module.
-  std::optional<admin::Response> handle_request(const admin::Request& request);
+  std::optional<admin::Response> handle_request(const admin::Request& request) {
+    return admin_.handle_request(request);
+  }
 
   const char* name() const override { return "compliance"; }
   void apply(std::uint64_t index, const std::string& entry) override;
@@ -62,10 +66,11 @@
   raft::RaftReplica* replica_ = nullptr;
   CertificateState state_;
   ComplianceFilter filter_;
+  ComplianceAdmin admin_;
   SessionsQuiesced sessions_quiesced_;
   std::uint64_t version_ = 0;
   net::EventLoop::TimerId periodic_timer_{};
-  // When this member stopped to use a revoked certificate, by certificate.
+  // When this member stopped using a revoked certificate, by certificate.
   std::map<std::string, Millis> unused_since_;
   // When this member last proposed an entry as leader; 0 once an entry has been applied since.
   Millis last_proposal_at_{0};
@@ -81,13 +86,6 @@
 
   void on_revoked(const std::string& certificate);
   bool should_propose(const Command& command) const;
-
-  admin::Response handle_outcome_query(const std::string& proposal_id) const;
-  admin::Response handle_proposal(const std::string& text);
-  std::optional<admin::Response> complete_proposal(LogEntry& entry) const;
-
-  nlohmann::json status_to_json() const;
-  nlohmann::json certificate_status_to_json(const Certificate& certificate) const;
 };
 
 }  // namespace lotusyard::compliance
