--- a/tests/wall_clock/fleet_test.cpp
+++ b/tests/wall_clock/fleet_test.cpp
@@ -1,5 +1,6 @@
 // Members of a group under a wall clock that is set: certificates, lives and what the log tells of the clock.
 #include "compliance/compliance_filter.h"
+#include "compliance/log_entry_codec.h"
 #include "helper.h"
 #include "maintenance/maintenance_replica.h"
 #include "net/socket.h"
