--- a/src/quota/quota_epochs.cpp
+++ b/src/quota/quota_epochs.cpp
@@ -1,6 +1,7 @@
 #include "quota/quota_epochs.h"
 
 #include <algorithm>
+#include <utility>
 
 #include "core/fault_injection.h"
 
@@ -9,62 +10,67 @@
 
 using nlohmann::json;
 
-bool holds(const QuotaHolders& sharers, const std::string& member, std::uint64_t life) {
-  const auto found = sharers.find(member);
-  return found != sharers.end() && found->second == life;
+bool is_holder(const QuotaHolders &holders, const std::string &member, std::uint64_t incarnation) {
+  const auto found = holders.find(member);
+  return found != holders.end() && found->second == incarnation;
 }
-double each(std::size_t sharers) { return 1.0 / static_cast<double>(std::max<std::size_t>(sharers, 1)); }
 
-}  // namespace
-
-std::string encode_entry(const LogEntry& entry) {
-  return json{{"t", entry.kind == LogEntry::Kind::begin_epoch ? "part" : "open"},
-              {"sharers", entry.holders},
-              {"round", entry.epoch_index}}
-      .dump(-1, ' ', false, json::error_handler_t::replace);
+double equal_share(std::size_t holders) {
+  return 1.0 / static_cast<double>(std::max<std::size_t>(holders, 1));
 }
 
-std::optional<LogEntry> parse_entry(const std::string& text) {
-  const json from = json::parse(text, nullptr, false);
-  if (!from.is_object()) return std::nullopt;
-  try {
-    LogEntry out;
-    const auto kind = from.at("t").get<std::string>();
-    if (kind != "part" && kind != "open") return std::nullopt;
-    out.kind = kind == "part" ? LogEntry::Kind::begin_epoch : LogEntry::Kind::open_epoch;
-    from.at("sharers").get_to(out.holders);
-    from.at("round").get_to(out.epoch_index);
-    return out;
-  } catch (const json::exception&) { return std::nullopt; }
+}  // namespace
+
+bool QuotaEpochs::apply(std::uint64_t index, const LogEntry &entry) {
+  return std::visit([&](const auto &command) { return apply_command(index, command); }, entry);
 }
 
-bool QuotaEpochs::apply(std::uint64_t index, const LogEntry& e) {
-  if (e.kind == LogEntry::Kind::open_epoch) {
-    if (is_open_ || e.epoch_index != epoch_index_)
-      return false;  // of a leader before: its parting was overtaken
-    is_open_ = true;
-    return true;
+// An epoch begins only once the one before is open: otherwise the holders of a
+// still earlier one, who may still use their shares, would be forgotten.
+bool QuotaEpochs::apply_command(std::uint64_t index, const BeginEpoch &command) {
+  if (!is_open_ || command.holders.size() > kMaxHolders) {
+    return false;
   }
-  // Danger: a second parting before the first is open would forget who still holds a part of an earlier one.
-  if (!is_open_ || e.holders.size() > max_holders) return false;
   previous_holders_ = std::move(current_holders_);
-  current_holders_ = e.holders;
+  current_holders_ = command.holders;
   is_open_ = false;
   epoch_index_ = index;
   return true;
 }
 
-double QuotaEpochs::share_of(const std::string& member, std::uint64_t life, bool leased,
-                             std::size_t seen) const {
-  if (!leased && !fault_injected("share-lease")) return 0;
-  if (!holds(current_holders_, member, life)) return 0;
-  if (fault_injected("share-view") && seen > 0)
-    return each(seen);  // what it sees alone: each side of a cut takes all
-  const double after = each(std::max(seen, current_holders_.size()));
-  if (is_open_) return after;
-  return holds(previous_holders_, member, life) ? std::min(after, each(previous_holders_.size())) : 0;
+// A former leader may have proposed to open an epoch that has been superseded.
+bool QuotaEpochs::apply_command(std::uint64_t, const OpenEpoch &command) {
+  if (is_open_ || command.epoch_index != epoch_index_) {
+    return false;
+  }
+  is_open_ = true;
+  return true;
+}
+
+double QuotaEpochs::share_of(const std::string &member, std::uint64_t incarnation, bool is_leased,
+                             std::size_t members_seen) const {
+  if (!is_leased && !fault_injected("share-lease")) {
+    return 0;
+  }
+  if (!is_holder(current_holders_, member, incarnation)) {
+    return 0;
+  }
+  // Fault: a share by the member's own view alone, with which each side of a
+  // partition takes everything.
+  if (fault_injected("share-view") && members_seen > 0) {
+    return equal_share(members_seen);
+  }
+  const double current_share = equal_share(std::max(members_seen, current_holders_.size()));
+  if (is_open_) {
+    return current_share;
+  }
+  if (!is_holder(previous_holders_, member, incarnation)) {
+    return 0;
+  }
+  return std::min(current_share, equal_share(previous_holders_.size()));
 }
 
+// The keys are older than the names of the fields; stored snapshots keep them.
 json QuotaEpochs::snapshot() const {
   return {{"before", previous_holders_},
           {"now", current_holders_},
@@ -72,45 +78,18 @@
           {"round", epoch_index_}};
 }
 
-bool QuotaEpochs::restore(const json& from) {
+bool QuotaEpochs::restore(const json &from) {
   try {
-    QuotaEpochs out;
-    from.at("before").get_to(out.previous_holders_);
-    from.at("now").get_to(out.current_holders_);
-    from.at("opened").get_to(out.is_open_);
-    from.at("round").get_to(out.epoch_index_);
-    *this = std::move(out);
+    QuotaEpochs restored;
+    from.at("before").get_to(restored.previous_holders_);
+    from.at("now").get_to(restored.current_holders_);
+    from.at("opened").get_to(restored.is_open_);
+    from.at("round").get_to(restored.epoch_index_);
+    *this = std::move(restored);
     return true;
-  } catch (const json::exception&) { return false; }
-}
-
-std::optional<LogEntry> next_entry(const QuotaEpochs& epochs,
-                                   const std::map<std::string, HolderProgress>& signs,
-                                   const raft::LeaseTerms& terms, Millis parted, Millis now) {
-  const auto silent = [&](const std::string& member, std::uint64_t life) {
-    const auto found = signs.find(member);
-    const bool same = found != signs.end() && found->second.incarnation == life;
-    // Danger: one that was said to be gone, or came back as another life, may go on elsewhere till its lease
-    // ends.
-    return now - (same ? found->second.last_heartbeat_at : parted) >= terms.presumed_dead_after();
-  };
-  LogEntry out;
-  if (!epochs.is_open()) {
-    for (const auto& [member, life] : epochs.previous_holders()) {
-      const auto found = signs.find(member);
-      const bool knows = found != signs.end() && found->second.incarnation == life &&
-                         found->second.applied_index >= epochs.epoch_index();
-      if (!knows && !silent(member, life) && !fault_injected("share-unheard")) return std::nullopt;
-    }
-    out.kind = LogEntry::Kind::open_epoch;
-    out.epoch_index = epochs.epoch_index();
-    return out;
-  }
-  for (const auto& [member, sign] : signs) {
-    if (!silent(member, sign.incarnation)) out.holders.emplace(member, sign.incarnation);
+  } catch (const json::exception &) {
+    return false;
   }
-  if (out.holders == epochs.current_holders()) return std::nullopt;
-  return out;
 }
 
 }  // namespace lotusyard::quota
--- a/tests/golden/quota_golden.cpp
+++ b/tests/golden/quota_golden.cpp
@@ -1,11 +1,14 @@
 // The split of the slow-start budget: log entries and the state's snapshot.
 #include "golden_part.h"
+#include "quota/log_entry_codec.h"
 #include "quota/quota_epochs.h"
 
 namespace lotusyard::golden {
 namespace {
 
+using quota::BeginEpoch;
 using quota::LogEntry;
+using quota::OpenEpoch;
 using quota::QuotaEpochs;
 
 std::string reencode_entry(const std::string& bytes) {
@@ -19,9 +22,9 @@
   return state.snapshot().dump();
 }
 
-const LogEntry kFirst{LogEntry::Kind::begin_epoch, {{"member-1", 1ULL << 60}}, 0};
-const LogEntry kSecond{LogEntry::Kind::begin_epoch, {{"member-1", 1ULL << 60}, {"member-2", 3}}, 0};
-const LogEntry kOpen{LogEntry::Kind::open_epoch, {}, 5};
+const LogEntry kFirst{BeginEpoch{{{"member-1", 1ULL << 60}}}};
+const LogEntry kSecond{BeginEpoch{{{"member-1", 1ULL << 60}, {"member-2", 3}}}};
+const LogEntry kOpen{OpenEpoch{5}};
 
 }  // namespace
 
--- a/tests/lotusyard/shares_test.cpp
+++ b/tests/lotusyard/shares_test.cpp
@@ -6,6 +6,8 @@
 
 #include "breaks_here.h"
 #include "catch2/catch.hpp"
+#include "quota/epoch_planner.h"
+#include "quota/log_entry_codec.h"
 #include "quota/quota_epochs.h"
 
 namespace lotusyard::test {
@@ -67,7 +69,7 @@
     if (!p.up || p.cut) return;
     follow(p);
     for (std::size_t i = std::exchange(led_to, p.follows); i < p.follows; ++i) {
-      if (log[i].entry && log[i].entry->kind == LogEntry::Kind::begin_epoch) parted = clock(p);
+      if (log[i].entry && std::holds_alternative<quota::BeginEpoch>(*log[i].entry)) parted = clock(p);
       for (const auto& [name, stamp] : log[i].stamps)
         signs[name] = {stamp.first, log[i].has.at(name), clock(p)};
     }
--- a/tests/scale/flat_hollow_log.cpp
+++ b/tests/scale/flat_hollow_log.cpp
@@ -138,7 +138,7 @@
   Costs costs{"epochs", "members", {}, {}, 0, 0};
   for (const std::size_t members : {100, 300, 1000, 3000, 10000, 16000}) {
     costs.at = static_cast<double>(costs.members = members);
-    quota::LogEntry part;
+    quota::BeginEpoch part;
     for (std::size_t i = 0; i < members; ++i) part.holders.emplace(member_name(i), kLife);
     std::string wording;
     costs.point("word_us", microseconds(9, [&] { wording = quota::encode_entry(part); }));
--- a/tests/scale/tier.h
+++ b/tests/scale/tier.h
@@ -5,6 +5,7 @@
 #include "compliance/log_entry_codec.h"
 #include "gossip/swim_protocol.h"
 #include "maintenance/maintenance_state.h"
+#include "quota/log_entry_codec.h"
 #include "quota/quota_epochs.h"
 
 namespace lotusyard::scale {
