--- a/include/lotusyard/policy/policy.h
+++ b/include/lotusyard/policy/policy.h
@@ -1,4 +1,5 @@
-// The interface of robinfold: settings and events go in, actions come out. No decision lives here.
+// The decision module's interface: settings and events go in, actions come out. No decision is made in this
+// header.
 #pragma once
 
 #include <chrono>
--- a/src/core/policy_driver.h
+++ b/src/core/policy_driver.h
@@ -74,7 +74,8 @@
 struct NewSettings {  // calls that are open keep their rules
   Settings settings;
 };
-using PolicyInput = std::variant<AttemptOutcome, LoadOutcome, ProbeOutcome, ClientDisconnected, HostList, NewSettings>;
+using PolicyInput =
+    std::variant<AttemptOutcome, LoadOutcome, ProbeOutcome, ClientDisconnected, HostList, NewSettings>;
 
 class PolicyDriver {
  public:
--- a/tests/golden/stores_golden.cpp
+++ b/tests/golden/stores_golden.cpp
@@ -162,7 +162,8 @@
   Database(stored.path()).execute(sql);
   core::Counters counters;
   {
-    idempotency::SqliteResultStore from(stored.path(), {}, Millis(1690000000000.5), counters, [](const auto&) {});
+    idempotency::SqliteResultStore from(stored.path(), {}, Millis(1690000000000.5), counters,
+                                        [](const auto&) {});
     idempotency::SqliteResultStore to(copied.path(), {}, from.complete_from(), counters, [](const auto&) {});
     from.for_each([&to](const std::string& id, const ResultRecord& one) { put(to, id, one); });
   }
