--- a/src/admin/admin_endpoint.cpp
+++ b/src/admin/admin_endpoint.cpp
@@ -37,7 +37,7 @@
       : BufferedConnection(admin_endpoint.loop_, admin_endpoint.pool_, std::move(socket), false,
                            net::EventLoop::Priority::urgent),
         admin_endpoint_(admin_endpoint) {
-    // Danger: half a call would hold its place for good.
+    // Half a call would hold its place for good.
     whole_by_ = loop().schedule_at(loop().now() + kWholeMost,
                                    [this] { turn_away(408, "the call did not come whole"); });
   }
@@ -106,7 +106,7 @@
     net::AcceptResult accepted = net::accept_from(listener_);
     net::count_accept_errors(loop_, accepted);
     if (accepted.status == net::AcceptStatus::out_of_resources) {
-      // Danger: a listener that stays readable would spin the loop.
+      // A listener that stays readable would spin the loop.
       counters_.add("console.no_descriptor");
       loop_.unregister(listener_.fd(), *this);
       again_ = loop_.schedule_at(loop_.now() + kNoDescriptor, [this] { watch(); });
@@ -117,7 +117,7 @@
     const std::shared_ptr<AdminConnection> fresh = callers_.back();
     fresh->place = std::prev(callers_.end());
     fresh->ready(POLLIN);  // a whole call is mostly there already, and then needs no place to wait in
-    // Danger: callers with half a call keep whole ones out. The one that came first goes, answered ones
+    // Callers with half a call keep whole ones out. The one that came first goes, answered ones
     // ahead.
     if (callers_.size() <= most_) continue;
     const auto done =
--- a/src/amqp/front.cpp
+++ b/src/amqp/front.cpp
@@ -177,7 +177,7 @@
   if (once && store_ != nullptr) {
     if (settled_by_store(id, delivery, address)) return;
   } else if (delivery.redelivered && (once || (keyed && !age))) {
-    // Danger: another process, or this one before a restart or in a time now forgotten, may have run it; of a
+    // Another process, or this one before a restart or in a time now forgotten, may have run it; of a
     // keyed one only when it was published can show that its window is open.
     refuse_call(id, once, Verdict::failed, "amqp.may_have_run");
     return answer_delivery(id, tag, address, delivery.redelivered);
@@ -197,7 +197,7 @@
   answer(number, core::Answer());
 }
 
-// Danger: a call whose time ran out while it stood in the queue would run for nobody. Judged by the clock as
+// A call whose time ran out while it stood in the queue would run for nobody. Judged by the clock as
 // it is set now: by its setting at the start, every call would be out of time for good once it has been set
 // back.
 bool Front::out_of_time(const Properties& p, core::Call& call) {
--- a/src/amqp/recovery.cpp
+++ b/src/amqp/recovery.cpp
@@ -53,10 +53,10 @@
     : brokers_(std::move(brokers)), bounds_(bounds), random_(seed) {}
 
 Plan Recovery::after(const Ending& ending) {
-  // Danger: a broker that takes us and ends the connection at once, again and again, is reached as if all
+  // A broker that takes us and ends the connection at once, again and again, is reached as if all
   // were well. Only one that has been up for a while has shown that it is.
   if (ending.came_up && ending.up_for >= bounds_.settled) failures_ = 0;
-  // Danger: some brokers end the connection without a word on a wrong password.
+  // Some brokers end the connection without a word on a wrong password.
   const std::uint16_t code = ending.code == 0 && ending.at_login ? 403 : ending.code;
   const Again again = again_after(code);
   Plan out;
@@ -73,7 +73,7 @@
   if (again == Again::operator_ && all_tried) wait = std::max(wait, bounds_.most);
   if (again == Again::later && all_tried) wait = std::max(wait, bounds_.most / 5);
   ++failures_;
-  // Danger: invokers that lose one broker in the same moment come to the next in step.
+  // Invokers that lose one broker in the same moment come to the next in step.
   out.wait = std::min(wait * jitter(), most);
   if (code == 403) {
     out.say = ending.code == 0
--- a/src/app/invoker_shutdown.cpp
+++ b/src/app/invoker_shutdown.cpp
@@ -35,15 +35,15 @@
 }
 
 bool Invoker::shutdown_complete() {
-  // Danger: by the clock, a turn that took long would end what has come meanwhile and was not read.
+  // By the clock, a turn that took long would end what has come meanwhile and was not read.
   const Millis since = loop_.iteration_started() - shutdown_started_at_;
   const Millis latest = std::min(core::longest_deadline(config_->settings), kMostKill) + kKillSlack;
-  // Danger: calls that come just before their connection stops may still be out: ended with the process they
+  // Calls that come just before their connection stops may still be out: ended with the process they
   // would be lost.
   if (since > latest) front_.answer_all();
   bool quiet = front_.open_calls() == 0 && front_.written();
   if (replaces()) {
-    // Danger: a connection that always has something open would still have at the end, and lose it.
+    // A connection that always has something open would still have at the end, and lose it.
     if (since > kTakeFor) front_.take_no_more();
     quiet = front_.hand_over() && quiet;
   } else {
--- a/src/config/replacement.h
+++ b/src/config/replacement.h
@@ -9,7 +9,7 @@
 nlohmann::json outline(nlohmann::json file);
 
 // Throws a ConfigError that names the key which the running file has and the next one lacks, or holds as
-// something else. Danger: a start gives what is missing its default; a file that was cut short or edited by
+// something else. A start gives what is missing its default; a file that was cut short or edited by
 // mistake would change rules that nobody meant to change.
 void check_replacement(const nlohmann::json& outline, const nlohmann::json& next);
 
--- a/src/control/session.cpp
+++ b/src/control/session.cpp
@@ -142,7 +142,7 @@
   return std::max(config_.terms.heartbeat_interval(), kShortestWait);
 }
 
-// Danger: the lease counts from this moment. It must be taken before the renewal goes out.
+// The lease counts from this moment. It must be taken before the renewal goes out.
 void Session::renew(Millis now) {
   next_renewal_ = now + renewal_interval();
   if (outstanding_.size() >= kMostOutstanding) return;
--- a/src/core/dispatcher.cpp
+++ b/src/core/dispatcher.cpp
@@ -160,13 +160,13 @@
       const auto found = std::find_if(open->in_flight.begin(), open->in_flight.end(), same);
       if (found == open->in_flight.end()) continue;
       counters_.add("attempts.timed_out");
-      // Danger: what was held for its caller's sake says nothing of the host.
+      // What was held for its caller's sake says nothing of the host.
       const bool held = check_before_write(found->attempt, found->sent) == WriteCheck::after_client_read;
       const Outcome never_went = held ? Outcome::moot : Outcome::connect_failed;
       const Outcome outcome = hosts_.cancel_attempt(found->attempt) ? Outcome::timeout : never_went;
       notify_attempt_ended(*remove_attempt(due.call, *open, due.attempt, outcome), outcome, false);
     } else {
-      // Danger: a call that the module forgot would never be answered.
+      // A call that the module forgot would never be answered.
       counters_.add("calls.overdue");
       run(module_.report(now, ClientDisconnected{due.call}));
       if (find_open_call(due.call) != nullptr) finish_call(due.call, Answer{});
--- a/src/core/dispatcher_admission.cpp
+++ b/src/core/dispatcher_admission.cpp
@@ -45,7 +45,7 @@
   expire_refs();
 }
 
-// Bounds the memory of refs; the one place where it shrinks. Danger: asked only as calls end, a repeat long
+// Bounds the memory of refs; the one place where it shrinks. Asked only as calls end, a repeat long
 // after would be taken or not by what else ended meanwhile.
 void Dispatcher::expire_refs() {
   const Millis now = clock_(), kept = std::max(kRefKept, longest_deadline(*settings_));
@@ -61,7 +61,7 @@
     return false;
   }
   expire_refs();
-  // Danger: hosts know a call by its ref; two under one would get each other's answers.
+  // Hosts know a call by its ref; two under one would get each other's answers.
   if (refs_.count(call.ref) != 0) {
     counters_.add("calls.ref_repeated");
     return false;
--- a/src/core/dispatcher_send.cpp
+++ b/src/core/dispatcher_send.cpp
@@ -54,7 +54,7 @@
   if (open->keyed()) keys_.record_send(open->call, attempt, places_.at(step.host), now);
   open->in_flight.push_back(InFlightAttempt{attempt, step.host, now});
   deadlines_.push({now + patience, step.call, attempt.number});
-  // Danger: the record of the attempt may have waited for a disk.
+  // The record of the attempt may have waited for a disk.
   hosts_.send_attempt(attempt, step.host, open->call, std::min(patience, now + patience - clock_()));
 }
 
--- a/src/core/idempotency_keys.cpp
+++ b/src/core/idempotency_keys.cpp
@@ -34,7 +34,7 @@
   const auto found = records_.find(name);
   if (found == records_.end()) {
     if (records_.size() >= max_keys) return KeyDecision::full;
-    // Danger: after a restart, or with another invoker, the first try is not known here. A client waits for
+    // After a restart, or with another invoker, the first try is not known here. A client waits for
     // all of its tries together no longer than the class's limit, and this one ends it.
     std::optional<Millis> before = call.ran_since;
     if (!before && call.retry) before = now + std::min(call.allow - rule.hard_limit, Millis(0));
@@ -87,7 +87,7 @@
   if (found == records_.end()) return;
   Record& record = found->second;
   if (--record.open > 0) return;
-  // Danger: hosts drop repeats for a window from when each of them ran it. Forgotten sooner, the key would be
+  // Hosts drop repeats for a window from when each of them ran it. Forgotten sooner, the key would be
   // taken for a new one while some still do and others do not.
   Millis last = record.before.value_or(Millis(0));
   for (const auto& sent : record.sent) last = std::max(last, sent.when);
--- a/src/discovery/discovery.cpp
+++ b/src/discovery/discovery.cpp
@@ -102,7 +102,7 @@
     if (!current()) return;
     std::vector<std::string> lines;
     bool sound = cutter_.take(bytes, lines);
-    // Danger: a log that stops half-way through an event, or trickles, is as silent as one that says nothing.
+    // A log that stops half-way through an event, or trickles, is as silent as one that says nothing.
     if (!lines.empty()) expect(kQuietMost);
     for (const auto& line : lines) {
       core::HostListUpdate list;
@@ -145,7 +145,7 @@
   connection_ = std::make_shared<Connection>(*this, std::move(connection.socket));
 }
 
-// Danger: the old address tells nothing more but stays open a while, and looks well. The new one is asked at
+// The old address tells nothing more but stays open a while, and looks well. The new one is asked at
 // once: what it has to tell counts as told before long.
 void Discovery::move(const std::string& address) {
   if (address == address_) return;
--- a/src/endpoints/endpoint_states.cpp
+++ b/src/endpoints/endpoint_states.cpp
@@ -13,13 +13,13 @@
   state.entry.started = host.started;
   const bool left_alone = suspended_ || disabled(id) || in_maintenance_.count(id) != 0;
   if (left_alone && state.entry.state == WorkerState::ready) state.entry.state = WorkerState::draining;
-  // Danger: a host that was out may have started anew, and the list, seconds late, does not say so yet.
+  // A host that was out may have started anew, and the list, seconds late, does not say so yet.
   state.entry.put_back = host.enabled_at > state.entry.started;
   if (state.entry.put_back) state.entry.started = host.enabled_at;
   return state;
 }
 
-// Danger: a host that has just started, stamped by a clock that is behind, would be taken for a warm one, and
+// A host that has just started, stamped by a clock that is behind, would be taken for a warm one, and
 // one stamped in the future for cold until then. What cannot be believed counts from when it was first seen.
 core::Millis EndpointStates::start_of(const Host* before, core::Millis stamped, const Sight& sight) const {
   if (!see_) return stamped;
--- a/src/hosts/connection_pool.cpp
+++ b/src/hosts/connection_pool.cpp
@@ -29,7 +29,7 @@
 void HostConnectionPool::record_answer_time(Millis took) {
   usual_answer_ += kUsualGain * (took - usual_answer_);
 }
-// Danger: each liveness probe is cheap, but calls that wait for a load are silent as well. Asked for whatever
+// Each liveness probe is cheap, but calls that wait for a load are silent as well. Asked for whatever
 // is late, a hundred invokers' probes are more than their calls.
 bool HostConnectionPool::take_liveness_probe() {
   if (probes_left_ < 1) return false;
@@ -70,7 +70,7 @@
     if (reborn) retire(host, true);
     host.member = member;
     if (member.entry.state != WorkerState::ready) retire(host, true);
-    // Danger: a new host may stand at the address of one that is gone, and be taken for it.
+    // A new host may stand at the address of one that is gone, and be taken for it.
     for (auto& [other_id, other] : hosts_) {
       const bool taken_over =
           member.entry.state == WorkerState::ready && other.member.address == member.address;
@@ -90,7 +90,7 @@
   }
 }
 
-// Danger: a share of the memory for each connection is too little for one long answer, where there is little;
+// A share of the memory for each connection is too little for one long answer, where there is little;
 // what counts is what has come in over all. The one that holds most goes.
 void HostConnectionPool::account_incoming(HostConnection& link, std::size_t before, std::size_t now) {
   incoming_ = incoming_ + now - before;
--- a/src/hosts/host_connection.cpp
+++ b/src/hosts/host_connection.cpp
@@ -118,7 +118,7 @@
   retired_ = true;
   if (unsent_too && is_connecting()) return close_later();
   if (unsent_too) abort_pending_writes();
-  // Danger: bytes that a host does not read could leave long after it was told draining.
+  // Bytes that a host does not read could leave long after it was told draining.
   if (unsent_too && !send_queue().empty()) {
     fleet_.loop_.cancel(stuck_);
     stuck_ = fleet_.loop_.schedule_at(fleet_.loop_.now() + kUnreadMost, [this] {
@@ -165,7 +165,7 @@
     const WriteDecision look = kernel_full ? WriteDecision::wait : check_before_write(one);
     if (look == WriteDecision::write) {
       write_out(one);
-      // Danger: behind bytes that the kernel has no room for it would stand with the patience of now, and go
+      // Behind bytes that the kernel has no room for it would stand with the patience of now, and go
       // out for a caller who has cancelled. Only one call is ever cut in two.
       kernel_full = !flush_now();
       if (kernel_full && one.kind == PendingWrite::Kind::attempt) limit_stuck_exec();
@@ -181,7 +181,7 @@
   });
 }
 
-// Danger: a CANCEL may stand behind more bytes than a turn reads.
+// A CANCEL may stand behind more bytes than a turn reads.
 void HostConnectionPool::HostConnection::read_callers() {
   std::vector<core::Attempt> waiting;
   for (const auto& one : pending_writes_) {
--- a/src/hosts/host_connection_liveness.cpp
+++ b/src/hosts/host_connection_liveness.cpp
@@ -23,7 +23,7 @@
 }
 
 void HostConnectionPool::HostConnection::send_liveness_probe() {
-  // Danger: a probe that the settings forbid breaks a rule. An order for no copy is allowed, and tells as
+  // A probe that the settings forbid breaks a rule. An order for no copy is allowed, and tells as
   // much; its function is one that a client has called. An order must not go to a host that drains.
   const bool order = fleet_.limits_.liveness == LivenessProbe::order;
   const std::uint64_t function = attempts_.begin()->second.function;
@@ -36,13 +36,13 @@
              order ? PendingWrite::Kind::load : PendingWrite::Kind::line);
 }
 
-// Danger: a link over which nothing comes any more, or never the rest of an answer, holds whatever is out
+// A link over which nothing comes any more, or never the rest of an answer, holds whatever is out
 // on it to the deadline, though its host serves others well. One liveness probe tells it from a busy host.
 void HostConnectionPool::HostConnection::check_silence() {
   checking_ = false;
   if (load() == 0 || is_closing()) return;
   const Millis now = fleet_.loop_.now();
-  // Danger: a long answer, or one that comes in small pieces, takes long though nothing is wrong.
+  // A long answer, or one that comes in small pieces, takes long though nothing is wrong.
   const bool torn = begun_.count() > 0 && (now - heard_ > kPieceMost || now - begun_ > kWholeMost);
   const bool unanswered = probed_ > heard_ && now - probed_ > kProbeMost;
   if (is_open() && (torn || unanswered)) {
--- a/src/hosts/host_connection_read.cpp
+++ b/src/hosts/host_connection_read.cpp
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-// Danger: a late or second answer would end a further attempt under the same ref: that goes elsewhere.
+// A late or second answer would end a further attempt under the same ref: that goes elsewhere.
 void HostConnectionPool::HostConnection::remember_ended(const std::string& ref, bool answered) {
   const Millis now = fleet_.loop_.now();
   while (!past_order_.empty() &&
--- a/src/hot_restart/presence.cpp
+++ b/src/hot_restart/presence.cpp
@@ -24,7 +24,7 @@
     const std::string path = folder_ + '/' + name_;
     net::Socket file(open(path.c_str(), O_WRONLY | O_CREAT | O_EXCL | O_CLOEXEC, 0600));
     if (!file || flock(file.fd(), LOCK_EX | LOCK_NB) != 0) continue;
-    // Danger: one that looked before the lock was held has taken the file for one left behind.
+    // One that looked before the lock was held has taken the file for one left behind.
     struct stat about {};
     if (fstat(file.fd(), &about) == 0 && about.st_nlink > 0) mine_ = std::move(file);
   }
--- a/src/idempotency/result_ledger.cpp
+++ b/src/idempotency/result_ledger.cpp
@@ -11,7 +11,7 @@
 
 Decision decide(const std::optional<ResultRecord>& known, const DeliveryFacts& arrival,
                 const StoreTrust& trust) {
-  // Danger: a store that cannot be read may hold that it ran. Sent anew, the same id may be a tablet's
+  // A store that cannot be read may hold that it ran. Sent anew, the same id may be a tablet's
   // repeat.
   if (!trust.healthy) return arrival.redelivered ? Decision::fail_may_have_run : Decision::refuse_unrecorded;
   if (known) {
@@ -21,7 +21,7 @@
     return proves_not_run(*known) && !arrival.redelivered ? Decision::run : Decision::answer;
   }
   if (!arrival.redelivered) return Decision::run;
-  // Danger: not in the store may mean not yet, no more, or at another consumer. Only a call younger than
+  // Not in the store may mean not yet, no more, or at another consumer. Only a call younger than
   // everything the store has forgotten, at the only consumer there is, is known not to have gone out.
   // Published in the future, it shows that this clock is behind, and the mark bounded by it may be too.
   const bool covered = arrival.published && *arrival.published - kClockSkew >= trust.complete_from &&
--- a/src/idempotency/sqlite_result_store.cpp
+++ b/src/idempotency/sqlite_result_store.cpp
@@ -195,7 +195,7 @@
   return true;
 }
 
-// The one place where the store shrinks. Danger: what is forgotten may have run; from then on only calls that
+// The one place where the store shrinks. What is forgotten may have run; from then on only calls that
 // are younger can be shown not to have.
 void SqliteResultStore::prune(Millis now) {
   if (!is_ready()) return;
--- a/src/net/buffered_connection.cpp
+++ b/src/net/buffered_connection.cpp
@@ -160,7 +160,7 @@
   }
 }
 
-// Danger: a peer that answered and then died is found dead by a write; its answers would go with the socket.
+// A peer that answered and then died is found dead by a write; its answers would go with the socket.
 void BufferedConnection::read_remaining() {
   auto& block = loop_.read_buffer();
   for (int i = 0; i < kReadsATurn && socket_; ++i) {
--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -95,7 +95,7 @@
   return 0;
 }
 
-// Danger: a crowd of clients makes a turn as long as there are of them.
+// A crowd of clients makes a turn as long as there are of them.
 void EventLoop::serve_urgent(bool at_once) {
   if (!at_once && now() - urgent_served_ < kUrgentPace) return;
   urgent_served_ = now();
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -90,7 +90,7 @@
   };
   if (!read(SO_ACCEPTCONN, listening) || !read(SO_TYPE, type) || !read(SO_DOMAIN, family)) return Socket();
   if (listening == 0 || type != SOCK_STREAM || (family != AF_INET && family != AF_INET6)) return Socket();
-  // Danger: a connection that another process takes first would block an accept here.
+  // A connection that another process takes first would block an accept here.
   const int flags = fcntl(fd, F_GETFL);
   if (flags < 0 || fcntl(fd, F_SETFL, flags | O_NONBLOCK) != 0 || fcntl(fd, F_SETFD, FD_CLOEXEC) != 0) {
     return Socket();
--- a/src/resp/client.h
+++ b/src/resp/client.h
@@ -63,7 +63,7 @@
   net::EventLoop::TimerId whole_by_{};
   bool begun_ = true;  // a newcomer owes its first request from the start
 
-  // Danger: half a request, or none, would hold a descriptor for good.
+  // Half a request, or none, would hold a descriptor for good.
   void expect_whole() {
     whole_by_ = loop().schedule_at(loop().now() + kWholeMost, [this] {
       front_.spoil(*this, asked ? "resp.half_request" : "resp.no_request");
@@ -89,7 +89,7 @@
     if (!sound) return front_.spoil(*this, "resp.malformed");
     front_.end_if_spent(*this);
   }
-  // Danger: hundreds of calls that are taken back in the bytes they came in would each cost a host something.
+  // Hundreds of calls that are taken back in the bytes they came in would each cost a host something.
   void leave_out_taken_back(std::vector<Words>& commands) {
     std::unordered_set<std::string> cancelled;
     const auto taken_back = [&](const Words& words) {
--- a/src/resp/connection_limits.cpp
+++ b/src/resp/connection_limits.cpp
@@ -25,7 +25,7 @@
   const bool had_place = std::exchange(client.asked, true);
   if (clients_.size() <= limits_.clients) return true;
   const auto self = std::prev(clients_.end());
-  // Danger: a request that has come and was not read yet would be lost with its connection.
+  // A request that has come and was not read yet would be lost with its connection.
   const auto idle = [](const auto& c) { return c->idle() && c->peer_state() != net::PeerState::readable; };
   const auto at_rest = [&](const auto& c) { return c->at_rest() && idle(c); };  // not half-way through one
   auto spared = std::find_if(clients_.begin(), self, at_rest);
@@ -34,7 +34,7 @@
     shed(*spared, "resp.idle_closed");
     return true;
   }
-  // Danger: limits shrink while another process stands beside this one. Calls that are open on a connection
+  // Limits shrink while another process stands beside this one. Calls that are open on a connection
   // which had its place are owed their answers.
   if (had_place) return true;
   counters_.add("resp.no_place");
@@ -50,7 +50,7 @@
   ++client.pieces;
 }
 
-// Danger: connections by thousands that say nothing, or stop half-way through a request. Of the larger crowd
+// Connections by thousands that say nothing, or stop half-way through a request. Of the larger crowd
 // the one longest unheard goes, unless its request has come by now; those that send a request piece by piece
 // go last.
 void Front::bound_newcomers() {
@@ -88,7 +88,7 @@
   return true;
 }
 
-// Danger: a listener that stays readable would spin the loop. It is looked at again once a client has gone,
+// A listener that stays readable would spin the loop. It is looked at again once a client has gone,
 // and before long in any case: it may be others that held the descriptors.
 void Front::pause_listening() {
   paused_ = true;
--- a/src/resp/front.cpp
+++ b/src/resp/front.cpp
@@ -33,7 +33,7 @@
 }
 
 void Front::take_no_more() {
-  // Danger: calls that are held for long keep their connection from its end; what comes meanwhile is refused.
+  // Calls that are held for long keep their connection from its end; what comes meanwhile is refused.
   if (std::exchange(takes_, false)) give_up(core::Dispatcher::CallSelection::never_sent);
 }
 
@@ -71,7 +71,7 @@
 
 void Front::stop_listening() {
   if (!listener_) return;
-  // Danger: whoever has connected and not been accepted, and what they have sent, would be reset by the
+  // Whoever has connected and not been accepted, and what they have sent, would be reset by the
   // close.
   while (!inherited_ && accept_some()) {}
   close_listener();
@@ -87,7 +87,7 @@
   return std::all_of(clients_.begin(), clients_.end(), [](const auto& c) { return c->send_queue().empty(); });
 }
 
-// What comes over it cannot be understood from here on. Danger: calls that came before are owed their
+// What comes over it cannot be understood from here on. Calls that came before are owed their
 // answers: it ends when they have them.
 void Front::spoil(ClientConnection& client, const char* why) {
   counters_.add(why);
@@ -122,14 +122,14 @@
   client.write(out);
 }
 
-// Danger: a client that sends the same again as soon as it is turned away would do so for ever.
+// A client that sends the same again as soon as it is turned away would do so for ever.
 void Front::reject(ClientConnection& client, const std::string& tag, const char* why, core::Verdict verdict) {
   counters_.add(why);
   say(client, tag, verdict, core::Millis(0), {});
   if (++client.faults > kFaultsMost) client.refuses = true;
 }
 
-// Not before its sound calls have their answers: they are owed them whatever else came. Danger: a call that
+// Not before its sound calls have their answers: they are owed them whatever else came. A call that
 // has come by then, read or not, would be lost with its connection: it is refused.
 void Front::end_if_spent(ClientConnection& client) {
   if (!client.refuses || !client.open_calls.empty() || client.is_closing()) return;
@@ -141,7 +141,7 @@
     counters_.add("resp.faults_closed");
     return kept->shutdown_after_flush();
   }
-  // Danger: closed at the turn's end, as many as are accepted in a turn would stand beside those that have a
+  // Closed at the turn's end, as many as are accepted in a turn would stand beside those that have a
   // place.
   kept->flush_now();
   kept->close_later();
@@ -170,7 +170,7 @@
   client.close_later();
 }
 
-// Danger: with no buffer left whoever is written to next would be cut off, and not whoever does not read.
+// With no buffer left whoever is written to next would be cut off, and not whoever does not read.
 void Front::make_room(std::size_t bytes) {
   while (pool_.bytes_available() < bytes + net::BufferPool::block_size) {
     const auto less = [](const auto& a, const auto& b) { return a->unread() < b->unread(); };
--- a/src/xds/hosts.cpp
+++ b/src/xds/hosts.cpp
@@ -157,7 +157,7 @@
   std::map<std::string, core::Millis> started;
   for (auto& member : list->hosts) {
     const auto known = started_.find(member.entry.worker);
-    // Danger: one that has just been added is cold, and would be sent a warm host's share.
+    // One that has just been added is cold, and would be sent a warm host's share.
     member.entry.started = known != started_.end() ? known->second
                            : read_once_            ? loop_.now()
                                                    : core::Millis(0);
