--- a/src/admin/admin_endpoint.cpp
+++ b/src/admin/admin_endpoint.cpp
@@ -14,18 +14,30 @@
 
 const char* reason(int status) {
   switch (status) {
-    case 200: return "OK";
-    case 202: return "Accepted";
-    case 404: return "Not Found";
-    case 405: return "Method Not Allowed";
-    case 408: return "Request Timeout";
-    case 413: return "Content Too Large";
-    case 414: return "URI Too Long";
-    case 431: return "Request Header Fields Too Large";
-    case 501: return "Not Implemented";
-    case 503: return "Service Unavailable";
-    case 505: return "HTTP Version Not Supported";
-    default: return "Bad Request";
+    case 200:
+      return "OK";
+    case 202:
+      return "Accepted";
+    case 404:
+      return "Not Found";
+    case 405:
+      return "Method Not Allowed";
+    case 408:
+      return "Request Timeout";
+    case 413:
+      return "Content Too Large";
+    case 414:
+      return "URI Too Long";
+    case 431:
+      return "Request Header Fields Too Large";
+    case 501:
+      return "Not Implemented";
+    case 503:
+      return "Service Unavailable";
+    case 505:
+      return "HTTP Version Not Supported";
+    default:
+      return "Bad Request";
   }
 }
 
@@ -46,7 +58,8 @@
   bool answered() const { return answered_; }
 
   void turn_away(int status, const std::string& why) {
-    if (answered_) return close_later();
+    if (answered_)
+      return close_later();
     admin_endpoint_.counters_.add("console.faulty." + std::to_string(status));
     answer(status, why);
   }
@@ -68,11 +81,15 @@
   bool answered_ = false;
 
   void on_received(std::string_view bytes) override {
-    if (answered_) return;  // one call to a connection: what comes behind it is read and left
+    if (answered_)
+      return;  // one call to a connection: what comes behind it is read and left
     const auto state = parser_.take(bytes);
-    if (state == Parser::State::whole) return admin_endpoint_.serve(*this, parser_.request());
-    if (state == Parser::State::faulty) return turn_away(parser_.fault(), "the call cannot be read");
-    if (!parser_.wants_continue()) return;
+    if (state == Parser::State::whole)
+      return admin_endpoint_.serve(*this, parser_.request());
+    if (state == Parser::State::faulty)
+      return turn_away(parser_.fault(), "the call cannot be read");
+    if (!parser_.wants_continue())
+      return;
     parser_.continued();
     write("HTTP/1.1 100 Continue\r\n\r\n");
   }
@@ -88,12 +105,14 @@
 
 AdminEndpoint::~AdminEndpoint() {
   loop_.cancel(again_);
-  if (listener_) loop_.unregister(listener_.fd(), *this);
+  if (listener_)
+    loop_.unregister(listener_.fd(), *this);
 }
 
 bool AdminEndpoint::listen(const std::string& address) {
   listener_ = net::listen_on(address);
-  if (listener_) watch();
+  if (listener_)
+    watch();
   return static_cast<bool>(listener_);
 }
 
@@ -111,7 +130,8 @@
       loop_.unregister(listener_.fd(), *this);
       again_ = loop_.schedule_at(loop_.now() + kNoDescriptor, [this] { watch(); });
     }
-    if (!accepted.socket) return;
+    if (!accepted.socket)
+      return;
     counters_.add("console.connections");
     callers_.push_back(std::make_shared<AdminConnection>(*this, std::move(accepted.socket)));
     const std::shared_ptr<AdminConnection> fresh = callers_.back();
@@ -119,7 +139,8 @@
     fresh->ready(POLLIN);  // a whole call is mostly there already, and then needs no place to wait in
     // Callers with half a call keep whole ones out. The one that came first goes, answered ones
     // ahead.
-    if (callers_.size() <= most_) continue;
+    if (callers_.size() <= most_)
+      continue;
     const auto done =
         std::find_if(callers_.begin(), callers_.end(), [](const auto& c) { return c->answered(); });
     const std::shared_ptr<AdminConnection> leaves = done != callers_.end() ? *done : callers_.front();
@@ -133,14 +154,16 @@
   counters_.add("console.calls");
   const std::string& path = request.path;
   const auto other_method = [&](const char* allowed) {
-    if (request.method == allowed) return false;
+    if (request.method == allowed)
+      return false;
     counters_.add("console.faulty.405");
     caller.answer(405, "the method here is " + std::string(allowed),
                   "Allow: " + std::string(allowed) + "\r\n");
     return true;
   };
   if (path == "/-/ready") {
-    if (other_method("GET")) return;
+    if (other_method("GET"))
+      return;
     const bool yes = operations_.ready();
     return caller.answer(yes ? 200 : 503, yes ? "ready" : "not ready: no clients are taken");
   }
@@ -148,18 +171,22 @@
   const std::string verb = path.substr(last + 1);
   const bool of_host = path.compare(0, kHosts.size(), kHosts) == 0 && last > kHosts.size();
   if (!of_host) {
-    if (const auto said = operations_.handle_request(request)) return caller.answer(said->status, said->text);
+    if (const auto said = operations_.handle_request(request))
+      return caller.answer(said->status, said->text);
   }
   if (!of_host || (verb != "disable" && verb != "enable")) {
     counters_.add("console.faulty.404");
     return caller.answer(404, "no such call");
   }
-  if (other_method("POST")) return;
+  if (other_method("POST"))
+    return;
   const std::string host = path.substr(kHosts.size(), last - kHosts.size());
   const OperationResult done = verb == "disable" ? operations_.disable(host) : operations_.enable(host);
   counters_.add("console." + verb + (done == OperationResult::done ? ".yes" : ".no"));
-  if (done == OperationResult::done) return caller.answer(200, verb + "d");
-  if (done == OperationResult::unknown_host) return caller.answer(404, "no such host");
+  if (done == OperationResult::done)
+    return caller.answer(200, verb + "d");
+  if (done == OperationResult::unknown_host)
+    return caller.answer(404, "no such host");
   caller.answer(503, "this could not be kept, so nothing has changed");
 }
 
--- a/src/amqp/channel.cpp
+++ b/src/amqp/channel.cpp
@@ -28,7 +28,8 @@
 }
 
 Channel::~Channel() {
-  for (const auto& timer : {beat_, quiet_, setup_}) loop().cancel(timer);
+  for (const auto& timer : {beat_, quiet_, setup_})
+    loop().cancel(timer);
 }
 
 bool Channel::lost(const char* why) {
@@ -40,7 +41,8 @@
 void Channel::on_connected() { write(kGreeting); }
 
 void Channel::on_closed() {
-  for (const auto& timer : {beat_, quiet_, setup_}) loop().cancel(timer);
+  for (const auto& timer : {beat_, quiet_, setup_})
+    loop().cancel(timer);
   ending_.came_up = up_since_.count() > 0;
   ending_.up_for = ending_.came_up ? loop().now() - up_since_ : Millis(0);
   ending_.at_login = state_ == State::tune;
@@ -51,7 +53,8 @@
 bool Channel::closed_by(Reader& in, const char* why) {
   ending_.code = in.u16();
   counters_.add(std::string("amqp.closed.") + name_of(ending_.code));
-  if (state_ == State::declare) ending_.about = broker_.topology[declared_].key;
+  if (state_ == State::declare)
+    ending_.about = broker_.topology[declared_].key;
   flush_now();
   return lost(why);
 }
@@ -67,37 +70,47 @@
   std::vector<Frame> frames;
   const bool sound = parser_.take(bytes, frames);
   for (auto& one : frames) {
-    if (!take(std::move(one))) return;
+    if (!take(std::move(one)))
+      return;
   }
-  if (!sound) lost("amqp.malformed");
+  if (!sound)
+    lost("amqp.malformed");
 }
 
 // False if the connection ends: what follows in the same bytes is not looked at any more.
 bool Channel::take(Frame&& one) {
-  if (one.type == FrameType::heartbeat) return true;
-  if (one.channel != 0 && one.channel != kChannel) return lost("amqp.unknown_channel");
-  if (one.type != FrameType::method) return content(std::move(one));
-  if (content_ != Content::none) return lost("amqp.content_broken_off");
+  if (one.type == FrameType::heartbeat)
+    return true;
+  if (one.channel != 0 && one.channel != kChannel)
+    return lost("amqp.unknown_channel");
+  if (one.type != FrameType::method)
+    return content(std::move(one));
+  if (content_ != Content::none)
+    return lost("amqp.content_broken_off");
   Reader in(one.payload);
   const std::uint32_t cls = in.u16();
   const std::uint32_t id = method::id(cls, in.u16());
-  if (!method(in, id)) return false;
+  if (!method(in, id))
+    return false;
   return in.ok() ? true : lost("amqp.malformed");
 }
 
 bool Channel::method(Reader& in, std::uint32_t id) {
   const auto step = [&](State from, State to) {
-    if (state_ != from) return lost("amqp.out_of_order");
+    if (state_ != from)
+      return lost("amqp.out_of_order");
     state_ = to;
     return true;
   };
   switch (id) {
     case method::connection_start: {
-      if (!step(State::start, State::tune)) return false;
+      if (!step(State::start, State::tune))
+        return false;
       in.u16();  // the version: 0-9 of any revision
       in.table();
       const std::string mechanisms = in.long_text();
-      if (mechanisms.find("PLAIN") == std::string::npos) return lost("amqp.no_plain_login");
+      if (mechanisms.find("PLAIN") == std::string::npos)
+        return lost("amqp.no_plain_login");
       using namespace std::string_literals;
       // A table within a table: without these words a broker says neither `blocked` nor why a login is
       // refused.
@@ -117,12 +130,14 @@
       return true;
     }
     case method::connection_tune: {
-      if (!step(State::tune, State::open)) return false;
+      if (!step(State::tune, State::open))
+        return false;
       const std::uint16_t channels = in.u16();
       const std::uint32_t most = in.u32();
       const std::uint16_t theirs = in.u16();
       frame_most_ = most == 0 ? kFrameMost : std::min(most, kFrameMost);
-      if (frame_most_ < 4096) return lost("amqp.frames_too_small");  // the specification's least
+      if (frame_most_ < 4096)
+        return lost("amqp.frames_too_small");  // the specification's least
       parser_.limit(frame_most_ - FrameParser::overhead);
       const std::uint16_t mine = broker_.heartbeat_s;
       const std::uint16_t seconds =
@@ -135,25 +150,30 @@
       return true;
     }
     case method::connection_open_ok:
-      if (!step(State::open, State::channel)) return false;
+      if (!step(State::open, State::channel))
+        return false;
       say(method::channel_open, kChannel, Writer().short_text(""));
       return true;
     case method::channel_open_ok:
-      if (!step(State::channel, State::confirm)) return false;
+      if (!step(State::channel, State::confirm))
+        return false;
       say(method::confirm_select, kChannel, Writer().u8(0));
       return true;
     case method::confirm_select_ok:
-      if (!step(State::confirm, State::qos)) return false;
+      if (!step(State::confirm, State::qos))
+        return false;
       say(method::basic_qos, kChannel, Writer().u32(0).u16(broker_.prefetch).u8(0));
       return true;
     case method::basic_qos_ok:
-      if (!step(State::qos, State::declare)) return false;
+      if (!step(State::qos, State::declare))
+        return false;
       declare_next();
       return true;
     case method::exchange_declare_ok:
     case method::queue_declare_ok:
     case method::queue_bind_ok:
-      if (state_ == State::up) return true;  // of a queue made again
+      if (state_ == State::up)
+        return true;  // of a queue made again
       if (state_ != State::declare || id != declare(broker_.topology[declared_]).ok)
         return lost("amqp.out_of_order");
       ++declared_;
@@ -167,8 +187,11 @@
         consumer_.channel_up();
       }
       return true;
-    case method::basic_cancel_ok: return true;
-    case method::basic_cancel: consume_again(in.short_text()); return true;
+    case method::basic_cancel_ok:
+      return true;
+    case method::basic_cancel:
+      consume_again(in.short_text());
+      return true;
     case method::basic_deliver:
       in.short_text();
       delivery_ = Delivery();
@@ -193,7 +216,8 @@
     case method::channel_flow: {
       flowing_ = (in.u8() & 1) != 0;
       say(method::channel_flow_ok, kChannel, Writer().u8(flowing_ ? 1 : 0));
-      if (flowing_ && state_ == State::up) consumer_.channel_up();
+      if (flowing_ && state_ == State::up)
+        consumer_.channel_up();
       return true;
     }
     case method::connection_blocked:
@@ -201,7 +225,8 @@
       blocked_ = true;
       return true;
     case method::connection_unblocked:
-      if (std::exchange(blocked_, false) && state_ == State::up) consumer_.channel_up();
+      if (std::exchange(blocked_, false) && state_ == State::up)
+        consumer_.channel_up();
       return true;
     case method::channel_close:
       say(method::channel_close_ok, kChannel, Writer());
@@ -209,8 +234,11 @@
     case method::connection_close:
       say(method::connection_close_ok, 0, Writer());
       return closed_by(in, "amqp.connection_closed");
-    case method::connection_close_ok: close_later(); return false;
-    default: return lost("amqp.unknown_method");
+    case method::connection_close_ok:
+      close_later();
+      return false;
+    default:
+      return lost("amqp.unknown_method");
   }
 }
 
@@ -225,7 +253,8 @@
 }
 
 void Channel::consume_all() {
-  for (std::size_t i = 0; i < broker_.queues.size(); ++i) consume(i);
+  for (std::size_t i = 0; i < broker_.queues.size(); ++i)
+    consume(i);
 }
 void Channel::consume(std::size_t queue) {
   say(method::basic_consume, kChannel,
@@ -237,7 +266,8 @@
 void Channel::consume_again(const std::string& tag) {
   counters_.add("amqp.consumer_cancelled");
   for (std::size_t i = 0; i < broker_.queues.size(); ++i) {
-    if (consumer_tag(i) != tag) continue;
+    if (consumer_tag(i) != tag)
+      continue;
     if (const Declaration* maker = maker_of(broker_.topology, broker_.queues[i])) {
       const Declared again = declare(*maker);
       say(again.method, kChannel, again.arguments);
@@ -247,26 +277,32 @@
 }
 
 bool Channel::content(Frame&& one) {
-  if (content_ == Content::none) return lost("amqp.stray_content");
+  if (content_ == Content::none)
+    return lost("amqp.stray_content");
   if (one.type == FrameType::header) {
     auto read = header_seen_ ? std::nullopt : read_content_header(one.payload);
-    if (!read) return lost("amqp.malformed");
+    if (!read)
+      return lost("amqp.malformed");
     header_seen_ = true;
     body_left_ = read->first;
     delivery_.properties = std::move(read->second);
     delivery_.oversized = body_left_ > broker_.longest_body;
   } else {
-    if (!header_seen_ || one.payload.size() > body_left_) return lost("amqp.malformed");
+    if (!header_seen_ || one.payload.size() > body_left_)
+      return lost("amqp.malformed");
     body_left_ -= one.payload.size();
-    if (!delivery_.oversized) delivery_.body += one.payload;
+    if (!delivery_.oversized)
+      delivery_.body += one.payload;
   }
-  if (body_left_ == 0) content_done();
+  if (body_left_ == 0)
+    content_done();
   return true;
 }
 
 void Channel::content_done() {
   const Content kind = std::exchange(content_, Content::none);
-  if (kind != Content::delivery) return;
+  if (kind != Content::delivery)
+    return;
   counters_.add("amqp.deliveries");
   consumer_.delivered(std::move(delivery_));
 }
@@ -301,20 +337,23 @@
 }
 
 void Channel::close() {
-  if (!up()) return close_later();
+  if (!up())
+    return close_later();
   state_ = State::closing;
   say(method::connection_close, 0, Writer().u16(200).short_text("goodbye").u16(0).u16(0));
 }
 
 void Channel::beat() {
-  if (interval_.count() <= 0) return;
+  if (interval_.count() <= 0)
+    return;
   write(frame(FrameType::heartbeat, 0, {}));
   beat_ = loop().schedule_at(loop().now() + interval_ / 2, [this] { beat(); });
 }
 
 void Channel::watch_quiet() {
   loop().cancel(quiet_);
-  if (interval_.count() <= 0) return;
+  if (interval_.count() <= 0)
+    return;
   quiet_ = loop().schedule_at(loop().now() + interval_ * 2, [this] { lost("amqp.quiet"); });
 }
 
--- a/src/amqp/front.cpp
+++ b/src/amqp/front.cpp
@@ -20,10 +20,14 @@
 
 std::string text_of(const Table& headers, const std::string& name) {
   const auto found = headers.find(name);
-  if (found == headers.end()) return {};
-  if (const auto* text = std::get_if<std::string>(&found->second)) return *text;
-  if (const auto* whole = std::get_if<std::int64_t>(&found->second)) return std::to_string(*whole);
-  if (const auto* real = std::get_if<double>(&found->second)) return std::to_string(*real);
+  if (found == headers.end())
+    return {};
+  if (const auto* text = std::get_if<std::string>(&found->second))
+    return *text;
+  if (const auto* whole = std::get_if<std::int64_t>(&found->second))
+    return std::to_string(*whole);
+  if (const auto* real = std::get_if<double>(&found->second))
+    return std::to_string(*real);
   return {};
 }
 
@@ -48,7 +52,8 @@
       store_(store),
       recovery_(broker_.addresses, settings.seed),
       last_ref_(settings.seed) {
-  if (store_ != nullptr) prune_later();
+  if (store_ != nullptr)
+    prune_later();
 }
 
 Front::~Front() {
@@ -65,7 +70,8 @@
 void Front::connect() {
   net::ConnectResult connection = net::connect_to(recovery_.address());
   net::count_connect_error(loop_, connection);
-  if (!connection) return channel_down(Ending());
+  if (!connection)
+    return channel_down(Ending());
   Consumer& consumer = *this;
   channel_ =
       std::make_shared<Channel>(loop_, pool_, counters_, broker_, consumer, std::move(connection.socket));
@@ -83,10 +89,12 @@
   unconfirmed_.clear();
   unsent_.clear();
   memory_.forget_waiters();
-  if (channel_) loop_.delete_later(std::move(channel_));
+  if (channel_)
+    loop_.delete_later(std::move(channel_));
   channel_.reset();
   loop_.cancel(reconnect_);
-  if (draining_) return;
+  if (draining_)
+    return;
   const Plan plan = recovery_.after(ending);
   if (!plan.say.empty()) {
     counters_.add("amqp.refused");
@@ -98,7 +106,8 @@
 void Front::drain() {
   draining_ = true;
   loop_.cancel(reconnect_);
-  if (channel_) channel_->stop_consuming();
+  if (channel_)
+    channel_->stop_consuming();
 }
 
 bool Front::done() const {
@@ -106,7 +115,8 @@
 }
 
 void Front::close() {
-  if (channel_) channel_->close();
+  if (channel_)
+    channel_->close();
 }
 
 bool Front::read_call(const Delivery& delivery, core::Call& out) const {
@@ -175,14 +185,16 @@
     return answer_delivery(id, tag, address, delivery.redelivered);
   }
   if (once && store_ != nullptr) {
-    if (settled_by_store(id, delivery, address)) return;
+    if (settled_by_store(id, delivery, address))
+      return;
   } else if (delivery.redelivered && (once || (keyed && !age))) {
     // Another process, or this one before a restart or in a time now forgotten, may have run it; of a
     // keyed one only when it was published can show that its window is open.
     refuse_call(id, once, Verdict::failed, "amqp.may_have_run");
     return answer_delivery(id, tag, address, delivery.redelivered);
   }
-  if (keyed && delivery.redelivered) call.ran_since = call.arrived - *age;
+  if (keyed && delivery.redelivered)
+    call.ran_since = call.arrived - *age;
   if (running_.size() >= limits_.open_calls) {
     refuse_call(id, once, Verdict::refused, "amqp.too_many_open");
     return answer_delivery(id, tag, address, delivery.redelivered);
@@ -193,7 +205,8 @@
   memory_.begin(id, once).waiters.push_back({tag, address});
   const core::CallId number = dispatcher_.allocate_call_id();
   running_[number] = {id, once, false};
-  if (dispatcher_.admit(number, std::move(call), *this)) return;
+  if (dispatcher_.admit(number, std::move(call), *this))
+    return;
   answer(number, core::Answer());
 }
 
@@ -202,7 +215,8 @@
 // back.
 bool Front::out_of_time(const Properties& p, core::Call& call) {
   const auto left = time_left(p, loop_.wall());
-  if (!left) return false;
+  if (!left)
+    return false;
   const Millis since_arrival = loop_.now() - call.arrived;
   call.allow = std::min(call.allow, *left + since_arrival);
   return call.allow.count() <= 0;
@@ -218,9 +232,11 @@
   trust.now = loop_.now();
   idempotency::DeliveryFacts arrival{delivery.redelivered, std::nullopt};
   const auto& timestamp = delivery.properties.timestamp;
-  if (timestamp) arrival.published = Millis(static_cast<double>(*timestamp) * 1000);
+  if (timestamp)
+    arrival.published = Millis(static_cast<double>(*timestamp) * 1000);
   switch (idempotency::decide(known, arrival, trust)) {
-    case idempotency::Decision::run: return false;
+    case idempotency::Decision::run:
+      return false;
     case idempotency::Decision::fail_may_have_run:
       refuse_call(id, true, Verdict::failed, "amqp.may_have_run");
       break;
@@ -248,14 +264,17 @@
 
 bool Front::before_attempt(core::CallId call) {
   const auto found = running_.find(call);
-  if (store_ == nullptr || found == running_.end() || !found->second.once) return true;
-  if (!record(found->second.id, idempotency::ResultStage::sent, core::Answer())) return false;
+  if (store_ == nullptr || found == running_.end() || !found->second.once)
+    return true;
+  if (!record(found->second.id, idempotency::ResultStage::sent, core::Answer()))
+    return false;
   return found->second.recorded = true;
 }
 
 void Front::proved_not_run(core::CallId call) {
   const auto found = running_.find(call);
-  if (store_ == nullptr || found == running_.end() || !found->second.recorded) return;
+  if (store_ == nullptr || found == running_.end() || !found->second.recorded)
+    return;
   // If this is not taken the call counts as one that may have run: the safe side.
   record(found->second.id, idempotency::ResultStage::cleared, core::Answer());
 }
@@ -264,7 +283,8 @@
 // again. To another consumer it may have been meanwhile.
 core::Front::ClientState Front::client_state(core::CallId call, core::Millis) {
   const auto found = running_.find(call);
-  if (found == running_.end()) return ClientState::disconnected;
+  if (found == running_.end())
+    return ClientState::disconnected;
   const bool connected = channel_ && channel_->up() && channel_->peer_state() != net::PeerState::disconnected;
   const Remembered* known = memory_.find(found->second.id);
   return connected && known != nullptr && !known->waiters.empty() ? ClientState::waiting
@@ -279,19 +299,24 @@
 
 void Front::answer(core::CallId call, core::Answer&& answer) {
   const auto found = running_.find(call);
-  if (found == running_.end()) return;
+  if (found == running_.end())
+    return;
   const Running running = found->second;
   const std::string& id = running.id;
   running_.erase(found);
   // First: once the broker has it the answer must stand here too.
-  if (running.recorded) record(id, idempotency::ResultStage::answered, answer);
+  if (running.recorded)
+    record(id, idempotency::ResultStage::answered, answer);
   Remembered* known = memory_.find(id);
-  if (known == nullptr) return;
+  if (known == nullptr)
+    return;
   const auto waiters = std::move(known->waiters);
   known->waiters.clear();
   memory_.end(id, std::move(answer));
-  if (waiters.empty()) counters_.add("amqp.answers_kept");  // until its delivery comes again
-  for (const auto& waiter : waiters) answer_delivery(id, waiter.tag, waiter.address, true);
+  if (waiters.empty())
+    counters_.add("amqp.answers_kept");  // until its delivery comes again
+  for (const auto& waiter : waiters)
+    answer_delivery(id, waiter.tag, waiter.address, true);
 }
 
 // One answer for each address: a further delivery of the same call waits for the same confirm, or needs none.
@@ -299,15 +324,18 @@
                             bool redelivered) {
   const auto same = [&](const Publishing& p) { return p.id == id && p.address == address; };
   for (auto& [number, publishing] : unconfirmed_) {
-    if (same(publishing)) return publishing.tags.push_back(tag);
+    if (same(publishing))
+      return publishing.tags.push_back(tag);
   }
   for (auto& publishing : unsent_) {
-    if (same(publishing)) return publishing.tags.push_back(tag);
+    if (same(publishing))
+      return publishing.tags.push_back(tag);
   }
   const Remembered& known = *memory_.find(id);
   const bool held =
       std::find(known.confirmed.begin(), known.confirmed.end(), address) != known.confirmed.end();
-  if (held && redelivered) return channel_->ack(tag);  // only our ack was lost, not the answer
+  if (held && redelivered)
+    return channel_->ack(tag);  // only our ack was lost, not the answer
   publish({id, address, known.answer, {tag}});
 }
 
@@ -321,7 +349,8 @@
   Properties p;
   p.content_type = "application/octet-stream";
   p.correlation_id = publishing.address.correlation_id;
-  if (publishing.id.front() != '\n') p.message_id = publishing.id;
+  if (publishing.id.front() != '\n')
+    p.message_id = publishing.id;
   p.delivery_mode = 2;
   p.headers["word"] = std::string(words[static_cast<std::size_t>(answer.verdict)]);
   if (answer.cooldown.count() > 0) {
@@ -332,13 +361,15 @@
 }
 
 void Front::confirmed(std::uint64_t number, bool multiple, bool taken) {
-  if (multiple && number == 0) number = UINT64_MAX;  // the specification's "all so far"
+  if (multiple && number == 0)
+    number = UINT64_MAX;  // the specification's "all so far"
   const auto first = multiple ? unconfirmed_.begin() : unconfirmed_.find(number);
   const auto last = multiple                      ? unconfirmed_.upper_bound(number)
                     : first == unconfirmed_.end() ? first
                                                   : std::next(first);
   std::vector<Publishing> ended;
-  for (auto i = first; i != last; ++i) ended.push_back(std::move(i->second));
+  for (auto i = first; i != last; ++i)
+    ended.push_back(std::move(i->second));
   unconfirmed_.erase(first, last);
   for (auto& publishing : ended) {
     if (!taken) {
@@ -349,7 +380,8 @@
       continue;
     }
     if (Remembered* known = memory_.find(publishing.id)) {
-      if (known->confirmed.size() >= kAddressesKept) known->confirmed.erase(known->confirmed.begin());
+      if (known->confirmed.size() >= kAddressesKept)
+        known->confirmed.erase(known->confirmed.begin());
       known->confirmed.push_back(publishing.address);
       std::optional<idempotency::ResultRecord> entry;
       if (store_ != nullptr && known->once && store_->find(publishing.id, entry) && entry &&
@@ -360,7 +392,8 @@
         store_->put(publishing.id, *entry);
       }
     }
-    for (const auto tag : publishing.tags) channel_->ack(tag);
+    for (const auto tag : publishing.tags)
+      channel_->ack(tag);
   }
 }
 
--- a/src/amqp/memory.cpp
+++ b/src/amqp/memory.cpp
@@ -25,7 +25,8 @@
 
 void Memory::end(const std::string& id, core::Answer&& answer) {
   const auto found = entries_.find(id);
-  if (found == entries_.end() || found->second.remembered.answer) return;
+  if (found == entries_.end() || found->second.remembered.answer)
+    return;
   bytes_ += cost(id, answer);
   found->second.remembered.answer = std::make_shared<const core::Answer>(std::move(answer));
   found->second.place = ended_.insert(ended_.end(), id);
@@ -36,7 +37,8 @@
 
 void Memory::forget(const std::string& id) {
   const auto found = entries_.find(id);
-  if (found == entries_.end()) return;
+  if (found == entries_.end())
+    return;
   if (found->second.remembered.answer) {
     bytes_ -= cost(id, *found->second.remembered.answer);
     ended_.erase(found->second.place);
@@ -45,7 +47,8 @@
 }
 
 void Memory::forget_waiters() {
-  for (auto& [id, entry] : entries_) entry.remembered.waiters.clear();
+  for (auto& [id, entry] : entries_)
+    entry.remembered.waiters.clear();
 }
 
 }  // namespace lotusyard::amqp
--- a/src/amqp/recovery.cpp
+++ b/src/amqp/recovery.cpp
@@ -55,7 +55,8 @@
 Plan Recovery::after(const Ending& ending) {
   // A broker that takes us and ends the connection at once, again and again, is reached as if all
   // were well. Only one that has been up for a while has shown that it is.
-  if (ending.came_up && ending.up_for >= bounds_.settled) failures_ = 0;
+  if (ending.came_up && ending.up_for >= bounds_.settled)
+    failures_ = 0;
   // Some brokers end the connection without a word on a wrong password.
   const std::uint16_t code = ending.code == 0 && ending.at_login ? 403 : ending.code;
   const Again again = again_after(code);
@@ -63,15 +64,18 @@
   // The list is gone through in turn; what one has refused another may grant. The one that served is tried
   // again first if it ended for no fault that it told.
   const bool stay = ending.came_up && failures_ == 0 && code == 0;
-  if (!stay) broker_ = (broker_ + 1) % brokers_.size();
+  if (!stay)
+    broker_ = (broker_ + 1) % brokers_.size();
   out.broker = broker_;
   const std::size_t round = failures_ / brokers_.size();  // each broker has its turn before the pause grows
   const Millis most = again == Again::operator_ ? bounds_.operator_most : bounds_.most;
   Millis wait =
       std::min(bounds_.first * std::pow(2.0, static_cast<double>(std::min<std::size_t>(round, 20))), most);
   const bool all_tried = (failures_ + 1) % brokers_.size() == 0;
-  if (again == Again::operator_ && all_tried) wait = std::max(wait, bounds_.most);
-  if (again == Again::later && all_tried) wait = std::max(wait, bounds_.most / 5);
+  if (again == Again::operator_ && all_tried)
+    wait = std::max(wait, bounds_.most);
+  if (again == Again::later && all_tried)
+    wait = std::max(wait, bounds_.most / 5);
   ++failures_;
   // Invokers that lose one broker in the same moment come to the next in step.
   out.wait = std::min(wait * jitter(), most);
--- a/src/amqp/wire.cpp
+++ b/src/amqp/wire.cpp
@@ -39,7 +39,8 @@
       const std::size_t part = std::min(kHeadSize - head_.size(), bytes.size());
       head_.append(bytes.substr(0, part));
       bytes.remove_prefix(part);
-      if (head_.size() < kHeadSize) break;
+      if (head_.size() < kHeadSize)
+        break;
       Reader head(head_);
       const std::uint8_t type = head.u8();
       frame_ = Frame{static_cast<FrameType>(type), head.u16(), {}};
@@ -53,11 +54,13 @@
     frame_.payload.append(bytes.substr(0, part));
     bytes.remove_prefix(part);
     left_ -= part;
-    if (left_ > 0 || bytes.empty()) break;
+    if (left_ > 0 || bytes.empty())
+      break;
     spoilt_ = bytes.front() != kFrameEnd;
     bytes.remove_prefix(1);
     in_payload_ = false;
-    if (!spoilt_) out.push_back(std::move(frame_));
+    if (!spoilt_)
+      out.push_back(std::move(frame_));
   }
   return !spoilt_;
 }
@@ -72,7 +75,8 @@
 }
 
 Writer& Writer::number(std::uint64_t v, int bytes) {
-  for (int i = bytes - 1; i >= 0; --i) out_ += static_cast<char>(v >> (8 * i) & 0xFF);
+  for (int i = bytes - 1; i >= 0; --i)
+    out_ += static_cast<char>(v >> (8 * i) & 0xFF);
   return *this;
 }
 
@@ -112,7 +116,8 @@
 
 std::uint64_t Reader::number(int bytes) {
   std::uint64_t v = 0;
-  for (const char c : cut(static_cast<std::size_t>(bytes))) v = v << 8 | static_cast<std::uint8_t>(c);
+  for (const char c : cut(static_cast<std::size_t>(bytes)))
+    v = v << 8 | static_cast<std::uint8_t>(c);
   return v;
 }
 
@@ -130,17 +135,26 @@
 Value Reader::value(int depth) {
   const auto whole = [](auto v) { return Value(static_cast<std::int64_t>(v)); };
   switch (u8()) {
-    case 't': return Value(u8() != 0);
-    case 'b': return whole(static_cast<std::int8_t>(u8()));
-    case 'B': return whole(u8());
+    case 't':
+      return Value(u8() != 0);
+    case 'b':
+      return whole(static_cast<std::int8_t>(u8()));
+    case 'B':
+      return whole(u8());
     case 'U':
-    case 's': return whole(static_cast<std::int16_t>(u16()));
-    case 'u': return whole(u16());
-    case 'I': return whole(static_cast<std::int32_t>(u32()));
-    case 'i': return whole(u32());
+    case 's':
+      return whole(static_cast<std::int16_t>(u16()));
+    case 'u':
+      return whole(u16());
+    case 'I':
+      return whole(static_cast<std::int32_t>(u32()));
+    case 'i':
+      return whole(u32());
     case 'L':
-    case 'l': return whole(u64());
-    case 'T': return u64(), Value();
+    case 'l':
+      return whole(u64());
+    case 'T':
+      return u64(), Value();
     case 'f': {
       const std::uint32_t bits = u32();
       float real = 0;
@@ -153,21 +167,31 @@
       std::memcpy(&real, &bits, sizeof real);
       return Value(real);
     }
-    case 'D': return u8(), u32(), Value();
-    case 'S': return Value(long_text());
-    case 'x': return long_text(), Value();
-    case 'A': return skip_items(cut(u32()), false, depth), Value();
-    case 'F': return skip_items(cut(u32()), true, depth), Value();
-    case 'V': return Value();
-    default: ok_ = false; return Value();
+    case 'D':
+      return u8(), u32(), Value();
+    case 'S':
+      return Value(long_text());
+    case 'x':
+      return long_text(), Value();
+    case 'A':
+      return skip_items(cut(u32()), false, depth), Value();
+    case 'F':
+      return skip_items(cut(u32()), true, depth), Value();
+    case 'V':
+      return Value();
+    default:
+      ok_ = false;
+      return Value();
   }
 }
 
 void Reader::skip_items(std::string_view items, bool named, int depth) {
   Reader inner(items);
-  if (depth >= kDeepest) inner.ok_ = false;
+  if (depth >= kDeepest)
+    inner.ok_ = false;
   while (inner.ok_ && !inner.left_.empty()) {
-    if (named) inner.short_text();
+    if (named)
+      inner.short_text();
     inner.value(depth + 1);
   }
   ok_ = ok_ && inner.ok_;
@@ -188,7 +212,8 @@
   std::uint16_t flags = 0;
   Writer values;
   const auto text = [&](PropertyBit bit, const std::string& value) {
-    if (value.empty()) return;
+    if (value.empty())
+      return;
     flags = static_cast<std::uint16_t>(flags | bit);
     values.short_text(value);
   };
@@ -229,21 +254,36 @@
   const std::uint64_t size = in.u64();
   const std::uint16_t flags = in.u16();
   Properties p;
-  if (flags & content_type_bit) p.content_type = in.short_text();
-  if (flags & content_encoding_bit) p.content_encoding = in.short_text();
-  if (flags & headers_bit) p.headers = in.table();
-  if (flags & delivery_mode_bit) p.delivery_mode = in.u8();
-  if (flags & priority_bit) p.priority = in.u8();
-  if (flags & correlation_id_bit) p.correlation_id = in.short_text();
-  if (flags & reply_to_bit) p.reply_to = in.short_text();
-  if (flags & expiration_bit) p.expiration = in.short_text();
-  if (flags & message_id_bit) p.message_id = in.short_text();
-  if (flags & timestamp_bit) p.timestamp = in.u64();
-  if (flags & type_bit) p.type = in.short_text();
-  if (flags & user_id_bit) p.user_id = in.short_text();
-  if (flags & app_id_bit) p.app_id = in.short_text();
-  if (flags & cluster_id_bit) in.short_text();  // deprecated by the specification
-  if (!basic || !in.ok() || (flags & continued_bit) != 0) return std::nullopt;
+  if (flags & content_type_bit)
+    p.content_type = in.short_text();
+  if (flags & content_encoding_bit)
+    p.content_encoding = in.short_text();
+  if (flags & headers_bit)
+    p.headers = in.table();
+  if (flags & delivery_mode_bit)
+    p.delivery_mode = in.u8();
+  if (flags & priority_bit)
+    p.priority = in.u8();
+  if (flags & correlation_id_bit)
+    p.correlation_id = in.short_text();
+  if (flags & reply_to_bit)
+    p.reply_to = in.short_text();
+  if (flags & expiration_bit)
+    p.expiration = in.short_text();
+  if (flags & message_id_bit)
+    p.message_id = in.short_text();
+  if (flags & timestamp_bit)
+    p.timestamp = in.u64();
+  if (flags & type_bit)
+    p.type = in.short_text();
+  if (flags & user_id_bit)
+    p.user_id = in.short_text();
+  if (flags & app_id_bit)
+    p.app_id = in.short_text();
+  if (flags & cluster_id_bit)
+    in.short_text();  // deprecated by the specification
+  if (!basic || !in.ok() || (flags & continued_bit) != 0)
+    return std::nullopt;
   return std::make_pair(size, std::move(p));
 }
 
--- a/src/app/bounds.cpp
+++ b/src/app/bounds.cpp
@@ -32,10 +32,12 @@
                                    : hosts::LivenessProbe::none;
   Millis aim{0};
   for (const auto& c : settings.classes) {
-    if (c.aim.count() > 0) aim = aim.count() > 0 ? std::min(aim, c.aim) : c.aim;
+    if (c.aim.count() > 0)
+      aim = aim.count() > 0 ? std::min(aim, c.aim) : c.aim;
   }
   out.past_kept = std::max(out.past_kept, core::longest_deadline(settings));
-  if (aim.count() > 0) out.quiet = aim * kQuietAim;
+  if (aim.count() > 0)
+    out.quiet = aim * kQuietAim;
   return out;
 }
 
--- a/src/app/invoker.cpp
+++ b/src/app/invoker.cpp
@@ -27,7 +27,8 @@
 std::string keep_what_needs_a_start(const config::Config& now, config::Config& next) {
   std::string differs;
   const auto keep = [&differs](const char* name, const auto& from, auto& to) {
-    if (from == to) return;
+    if (from == to)
+      return;
     differs += (differs.empty() ? "" : ", ") + std::string(name);
     to = from;
   };
@@ -45,7 +46,8 @@
 std::string folder_of(const config::Config& config) {
   const std::string base = environment("TMPDIR");
   const bool needed = !config.console.empty() || config.listen_fd >= 0;
-  if (!needed || base.empty()) return {};
+  if (!needed || base.empty())
+    return {};
   return base + "/lotusyard." + endpoints::DisabledHostFiles::file_name(config.name);
 }
 
@@ -70,7 +72,8 @@
             host_connections_.update_endpoints(
                 list);  // first: what the module sends next needs the addresses
             core::HostList entries{kind, {}};
-            for (const auto& member : list.hosts) entries.entries.push_back(member.entry);
+            for (const auto& member : list.hosts)
+              entries.entries.push_back(member.entry);
             dispatcher_.update_endpoints(std::move(entries));
           },
           [this] {
@@ -80,8 +83,9 @@
   loop_.count_errors([this](const char* name) { counters_.add(name); });
   host_connections_.attach(dispatcher_);
   outline_ = config::outline(std::move(outline_));
-  if (!state_folder_.empty()) poll_shared_state();  // before any host is named: none may be used that is out
-  attach_extension(make_companion);                 // before any host is named, too
+  if (!state_folder_.empty())
+    poll_shared_state();             // before any host is named: none may be used that is out
+  attach_extension(make_companion);  // before any host is named, too
   follow_list();
   listen();
   take_triggers(make_store);
@@ -114,7 +118,8 @@
   discovery::Log log;
   for (const auto& event : config_->known_events) {
     core::HostListUpdate list;
-    if (log.event(event, list) != discovery::Log::Read::news) continue;
+    if (log.event(event, list) != discovery::Log::Read::news)
+      continue;
     endpoint_states_.apply_list(list, list.complete ? core::ListKind::cached : core::ListKind::delta);
   }
   log.skip_to(config_->known_seq);
@@ -125,7 +130,8 @@
     const auto& xds = *config_->xds;
     host_file_.emplace(loop_, counters_, xds.file, xds.cluster, xds.reread, told_later);
     std::string fault;
-    if (!host_file_->start(fault)) throw config::ConfigError("configuration: xds.file: " + fault);
+    if (!host_file_->start(fault))
+      throw config::ConfigError("configuration: xds.file: " + fault);
   } else {
     discovery_.emplace(loop_, pool_, counters_, config_->changelog, log, told_later);
     discovery_->start();
@@ -133,7 +139,8 @@
 }
 
 void Invoker::listen() {
-  if (config_->listen.empty()) return;
+  if (config_->listen.empty())
+    return;
   if (replaces()) {
     front_.listen(net::adopt_listener(config_->listen_fd));
     if (!front_.listening()) {
@@ -147,7 +154,8 @@
 }
 
 void Invoker::attach_extension(const ExtensionFactory& make_companion) {
-  if (!make_companion) return;
+  if (!make_companion)
+    return;
   const auto settings = [this]() -> const core::Settings& { return dispatcher_.settings(); };
   const auto share = [this](double part) {
     core::Settings next = dispatcher_.settings();
@@ -157,7 +165,8 @@
   extension_ =
       make_companion({loop_, counters_, endpoint_states_, host_connections_, settings, share, config_->name},
                      read_file(file_));
-  if (!extension_) return;
+  if (!extension_)
+    return;
   dispatcher_.set_host_filter(host_connections_.gate(extension_->host_filter()));
   dispatcher_.observe_rejections([this](const core::Call& call) { extension_->on_rejected(call); });
   host_connections_.set_send_filter(
@@ -171,7 +180,8 @@
 }
 
 void Invoker::take_triggers(const ResultStoreFactory& make_store) {
-  if (!config_->amqp) return;
+  if (!config_->amqp)
+    return;
   const auto& amqp = *config_->amqp;
   if (!amqp.store.empty()) {
     if (!make_store)
@@ -193,12 +203,14 @@
     counters_.add("membership.not_read");  // what was known holds
   }
   const ProcessRole other = is_shutting_down() ? ProcessRole::draining : ProcessRole::concurrent;
-  if (presence_.known()) set_role(presence_.other_lives() ? other : ProcessRole::sole);
+  if (presence_.known())
+    set_role(presence_.other_lives() ? other : ProcessRole::sole);
   poll_timer_ = loop_.schedule_at(loop_.now() + kLookPace, [this] { poll_shared_state(); });
 }
 
 void Invoker::set_role(ProcessRole standing) {
-  if (standing == role_) return;
+  if (standing == role_)
+    return;
   role_ = standing;
   const auto mine = resource_shares();
   pool_.set_max_blocks(mine.unwritten / net::BufferPool::block_size);
@@ -218,15 +230,18 @@
     std::string fault;
     if (host_file_ && !host_file_->move(next->xds->file, next->xds->cluster, fault))
       throw config::ConfigError("configuration: xds.file: " + fault);
-    if (discovery_) discovery_->move(next->changelog);
+    if (discovery_)
+      discovery_->move(next->changelog);
     const std::string differs = keep_what_needs_a_start(*config_, *next);
-    if (!differs.empty()) std::cerr << "lotusyard: hold from the next start: " << differs << std::endl;
+    if (!differs.empty())
+      std::cerr << "lotusyard: hold from the next start: " << differs << std::endl;
     config_ = next;
     outline_ = config::outline(file);
     host_connections_.set_limits(host_limits(*config_, resource_shares()));
     next->settings.share = dispatcher_.settings().share;
     dispatcher_.apply_settings(next->settings);
-    if (triggers_) triggers_->apply_settings(next->settings);
+    if (triggers_)
+      triggers_->apply_settings(next->settings);
     counters_.add("config.reread");
   } catch (const std::exception& fault) {
     counters_.add("config.faulty");  // the old one goes on
--- a/src/app/invoker_admin_endpoint.cpp
+++ b/src/app/invoker_admin_endpoint.cpp
@@ -6,7 +6,8 @@
 namespace lotusyard {
 
 void Invoker::open_admin_endpoint() {
-  if (config_->console.empty()) return;
+  if (config_->console.empty())
+    return;
   admin_endpoint_.emplace(loop_, counters_, static_cast<admin::AdminOperations&>(*this),
                           resource_shares().callers);
   if (!admin_endpoint_->listen(config_->console)) {
@@ -26,16 +27,20 @@
 }
 
 admin::OperationResult Invoker::disable(const std::string& host) {
-  if (!endpoint_states_.is_known(host)) return admin::OperationResult::unknown_host;
-  if (!disabled_host_files_.add(host)) return admin::OperationResult::not_persisted;
+  if (!endpoint_states_.is_known(host))
+    return admin::OperationResult::unknown_host;
+  if (!disabled_host_files_.add(host))
+    return admin::OperationResult::not_persisted;
   endpoint_states_.disable(host);
   std::cout << "lotusyard " << config_->name << ": host " << host << " is out by hand" << std::endl;
   return admin::OperationResult::done;
 }
 
 admin::OperationResult Invoker::enable(const std::string& host) {
-  if (!endpoint_states_.is_known(host)) return admin::OperationResult::unknown_host;
-  if (!disabled_host_files_.remove(host)) return admin::OperationResult::not_persisted;
+  if (!endpoint_states_.is_known(host))
+    return admin::OperationResult::unknown_host;
+  if (!disabled_host_files_.remove(host))
+    return admin::OperationResult::not_persisted;
   endpoint_states_.enable(host, loop_.now());
   std::cout << "lotusyard " << config_->name << ": host " << host << " may be used again" << std::endl;
   return admin::OperationResult::done;
--- a/src/app/invoker_shutdown.cpp
+++ b/src/app/invoker_shutdown.cpp
@@ -26,12 +26,15 @@
   if (replaces()) {
     // The other process takes clients: what comes next is for it.
     front_.stop_listening();
-    if (role_ != ProcessRole::sole) set_role(ProcessRole::draining);
+    if (role_ != ProcessRole::sole)
+      set_role(ProcessRole::draining);
   } else {
     front_.drain();
   }
-  if (triggers_) triggers_->drain();
-  if (extension_) extension_->drain();
+  if (triggers_)
+    triggers_->drain();
+  if (extension_)
+    extension_->drain();
 }
 
 bool Invoker::shutdown_complete() {
@@ -40,17 +43,21 @@
   const Millis latest = std::min(core::longest_deadline(config_->settings), kMostKill) + kKillSlack;
   // Calls that come just before their connection stops may still be out: ended with the process they
   // would be lost.
-  if (since > latest) front_.answer_all();
+  if (since > latest)
+    front_.answer_all();
   bool quiet = front_.open_calls() == 0 && front_.written();
   if (replaces()) {
     // A connection that always has something open would still have at the end, and lose it.
-    if (since > kTakeFor) front_.take_no_more();
+    if (since > kTakeFor)
+      front_.take_no_more();
     quiet = front_.hand_over() && quiet;
   } else {
-    if (since > kListenFor) front_.stop_listening();
+    if (since > kListenFor)
+      front_.stop_listening();
     quiet = quiet && since > kComingFor;
   }
-  if (since > latest + kWriteFor) return true;
+  if (since > latest + kWriteFor)
+    return true;
   if (!quiet || (triggers_ && !triggers_->done()) || (admin_endpoint_ && !admin_endpoint_->quiet()))
     return false;
   // What clients have sent by now is read and answered before the end; to be refused is harmless.
@@ -61,17 +68,24 @@
 void Invoker::run() {
   while (true) {
     Millis due = dispatcher_.next_deadline();
-    if (is_shutting_down()) due = std::min(due, loop_.now() + kTurnMost);
+    if (is_shutting_down())
+      due = std::min(due, loop_.now() + kTurnMost);
     loop_.run_once(due, [this] {
       dispatcher_.tick();
-      if (extension_) extension_->before_writes();
+      if (extension_)
+        extension_->before_writes();
     });
-    if (signals_.print_requested()) counters_.print(std::cout);
-    if (signals_.reload_requested()) reload_configuration();
-    if (signals_.terminate_requested() && !is_shutting_down()) begin_shutdown();
-    if (is_shutting_down() && shutdown_complete()) break;
+    if (signals_.print_requested())
+      counters_.print(std::cout);
+    if (signals_.reload_requested())
+      reload_configuration();
+    if (signals_.terminate_requested() && !is_shutting_down())
+      begin_shutdown();
+    if (is_shutting_down() && shutdown_complete())
+      break;
   }
-  if (triggers_) triggers_->close();
+  if (triggers_)
+    triggers_->close();
   loop_.run_once(loop_.now(), [] {});
   counters_.print(std::cout);
 }
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -92,9 +92,12 @@
   app.require_subcommand(0, 1);
   CLI11_PARSE(app, count, words);
   try {
-    if (check_command->parsed()) return check(checked);
-    if (answers_command->parsed()) return list_answers(listed);
-    if (operating) return operating();
+    if (check_command->parsed())
+      return check(checked);
+    if (answers_command->parsed())
+      return list_answers(listed);
+    if (operating)
+      return operating();
     return run(file.empty() ? environment("BALANCER_CONFIG") : file, open_store, node::make_extension);
   } catch (const std::exception& fault) {
     std::cerr << "lotusyard: " << fault.what() << std::endl;
--- a/src/cli/operate.cpp
+++ b/src/cli/operate.cpp
@@ -81,21 +81,25 @@
     if (!wait_for(socket, POLLIN, until))
       throw std::runtime_error("the member at " + address + " does not answer");
     const ssize_t read = ::recv(socket.fd(), block, sizeof block, 0);
-    if (read < 0 && (errno == EAGAIN || errno == EINTR)) continue;
-    if (read <= 0) break;
+    if (read < 0 && (errno == EAGAIN || errno == EINTR))
+      continue;
+    if (read <= 0)
+      break;
     got.append(block, static_cast<std::size_t>(read));
   }
   const auto head = got.find("\r\n\r\n");
   if (head == std::string::npos || got.compare(0, 9, "HTTP/1.1 ") != 0)
     throw std::runtime_error("the member at " + address + " gave no answer");
   Reply out{std::atoi(got.c_str() + 9), got.substr(head + 4)};
-  while (!out.body.empty() && out.body.back() == '\n') out.body.pop_back();
+  while (!out.body.empty() && out.body.back() == '\n')
+    out.body.pop_back();
   return out;
 }
 
 json show(const std::string& address, const std::string& path) {
   const Reply reply = ask(address, "GET", path);
-  if (reply.status != 200) throw std::runtime_error("the member at " + address + ": " + reply.body);
+  if (reply.status != 200)
+    throw std::runtime_error("the member at " + address + ": " + reply.body);
   return json::parse(reply.body);
 }
 
@@ -116,11 +120,13 @@
     if (Clock::now() >= again) {
       const Reply sent = ask(address, "POST", "/-/works/propose/" + proposal.dump());
       last = sent.body;
-      if (sent.status != 202 && sent.status != 503) throw std::runtime_error(sent.body);
+      if (sent.status != 202 && sent.status != 503)
+        throw std::runtime_error(sent.body);
       again = Clock::now() + std::chrono::milliseconds(kAgainMs);
     }
     const Reply came = ask(address, "GET", "/-/works/outcome/" + id);
-    if (came.status == 200) return json::parse(came.body);
+    if (came.status == 200)
+      return json::parse(came.body);
     last = came.body;
     std::this_thread::sleep_for(std::chrono::milliseconds(50));
   }
@@ -175,12 +181,15 @@
 
 void print_work(const json& work, bool hosts) {
   std::map<std::string, int> stages;
-  for (const auto& [id, h] : work.at("hosts").items()) ++stages[h.at("stage").get<std::string>()];
+  for (const auto& [id, h] : work.at("hosts").items())
+    ++stages[h.at("stage").get<std::string>()];
   std::cout << work.at("id").get<std::string>() << ' ' << work.at("state").get<std::string>();
-  for (const auto& [stage, count] : stages) std::cout << ' ' << count << ' ' << stage;
+  for (const auto& [stage, count] : stages)
+    std::cout << ' ' << count << ' ' << stage;
   const std::string waits = work.at("waits").get<std::string>();
   std::cout << (waits.empty() ? "" : ": " + waits) << '\n';
-  if (!hosts) return;
+  if (!hosts)
+    return;
   for (const auto& [id, h] : work.at("hosts").items()) {
     const std::string reason = h.at("reason").get<std::string>();
     std::cout << "  " << id << ' ' << h.at("stage").get<std::string>()
@@ -190,22 +199,26 @@
 
 const json* find_work(const json& works, const std::string& id) {
   for (const auto& w : works.at("works")) {
-    if (w.at("id") == id) return &w;
+    if (w.at("id") == id)
+      return &w;
   }
   return nullptr;
 }
 
 int list(const Asked& asked, bool hosts) {
   const auto works = look(asked, "/-/works");
-  if (!works) return 0;
+  if (!works)
+    return 0;
   bool found = asked.work.empty();
   for (const auto& w : works->at("works")) {
-    if (!asked.work.empty() && w.at("id") != asked.work) continue;
+    if (!asked.work.empty() && w.at("id") != asked.work)
+      continue;
     found = true;
     print_work(w, hosts);
   }
   std::cout << std::flush;
-  if (!found) std::cerr << "no work " << asked.work << std::endl;
+  if (!found)
+    std::cerr << "no work " << asked.work << std::endl;
   return found ? 0 : 1;
 }
 
@@ -228,7 +241,8 @@
       print_work(*work, false);
       std::cout << std::flush;
       const std::string state = work->at("state").get<std::string>();
-      if (state == "done" || state == "cancelled") return state == "done" ? 0 : 1;
+      if (state == "done" || state == "cancelled")
+        return state == "done" ? 0 : 1;
     }
     std::this_thread::sleep_for(std::chrono::milliseconds(200));
   }
@@ -236,10 +250,14 @@
 
 int add(const Asked& asked) {
   json select = json::object();
-  if (asked.all) select["all"] = true;
-  if (!asked.hosts.empty()) select["hosts"] = asked.hosts;
-  if (!asked.zones.empty()) select["zones"] = asked.zones;
-  if (!asked.kinds.empty()) select["kinds"] = asked.kinds;
+  if (asked.all)
+    select["all"] = true;
+  if (!asked.hosts.empty())
+    select["hosts"] = asked.hosts;
+  if (!asked.zones.empty())
+    select["zones"] = asked.zones;
+  if (!asked.kinds.empty())
+    select["kinds"] = asked.kinds;
   const json bounds = {
       {"out", asked.out},        {"zone", asked.zone_out},         {"kind", asked.kind_out},
       {"usable", asked.usable},  {"away_ms", asked.away_s * 1000}, {"pause_ms", asked.pause_s * 1000},
@@ -251,7 +269,8 @@
 
 int status(const Asked& asked) {
   const auto said = look(asked, "/-/group");
-  if (!said) return 0;
+  if (!said)
+    return 0;
   const json& group = *said;
   std::cout << "term " << group.at("term") << ", led by " << group.at("leader")
             << (group.at("leads").get<bool>() ? " (this one)" : "") << ", lease " << group.at("lease_ms")
@@ -276,7 +295,8 @@
   const auto file = config::read_json_file(asked.file);
   const auto config = config::read_config(file, read_environment());
   const auto group = raft::parse_config(file, config.name, core::longest_deadline(config.settings));
-  if (!group) throw config::ConfigError("configuration: group: not set");
+  if (!group)
+    throw config::ConfigError("configuration: group: not set");
   raft::RaftReplica::bootstrap(*group);
   std::cout << "member " << group->member << " of group " << group->cluster << " may start" << std::endl;
   return 0;
@@ -286,16 +306,20 @@
   std::vector<std::string> lines;
   for (const auto& path : asked.logs) {
     std::ifstream in(path);
-    if (!in) throw std::runtime_error(path + ": cannot be read");
-    for (std::string line; std::getline(in, line);) lines.push_back(line);
+    if (!in)
+      throw std::runtime_error(path + ": cannot be read");
+    for (std::string line; std::getline(in, line);)
+      lines.push_back(line);
   }
   const auto events = maintenance::parse_timeline(lines);
   std::cout << maintenance::render_table(events) << std::flush;
-  if (asked.svg.empty()) return 0;
+  if (asked.svg.empty())
+    return 0;
   std::ofstream out(asked.svg);
   out << maintenance::render_svg(events);
   out.close();
-  if (!out) throw std::runtime_error(asked.svg + ": cannot be written");
+  if (!out)
+    throw std::runtime_error(asked.svg + ": cannot be written");
   return 0;
 }
 
--- a/src/compliance/compliance_replica.cpp
+++ b/src/compliance/compliance_replica.cpp
@@ -11,9 +11,7 @@
 // Periods after which the leader repeats a proposal that has not been applied.
 constexpr int kProposalRetryPeriods = 4;
 
-Millis period_of(const raft::Config& config) {
-  return config.terms.heartbeat_interval() / 2;
-}
+Millis period_of(const raft::Config& config) { return config.terms.heartbeat_interval() / 2; }
 
 }  // namespace
 
@@ -36,9 +34,7 @@
   run_periodic();
 }
 
-void ComplianceReplica::update() {
-  filter_.update();
-}
+void ComplianceReplica::update() { filter_.update(); }
 
 void ComplianceReplica::apply(std::uint64_t index, const std::string& text) {
   std::optional<LogEntry> entry;
--- a/src/compliance/log_entry_codec.cpp
+++ b/src/compliance/log_entry_codec.cpp
@@ -51,21 +51,15 @@
   return out;
 }
 
-json encode_command(const PutRegime& command) {
-  return {{"regime", to_json(command.regime)}};
-}
+json encode_command(const PutRegime& command) { return {{"regime", to_json(command.regime)}}; }
 
 json encode_command(const PutTenant& command) {
   return {{"tenant", command.tenant}, {"regimes", command.regimes}};
 }
 
-json encode_command(const Certify& command) {
-  return {{"certificate", to_json(command.certificate)}};
-}
+json encode_command(const Certify& command) { return {{"certificate", to_json(command.certificate)}}; }
 
-json encode_command(const Revoke& command) {
-  return encode_target_fields({command.certificate, {}, 0, 0});
-}
+json encode_command(const Revoke& command) { return encode_target_fields({command.certificate, {}, 0, 0}); }
 
 json encode_command(const Acknowledge& command) {
   return encode_target_fields(
@@ -76,9 +70,7 @@
   return encode_target_fields({command.certificate, {}, 0, command.revoked_at_index});
 }
 
-Command parse_put_regime(const json& from) {
-  return PutRegime{parse_regime(from.value("regime", json()))};
-}
+Command parse_put_regime(const json& from) { return PutRegime{parse_regime(from.value("regime", json()))}; }
 
 Command parse_put_tenant(const json& from) {
   PutTenant out;
@@ -100,9 +92,7 @@
   return Certify{parse_certificate(from.value("certificate", json()))};
 }
 
-Command parse_revoke(const json& from) {
-  return Revoke{parse_target_fields(from, true, false).certificate};
-}
+Command parse_revoke(const json& from) { return Revoke{parse_target_fields(from, true, false).certificate}; }
 
 Command parse_acknowledge(const json& from) {
   const TargetFields target = parse_target_fields(from, true, true);
--- a/src/config/json_read.h
+++ b/src/config/json_read.h
@@ -25,13 +25,15 @@
 }
 
 inline const json& key(const json& object, const char* name) {
-  if (!object.is_object()) return absent();
+  if (!object.is_object())
+    return absent();
   const auto found = object.find(name);
   return found == object.end() ? absent() : *found;
 }
 
 inline double number(const json& value, double missing = 0) {
-  if (!value.is_number()) return missing;
+  if (!value.is_number())
+    return missing;
   const double read = value.get<double>();
   return std::isfinite(read) ? read : missing;
 }
@@ -44,14 +46,16 @@
 }
 
 inline std::uint64_t large(const json& value) {
-  if (value.is_number_unsigned()) return value.get<std::uint64_t>();
+  if (value.is_number_unsigned())
+    return value.get<std::uint64_t>();
   return value.is_number_integer() ? static_cast<std::uint64_t>(value.get<std::int64_t>()) : 0;
 }
 
 inline bool flag(const json& value) { return value.is_boolean() ? value.get<bool>() : number(value) != 0; }
 
 inline std::string text(const json& value) {
-  if (value.is_string()) return value.get<std::string>();
+  if (value.is_string())
+    return value.get<std::string>();
   return value.is_number_integer() ? value.dump() : std::string();
 }
 
--- a/src/config/replacement.cpp
+++ b/src/config/replacement.cpp
@@ -16,7 +16,8 @@
 json common_row(const json& rows) {
   json common = rows.front();
   for (const auto& row : rows) {
-    if (!row.is_object() || !common.is_object()) return json();
+    if (!row.is_object() || !common.is_object())
+      return json();
     for (auto i = common.begin(); i != common.end();)
       i = row.contains(i.key()) ? std::next(i) : common.erase(i);
   }
@@ -27,14 +28,16 @@
   const auto fault = [](const std::string& key, const std::string& what) {
     throw ConfigError("configuration: " + key + ": " + what);
   };
-  if (before.is_null()) return;
+  if (before.is_null())
+    return;
   if (std::string(type_of(before)) != type_of(next)) {
     fault(path, std::string("is of type ") + type_of(next) + ", was " + type_of(before));
   }
   if (before.is_object()) {
     for (const auto& [name, value] : before.items()) {
       const std::string here = path.empty() ? name : path + "." + name;
-      if (!next.contains(name)) fault(here, "is missing");
+      if (!next.contains(name))
+        fault(here, "is missing");
       check(value, next.at(name), here);
     }
   } else if (before.is_array() && !before.empty()) {
@@ -47,7 +50,8 @@
 json outlined(const json& value) {
   if (value.is_object()) {
     json out = json::object();
-    for (const auto& [name, inner] : value.items()) out[name] = outlined(inner);
+    for (const auto& [name, inner] : value.items())
+      out[name] = outlined(inner);
     return out;
   }
   if (value.is_array()) {
@@ -61,7 +65,8 @@
 
 json outline(json file) {
   // What was known at the start matters to the start alone, and is long.
-  if (file.contains("known")) file["known"] = json::object();
+  if (file.contains("known"))
+    file["known"] = json::object();
   return outlined(file);
 }
 
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -82,7 +82,8 @@
   out.rank = whole(key(env, "Rank"));
   out.routers = whole(key(env, "Balancers"), 1);
   out.tick = millis(key(env, "Tick"));
-  for (const auto& row : key(env, "Classes")) out.classes.push_back(read_class(row));
+  for (const auto& row : key(env, "Classes"))
+    out.classes.push_back(read_class(row));
   for (const auto& row : key(env, "Tenants")) {
     out.tenants.push_back({text(key(row, "Name")), number(key(row, "Share")), number(key(row, "QuotaPerS"))});
   }
@@ -100,7 +101,8 @@
   out.reports =
       word<ReportMode>(text(key(load, "How")),
                        {{"piggyback", ReportMode::answers}, {"pull", ReportMode::probe}}, ReportMode::none);
-  for (const auto& name : key(load, "Fields")) out.report_fields.push_back(field(name));
+  for (const auto& name : key(load, "Fields"))
+    out.report_fields.push_back(field(name));
   return out;
 }
 
--- a/src/control/allotment.cpp
+++ b/src/control/allotment.cpp
@@ -10,14 +10,16 @@
 template <typename Shares>
 double largest(const Shares& shares) {
   double out = 0;
-  for (const auto& share : shares) out = std::max(out, share.amount);
+  for (const auto& share : shares)
+    out = std::max(out, share.amount);
   return out;
 }
 
 }  // namespace
 
 void Allotment::set_part(double part, Index index) {
-  if (part < part_) reductions_.push_back({index, part});
+  if (part < part_)
+    reductions_.push_back({index, part});
   part_ = part;
 }
 
@@ -33,7 +35,8 @@
 double Allotment::outstanding(Millis now) {
   expire(now);
   double out = 0;
-  for (const auto& [session, shares] : shares_) out += largest(shares);
+  for (const auto& [session, shares] : shares_)
+    out += largest(shares);
   return out;
 }
 
@@ -52,7 +55,8 @@
 
 Index Allotment::respected(Index applied, Millis now) {
   const double out = outstanding(now);
-  while (!reductions_.empty() && out <= reductions_.front().part + kRounding) reductions_.pop_front();
+  while (!reductions_.empty() && out <= reductions_.front().part + kRounding)
+    reductions_.pop_front();
   return reductions_.empty() ? applied : std::min(applied, reductions_.front().index - 1);
 }
 
--- a/src/control/change.cpp
+++ b/src/control/change.cpp
@@ -22,25 +22,30 @@
   for (const RecordChange& one : change) {
     put8(out, static_cast<unsigned>(one.value ? Operation::set : Operation::remove));
     put_text(out, one.key);
-    if (one.value) put_text(out, *one.value);
+    if (one.value)
+      put_text(out, *one.value);
   }
   return out;
 }
 
 std::optional<Change> decode_change(const std::string& bytes) {
-  if (bytes.size() > longest_change) return std::nullopt;
+  if (bytes.size() > longest_change)
+    return std::nullopt;
   Reader reader(bytes);
   const std::uint64_t count = reader.number(4);
   Change out;
   for (std::uint64_t i = 0; reader.sound() && i < count; ++i) {
     const auto operation = static_cast<Operation>(reader.number(1));
-    if (operation != Operation::set && operation != Operation::remove) return std::nullopt;
+    if (operation != Operation::set && operation != Operation::remove)
+      return std::nullopt;
     RecordChange one;
     one.key = reader.bytes();
-    if (operation == Operation::set) one.value = std::string(reader.bytes());
+    if (operation == Operation::set)
+      one.value = std::string(reader.bytes());
     out.push_back(std::move(one));
   }
-  if (!reader.ended()) return std::nullopt;
+  if (!reader.ended())
+    return std::nullopt;
   return out;
 }
 
@@ -55,16 +60,19 @@
 }
 
 std::optional<Records> decode_records(const std::string& bytes) {
-  if (bytes.size() > longest_snapshot) return std::nullopt;
+  if (bytes.size() > longest_snapshot)
+    return std::nullopt;
   Reader reader(bytes);
   const std::uint64_t count = reader.number(4);
   Records out;
   for (std::uint64_t i = 0; reader.sound() && i < count; ++i) {
     std::string key(reader.bytes());
     std::string value(reader.bytes());
-    if (reader.sound()) out.emplace_hint(out.end(), std::move(key), std::move(value));
+    if (reader.sound())
+      out.emplace_hint(out.end(), std::move(key), std::move(value));
   }
-  if (!reader.ended() || out.size() != count) return std::nullopt;
+  if (!reader.ended() || out.size() != count)
+    return std::nullopt;
   return out;
 }
 
@@ -81,8 +89,10 @@
       continue;
     }
     const bool added = old_one == before.end() || new_one->first < old_one->first;
-    if (added || old_one->second != new_one->second) out.push_back({new_one->first, new_one->second});
-    if (!added) ++old_one;
+    if (added || old_one->second != new_one->second)
+      out.push_back({new_one->first, new_one->second});
+    if (!added)
+      ++old_one;
     ++new_one;
   }
   return out;
--- a/src/control/change_log.cpp
+++ b/src/control/change_log.cpp
@@ -11,9 +11,11 @@
 }
 
 void ChangeLog::append(Index index, const Change& change) {
-  if (index <= applied_) return;
+  if (index <= applied_)
+    return;
   applied_ = index;
-  if (change.empty()) return;
+  if (change.empty())
+    return;
   apply(records_, change);
   std::string encoded = encode_change(change);
   if (encoded.size() > longest_change) {
@@ -36,7 +38,8 @@
 }
 
 Index ChangeLog::covered(Index position) const {
-  if (position < first_ || position > applied_) return position;
+  if (position < first_ || position > applied_)
+    return position;
   const Entry* next = next_after(position);
   return next == nullptr ? applied_ : next->index - 1;
 }
@@ -51,8 +54,10 @@
 
 // The changes behind it must also stay in the log for a while.
 bool ChangeLog::snapshot_serves() const {
-  if (snapshot_ == nullptr || snapshot_->index == 0) return false;
-  if (changes_since_snapshot_ == 0) return true;
+  if (snapshot_ == nullptr || snapshot_->index == 0)
+    return false;
+  if (changes_since_snapshot_ == 0)
+    return true;
   return changes_since_snapshot_ <= limits_.changes / 2 && bytes_since_snapshot_ <= limits_.bytes / 2 &&
          bytes_since_snapshot_ < snapshot_->bytes.size();
 }
--- a/src/control/config.cpp
+++ b/src/control/config.cpp
@@ -21,7 +21,8 @@
 void check_keys(const json& from, const std::string& path, std::initializer_list<const char*> known) {
   for (const auto& [key, value] : from.items()) {
     const auto same = [&key = key](const char* name) { return key == name; };
-    if (std::none_of(known.begin(), known.end(), same)) fault(path + key, "no such key");
+    if (std::none_of(known.begin(), known.end(), same))
+      fault(path + key, "no such key");
   }
 }
 
@@ -36,10 +37,13 @@
 // At most as long as messages carry it. `missing` null: it must be there.
 std::string text(const json& from, const char* name, const std::string& path, const std::string* missing) {
   const json& value = config::key(from, name);
-  if (value.is_null() && missing != nullptr) return *missing;
-  if (!value.is_string() || value.get_ref<const std::string&>().empty()) fault(path, "a text is needed");
+  if (value.is_null() && missing != nullptr)
+    return *missing;
+  if (!value.is_string() || value.get_ref<const std::string&>().empty())
+    fault(path, "a text is needed");
   const std::string out = value.get<std::string>();
-  if (out.size() > longest_name) fault(path, "at most " + std::to_string(longest_name) + " bytes");
+  if (out.size() > longest_name)
+    fault(path, "at most " + std::to_string(longest_name) + " bytes");
   return out;
 }
 
@@ -56,20 +60,23 @@
 
 std::string address(const json& from, const char* name, const std::string& path, const std::string* missing) {
   const std::string out = text(from, name, path, missing);
-  if (!net::valid_address(out)) fault(path, "no numeric address with a port: '" + out + "'");
+  if (!net::valid_address(out))
+    fault(path, "no numeric address with a port: '" + out + "'");
   return out;
 }
 
 // A zone's or region's name, which may be empty.
 std::string place(const json& from, const char* name, const std::string& path, const std::string& missing) {
   const json& value = config::key(from, name);
-  if (value.is_string() && value.get_ref<const std::string&>().empty()) return {};
+  if (value.is_string() && value.get_ref<const std::string&>().empty())
+    return {};
   return text(from, name, path, &missing);
 }
 
 double number(const json& from, const char* name, double missing, double least, double most) {
   const json& value = config::key(from, name);
-  if (value.is_null()) return missing;
+  if (value.is_null())
+    return missing;
   if (!value.is_number() || !(value.get<double>() >= least && value.get<double>() <= most))
     fault(name, "must lie between " + json(least).dump() + " and " + json(most).dump());
   return value.get<double>();
@@ -78,13 +85,15 @@
 std::size_t whole(const json& from, const char* name, std::size_t missing, std::size_t least,
                   std::size_t most) {
   const json& value = config::key(from, name);
-  if (!value.is_null() && !value.is_number_integer()) fault(name, "a whole number is needed");
+  if (!value.is_null() && !value.is_number_integer())
+    fault(name, "a whole number is needed");
   return static_cast<std::size_t>(number(from, name, static_cast<double>(missing), static_cast<double>(least),
                                          static_cast<double>(most)));
 }
 
 NodeAddress read_node(const json& from, const std::string& path) {
-  if (!from.is_object()) fault(path, "an object is needed");
+  if (!from.is_object())
+    fault(path, "an object is needed");
   check_keys(from, path + ".", {"name", "address", "zone", "region"});
   NodeAddress out;
   out.name = node_name(from, path + ".name");
@@ -97,15 +106,20 @@
 std::vector<NodeAddress> read_nodes(const json& from) {
   std::vector<NodeAddress> out;
   const json& nodes = config::key(from, "nodes");
-  if (nodes.is_null()) return out;
-  if (!nodes.is_array()) fault("nodes", "a list is needed");
-  if (nodes.size() > most_nodes_told) fault("nodes", "at most " + std::to_string(most_nodes_told));
+  if (nodes.is_null())
+    return out;
+  if (!nodes.is_array())
+    fault("nodes", "a list is needed");
+  if (nodes.size() > most_nodes_told)
+    fault("nodes", "at most " + std::to_string(most_nodes_told));
   for (std::size_t i = 0; i < nodes.size(); ++i) {
     const std::string path = "nodes[" + std::to_string(i) + "]";
     NodeAddress node = read_node(nodes[i], path);
     for (const auto& other : out) {
-      if (other.name == node.name) fault(path + ".name", node.name + " stands twice");
-      if (other.address == node.address) fault(path + ".address", node.address + " stands twice");
+      if (other.name == node.name)
+        fault(path + ".name", node.name + " stands twice");
+      if (other.address == node.address)
+        fault(path + ".address", node.address + " stands twice");
     }
     out.push_back(std::move(node));
   }
@@ -141,10 +155,12 @@
 
 std::optional<NodeConfig> read_node_config(const json& file, const raft::Config& group) {
   const json& from = control_part(file);
-  if (from.is_null()) return std::nullopt;
+  if (from.is_null())
+    return std::nullopt;
   check_keys(from, "",
              {"listen", "address", "zone", "region", "sessions", "opens_per_second", "offline_ms", "nodes"});
-  if (!group.serves) throw config::ConfigError("configuration: group.serves: a control node must serve");
+  if (!group.serves)
+    throw config::ConfigError("configuration: group.serves: a control node must serve");
   if (group.cluster.size() > longest_name)
     throw config::ConfigError("configuration: group.cluster: at most " + std::to_string(longest_name) +
                               " bytes for a control node");
@@ -160,7 +176,8 @@
   }
   out.self = read_self(from, self);
   for (const auto& node : out.nodes) {
-    if (node.address == out.self.address) fault("address", node.address + " is the address of " + node.name);
+    if (node.address == out.self.address)
+      fault("address", node.address + " is the address of " + node.name);
   }
   out.sessions.sessions = whole(from, "sessions", out.sessions.sessions, 1, 100000);
   out.offline = offline(from);
@@ -170,13 +187,15 @@
 
 std::optional<InvokerConfig> read_invoker_config(const json& file, Millis longest_deadline) {
   const json& from = control_part(file);
-  if (from.is_null() || !config::key(file, "group").is_null()) return std::nullopt;
+  if (from.is_null() || !config::key(file, "group").is_null())
+    return std::nullopt;
   check_keys(from, "",
              {"cluster", "nodes", "zone", "region", "lease_ms", "drift", "last_call_ms", "offline_ms"});
   InvokerConfig out;
   out.cluster = text(from, "cluster", "cluster", nullptr);
   out.nodes = read_nodes(from);
-  if (out.nodes.empty()) fault("nodes", "at least one is needed");
+  if (out.nodes.empty())
+    fault("nodes", "at least one is needed");
   out.zone = place(from, "zone", "zone", "");
   out.region = place(from, "region", "region", "");
   out.terms = read_terms(from, longest_deadline);
--- a/src/control/control_node.cpp
+++ b/src/control/control_node.cpp
@@ -40,7 +40,8 @@
 
 void ControlNode::applied(Index index, const Change& change) {
   changes_.append(index, change);
-  if (!change.empty()) pump_all();  // most entries of the log are not for the invokers
+  if (!change.empty())
+    pump_all();  // most entries of the log are not for the invokers
 }
 
 void ControlNode::set_nodes(std::vector<NodeAddress> nodes) {
@@ -57,31 +58,41 @@
 
 void ControlNode::received(LinkId id, Message&& message, Millis now) {
   const auto found = links_.find(id);
-  if (found == links_.end()) return;  // it has been ended here
+  if (found == links_.end())
+    return;  // it has been ended here
   Link& link = found->second;
   const bool is_open = link.session != 0;
   const auto* open = std::get_if<Open>(&message);
-  if (is_open == (open != nullptr)) return fault(id, "control.malformed");
-  if (open != nullptr) return on_open(id, link, *open, now);
-  if (const auto* renew = std::get_if<Renew>(&message)) return on_renew(id, link, *renew, now);
-  if (const auto* resume = std::get_if<Resume>(&message)) return on_resume(id, link, *resume);
-  if (const auto* forward = std::get_if<Forward>(&message)) return on_forward(link, *forward, now);
-  if (std::holds_alternative<Close>(message)) return on_close(id, link, now);
+  if (is_open == (open != nullptr))
+    return fault(id, "control.malformed");
+  if (open != nullptr)
+    return on_open(id, link, *open, now);
+  if (const auto* renew = std::get_if<Renew>(&message))
+    return on_renew(id, link, *renew, now);
+  if (const auto* resume = std::get_if<Resume>(&message))
+    return on_resume(id, link, *resume);
+  if (const auto* forward = std::get_if<Forward>(&message))
+    return on_forward(link, *forward, now);
+  if (std::holds_alternative<Close>(message))
+    return on_close(id, link, now);
   fault(id, "control.malformed");  // only nodes send the others
 }
 
 void ControlNode::malformed(LinkId id) {
-  if (links_.count(id) != 0) fault(id, "control.malformed");
+  if (links_.count(id) != 0)
+    fault(id, "control.malformed");
 }
 
 void ControlNode::writable(LinkId id) {
   const auto found = links_.find(id);
-  if (found != links_.end()) pump(id, found->second);
+  if (found != links_.end())
+    pump(id, found->second);
 }
 
 void ControlNode::ended(LinkId id) {
   const auto found = links_.find(id);
-  if (found == links_.end()) return;
+  if (found == links_.end())
+    return;
   link_of_.erase(found->second.session);
   sessions_.disconnected(found->second.session);
   links_.erase(found);
@@ -91,17 +102,24 @@
 
 void ControlNode::leave() {
   leaving_ = true;
-  while (!links_.empty()) refuse(links_.begin()->first, RefusalReason::leaving, Millis(0));
+  while (!links_.empty())
+    refuse(links_.begin()->first, RefusalReason::leaving, Millis(0));
 }
 
 void ControlNode::on_open(LinkId id, Link& link, const Open& open, Millis now) {
-  if (open.version != protocol_version) return refuse(id, RefusalReason::other_version, Millis(0));
-  if (open.cluster != config_.cluster) return refuse(id, RefusalReason::other_cluster, Millis(0));
-  if (!same_terms(open.terms, config_.terms)) return refuse(id, RefusalReason::other_terms, Millis(0));
-  if (leaving_) return refuse(id, RefusalReason::leaving, Millis(0));
+  if (open.version != protocol_version)
+    return refuse(id, RefusalReason::other_version, Millis(0));
+  if (open.cluster != config_.cluster)
+    return refuse(id, RefusalReason::other_cluster, Millis(0));
+  if (!same_terms(open.terms, config_.terms))
+    return refuse(id, RefusalReason::other_terms, Millis(0));
+  if (leaving_)
+    return refuse(id, RefusalReason::leaving, Millis(0));
   const auto admission = sessions_.open(open.invoker, open.incarnation, open.position, now);
-  if (admission.malformed) return fault(id, "control.malformed");
-  if (admission.session == 0) return refuse(id, admission.refusal, admission.retry_after);
+  if (admission.malformed)
+    return fault(id, "control.malformed");
+  if (admission.session == 0)
+    return refuse(id, admission.refusal, admission.retry_after);
 
   supersede(admission.session, id);
   link.session = admission.session;
@@ -124,9 +142,12 @@
 }
 
 void ControlNode::on_renew(LinkId id, Link& link, const Renew& renew, Millis now) {
-  if (renew.sequence != link.renewed + 1) return fault(id, "control.malformed");
-  if (renew.applied > link.sent) return fault(id, "control.future_position");
-  if (!sessions_.report(link.session, renew.applied, renew.settled)) return fault(id, "control.malformed");
+  if (renew.sequence != link.renewed + 1)
+    return fault(id, "control.malformed");
+  if (renew.applied > link.sent)
+    return fault(id, "control.future_position");
+  if (!sessions_.report(link.session, renew.applied, renew.settled))
+    return fault(id, "control.malformed");
   link.renewed = renew.sequence;
   const Millis duration = sessions_.grant(link.session, lease_until_, now);
   counters_.add(duration.count() > 0 ? "control.granted" : "control.not_granted");
@@ -137,7 +158,8 @@
 }
 
 void ControlNode::on_resume(LinkId id, Link& link, const Resume& resume) {
-  if (resume.position > link.sent) return fault(id, "control.future_position");
+  if (resume.position > link.sent)
+    return fault(id, "control.future_position");
   counters_.add("control.resumed");
   link.cursor = resume.position;
   link.snapshot.reset();
@@ -148,10 +170,12 @@
   const double gained = (now - link.forwards_at).count() / kSecondInMillis * kForwardsPerSecond;
   link.forwards = std::min(kForwardsAtOnce, link.forwards + gained);
   link.forwards_at = now;
-  if (link.forwards < 1) return counters_.add("control.forwards_dropped");
+  if (link.forwards < 1)
+    return counters_.add("control.forwards_dropped");
   --link.forwards;
   counters_.add("control.forwarded");
-  if (forwarded_) forwarded_(link.session, forward);
+  if (forwarded_)
+    forwarded_(link.session, forward);
 }
 
 void ControlNode::on_close(LinkId id, const Link& link, Millis now) {
@@ -177,11 +201,13 @@
 }
 
 void ControlNode::pump_all() {
-  for (auto& [id, link] : links_) pump(id, link);
+  for (auto& [id, link] : links_)
+    pump(id, link);
 }
 
 void ControlNode::pump(LinkId id, Link& link) {
-  if (link.session == 0) return;
+  if (link.session == 0)
+    return;
   while (transport_.has_room(id)) {
     if (link.snapshot == nullptr && needs_snapshot(link)) {
       counters_.add("control.snapshots");
@@ -207,7 +233,8 @@
   chunk.bytes = snapshot.bytes.substr(link.snapshot_sent, config_.snapshot_chunk);
   transport_.send(id, encode(chunk));
   link.snapshot_sent += chunk.bytes.size();
-  if (link.snapshot_sent < snapshot.bytes.size()) return;
+  if (link.snapshot_sent < snapshot.bytes.size())
+    return;
   link.cursor = snapshot.index;
   link.sent = std::max(link.sent, snapshot.index);
   link.snapshot.reset();
@@ -215,9 +242,11 @@
 
 bool ControlNode::send_delta(LinkId id, Link& link) {
   const ChangeLog::Entry* entry = changes_.next_after(link.cursor);
-  if (entry == nullptr) return false;
+  if (entry == nullptr)
+    return false;
   const bool skips = fault_injected("skip-delta") && entry->index % kSkippedByFault == 0;
-  if (!skips) transport_.send(id, entry->frame);
+  if (!skips)
+    transport_.send(id, entry->frame);
   link.cursor = entry->index;
   link.sent = std::max(link.sent, entry->index);
   return true;
--- a/src/control/message_reader.cpp
+++ b/src/control/message_reader.cpp
@@ -19,12 +19,14 @@
   std::string text() { return std::string(reader_.bytes()); }
   std::string name() {
     std::string out = text();
-    if (out.size() > longest_name) valid_ = false;
+    if (out.size() > longest_name)
+      valid_ = false;
     return out;
   }
   Millis duration() {
     const double out = static_cast<double>(number(8)) / duration_units;
-    if (out > kLongestDuration) valid_ = false;
+    if (out > kLongestDuration)
+      valid_ = false;
     return Millis(out);
   }
   raft::LeaseTerms terms() {
@@ -38,13 +40,15 @@
   std::optional<double> share() {
     const std::uint64_t told = number(1);
     const double out = static_cast<double>(number(8)) / share_units;
-    if (told > 1 || out > 1) valid_ = false;
+    if (told > 1 || out > 1)
+      valid_ = false;
     return told == 1 ? std::optional<double>(out) : std::nullopt;
   }
   std::vector<NodeAddress> nodes() {
     std::vector<NodeAddress> out;
     const std::uint64_t count = number(4);
-    if (count > most_nodes_told) valid_ = false;
+    if (count > most_nodes_told)
+      valid_ = false;
     for (std::uint64_t i = 0; valid_ && reader_.sound() && i < count; ++i) {
       NodeAddress node;
       node.name = name();
@@ -58,7 +62,8 @@
   RefusalReason reason() {
     const std::uint64_t value = number(1);
     const auto last = static_cast<std::uint64_t>(RefusalReason::leaving);
-    if (value < 1 || value > last) valid_ = false;
+    if (value < 1 || value > last)
+      valid_ = false;
     return valid_ ? static_cast<RefusalReason>(value) : RefusalReason::full;
   }
 
@@ -139,25 +144,47 @@
   BodyReader body(bytes);
   std::optional<Message> out;
   switch (kind) {
-    case MessageKind::open: out = read_open(body); break;
-    case MessageKind::welcome: out = read_welcome(body); break;
-    case MessageKind::refusal: out = read_refusal(body); break;
-    case MessageKind::renew: out = read_renew(body); break;
-    case MessageKind::grant: out = read_grant(body); break;
-    case MessageKind::snapshot_chunk: out = read_snapshot_chunk(body); break;
-    case MessageKind::delta: out = read_delta(body); break;
-    case MessageKind::resume: out = Resume{body.number(8)}; break;
-    case MessageKind::close: out = Close{}; break;
-    case MessageKind::forward: out = read_forward(body); break;
+    case MessageKind::open:
+      out = read_open(body);
+      break;
+    case MessageKind::welcome:
+      out = read_welcome(body);
+      break;
+    case MessageKind::refusal:
+      out = read_refusal(body);
+      break;
+    case MessageKind::renew:
+      out = read_renew(body);
+      break;
+    case MessageKind::grant:
+      out = read_grant(body);
+      break;
+    case MessageKind::snapshot_chunk:
+      out = read_snapshot_chunk(body);
+      break;
+    case MessageKind::delta:
+      out = read_delta(body);
+      break;
+    case MessageKind::resume:
+      out = Resume{body.number(8)};
+      break;
+    case MessageKind::close:
+      out = Close{};
+      break;
+    case MessageKind::forward:
+      out = read_forward(body);
+      break;
   }
-  if (!body.finished()) return std::nullopt;
+  if (!body.finished())
+    return std::nullopt;
   return out;
 }
 
 }  // namespace
 
 bool MessageReader::take(std::string_view bytes, std::vector<Message>& out) {
-  if (!sound_) return false;
+  if (!sound_)
+    return false;
   held_ += bytes;
   std::size_t at = 0;
   while (held_.size() - at >= frame_head) {
@@ -165,10 +192,12 @@
     const std::size_t size = head.number(4);
     const auto kind = static_cast<MessageKind>(head.number(1));
     sound_ = size <= longest_frame_ && kind >= MessageKind::open && kind <= MessageKind::forward;
-    if (!sound_ || held_.size() - at - frame_head < size) break;
+    if (!sound_ || held_.size() - at - frame_head < size)
+      break;
     auto message = decode(kind, std::string_view(held_).substr(at + frame_head, size));
     sound_ = message.has_value();
-    if (!sound_) break;
+    if (!sound_)
+      break;
     out.push_back(std::move(*message));
     at += frame_head + size;
   }
--- a/src/control/node_server.cpp
+++ b/src/control/node_server.cpp
@@ -28,7 +28,8 @@
   // Answers to renewals go out without a question for room: a peer that asks on and reads nothing ends.
   void send(const std::string& frame) {
     if (unsent() + frame.size() > server_.limits_.unsent + kLargestFrame + kAnswers) {
-      if (!is_closing()) give_up("control.overflowed_links");
+      if (!is_closing())
+        give_up("control.overflowed_links");
       return;
     }
     write(frame);
@@ -40,17 +41,22 @@
     return !refill_wanted_;
   }
   void refill() {
-    if (std::exchange(refill_wanted_, false) && !is_closing()) server_.node_.writable(id_);
+    if (std::exchange(refill_wanted_, false) && !is_closing())
+      server_.node_.writable(id_);
   }
   void finish() {
     told_node_ = true;
     shutdown_after_flush();
   }
   void check(Millis now) {
-    if (stalled(now)) return give_up("control.stalled_links");
-    if (is_closing()) return;
-    if (!open_ && now - accepted_ > server_.limits_.open_within) return give_up("control.no_open");
-    if (open_ && now - heard_ > server_.silent_after_) return give_up("control.silent_links");
+    if (stalled(now))
+      return give_up("control.stalled_links");
+    if (is_closing())
+      return;
+    if (!open_ && now - accepted_ > server_.limits_.open_within)
+      return give_up("control.no_open");
+    if (open_ && now - heard_ > server_.silent_after_)
+      return give_up("control.silent_links");
   }
 
  private:
@@ -80,22 +86,28 @@
     close_later();
   }
   void on_received(std::string_view bytes) override {
-    if (is_closing()) return;
+    if (is_closing())
+      return;
     std::vector<Message> messages;
     const bool sound = reader_.take(bytes, messages);
     for (auto& message : messages) {
       heard_ = loop().now();
-      if (std::holds_alternative<Open>(message)) open_ = true;
+      if (std::holds_alternative<Open>(message))
+        open_ = true;
       server_.node_.received(id_, std::move(message), heard_);
-      if (is_closing()) return;
+      if (is_closing())
+        return;
     }
-    if (!sound) server_.node_.malformed(id_);
+    if (!sound)
+      server_.node_.malformed(id_);
   }
   void before_write() override {
-    if (refill_wanted_) server_.refill_later(id_);
+    if (refill_wanted_)
+      server_.refill_later(id_);
   }
   void on_closed() override {
-    if (!told_node_) server_.node_.ended(id_);
+    if (!told_node_)
+      server_.node_.ended(id_);
     const auto found = server_.links_.find(id_);
     loop().delete_later(found->second);
     server_.links_.erase(found);
@@ -116,13 +128,16 @@
 }
 
 NodeServer::~NodeServer() {
-  for (const auto& timer : {accept_timer_, check_timer_, refill_timer_, tick_timer_}) loop_.cancel(timer);
-  if (listener_) loop_.unregister(listener_.fd(), *this);
+  for (const auto& timer : {accept_timer_, check_timer_, refill_timer_, tick_timer_})
+    loop_.cancel(timer);
+  if (listener_)
+    loop_.unregister(listener_.fd(), *this);
 }
 
 bool NodeServer::listen(const std::string& address) {
   listener_ = net::listen_on(address);
-  if (listener_) watch_listener();
+  if (listener_)
+    watch_listener();
   return static_cast<bool>(listener_);
 }
 
@@ -134,9 +149,11 @@
     net::AcceptResult accepted = net::accept_from(listener_);
     net::count_accept_errors(loop_, accepted);
     status = accepted.status;
-    if (accepted.socket) accept(std::move(accepted.socket));
+    if (accepted.socket)
+      accept(std::move(accepted.socket));
   }
-  if (status == net::AcceptStatus::out_of_resources) pause_accepting();
+  if (status == net::AcceptStatus::out_of_resources)
+    pause_accepting();
 }
 
 void NodeServer::accept(net::Socket socket) {
@@ -158,7 +175,8 @@
 
 void NodeServer::check_links() {
   const Millis now = loop_.now();
-  for (const auto& [id, link] : links_) link->check(now);
+  for (const auto& [id, link] : links_)
+    link->check(now);
   check_timer_ = loop_.schedule_at(now + kCheckPeriod, [this] { check_links(); });
 }
 
@@ -170,14 +188,16 @@
 
 // In the next turn: a peer that reads as fast as this node writes must not keep the others waiting.
 void NodeServer::refill_later(LinkId link) {
-  if (refills_.empty()) refill_timer_ = loop_.schedule_at(loop_.now(), [this] { refill(); });
+  if (refills_.empty())
+    refill_timer_ = loop_.schedule_at(loop_.now(), [this] { refill(); });
   refills_.push_back(link);
 }
 
 void NodeServer::refill() {
   const std::vector<LinkId> links = std::exchange(refills_, {});
   for (const LinkId id : links) {
-    if (Link* link = find(id)) link->refill();
+    if (Link* link = find(id))
+      link->refill();
   }
 }
 
@@ -187,7 +207,8 @@
 }
 
 void NodeServer::send(LinkId link, const std::string& frame) {
-  if (Link* to = find(link)) to->send(frame);
+  if (Link* to = find(link))
+    to->send(frame);
 }
 
 bool NodeServer::has_room(LinkId link) const {
@@ -196,7 +217,8 @@
 }
 
 void NodeServer::end(LinkId link) {
-  if (Link* to = find(link)) to->finish();
+  if (Link* to = find(link))
+    to->finish();
 }
 
 }  // namespace lotusyard::control
--- a/src/control/offline_floor.cpp
+++ b/src/control/offline_floor.cpp
@@ -20,10 +20,12 @@
 
 // A mark that is left out makes the floor lower, never higher.
 void OfflineFloor::reported(Index applied, Millis now) {
-  if (now < accounted_from_) return;
+  if (now < accounted_from_)
+    return;
   const bool news = marks_.empty() || applied > marks_.back().applied;
   const bool apart = marks_.empty() || now - marks_.back().at >= offline_ / kMarks;
-  if (news && apart && applied > long_ago_) marks_.push_back({now, applied});
+  if (news && apart && applied > long_ago_)
+    marks_.push_back({now, applied});
 }
 
 Index OfflineFloor::followed(Index known, Millis now) {
--- a/src/control/replica.cpp
+++ b/src/control/replica.cpp
@@ -5,7 +5,8 @@
 namespace lotusyard::control {
 
 Replica::Outcome Replica::take(const SnapshotChunk& chunk) {
-  if (chunk.index <= position_) return Outcome::duplicate;
+  if (chunk.index <= position_)
+    return Outcome::duplicate;
   if (chunk.offset == 0) {
     abandon_snapshot();
     piecing_ = chunk.index;
@@ -30,24 +31,33 @@
   auto records = decode_records(pieces_);
   const Index index = piecing_;
   abandon_snapshot();
-  if (!records) return Outcome::malformed;
+  if (!records)
+    return Outcome::malformed;
   records_ = std::move(*records);
   position_ = index;
-  if (moved_) moved_(nullptr);
+  if (moved_)
+    moved_(nullptr);
   return Outcome::applied;
 }
 
 Replica::Outcome Replica::take(const Delta& delta) {
-  if (delta.after >= delta.index) return Outcome::malformed;
-  if (!complete()) return Outcome::gap;
-  if (delta.index <= position_ && !fault_injected("apply-twice")) return Outcome::duplicate;
-  if (delta.after > position_ && !fault_injected("accept-gap")) return Outcome::gap;
+  if (delta.after >= delta.index)
+    return Outcome::malformed;
+  if (!complete())
+    return Outcome::gap;
+  if (delta.index <= position_ && !fault_injected("apply-twice"))
+    return Outcome::duplicate;
+  if (delta.after > position_ && !fault_injected("accept-gap"))
+    return Outcome::gap;
   const auto change = decode_change(delta.change);
-  if (!change) return Outcome::malformed;
+  if (!change)
+    return Outcome::malformed;
   apply(records_, *change);
   position_ = delta.index;
-  if (piecing_ <= position_) abandon_snapshot();  // it was overtaken
-  if (moved_) moved_(&*change);
+  if (piecing_ <= position_)
+    abandon_snapshot();  // it was overtaken
+  if (moved_)
+    moved_(&*change);
   return Outcome::applied;
 }
 
--- a/src/control/session.cpp
+++ b/src/control/session.cpp
@@ -29,11 +29,13 @@
 void Session::tick(Millis now) {
   switch (state_) {
     case State::waiting:
-      if (now >= next_attempt_) attempt(now);
+      if (now >= next_attempt_)
+        attempt(now);
       break;
     case State::connecting:
     case State::opening:
-      if (now >= state_since_ + config_.pacing.connect_timeout) leave(now, "control.session.timed_out");
+      if (now >= state_since_ + config_.pacing.connect_timeout)
+        leave(now, "control.session.timed_out");
       break;
     case State::open:
       if (now >= silent_at()) {
@@ -42,17 +44,22 @@
         renew(now);
       }
       break;
-    case State::closed: break;
+    case State::closed:
+      break;
   }
 }
 
 Millis Session::due() const {
   switch (state_) {
-    case State::waiting: return next_attempt_;
+    case State::waiting:
+      return next_attempt_;
     case State::connecting:
-    case State::opening: return state_since_ + config_.pacing.connect_timeout;
-    case State::open: return std::min(next_renewal_, silent_at());
-    case State::closed: break;
+    case State::opening:
+      return state_since_ + config_.pacing.connect_timeout;
+    case State::open:
+      return std::min(next_renewal_, silent_at());
+    case State::closed:
+      break;
   }
   return kNever;
 }
@@ -71,7 +78,8 @@
 }
 
 void Session::connected(Millis now) {
-  if (state_ != State::connecting) return;
+  if (state_ != State::connecting)
+    return;
   state_ = State::opening;
   state_since_ = now;
   Open open;
@@ -85,13 +93,15 @@
 }
 
 void Session::disconnected(Millis now) {
-  if (state_ == State::waiting || state_ == State::closed) return;
+  if (state_ == State::waiting || state_ == State::closed)
+    return;
   counters_.add("control.session.disconnected");
   move_on(now);
 }
 
 void Session::malformed(Millis now) {
-  if (state_ == State::waiting || state_ == State::closed) return;
+  if (state_ == State::waiting || state_ == State::closed)
+    return;
   leave(now, "control.session.malformed");
 }
 
@@ -124,13 +134,16 @@
 }
 
 void Session::close(Millis now) {
-  if (state_ == State::closed) return;
+  if (state_ == State::closed)
+    return;
   const State before = state_;
   move_on(now);
   state_ = State::closed;
   lease_until_ = Millis(0);
-  if (before == State::waiting) return;
-  if (before == State::open) transport_.send(encode(Close{}));
+  if (before == State::waiting)
+    return;
+  if (before == State::open)
+    transport_.send(encode(Close{}));
   transport_.disconnect();
 }
 
@@ -145,7 +158,8 @@
 // The lease counts from this moment. It must be taken before the renewal goes out.
 void Session::renew(Millis now) {
   next_renewal_ = now + renewal_interval();
-  if (outstanding_.size() >= kMostOutstanding) return;
+  if (outstanding_.size() >= kMostOutstanding)
+    return;
   outstanding_.push_back({++sequence_, now});
   Renew renewal;
   renewal.sequence = sequence_;
@@ -156,8 +170,10 @@
 }
 
 bool Session::forward(const std::string& part, const std::string& word) {
-  if (state_ != State::open) return false;
-  if (part.size() > longest_name || part.size() + word.size() + kForwardHead > longest_to_node) return false;
+  if (state_ != State::open)
+    return false;
+  if (part.size() > longest_name || part.size() + word.size() + kForwardHead > longest_to_node)
+    return false;
   transport_.send(encode(Forward{part, word}));
   return true;
 }
--- a/src/control/session_client.cpp
+++ b/src/control/session_client.cpp
@@ -35,19 +35,23 @@
 
   bool current() const { return client_.connection_.get() == this; }
   void on_connected() override {
-    if (!current()) return;
+    if (!current())
+      return;
     client_.session_.connected(loop().now());
     client_.arm_timer();
   }
   void on_received(std::string_view bytes) override {
-    if (!current()) return;
+    if (!current())
+      return;
     std::vector<Message> messages;
     const bool sound = reader_.take(bytes, messages);
     for (auto& message : messages) {
       client_.session_.received(std::move(message), loop().now());
-      if (!current()) break;
+      if (!current())
+        break;
     }
-    if (!sound && current()) client_.session_.malformed(loop().now());
+    if (!sound && current())
+      client_.session_.malformed(loop().now());
     client_.arm_timer();
   }
   void on_closed() override { client_.connection_ended(*this); }
@@ -91,12 +95,14 @@
 }
 
 void SessionClient::send(const std::string& frame) {
-  if (connection_) connection_->write(frame);
+  if (connection_)
+    connection_->write(frame);
 }
 
 void SessionClient::disconnect() {
   loop_.cancel(failure_timer_);
-  if (!connection_) return;
+  if (!connection_)
+    return;
   closing_.push_back(std::exchange(connection_, nullptr));
   closing_.back()->let_go();
 }
@@ -109,7 +115,8 @@
   }
   const auto same = [&](const auto& other) { return other.get() == &connection; };
   const auto found = std::find_if(closing_.begin(), closing_.end(), same);
-  if (found == closing_.end()) return;
+  if (found == closing_.end())
+    return;
   loop_.delete_later(*found);
   closing_.erase(found);
 }
--- a/src/control/session_receive.cpp
+++ b/src/control/session_receive.cpp
@@ -12,12 +12,14 @@
 }  // namespace
 
 void Session::received(Message&& message, Millis now) {
-  if (state_ != State::opening && state_ != State::open) return;  // of a connection that was given up
+  if (state_ != State::opening && state_ != State::open)
+    return;  // of a connection that was given up
   std::visit([&](const auto& one) { take(one, now); }, message);
 }
 
 void Session::take(const Welcome& welcome, Millis now) {
-  if (state_ != State::opening) return malformed(now);
+  if (state_ != State::opening)
+    return malformed(now);
   state_ = State::open;
   state_since_ = now;
   sequence_ = 0;
@@ -39,10 +41,12 @@
 
 void Session::take(const Grant& grant, Millis now) {
   const bool sent = grant.sequence > 0 && grant.sequence <= sequence_;
-  if (state_ != State::open || !sent) return malformed(now);
+  if (state_ != State::open || !sent)
+    return malformed(now);
   const auto found = std::find_if(outstanding_.begin(), outstanding_.end(),
                                   [&](const Renewal& one) { return one.sequence == grant.sequence; });
-  if (found == outstanding_.end()) return counters_.add("control.session.grants_unknown");
+  if (found == outstanding_.end())
+    return counters_.add("control.session.grants_unknown");
   const Renewal renewal = *found;
   outstanding_.erase(outstanding_.begin(), found + 1);  // earlier ones are not answered any more
   granted(renewal, grant, now);
@@ -60,38 +64,54 @@
     return;
   }
   counters_.add("control.session.grants_of_nothing");
-  if (!refused_since_) refused_since_ = renewal.sent;
-  if (now - *refused_since_ > config_.terms.lease) leave(now, "control.session.leaseless");
+  if (!refused_since_)
+    refused_since_ = renewal.sent;
+  if (now - *refused_since_ > config_.terms.lease)
+    leave(now, "control.session.leaseless");
 }
 
 void Session::take(const SnapshotChunk& chunk, Millis now) {
-  if (state_ != State::open) return malformed(now);
+  if (state_ != State::open)
+    return malformed(now);
   const Replica::Outcome outcome = replica_.take(chunk);
   // While a snapshot comes in this replica is what is behind, however long it takes: the node need not be at
   // fault when it grants nothing.
-  if (outcome == Replica::Outcome::incomplete || outcome == Replica::Outcome::applied) refused_since_.reset();
+  if (outcome == Replica::Outcome::incomplete || outcome == Replica::Outcome::applied)
+    refused_since_.reset();
   on_replicated(outcome, now);
 }
 
 void Session::take(const Delta& delta, Millis now) {
-  if (state_ != State::open) return malformed(now);
+  if (state_ != State::open)
+    return malformed(now);
   on_replicated(replica_.take(delta), now);
 }
 
 void Session::on_replicated(Replica::Outcome outcome, Millis now) {
-  if (state_ != State::open) return;  // closed by what was called when the replica moved
+  if (state_ != State::open)
+    return;  // closed by what was called when the replica moved
   switch (outcome) {
-    case Replica::Outcome::applied: resuming_ = false; break;
-    case Replica::Outcome::incomplete: break;
-    case Replica::Outcome::duplicate: counters_.add("control.session.duplicates"); break;
-    case Replica::Outcome::gap: on_gap(now); break;
-    case Replica::Outcome::malformed: malformed(now); break;
+    case Replica::Outcome::applied:
+      resuming_ = false;
+      break;
+    case Replica::Outcome::incomplete:
+      break;
+    case Replica::Outcome::duplicate:
+      counters_.add("control.session.duplicates");
+      break;
+    case Replica::Outcome::gap:
+      on_gap(now);
+      break;
+    case Replica::Outcome::malformed:
+      malformed(now);
+      break;
   }
 }
 
 void Session::on_gap(Millis now) {
   counters_.add("control.session.gaps");
-  if (resuming_) return leave(now, "control.session.gap_again");
+  if (resuming_)
+    return leave(now, "control.session.gap_again");
   resuming_ = true;
   transport_.send(encode(Resume{replica_.position()}));
 }
--- a/src/core/counters.h
+++ b/src/core/counters.h
@@ -16,7 +16,8 @@
     return found == values_.end() ? 0 : found->second;
   }
   void print(std::ostream& out) const {
-    for (const auto& [name, value] : values_) out << name << ' ' << value << '\n';
+    for (const auto& [name, value] : values_)
+      out << name << ' ' << value << '\n';
     out.flush();
   }
 
--- a/src/core/dispatcher.cpp
+++ b/src/core/dispatcher.cpp
@@ -25,17 +25,21 @@
 }
 
 void Dispatcher::end_key_use(const OpenCall& open) {
-  if (open.keyed()) keys_.end(open.call, key_rule(*open.cls), clock_());
+  if (open.keyed())
+    keys_.end(open.call, key_rule(*open.cls), clock_());
 }
 
 void Dispatcher::client_disconnected(CallId id) {
-  if (find_open_call(id) == nullptr) return;
+  if (find_open_call(id) == nullptr)
+    return;
   counters_.add("calls.left");
   // The module hears of it before the attempts end: it must not try again what nobody waits for.
   run(module_.report(clock_(), ClientDisconnected{id}));
-  if (OpenCall* open = find_open_call(id)) cancel_attempts(id, *open);
+  if (OpenCall* open = find_open_call(id))
+    cancel_attempts(id, *open);
   const auto found = calls_.find(id);
-  if (found == calls_.end()) return;
+  if (found == calls_.end())
+    return;
   end_key_use(found->second);
   remember_ref(found->second.call.ref);
   calls_.erase(found);
@@ -45,14 +49,17 @@
                                                                       Outcome outcome) {
   const auto same = [number](const InFlightAttempt& o) { return o.attempt.number == number; };
   const auto found = std::find_if(open.in_flight.begin(), open.in_flight.end(), same);
-  if (found == open.in_flight.end()) return std::nullopt;
+  if (found == open.in_flight.end())
+    return std::nullopt;
   InFlightAttempt out = std::move(*found);
   open.in_flight.erase(found);
   if (!policy::proves_never_ran(outcome)) {
     open.may_have_run = true;
   } else {
-    if (open.keyed()) keys_.record_not_run(open.call, out.attempt);
-    if (!open.may_have_run && open.in_flight.empty()) open.front->proved_not_run(id);
+    if (open.keyed())
+      keys_.record_not_run(open.call, out.attempt);
+    if (!open.may_have_run && open.in_flight.empty())
+      open.front->proved_not_run(id);
   }
   return out;
 }
@@ -70,21 +77,25 @@
     const Outcome outcome = hosts_.cancel_attempt(attempt) ? Outcome::cancelled : Outcome::moot;
     dropped.emplace_back(*remove_attempt(id, open, attempt.number, outcome), outcome);
   }
-  for (auto& [out, outcome] : dropped) notify_attempt_ended(std::move(out), outcome, true);
+  for (auto& [out, outcome] : dropped)
+    notify_attempt_ended(std::move(out), outcome, true);
 }
 
 void Dispatcher::attempt_ended(const Attempt& attempt, AttemptEnd&& end) {
   OpenCall* open = find_open_call(attempt.call);
   auto out =
       open == nullptr ? std::nullopt : remove_attempt(attempt.call, *open, attempt.number, end.outcome);
-  if (!out) return;
+  if (!out)
+    return;
   const Millis now = clock_();
   const bool served = end.outcome == Outcome::ok;
   AttemptOutcome told{attempt,   out->host,       end.outcome,          served,
                       end.crowd, now - out->sent, std::move(end.report)};
-  if (attempt_observer_) attempt_observer_(out->host, open->call, end.outcome);
+  if (attempt_observer_)
+    attempt_observer_(out->host, open->call, end.outcome);
   // The answer goes first: the module's turn may be long.
-  if (served) finish_call(attempt.call, {Verdict::served, Millis(0), std::move(end.body)});
+  if (served)
+    finish_call(attempt.call, {Verdict::served, Millis(0), std::move(end.body)});
   run(module_.report(now, told));
 }
 
@@ -95,26 +106,33 @@
 
 Dispatcher::WriteCheck Dispatcher::check_before_write(const Attempt& attempt, Millis decided) {
   OpenCall* open = find_open_call(attempt.call);
-  if (open == nullptr) return WriteCheck::allowed;  // whoever sent it without a call answers for it
+  if (open == nullptr)
+    return WriteCheck::allowed;  // whoever sent it without a call answers for it
   const Millis now = clock_();
-  if (now >= open->call.arrived + open->call.allow) return WriteCheck::call_over;
+  if (now >= open->call.arrived + open->call.allow)
+    return WriteCheck::call_over;
   switch (open->front->client_state(attempt.call, std::max(decided, now - kUnreadMost))) {
-    case Front::ClientState::waiting: return WriteCheck::allowed;
-    case Front::ClientState::has_unread_input: return WriteCheck::after_client_read;
-    case Front::ClientState::disconnected: break;
+    case Front::ClientState::waiting:
+      return WriteCheck::allowed;
+    case Front::ClientState::has_unread_input:
+      return WriteCheck::after_client_read;
+    case Front::ClientState::disconnected:
+      break;
   }
   counters_.add("attempts.caller_gone");
   return WriteCheck::call_over;
 }
 
 void Dispatcher::read_caller(const Attempt& attempt) {
-  if (OpenCall* open = find_open_call(attempt.call)) open->front->read_caller(attempt.call);
+  if (OpenCall* open = find_open_call(attempt.call))
+    open->front->read_caller(attempt.call);
 }
 
 void Dispatcher::load_ended(LoadOutcome&& end) { run(module_.report(clock_(), end)); }
 void Dispatcher::probe_ended(ProbeOutcome&& end) { run(module_.report(clock_(), end)); }
 void Dispatcher::update_endpoints(HostList&& list) {
-  if (list.kind != ListKind::delta) places_.clear();
+  if (list.kind != ListKind::delta)
+    places_.clear();
   for (const auto& entry : list.entries) {
     if (entry.state == policy::WorkerState::gone) {
       places_.erase(entry.worker);
@@ -131,12 +149,14 @@
   };
   std::vector<CallId> named;
   for (const auto& [id, open] : calls_) {
-    if (meant(open) && which(id)) named.push_back(id);
+    if (meant(open) && which(id))
+      named.push_back(id);
   }
   std::sort(named.begin(), named.end());  // the order of a hash table tells nothing
   for (const CallId id : named) {
     const OpenCall* open = find_open_call(id);
-    if (open == nullptr || !meant(*open)) continue;         // by what became of the others
+    if (open == nullptr || !meant(*open))
+      continue;                                             // by what became of the others
     run(module_.report(clock_(), ClientDisconnected{id}));  // it must not try again what gets its answer now
     execute(RefuseStep{id, Millis(0)});
   }
@@ -154,11 +174,13 @@
     const Deadline due = deadlines_.top();
     deadlines_.pop();
     OpenCall* open = find_open_call(due.call);
-    if (open == nullptr) continue;
+    if (open == nullptr)
+      continue;
     if (due.attempt >= 0) {
       const auto same = [&](const InFlightAttempt& o) { return o.attempt.number == due.attempt; };
       const auto found = std::find_if(open->in_flight.begin(), open->in_flight.end(), same);
-      if (found == open->in_flight.end()) continue;
+      if (found == open->in_flight.end())
+        continue;
       counters_.add("attempts.timed_out");
       // What was held for its caller's sake says nothing of the host.
       const bool held = check_before_write(found->attempt, found->sent) == WriteCheck::after_client_read;
@@ -169,7 +191,8 @@
       // A call that the module forgot would never be answered.
       counters_.add("calls.overdue");
       run(module_.report(now, ClientDisconnected{due.call}));
-      if (find_open_call(due.call) != nullptr) finish_call(due.call, Answer{});
+      if (find_open_call(due.call) != nullptr)
+        finish_call(due.call, Answer{});
     }
   }
 }
@@ -180,8 +203,10 @@
 }
 
 void Dispatcher::run(Steps&& steps) {
-  for (auto& step : steps) steps_.push_back(std::move(step));
-  if (running_) return;  // the outer run carries these out in their order
+  for (auto& step : steps)
+    steps_.push_back(std::move(step));
+  if (running_)
+    return;  // the outer run carries these out in their order
   running_ = true;
   while (!steps_.empty()) {
     const Step step = std::move(steps_.front());
@@ -193,7 +218,8 @@
 
 void Dispatcher::finish_call(CallId id, Answer&& answer) {
   const auto found = calls_.find(id);
-  if (found == calls_.end()) return;
+  if (found == calls_.end())
+    return;
   OpenCall open = std::move(found->second);
   calls_.erase(found);  // first: whatever follows finds the call ended
   static const char* const names[] = {"calls.served", "calls.refused", "calls.failed"};
--- a/src/core/dispatcher_admission.cpp
+++ b/src/core/dispatcher_admission.cpp
@@ -23,20 +23,27 @@
     return [&name](const auto& entry) { return entry.name == name; };
   };
   const auto* cls = class_named(*settings_, call.class_name);
-  if (cls == nullptr) return "calls.unknown_class";
-  if (cls->semantics == policy::Semantics::keyed && call.key.empty()) return "calls.no_key";
-  if (!call.key.empty() && !IdempotencyKeys::is_valid(call.key)) return "calls.bad_key";
+  if (cls == nullptr)
+    return "calls.unknown_class";
+  if (cls->semantics == policy::Semantics::keyed && call.key.empty())
+    return "calls.no_key";
+  if (!call.key.empty() && !IdempotencyKeys::is_valid(call.key))
+    return "calls.bad_key";
   const auto& tenants = settings_->tenants;
   if (!call.tenant.empty() && !tenants.empty() &&
       std::none_of(tenants.begin(), tenants.end(), named(call.tenant))) {
     return "calls.unknown_tenant";
   }
   double most_mb = settings_->kind_memory_mb.empty() ? kMostMemoryMb : 0;
-  for (const auto& [kind, megabytes] : settings_->kind_memory_mb) most_mb = std::max(most_mb, megabytes);
-  if (!(call.memory_mb >= 0 && call.memory_mb <= most_mb)) return "calls.bad_figures";
-  if (call.lanes < 1 || call.lanes > kMostLanes) return "calls.bad_figures";
+  for (const auto& [kind, megabytes] : settings_->kind_memory_mb)
+    most_mb = std::max(most_mb, megabytes);
+  if (!(call.memory_mb >= 0 && call.memory_mb <= most_mb))
+    return "calls.bad_figures";
+  if (call.lanes < 1 || call.lanes > kMostLanes)
+    return "calls.bad_figures";
   // A client's patience is at most its class's; a millisecond for rounding.
-  if (!(call.allow.count() > 0 && call.allow <= cls->deadline + Millis(1))) return "calls.bad_figures";
+  if (!(call.allow.count() > 0 && call.allow <= cls->deadline + Millis(1)))
+    return "calls.bad_figures";
   return nullptr;
 }
 
--- a/src/core/policy_driver.cpp
+++ b/src/core/policy_driver.cpp
@@ -61,7 +61,8 @@
   while (!due_.empty() && due_.top().at <= now && due_.top().order < known) {
     const std::uint64_t token = due_.top().token;
     due_.pop();
-    for (auto& step : handle(now, event::Timer{token})) all.push_back(std::move(step));
+    for (auto& step : handle(now, event::Timer{token}))
+      all.push_back(std::move(step));
   }
   return all;
 }
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -26,13 +26,15 @@
 // Nothing if the settings know no such class.
 inline const policy::ClassSettings* class_named(const Settings& settings, const std::string& name) {
   for (const auto& c : settings.classes) {
-    if (c.name == name) return &c;
+    if (c.name == name)
+      return &c;
   }
   return nullptr;
 }
 inline Millis longest_deadline(const Settings& settings) {
   Millis longest{0};
-  for (const auto& c : settings.classes) longest = std::max(longest, c.deadline);
+  for (const auto& c : settings.classes)
+    longest = std::max(longest, c.deadline);
   return longest;
 }
 
--- a/src/discovery/discovery.cpp
+++ b/src/discovery/discovery.cpp
@@ -40,11 +40,15 @@
   while (!bytes.empty()) {
     const auto end = bytes.find('\n');
     line_.append(bytes.substr(0, end));
-    if (line_.size() > longest) return false;
-    if (end == std::string_view::npos) break;
+    if (line_.size() > longest)
+      return false;
+    if (end == std::string_view::npos)
+      break;
     bytes.remove_prefix(end + 1);
-    if (!line_.empty() && line_.back() == '\r') line_.pop_back();
-    if (!line_.empty()) out.push_back(std::move(line_));
+    if (!line_.empty() && line_.back() == '\r')
+      line_.pop_back();
+    if (!line_.empty())
+      out.push_back(std::move(line_));
     line_.clear();
   }
   return true;
@@ -52,23 +56,29 @@
 
 Log::Read Log::line(const std::string& line, core::HostListUpdate& out) {
   const auto read = nlohmann::json::parse(line, nullptr, false);
-  if (read.is_number_unsigned()) return read.get<std::uint64_t>() > last_ ? Read::gap : Read::nothing;
+  if (read.is_number_unsigned())
+    return read.get<std::uint64_t>() > last_ ? Read::gap : Read::nothing;
   return event(read, out);
 }
 
 Log::Read Log::event(const nlohmann::json& event, core::HostListUpdate& out) {
-  if (!key(event, "seq").is_number_unsigned()) return Read::malformed;
+  if (!key(event, "seq").is_number_unsigned())
+    return Read::malformed;
   const std::uint64_t seq = config::large(key(event, "seq"));
-  if (seq <= last_) return Read::nothing;
-  if (seq != last_ + 1) return Read::gap;
+  if (seq <= last_)
+    return Read::nothing;
+  if (seq != last_ + 1)
+    return Read::gap;
   const auto& list = key(event, "fleet");
   last_ = seq;
-  if (!list.is_object()) return Read::nothing;  // a kind of event that is none of ours
+  if (!list.is_object())
+    return Read::nothing;  // a kind of event that is none of ours
   out.complete = config::flag(key(list, "complete"));
   out.hosts.clear();
   for (const auto& row : key(list, "members")) {
     auto member = read_member(row);
-    if (!member.entry.worker.empty()) out.hosts.push_back(std::move(member));
+    if (!member.entry.worker.empty())
+      out.hosts.push_back(std::move(member));
   }
   return Read::news;
 }
@@ -99,15 +109,18 @@
     expect(kQuietMost);
   }
   void on_received(std::string_view bytes) override {
-    if (!current()) return;
+    if (!current())
+      return;
     std::vector<std::string> lines;
     bool sound = cutter_.take(bytes, lines);
     // A log that stops half-way through an event, or trickles, is as silent as one that says nothing.
-    if (!lines.empty()) expect(kQuietMost);
+    if (!lines.empty())
+      expect(kQuietMost);
     for (const auto& line : lines) {
       core::HostListUpdate list;
       const auto read = discovery_.log_.line(line, list);
-      if (read == Log::Read::news || read == Log::Read::nothing) discovery_.pause_ = Millis(0);
+      if (read == Log::Read::news || read == Log::Read::nothing)
+        discovery_.pause_ = Millis(0);
       if (read == Log::Read::news) {
         discovery_.counters_.add("feed.events");
         discovery_.told_(list);
@@ -116,13 +129,15 @@
         break;
       }
     }
-    if (sound) return;
+    if (sound)
+      return;
     discovery_.counters_.add("feed.malformed_or_gap");
     close_later();
   }
   void on_closed() override {
     discovery_.loop_.cancel(quiet_);
-    if (current()) discovery_.again();
+    if (current())
+      discovery_.again();
   }
   bool current() const { return discovery_.connection_.get() == this; }  // false: the log has moved on
 };
@@ -141,14 +156,16 @@
 void Discovery::connect() {
   net::ConnectResult connection = net::connect_to(address_);
   net::count_connect_error(loop_, connection);
-  if (!connection) return again();
+  if (!connection)
+    return again();
   connection_ = std::make_shared<Connection>(*this, std::move(connection.socket));
 }
 
 // The old address tells nothing more but stays open a while, and looks well. The new one is asked at
 // once: what it has to tell counts as told before long.
 void Discovery::move(const std::string& address) {
-  if (address == address_) return;
+  if (address == address_)
+    return;
   counters_.add("feed.moves");
   address_ = address;
   const std::shared_ptr<Connection> old = std::move(connection_);
@@ -163,7 +180,8 @@
 }
 
 void Discovery::again() {
-  if (connection_) loop_.delete_later(std::move(connection_));
+  if (connection_)
+    loop_.delete_later(std::move(connection_));
   connection_.reset();
   loop_.cancel(timer_);
   timer_ = loop_.schedule_at(loop_.now() + std::max(pause_, kPauseFirst), [this] { connect(); });
--- a/src/endpoints/disabled_host_files.cpp
+++ b/src/endpoints/disabled_host_files.cpp
@@ -57,8 +57,10 @@
 
 bool DisabledHostFiles::add(const std::string& host) {
   const std::string name = file_name(host);
-  if (folder_.empty() || name.empty()) return false;
-  if (mkdir(folder_.c_str(), 0700) != 0 && errno != EEXIST) return false;
+  if (folder_.empty() || name.empty())
+    return false;
+  if (mkdir(folder_.c_str(), 0700) != 0 && errno != EEXIST)
+    return false;
   const net::Socket file(
       open((folder_ + '/' + kPrefix + name).c_str(), O_WRONLY | O_CREAT | O_CLOEXEC, 0600));
   return static_cast<bool>(file);
@@ -66,19 +68,24 @@
 
 bool DisabledHostFiles::remove(const std::string& host) {
   const std::string name = file_name(host);
-  if (folder_.empty() || name.empty()) return false;
+  if (folder_.empty() || name.empty())
+    return false;
   return unlink((folder_ + '/' + kPrefix + name).c_str()) == 0 || errno == ENOENT;
 }
 
 std::optional<std::set<std::string>> DisabledHostFiles::read() const {
   std::set<std::string> out;
-  if (folder_.empty()) return std::nullopt;
+  if (folder_.empty())
+    return std::nullopt;
   const std::unique_ptr<DIR, int (*)(DIR*)> folder(opendir(folder_.c_str()), &closedir);
-  if (!folder) return errno == ENOENT ? std::optional(out) : std::nullopt;
+  if (!folder)
+    return errno == ENOENT ? std::optional(out) : std::nullopt;
   while (const dirent* entry = readdir(folder.get())) {
     const std::string name = entry->d_name;
-    if (name.compare(0, kPrefix.size(), kPrefix) != 0) continue;  // others lie there as well
-    if (const auto host = host_name(name.substr(kPrefix.size()))) out.insert(*host);
+    if (name.compare(0, kPrefix.size(), kPrefix) != 0)
+      continue;  // others lie there as well
+    if (const auto host = host_name(name.substr(kPrefix.size())))
+      out.insert(*host);
   }
   return out;
 }
--- a/src/endpoints/endpoint_states.cpp
+++ b/src/endpoints/endpoint_states.cpp
@@ -12,19 +12,24 @@
   core::ListedHost state = host.listed;
   state.entry.started = host.started;
   const bool left_alone = suspended_ || disabled(id) || in_maintenance_.count(id) != 0;
-  if (left_alone && state.entry.state == WorkerState::ready) state.entry.state = WorkerState::draining;
+  if (left_alone && state.entry.state == WorkerState::ready)
+    state.entry.state = WorkerState::draining;
   // A host that was out may have started anew, and the list, seconds late, does not say so yet.
   state.entry.put_back = host.enabled_at > state.entry.started;
-  if (state.entry.put_back) state.entry.started = host.enabled_at;
+  if (state.entry.put_back)
+    state.entry.started = host.enabled_at;
   return state;
 }
 
 // A host that has just started, stamped by a clock that is behind, would be taken for a warm one, and
 // one stamped in the future for cold until then. What cannot be believed counts from when it was first seen.
 core::Millis EndpointStates::start_of(const Host* before, core::Millis stamped, const Sight& sight) const {
-  if (!see_) return stamped;
-  if (before != nullptr && before->listed.entry.started == stamped) return before->started;
-  if (stamped.count() <= 0) return stamped;  // it has not started late
+  if (!see_)
+    return stamped;
+  if (before != nullptr && before->listed.entry.started == stamped)
+    return before->started;
+  if (stamped.count() <= 0)
+    return stamped;  // it has not started late
   const bool ahead = stamped > sight.now;
   const bool behind_itself = before != nullptr && stamped <= before->started;
   const bool untold = first_list_at_ && stamped < *first_list_at_ - untold_most;
@@ -46,16 +51,20 @@
     host.listed = member;
     named.insert(id);
     states.hosts.push_back(state_of(id, host));
-    if (member.entry.state == WorkerState::gone) forget_removed(id);
+    if (member.entry.state == WorkerState::gone)
+      forget_removed(id);
   }
   std::vector<std::string> left;
   for (auto& [id, host] : hosts_) {
-    if (!list.complete || named.count(id) != 0 || host.listed.entry.state == WorkerState::gone) continue;
+    if (!list.complete || named.count(id) != 0 || host.listed.entry.state == WorkerState::gone)
+      continue;
     host.listed.entry.state = WorkerState::gone;
     left.push_back(id);
   }
-  for (const auto& id : left) forget_removed(id);
-  if (!first_list_at_) first_list_at_ = sight.now;
+  for (const auto& id : left)
+    forget_removed(id);
+  if (!first_list_at_)
+    first_list_at_ = sight.now;
   update_handler_(states, kind);
 }
 
@@ -66,25 +75,30 @@
     const auto oldest = hosts_.find(removed_.front());
     const bool gone = oldest != hosts_.end() && oldest->second.listed.entry.state == WorkerState::gone;
     const bool again = std::count(removed_.begin(), removed_.end(), removed_.front()) > 1;
-    if (gone && !again) hosts_.erase(oldest);
+    if (gone && !again)
+      hosts_.erase(oldest);
     removed_.pop_front();
   }
 }
 
 void EndpointStates::notify(const std::string& id) {
   const auto found = hosts_.find(id);
-  if (found == hosts_.end() || found->second.listed.entry.state == WorkerState::gone) return;
+  if (found == hosts_.end() || found->second.listed.entry.state == WorkerState::gone)
+    return;
   update_handler_({false, {state_of(id, found->second)}}, core::ListKind::delta);
 }
 
 void EndpointStates::disable(const std::string& host) {
-  if (disabled_.insert(host).second) notify(host);
+  if (disabled_.insert(host).second)
+    notify(host);
 }
 
 void EndpointStates::enable(const std::string& host, core::Millis now) {
-  if (disabled_.erase(host) == 0) return;  // it was not out: it may be as warm as it likes
+  if (disabled_.erase(host) == 0)
+    return;  // it was not out: it may be as warm as it likes
   const auto found = hosts_.find(host);
-  if (found == hosts_.end()) return;
+  if (found == hosts_.end())
+    return;
   found->second.enabled_at = now;
   notify(host);
 }
@@ -93,40 +107,49 @@
                                         core::Millis now) {
   const std::set<std::string> before = std::exchange(in_maintenance_, out);
   for (const auto& id : out) {
-    if (before.count(id) == 0) notify(id);
+    if (before.count(id) == 0)
+      notify(id);
   }
   for (const auto& id : before) {
-    if (out.count(id) != 0) continue;
+    if (out.count(id) != 0)
+      continue;
     const auto found = hosts_.find(id);
-    if (found != hosts_.end() && anew.count(id) != 0) found->second.enabled_at = now;
+    if (found != hosts_.end() && anew.count(id) != 0)
+      found->second.enabled_at = now;
     notify(id);
   }
 }
 
 void EndpointStates::suspend_all(bool held) {
-  if (std::exchange(suspended_, held) == held) return;
-  for (const auto& [id, host] : hosts_) notify(id);
+  if (std::exchange(suspended_, held) == held)
+    return;
+  for (const auto& [id, host] : hosts_)
+    notify(id);
 }
 
 std::optional<core::ListedHost> EndpointStates::find_listed(const std::string& host) const {
   const auto found = hosts_.find(host);
-  if (found == hosts_.end() || found->second.listed.entry.state == WorkerState::gone) return std::nullopt;
+  if (found == hosts_.end() || found->second.listed.entry.state == WorkerState::gone)
+    return std::nullopt;
   return found->second.listed;
 }
 
 std::map<std::string, core::ListedHost> EndpointStates::listed_hosts() const {
   std::map<std::string, core::ListedHost> out;
   for (const auto& [id, host] : hosts_) {
-    if (host.listed.entry.state != WorkerState::gone) out.emplace(id, host.listed);
+    if (host.listed.entry.state != WorkerState::gone)
+      out.emplace(id, host.listed);
   }
   return out;
 }
 
 void EndpointStates::set_disabled(const std::set<std::string>& out, core::Millis now) {
   const std::set<std::string> before = disabled_;
-  for (const auto& host : out) disable(host);
+  for (const auto& host : out)
+    disable(host);
   for (const auto& host : before) {
-    if (out.count(host) == 0) enable(host, now);
+    if (out.count(host) == 0)
+      enable(host, now);
   }
 }
 
--- a/src/gossip/dissemination_queue.cpp
+++ b/src/gossip/dissemination_queue.cpp
@@ -22,7 +22,8 @@
 
 std::vector<std::string> DisseminationQueue::take(std::size_t limit, std::size_t cluster_size) {
   std::vector<std::pair<int, std::string>> by_transmissions;
-  for (const auto& [key, transmissions] : transmissions_) by_transmissions.emplace_back(transmissions, key);
+  for (const auto& [key, transmissions] : transmissions_)
+    by_transmissions.emplace_back(transmissions, key);
   const std::size_t count = std::min(limit, by_transmissions.size());
   const auto middle = by_transmissions.begin() + static_cast<std::ptrdiff_t>(count);
   std::partial_sort(by_transmissions.begin(), middle, by_transmissions.end());
@@ -33,7 +34,8 @@
     const std::string& key = by_transmissions[i].second;
     taken.push_back(key);
     const int transmissions = ++transmissions_[key];
-    if (transmissions >= max) transmissions_.erase(key);
+    if (transmissions >= max)
+      transmissions_.erase(key);
   }
   return taken;
 }
--- a/src/gossip/gossip_service.cpp
+++ b/src/gossip/gossip_service.cpp
@@ -48,25 +48,29 @@
     return;
   }
   std::vector<std::string> seed_addresses;
-  for (const auto& peer : config_.members) seed_addresses.push_back(peer.address);
+  for (const auto& peer : config_.members)
+    seed_addresses.push_back(peer.address);
   GossipTiming timing;
   timing.period = config_.view.value();
   incarnation_ = replica_.incarnation();
   const MemberRecord self{config_.member, config_.address, incarnation_, 0, MemberStatus::joining, {}};
   protocol_.emplace(self, seed_addresses, timing, std::random_device{}(), now());
-  if (serving_) protocol_->serve(now());
+  if (serving_)
+    protocol_->serve(now());
   run_period();
 }
 
 void GossipService::leave() {
-  if (!protocol_) return;
+  if (!protocol_)
+    return;
   protocol_->leave(now());
   send_outgoing();
 }
 
 void GossipService::serve() {
   const bool was_serving = std::exchange(serving_, true);
-  if (!was_serving && protocol_) protocol_->serve(now());
+  if (!was_serving && protocol_)
+    protocol_->serve(now());
 }
 
 void GossipService::run_period() {
@@ -86,7 +90,8 @@
 
 void GossipService::observe_hosts() {
   observation_timer_ = services_.loop.schedule_at(now() + kObservationInterval, [this] { observe_hosts(); });
-  if (!protocol_) return;
+  if (!protocol_)
+    return;
   std::set<std::string> listed;
   for (const auto& [id, host] : services_.endpoint_states.listed_hosts()) {
     listed.insert(id);
@@ -94,13 +99,15 @@
   }
   std::set<std::string> observers;
   for (const auto& [name, member] : protocol_->member_table().all()) {
-    if (is_present(member.record.status)) observers.insert(name);
+    if (is_present(member.record.status))
+      observers.insert(name);
   }
   protocol_->metadata().retain(listed, observers);
 }
 
 void GossipService::handle_message(const std::string& sender, const std::string& body) {
-  if (!protocol_) return;
+  if (!protocol_)
+    return;
   const auto message = body.size() > kMaxMessageBytes ? std::nullopt : decode_message(body);
   if (!message || message->self.name != sender) {
     services_.counters.add("view.malformed");
@@ -121,7 +128,8 @@
     services_.counters.add(std::string("view.") + name_of(record.status));
     log_change(record);
   }
-  if (!changes.empty() && on_change_) on_change_();
+  if (!changes.empty() && on_change_)
+    on_change_();
 }
 
 void GossipService::log_change(const MemberRecord& record) {
@@ -131,7 +139,8 @@
 }
 
 std::size_t GossipService::present_members() const {
-  if (!protocol_) return 0;
+  if (!protocol_)
+    return 0;
   const auto& members = protocol_->member_table().all();
   const auto counts = [](const auto& entry) { return accepts_calls(entry.second.record); };
   return static_cast<std::size_t>(std::count_if(members.begin(), members.end(), counts));
--- a/src/gossip/gossip_timing.cpp
+++ b/src/gossip/gossip_timing.cpp
@@ -21,7 +21,8 @@
   const double lower = min_suspicion_periods * cluster_magnitude(cluster_size);
   // Neither the suspected member nor the first to suspect it can confirm.
   const std::size_t wanted = cluster_size > 2 ? std::min(suspicion_confirmations, cluster_size - 2) : 0;
-  if (wanted == 0) return period * (lower * 2);
+  if (wanted == 0)
+    return period * (lower * 2);
   const double upper = max_suspicion_periods / min_suspicion_periods * lower / 2;
   const double progress = log_of_count(std::min(confirmations, wanted)) / log_of_count(wanted);
   return period * std::max(lower, upper - (upper - lower) * progress);
--- a/src/gossip/indirect_probe_relay.cpp
+++ b/src/gossip/indirect_probe_relay.cpp
@@ -17,14 +17,16 @@
     return probe.own_number == own_number && probe.target == target;
   };
   const auto found = std::find_if(probes_.begin(), probes_.end(), is_answered);
-  if (found == probes_.end()) return std::nullopt;
+  if (found == probes_.end())
+    return std::nullopt;
   RelayedProbe probe = std::move(*found);
   probes_.erase(found);
   return probe;
 }
 
 void IndirectProbeRelay::remove_expired(Millis now) {
-  while (!probes_.empty() && probes_.front().expires_at < now) probes_.pop_front();
+  while (!probes_.empty() && probes_.front().expires_at < now)
+    probes_.pop_front();
 }
 
 }  // namespace lotusyard::gossip
--- a/src/gossip/member_metadata.cpp
+++ b/src/gossip/member_metadata.cpp
@@ -9,18 +9,22 @@
 
 MemberMetadata::MergeResult MemberMetadata::merge(const HostObservation& observation) {
   const bool is_known = hosts_.count(observation.host) != 0;
-  if (!is_known && hosts_.size() >= kMaxHosts) return MergeResult::rejected;
+  if (!is_known && hosts_.size() >= kMaxHosts)
+    return MergeResult::rejected;
   Host& host = hosts_[observation.host];
   const bool is_stale = observation.host_incarnation < host.incarnation;
-  if (is_stale && !fault_injected("earlier-life")) return MergeResult::unchanged;
+  if (is_stale && !fault_injected("earlier-life"))
+    return MergeResult::unchanged;
   if (observation.host_incarnation > host.incarnation) {
     host.incarnation = observation.host_incarnation;
     host.by_observer.clear();
   }
   const auto [entry, inserted] = host.by_observer.try_emplace(observation.observer, observation);
-  if (inserted) return MergeResult::updated;
+  if (inserted)
+    return MergeResult::updated;
   const bool is_newer = entry->second.precedence() < observation.precedence();
-  if (!is_newer && !fault_injected("merge-order")) return MergeResult::unchanged;
+  if (!is_newer && !fault_injected("merge-order"))
+    return MergeResult::unchanged;
   entry->second = observation;
   return MergeResult::updated;
 }
@@ -40,14 +44,16 @@
 std::vector<HostObservation> MemberMetadata::all() const {
   std::vector<HostObservation> observations;
   for (const auto& [id, host] : hosts_) {
-    for (const auto& [observer, observation] : host.by_observer) observations.push_back(observation);
+    for (const auto& [observer, observation] : host.by_observer)
+      observations.push_back(observation);
   }
   return observations;
 }
 
 const HostObservation* MemberMetadata::find(const std::string& host, const std::string& observer) const {
   const auto found = hosts_.find(host);
-  if (found == hosts_.end()) return nullptr;
+  if (found == hosts_.end())
+    return nullptr;
   const auto& by_observer = found->second.by_observer;
   const auto entry = by_observer.find(observer);
   return entry == by_observer.end() ? nullptr : &entry->second;
@@ -55,7 +61,8 @@
 
 std::size_t MemberMetadata::failure_reports(const std::string& host) const {
   const auto found = hosts_.find(host);
-  if (found == hosts_.end()) return 0;
+  if (found == hosts_.end())
+    return 0;
   const auto& by_observer = found->second.by_observer;
   const auto reports_failure = [](const auto& entry) { return !entry.second.usable; };
   const auto reports = std::count_if(by_observer.begin(), by_observer.end(), reports_failure);
--- a/src/gossip/member_table.cpp
+++ b/src/gossip/member_table.cpp
@@ -12,24 +12,31 @@
 }
 
 void MemberTable::add_to_counts(const MemberRecord& record) {
-  if (is_present(record.status)) ++present_count_;
-  if (record.status == MemberStatus::suspect) suspects_.insert(record.name);
+  if (is_present(record.status))
+    ++present_count_;
+  if (record.status == MemberStatus::suspect)
+    suspects_.insert(record.name);
 }
 
 void MemberTable::remove_from_counts(const MemberRecord& record) {
-  if (is_present(record.status)) --present_count_;
-  if (record.status == MemberStatus::suspect) suspects_.erase(record.name);
+  if (is_present(record.status))
+    --present_count_;
+  if (record.status == MemberStatus::suspect)
+    suspects_.erase(record.name);
 }
 
 // Returns false if no member is absent.
 bool MemberTable::evict_longest_absent() {
   auto oldest = members_.end();
   for (auto member = members_.begin(); member != members_.end(); ++member) {
-    if (is_present(member->second.record.status)) continue;
+    if (is_present(member->second.record.status))
+      continue;
     const bool is_older = oldest == members_.end() || member->second.since < oldest->second.since;
-    if (is_older) oldest = member;
+    if (is_older)
+      oldest = member;
   }
-  if (oldest == members_.end()) return false;
+  if (oldest == members_.end())
+    return false;
   members_.erase(oldest);
   return true;
 }
@@ -38,24 +45,29 @@
   auto found = members_.find(record.name);
   if (found == members_.end()) {
     const bool is_full = members_.size() >= timing_.max_members;
-    if (is_full && !evict_longest_absent()) return MergeResult::rejected;
+    if (is_full && !evict_longest_absent())
+      return MergeResult::rejected;
     found = members_.emplace(record.name, Member{record, now, {}}).first;
   } else {
     Member& known = found->second;
-    if (!supersedes(record, known.record)) return merge_confirmation(known, record);
+    if (!supersedes(record, known.record))
+      return merge_confirmation(known, record);
     remove_from_counts(known.record);
     known = {record, now, {}};
   }
   add_to_counts(record);
-  if (record.status == MemberStatus::suspect) found->second.suspecting.insert(record.suspected_by);
+  if (record.status == MemberStatus::suspect)
+    found->second.suspecting.insert(record.suspected_by);
   return MergeResult::updated;
 }
 
 // For a record that does not supersede the known one: it may still come from one more suspecting member.
 MemberTable::MergeResult MemberTable::merge_confirmation(Member& member, const MemberRecord& record) const {
   const bool is_older = supersedes(member.record, record);
-  if (is_older || record.status != MemberStatus::suspect) return MergeResult::unchanged;
-  if (member.suspecting.size() > timing_.suspicion_confirmations) return MergeResult::unchanged;
+  if (is_older || record.status != MemberStatus::suspect)
+    return MergeResult::unchanged;
+  if (member.suspecting.size() > timing_.suspicion_confirmations)
+    return MergeResult::unchanged;
   const bool inserted = member.suspecting.insert(record.suspected_by).second;
   return inserted ? MergeResult::confirmed : MergeResult::unchanged;
 }
@@ -69,7 +81,8 @@
   std::vector<MemberRecord> expired;
   for (const auto& name : suspects_) {
     const Member& member = members_.at(name);
-    if (now >= suspicion_expiry(member, timeout_multiplier)) expired.push_back(member.record);
+    if (now >= suspicion_expiry(member, timeout_multiplier))
+      expired.push_back(member.record);
   }
   return expired;
 }
@@ -83,7 +96,8 @@
 }
 
 void MemberTable::extend_suspicions(Millis by) {
-  for (const auto& name : suspects_) members_.at(name).since += by;
+  for (const auto& name : suspects_)
+    members_.at(name).since += by;
 }
 
 void MemberTable::forget_dead(Millis now, const std::string& self) {
--- a/src/gossip/membership_state.cpp
+++ b/src/gossip/membership_state.cpp
@@ -32,20 +32,23 @@
   std::size_t seen = 0;
   for (const auto& [name, member] : members_.all()) {
     const bool is_candidate = name != self_.name && name != excluded;
-    if (!is_candidate || !is_present(member.record.status)) continue;
+    if (!is_candidate || !is_present(member.record.status))
+      continue;
     ++seen;
     if (sample.size() < limit) {
       sample.push_back(&member.record);
       continue;
     }
     const std::size_t position = random() % seen;
-    if (position < limit) sample[position] = &member.record;
+    if (position < limit)
+      sample[position] = &member.record;
   }
   return sample;
 }
 
 void MembershipState::set_serving(Millis now) {
-  if (self_.status != MemberStatus::joining) return;
+  if (self_.status != MemberStatus::joining)
+    return;
   self_.status = MemberStatus::alive;
   merge(self_, now);
 }
@@ -59,7 +62,8 @@
 void MembershipState::observe(const std::string& host, double host_incarnation, bool usable) {
   const HostObservation* previous = metadata_.find(host, self_.name);
   const bool is_same_host = previous != nullptr && previous->host_incarnation == host_incarnation;
-  if (is_same_host && previous->usable == usable) return;
+  if (is_same_host && previous->usable == usable)
+    return;
   ++observation_sequence_;
   merge(
       HostObservation{host, host_incarnation, self_.name, self_.incarnation, observation_sequence_, usable});
@@ -76,7 +80,8 @@
 void MembershipState::merge_self(const MemberRecord& record, Millis now) {
   const bool is_this_process = record.incarnation == self_.incarnation && record.address == self_.address;
   if (!supersedes(record, self_)) {
-    if (is_this_process) merge_into_table(record, now);
+    if (is_this_process)
+      merge_into_table(record, now);
     return;
   }
   if (is_this_process) {
@@ -92,7 +97,8 @@
 
 // Only the member itself raises its refutation count, so the new record supersedes what others report of it.
 void MembershipState::refute(std::uint64_t claimed_refutation, Millis now) {
-  if (fault_injected("refute")) return;
+  if (fault_injected("refute"))
+    return;
   self_.refutation = std::max(self_.refutation, claimed_refutation) + 1;
   ++counts_.refuted;
   health_.degrade(1);
@@ -103,10 +109,17 @@
   const MemberRecord* known = members_.find(record.name);
   const std::optional<MemberRecord> previous = known == nullptr ? std::nullopt : std::optional(*known);
   switch (members_.merge(record, now)) {
-    case MemberTable::MergeResult::rejected: ++counts_.refused; break;
-    case MemberTable::MergeResult::unchanged: break;
-    case MemberTable::MergeResult::confirmed: member_updates_.enqueue(record.name); break;
-    case MemberTable::MergeResult::updated: record_update(previous ? &*previous : nullptr, record); break;
+    case MemberTable::MergeResult::rejected:
+      ++counts_.refused;
+      break;
+    case MemberTable::MergeResult::unchanged:
+      break;
+    case MemberTable::MergeResult::confirmed:
+      member_updates_.enqueue(record.name);
+      break;
+    case MemberTable::MergeResult::updated:
+      record_update(previous ? &*previous : nullptr, record);
+      break;
   }
 }
 
@@ -116,10 +129,13 @@
   const bool is_new = previous == nullptr;
   const bool is_changed =
       is_new || record.status != previous->status || record.incarnation != previous->incarnation;
-  if (is_changed) changes_.push_back(record);
-  if (record.name == self_.name || record.status != MemberStatus::alive) return;
+  if (is_changed)
+    changes_.push_back(record);
+  if (record.name == self_.name || record.status != MemberStatus::alive)
+    return;
   const bool was_dead = is_new || previous->status == MemberStatus::dead;
-  if (was_dead) probe_order_.insert(record.name);
+  if (was_dead)
+    probe_order_.insert(record.name);
 }
 
 // After a partition each side takes the other for dead and says so in full syncs, also of members that are
@@ -137,7 +153,8 @@
 
 void MembershipState::merge(const HostObservation& observation) {
   const bool updated = metadata_.merge(observation) == MemberMetadata::MergeResult::updated;
-  if (updated) observation_updates_.enqueue(observation_key(observation));
+  if (updated)
+    observation_updates_.enqueue(observation_key(observation));
 }
 
 void MembershipState::merge_all(const Message& message, Millis now) {
@@ -149,7 +166,8 @@
       merge(record, now);
     }
   }
-  for (const auto& observation : message.observations) merge(observation);
+  for (const auto& observation : message.observations)
+    merge(observation);
 }
 
 MemberRecord MembershipState::suspect(const MemberRecord& member, Millis now) {
@@ -179,7 +197,8 @@
 void MembershipState::attach_updates(Message& message) {
   const std::size_t cluster_size = members_.present_count();
   for (const auto& name : member_updates_.take(timing_.max_piggybacked, cluster_size)) {
-    if (const MemberRecord* record = members_.find(name)) message.members.push_back(*record);
+    if (const MemberRecord* record = members_.find(name))
+      message.members.push_back(*record);
   }
   for (const auto& key : observation_updates_.take(timing_.max_piggybacked, cluster_size)) {
     const auto separator = key.find(kKeySeparator);
@@ -191,7 +210,8 @@
 }
 
 void MembershipState::attach_full_state(Message& message) {
-  for (const auto& [name, member] : members_.all()) message.members.push_back(member.record);
+  for (const auto& [name, member] : members_.all())
+    message.members.push_back(member.record);
   message.observations = metadata_.all();
   member_updates_.record_full_sync(members_.present_count());
   observation_updates_.record_full_sync(members_.present_count());
--- a/src/gossip/probe_order.cpp
+++ b/src/gossip/probe_order.cpp
@@ -8,7 +8,8 @@
 
 std::string ProbeOrder::next(const MemberTable& members, const std::string& self) {
   std::string name = take_present(members);
-  if (!name.empty()) return name;
+  if (!name.empty())
+    return name;
   start_round(members, self);
   return take_present(members);
 }
@@ -23,14 +24,16 @@
     std::string name = std::move(remaining_.front());
     remaining_.pop_front();
     const MemberRecord* record = members.find(name);
-    if (record != nullptr && is_present(record->status)) return name;
+    if (record != nullptr && is_present(record->status))
+      return name;
   }
   return {};
 }
 
 void ProbeOrder::start_round(const MemberTable& members, const std::string& self) {
   for (const auto& [name, member] : members.all()) {
-    if (name != self && is_present(member.record.status)) remaining_.push_back(name);
+    if (name != self && is_present(member.record.status))
+      remaining_.push_back(name);
   }
   std::shuffle(remaining_.begin(), remaining_.end(), random_);
 }
--- a/src/hosts/connection_pool.cpp
+++ b/src/hosts/connection_pool.cpp
@@ -32,7 +32,8 @@
 // Each liveness probe is cheap, but calls that wait for a load are silent as well. Asked for whatever
 // is late, a hundred invokers' probes are more than their calls.
 bool HostConnectionPool::take_liveness_probe() {
-  if (probes_left_ < 1) return false;
+  if (probes_left_ < 1)
+    return false;
   probes_left_ -= 1;
   counters_.add("hosts.liveness_probes");
   return true;
@@ -56,7 +57,8 @@
 void HostConnectionPool::update_endpoints(const core::HostListUpdate& list) {
   std::set<std::string> named;
   const auto retire = [this](Host& host, bool unsent_too) {
-    if (unsent_too) withdraw_waiting(host.member.entry.worker);
+    if (unsent_too)
+      withdraw_waiting(host.member.entry.worker);
     for (const auto& link : std::vector<std::shared_ptr<HostConnection>>(host.connections))
       link->retire(unsent_too);
   };
@@ -67,14 +69,17 @@
     const bool reborn =
         !host.member.entry.worker.empty() &&
         (member.address != host.member.address || member.entry.started > host.member.entry.started);
-    if (reborn) retire(host, true);
+    if (reborn)
+      retire(host, true);
     host.member = member;
-    if (member.entry.state != WorkerState::ready) retire(host, true);
+    if (member.entry.state != WorkerState::ready)
+      retire(host, true);
     // A new host may stand at the address of one that is gone, and be taken for it.
     for (auto& [other_id, other] : hosts_) {
       const bool taken_over =
           member.entry.state == WorkerState::ready && other.member.address == member.address;
-      if (taken_over && other_id != id) retire(other, true);
+      if (taken_over && other_id != id)
+        retire(other, true);
     }
   }
   for (auto i = hosts_.begin(); i != hosts_.end();) {
@@ -94,12 +99,14 @@
 // what counts is what has come in over all. The one that holds most goes.
 void HostConnectionPool::account_incoming(HostConnection& link, std::size_t before, std::size_t now) {
   incoming_ = incoming_ + now - before;
-  if (now <= before || incoming_ <= limits_.incoming) return;
+  if (now <= before || incoming_ <= limits_.incoming)
+    return;
   HostConnection* most = &link;
   std::size_t least = now;
   for (auto& [id, host] : hosts_) {
     for (const auto& other : host.connections) {
-      if (other->is_closing() || other->buffered_bytes() <= least) continue;
+      if (other->is_closing() || other->buffered_bytes() <= least)
+        continue;
       most = other.get();
       least = other->buffered_bytes();
     }
@@ -117,18 +124,21 @@
 
 HostConnectionPool::Host* HostConnectionPool::ready_host(const std::string& id, const core::Call* call,
                                                          std::uint64_t function) {
-  if (allows(id, call, function)) return &hosts_.at(id);
+  if (allows(id, call, function))
+    return &hosts_.at(id);
   counters_.add("guard.host_not_ready");
   return nullptr;
 }
 
 void HostConnectionPool::abort_unsent(const std::string& id) {
   const auto found = hosts_.find(id);
-  if (found == hosts_.end()) return;
+  if (found == hosts_.end())
+    return;
   withdraw_waiting(id);
   for (const auto& link : std::vector<std::shared_ptr<HostConnection>>(found->second.connections)) {
     link->abort_pending_writes();
-    if (!link->is_connecting() && link->send_queue().empty()) continue;
+    if (!link->is_connecting() && link->send_queue().empty())
+      continue;
     counters_.add("hosts.cut_links");
     link->close_later();
   }
@@ -136,7 +146,8 @@
 
 bool HostConnectionPool::has_no_calls(const std::string& id) const {
   const auto there = [&](const auto& entry) { return entry.second->host() == id; };
-  if (std::any_of(attempts_.begin(), attempts_.end(), there)) return false;
+  if (std::any_of(attempts_.begin(), attempts_.end(), there))
+    return false;
   const auto host = hosts_.find(id);
   return host == hosts_.end() || !host->second.may_run_cancelled_calls(loop_.now());
 }
@@ -168,8 +179,10 @@
                                       const core::Call& call, Millis patience) {
   Host* host = ready_host(id, &call, call.function);
   const LinkChoice choice = host == nullptr ? LinkChoice() : connection_for(*host, call.ref);
-  if (choice.local_trouble) return wait_for_connection(attempt, id, call, loop_.now() + patience);
-  if (choice.link == nullptr) return attempt_not_sent(attempt);
+  if (choice.local_trouble)
+    return wait_for_connection(attempt, id, call, loop_.now() + patience);
+  if (choice.link == nullptr)
+    return attempt_not_sent(attempt);
   send_attempt(*choice.link, attempt, call, patience);
 }
 
@@ -178,16 +191,19 @@
   attempts_[attempt] = &link;
   Host& host = hosts_.at(link.host());
   const Millis now = loop_.now();
-  if (host.calls_expire_at <= now) host.has_cancelled_calls = false;
+  if (host.calls_expire_at <= now)
+    host.has_cancelled_calls = false;
   host.calls_expire_at = std::max(host.calls_expire_at, now + patience);
   probes_left_ = std::min(probes_left_ + kProbeShare, kProbesMost);
   link.send_attempt(attempt, call, patience);
 }
 
 bool HostConnectionPool::cancel_attempt(const core::Attempt& attempt) {
-  if (waiting_.remove(attempt)) return false;
+  if (waiting_.remove(attempt))
+    return false;
   const auto found = attempts_.find(attempt);
-  if (found == attempts_.end()) return false;
+  if (found == attempts_.end())
+    return false;
   HostConnection* link = found->second;
   attempts_.erase(found);
   hosts_.at(link->host()).has_cancelled_calls = true;
@@ -197,8 +213,10 @@
 void HostConnectionPool::probe(const std::string& id) {
   Host* host = ready_host(id, nullptr, 0);
   const LinkChoice choice = host == nullptr ? LinkChoice() : connection_for(*host, {});
-  if (choice.link != nullptr) return choice.link->probe("p" + std::to_string(++last_tag_));
-  if (!choice.local_trouble) return probe_not_sent(id);
+  if (choice.link != nullptr)
+    return choice.link->probe("p" + std::to_string(++last_tag_));
+  if (!choice.local_trouble)
+    return probe_not_sent(id);
   wait_with(WaitingSend::Kind::probe, id, 0, 0);
 }
 
@@ -208,23 +226,27 @@
   if (choice.link != nullptr) {
     return choice.link->load_copies("t" + std::to_string(++last_tag_), function, copies);
   }
-  if (!choice.local_trouble) return load_not_sent(id, function);
+  if (!choice.local_trouble)
+    return load_not_sent(id, function);
   wait_with(WaitingSend::Kind::load_order, id, function, copies);
 }
 
 void HostConnectionPool::unload(const std::string& id, std::uint64_t function) {
   Host* host = ready_host(id, nullptr, 0);
   HostConnection* link = host == nullptr ? nullptr : connection_for(*host, {}).link;
-  if (link != nullptr) link->send_line("release " + net::hex16(function));
+  if (link != nullptr)
+    link->send_line("release " + net::hex16(function));
 }
 
 core::Report HostConnectionPool::parse_report(const std::string& text) const {
   const auto fields = net::parse_fields(text, ';', ':');
-  if (text.empty() || !fields) return std::nullopt;
+  if (text.empty() || !fields)
+    return std::nullopt;
   std::vector<double> values;
   for (const auto& name : limits_.report_fields) {
     const auto value = net::parse_number(field(*fields, name));
-    if (!value) return std::nullopt;  // the module reads by place: a gap would shift the rest
+    if (!value)
+      return std::nullopt;  // the module reads by place: a gap would shift the rest
     values.push_back(*value);
   }
   return values;
--- a/src/hosts/connection_pool_connects.cpp
+++ b/src/hosts/connection_pool_connects.cpp
@@ -20,12 +20,17 @@
   HostConnection* suspect = nullptr;
   std::size_t usable = 0;
   for (const auto& link : host.connections) {
-    if (link->is_open() || link->is_connecting()) ++usable;
-    if (link->has_capacity(ref, true)) suspect = link.get();
-    if (!link->has_capacity(ref, false)) continue;
-    if (best == nullptr || link->load() < best->load()) best = link.get();
+    if (link->is_open() || link->is_connecting())
+      ++usable;
+    if (link->has_capacity(ref, true))
+      suspect = link.get();
+    if (!link->has_capacity(ref, false))
+      continue;
+    if (best == nullptr || link->load() < best->load())
+      best = link.get();
   }
-  if (best != nullptr) return {best, false};
+  if (best != nullptr)
+    return {best, false};
   if (usable >= limits_.links_a_host || connections_ >= limits_.links) {
     counters_.add("hosts.no_link");
     return {nullptr, false};
@@ -36,7 +41,8 @@
 }
 
 HostConnectionPool::LinkChoice HostConnectionPool::open_link(Host& host) {
-  if (!backoff_.may_try(loop_.now())) return {nullptr, true};
+  if (!backoff_.may_try(loop_.now()))
+    return {nullptr, true};
   net::ConnectResult connection = net::connect_to(host.member.address);
   net::count_connect_error(loop_, connection);
   if (connection.error && connection.error->kind == net::ConnectErrorKind::local_resource) {
@@ -70,10 +76,13 @@
   const auto allowed = [&](const std::string& host) {
     return next_ == nullptr || next_->allows(tenant, function, host);
   };
-  if (!allowed(id)) return false;
-  if (!fleet_.in_local_trouble()) return true;
+  if (!allowed(id))
+    return false;
+  if (!fleet_.in_local_trouble())
+    return true;
   const auto found = fleet_.hosts_.find(id);
-  if (found == fleet_.hosts_.end() || fleet_.has_open_link(found->second)) return true;
+  if (found == fleet_.hosts_.end() || fleet_.has_open_link(found->second))
+    return true;
   return std::none_of(fleet_.hosts_.begin(), fleet_.hosts_.end(), [&](const auto& entry) {
     return fleet_.is_reachable(entry.second) && allowed(entry.first);
   });
@@ -90,7 +99,8 @@
 }
 
 void HostConnectionPool::arm_waiting() {
-  if (waiting_.empty()) return;
+  if (waiting_.empty())
+    return;
   loop_.cancel(waiting_timer_);
   const Millis next = std::max(backoff_.next_try(), loop_.now());
   waiting_timer_ = loop_.schedule_at(next, [this] { try_waiting(); });
@@ -125,7 +135,8 @@
 
 void HostConnectionPool::try_waiting() {
   for (auto& send : waiting_.take_all()) {
-    if (!try_again(send)) waiting_.add(std::move(send));
+    if (!try_again(send))
+      waiting_.add(std::move(send));
   }
   arm_waiting();
 }
@@ -137,17 +148,23 @@
   const bool loads = send.kind == WaitingSend::Kind::load_order && send.copies > 0;
   const std::uint64_t function = attempt ? send.call.function : loads ? send.function : 0;
   Host* host = ready_host(send.host, attempt ? &send.call : nullptr, function);
-  if (host == nullptr || now >= send.until) return end_waiting(send), true;
+  if (host == nullptr || now >= send.until)
+    return end_waiting(send), true;
   const LinkChoice choice = connection_for(*host, attempt ? send.call.ref : std::string());
-  if (choice.link != nullptr) return send_on(*choice.link, send), true;
-  if (!choice.local_trouble) return end_unreachable(send), true;
-  if (attempt && may_move_on(send, now)) return end_waiting(send), true;
+  if (choice.link != nullptr)
+    return send_on(*choice.link, send), true;
+  if (!choice.local_trouble)
+    return end_unreachable(send), true;
+  if (attempt && may_move_on(send, now))
+    return end_waiting(send), true;
   return false;
 }
 
 bool HostConnectionPool::may_move_on(const WaitingSend& send, Millis now) const {
-  if (send.attempt.number + 1 >= dispatcher_->settings().max_attempts) return false;
-  if (now >= send.move_on_at) return true;
+  if (send.attempt.number + 1 >= dispatcher_->settings().max_attempts)
+    return false;
+  if (now >= send.move_on_at)
+    return true;
   const bool elsewhere = std::any_of(hosts_.begin(), hosts_.end(), [&](const auto& entry) {
     return entry.first != send.host && is_reachable(entry.second);
   });
@@ -158,7 +175,8 @@
   switch (send.kind) {
     case WaitingSend::Kind::attempt:
       return send_attempt(link, send.attempt, send.call, send.until + kLeastLeft - loop_.now());
-    case WaitingSend::Kind::probe: return link.probe("p" + std::to_string(++last_tag_));
+    case WaitingSend::Kind::probe:
+      return link.probe("p" + std::to_string(++last_tag_));
     case WaitingSend::Kind::load_order:
       return link.load_copies("t" + std::to_string(++last_tag_), send.function, send.copies);
   }
@@ -181,14 +199,18 @@
 
 void HostConnectionPool::end_unreachable(const WaitingSend& send) {
   switch (send.kind) {
-    case WaitingSend::Kind::attempt: return attempt_not_sent(send.attempt);
-    case WaitingSend::Kind::probe: return probe_not_sent(send.host);
-    case WaitingSend::Kind::load_order: return load_not_sent(send.host, send.function);
+    case WaitingSend::Kind::attempt:
+      return attempt_not_sent(send.attempt);
+    case WaitingSend::Kind::probe:
+      return probe_not_sent(send.host);
+    case WaitingSend::Kind::load_order:
+      return load_not_sent(send.host, send.function);
   }
 }
 
 void HostConnectionPool::withdraw_waiting(const std::string& host) {
-  for (const auto& send : waiting_.take_host(host)) end_waiting(send);
+  for (const auto& send : waiting_.take_host(host))
+    end_waiting(send);
 }
 
 }  // namespace lotusyard::hosts
--- a/src/hosts/connection_wait.h
+++ b/src/hosts/connection_wait.h
@@ -57,7 +57,8 @@
       return send.kind == WaitingSend::Kind::attempt && send.attempt == attempt;
     };
     const auto found = std::find_if(sends_.begin(), sends_.end(), same);
-    if (found == sends_.end()) return false;
+    if (found == sends_.end())
+      return false;
     sends_.erase(found);
     return true;
   }
--- a/src/hosts/host_connection.cpp
+++ b/src/hosts/host_connection.cpp
@@ -66,7 +66,8 @@
 bool HostConnectionPool::HostConnection::cancel_attempt(const core::Attempt& attempt) {
   const auto found = std::find_if(attempts_.begin(), attempts_.end(),
                                   [&](const auto& entry) { return entry.second.attempt == attempt; });
-  if (found == attempts_.end()) return false;
+  if (found == attempts_.end())
+    return false;
   const std::string ref = found->first;
   const SentAttempt sent = found->second;
   attempts_.erase(found);
@@ -82,13 +83,15 @@
   const Millis now = fleet_.loop_.now();
   remember_ended(ref, false);
   // A host that is cut off says nothing for ever. What comes next tries a new connection: it proves more.
-  if (now - std::max(heard_, sent.at) > kSilent) suspect_ = true;
+  if (now - std::max(heard_, sent.at) > kSilent)
+    suspect_ = true;
   // At once: the next attempt may leave on another connection in this very turn.
   write("drop " + ref + "\r\n");
   const bool flushed = flush_now();
   // Short of memory, the order to drop it follows. Else the host reads nothing; closing gives the attempt up.
   const bool follows = short_of_memory() && send_queue().written() >= sent.end_offset;
-  if (!flushed && !follows) close_later();
+  if (!flushed && !follows)
+    close_later();
   arm_idle_timer();
   // What was not handed over whole by now never will be.
   return send_queue().written() >= sent.end_offset;
@@ -111,18 +114,22 @@
 
 void HostConnectionPool::HostConnection::enqueue_write(PendingWrite&& pending) {
   pending_writes_.push_back(std::move(pending));
-  if (!is_connecting()) fleet_.loop_.flush_later(*this);
+  if (!is_connecting())
+    fleet_.loop_.flush_later(*this);
 }
 
 void HostConnectionPool::HostConnection::retire(bool unsent_too) {
   retired_ = true;
-  if (unsent_too && is_connecting()) return close_later();
-  if (unsent_too) abort_pending_writes();
+  if (unsent_too && is_connecting())
+    return close_later();
+  if (unsent_too)
+    abort_pending_writes();
   // Bytes that a host does not read could leave long after it was told draining.
   if (unsent_too && !send_queue().empty()) {
     fleet_.loop_.cancel(stuck_);
     stuck_ = fleet_.loop_.schedule_at(fleet_.loop_.now() + kUnreadMost, [this] {
-      if (!send_queue().empty()) close_later();
+      if (!send_queue().empty())
+        close_later();
     });
   }
   arm_idle_timer();
@@ -143,13 +150,17 @@
 // Wait: till the next turn, in which it is taken back if its call is over.
 HostConnectionPool::HostConnection::WriteDecision HostConnectionPool::HostConnection::check_before_write(
     PendingWrite& pending) {
-  if (pending.kind == PendingWrite::Kind::line) return WriteDecision::write;
+  if (pending.kind == PendingWrite::Kind::line)
+    return WriteDecision::write;
   const bool exec = pending.kind == PendingWrite::Kind::attempt;
   const SentAttempt sent = exec ? attempts_.at(pending.name) : SentAttempt{};
   const core::Call* call = exec ? fleet_.dispatcher_->find_call(sent.attempt.call) : nullptr;
-  if (!fleet_.allows(host_, call, pending.function)) return WriteDecision::discard;
-  if (!exec) return WriteDecision::write;
-  if (pending.until - fleet_.loop_.now() < kLeastPatience) return WriteDecision::wait;
+  if (!fleet_.allows(host_, call, pending.function))
+    return WriteDecision::discard;
+  if (!exec)
+    return WriteDecision::write;
+  if (pending.until - fleet_.loop_.now() < kLeastPatience)
+    return WriteDecision::wait;
   const auto begin = fleet_.dispatcher_->check_before_write(sent.attempt, sent.at);
   return begin == core::Dispatcher::WriteCheck::allowed ? WriteDecision::write : WriteDecision::wait;
 }
@@ -157,7 +168,8 @@
 // The one place from which calls and orders go out.
 void HostConnectionPool::HostConnection::before_write() {
   // A host that has closed is read first: what stands here goes elsewhere, and provably never ran here.
-  if (pending_writes_.empty() || peer_state() == net::PeerState::disconnected) return;
+  if (pending_writes_.empty() || peer_state() == net::PeerState::disconnected)
+    return;
   auto decided = std::move(pending_writes_);
   pending_writes_.clear();
   bool kernel_full = false;
@@ -168,12 +180,16 @@
       // Behind bytes that the kernel has no room for it would stand with the patience of now, and go
       // out for a caller who has cancelled. Only one call is ever cut in two.
       kernel_full = !flush_now();
-      if (kernel_full && one.kind == PendingWrite::Kind::attempt) limit_stuck_exec();
+      if (kernel_full && one.kind == PendingWrite::Kind::attempt)
+        limit_stuck_exec();
     }
-    if (look == WriteDecision::discard) discard_write(one);
-    if (look == WriteDecision::wait) pending_writes_.push_back(std::move(one));
+    if (look == WriteDecision::discard)
+      discard_write(one);
+    if (look == WriteDecision::wait)
+      pending_writes_.push_back(std::move(one));
   }
-  if (pending_writes_.empty() || kernel_full) return;  // looked at again once the kernel has room
+  if (pending_writes_.empty() || kernel_full)
+    return;  // looked at again once the kernel has room
   fleet_.loop_.cancel(again_);
   again_ = fleet_.loop_.schedule_at(fleet_.loop_.now() + kLookPace, [this] {
     read_callers();
@@ -185,16 +201,19 @@
 void HostConnectionPool::HostConnection::read_callers() {
   std::vector<core::Attempt> waiting;
   for (const auto& one : pending_writes_) {
-    if (one.kind == PendingWrite::Kind::attempt) waiting.push_back(attempts_.at(one.name).attempt);
+    if (one.kind == PendingWrite::Kind::attempt)
+      waiting.push_back(attempts_.at(one.name).attempt);
   }
-  for (const auto& attempt : waiting) fleet_.dispatcher_->read_caller(attempt);  // may take some back
+  for (const auto& attempt : waiting)
+    fleet_.dispatcher_->read_caller(attempt);  // may take some back
 }
 
 void HostConnectionPool::HostConnection::limit_stuck_exec() {
   fleet_.loop_.cancel(stuck_exec_);
   stuck_exec_ =
       fleet_.loop_.schedule_at(fleet_.loop_.now() + kStuckExecMost, [this, end = send_queue().appended()] {
-        if (is_closing() || send_queue().written() >= end) return;
+        if (is_closing() || send_queue().written() >= end)
+          return;
         fleet_.counters_.add("hosts.stuck_calls");
         close_later();
       });
@@ -203,7 +222,8 @@
 void HostConnectionPool::HostConnection::abort_pending_writes() {
   const auto decided = std::move(pending_writes_);
   pending_writes_.clear();
-  for (const auto& one : decided) discard_write(one);
+  for (const auto& one : decided)
+    discard_write(one);
 }
 
 void HostConnectionPool::HostConnection::discard_write(const PendingWrite& pending) {
@@ -217,9 +237,12 @@
     const Query asked = found->second;
     fleet_.loop_.cancel(asked.timer);
     queries_.erase(found);
-    if (asked.kind == Query::Kind::load) fleet_.load_not_sent(host_, asked.function);
-    if (asked.kind == Query::Kind::probe) fleet_.probe_not_sent(host_);
-    if (asked.kind == Query::Kind::liveness) probed_ = Millis(0);
+    if (asked.kind == Query::Kind::load)
+      fleet_.load_not_sent(host_, asked.function);
+    if (asked.kind == Query::Kind::probe)
+      fleet_.probe_not_sent(host_);
+    if (asked.kind == Query::Kind::liveness)
+      probed_ = Millis(0);
   }
   arm_idle_timer();
 }
@@ -228,7 +251,8 @@
   if (pending.kind != PendingWrite::Kind::attempt) {
     write(pending.text);
     const auto found = queries_.find(pending.name);
-    if (found == queries_.end()) return;
+    if (found == queries_.end())
+      return;
     found->second.written = true;
     found->second.end_offset = send_queue().appended();
     return;
@@ -247,9 +271,11 @@
 
 // Idle from now on, until something goes out again.
 void HostConnectionPool::HostConnection::arm_idle_timer() {
-  if (is_connecting()) return;
+  if (is_connecting())
+    return;
   fleet_.loop_.cancel(timer_);
-  if (load() > 0) return;
+  if (load() > 0)
+    return;
   const bool kept = !retired_ && (!suspect_ || fleet_.in_local_trouble());
   const Millis now = fleet_.loop_.now();
   const Millis idle = kept ? fleet_.limits_.idle * kIdleShare : Millis(0);
@@ -260,7 +286,8 @@
 // While no new connection can be made, one that stands is kept for as long as its host surely keeps it.
 void HostConnectionPool::HostConnection::idle_over() {
   const Millis next = fleet_.loop_.now() + kIdlePace;
-  if (!fleet_.in_local_trouble() || retired_ || next > idle_until_) return close_later();
+  if (!fleet_.in_local_trouble() || retired_ || next > idle_until_)
+    return close_later();
   timer_ = fleet_.loop_.schedule_at(next, [this] { idle_over(); });
 }
 
--- a/src/hosts/host_connection_liveness.cpp
+++ b/src/hosts/host_connection_liveness.cpp
@@ -18,7 +18,8 @@
 
 void HostConnectionPool::HostConnection::arm_silence_timer() {
   sent_ = fleet_.loop_.now();
-  if (std::exchange(checking_, true)) return;  // one timer a link
+  if (std::exchange(checking_, true))
+    return;  // one timer a link
   check_ = fleet_.loop_.schedule_at(sent_ + kCheckPace, [this] { check_silence(); });
 }
 
@@ -27,8 +28,10 @@
   // much; its function is one that a client has called. An order must not go to a host that drains.
   const bool order = fleet_.limits_.liveness == LivenessProbe::order;
   const std::uint64_t function = attempts_.begin()->second.function;
-  if (fleet_.limits_.liveness == LivenessProbe::none) return;
-  if ((order && !fleet_.allows(host_, nullptr, function)) || !fleet_.take_liveness_probe()) return;
+  if (fleet_.limits_.liveness == LivenessProbe::none)
+    return;
+  if ((order && !fleet_.allows(host_, nullptr, function)) || !fleet_.take_liveness_probe())
+    return;
   probed_ = fleet_.loop_.now();
   ++probes_unanswered_;
   const std::string tag = "s" + std::to_string(++fleet_.last_tag_);
@@ -40,7 +43,8 @@
 // on it to the deadline, though its host serves others well. One liveness probe tells it from a busy host.
 void HostConnectionPool::HostConnection::check_silence() {
   checking_ = false;
-  if (load() == 0 || is_closing()) return;
+  if (load() == 0 || is_closing())
+    return;
   const Millis now = fleet_.loop_.now();
   // A long answer, or one that comes in small pieces, takes long though nothing is wrong.
   const bool torn = begun_.count() > 0 && (now - heard_ > kPieceMost || now - begun_ > kWholeMost);
@@ -51,8 +55,10 @@
   }
   const Millis quiet = fleet_.max_silence() * (1 << std::min(probes_unanswered_, kProbeDoublings));
   const bool waits = is_open() && !attempts_.empty() && probed_ <= heard_;
-  if (waits && now - std::max(heard_, sent_) > quiet) send_liveness_probe();
-  if (std::exchange(checking_, true)) return;
+  if (waits && now - std::max(heard_, sent_) > quiet)
+    send_liveness_probe();
+  if (std::exchange(checking_, true))
+    return;
   check_ = fleet_.loop_.schedule_at(now + kCheckPace, [this] { check_silence(); });
 }
 
@@ -63,7 +69,8 @@
 
 void HostConnectionPool::HostConnection::query_timed_out(const std::string& tag) {
   const auto found = queries_.find(tag);
-  if (found == queries_.end()) return;
+  if (found == queries_.end())
+    return;
   const Query asked = found->second;
   queries_.erase(found);
   arm_idle_timer();
--- a/src/hosts/host_connection_read.cpp
+++ b/src/hosts/host_connection_read.cpp
@@ -33,7 +33,8 @@
     past_.erase(past_order_.front().second);
     past_order_.pop_front();
   }
-  if (past_.emplace(ref, answered).second) past_order_.emplace_back(now, ref);
+  if (past_.emplace(ref, answered).second)
+    past_order_.emplace_back(now, ref);
 }
 
 void HostConnectionPool::HostConnection::on_connected() {
@@ -60,8 +61,9 @@
   std::vector<Reply> replies;
   bool sound = parser_.take(bytes, replies);
   for (auto& reply : replies) {
-    if (handle_reply(std::move(reply))) continue;  // also when the connection ends meanwhile: it came whole
-    sound = false;                                 // what follows it proves no more than it does
+    if (handle_reply(std::move(reply)))
+      continue;     // also when the connection ends meanwhile: it came whole
+    sound = false;  // what follows it proves no more than it does
     break;
   }
   if (!parser_.begun()) {
@@ -84,10 +86,12 @@
   const bool plain = std::all_of(reply.id.begin(), reply.id.end(),
                                  [](char c) { return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'z'); });
   const bool sign = reply.word == "well" || reply.word == "ill";
-  if (!fields || !plain || !(known_word(reply.word) || sign)) return false;
+  if (!fields || !plain || !(known_word(reply.word) || sign))
+    return false;
   const net::Fields& read = *fields;
   if (const auto found = attempts_.find(reply.id); found != attempts_.end() && found->second.written) {
-    if (sign) return false;
+    if (sign)
+      return false;
     const core::Attempt attempt = found->second.attempt;
     fleet_.record_answer_time(fleet_.loop_.now() - found->second.at);
     probes_unanswered_ = 0;
@@ -128,13 +132,15 @@
     if (one.kind == PendingWrite::Kind::attempt) {
       const core::Attempt attempt = attempts_.at(one.name).attempt;
       const core::Call* call = fleet_.dispatcher_->find_call(attempt.call);
-      if (call == nullptr) continue;
+      if (call == nullptr)
+        continue;
       attempts_.erase(one.name);
       fleet_.attempts_.erase(attempt);
       fleet_.wait_for_connection(attempt, host_, *call, one.until);
     } else if (const auto found = queries_.find(one.name); found != queries_.end()) {
       const Query asked = found->second;
-      if (asked.kind == Query::Kind::liveness) continue;
+      if (asked.kind == Query::Kind::liveness)
+        continue;
       fleet_.loop_.cancel(asked.timer);
       queries_.erase(found);
       const bool order = asked.kind == Query::Kind::load;
@@ -154,7 +160,8 @@
   fleet_.account_incoming(*this, std::exchange(held_, 0), 0);
   fleet_.connection_closed(*this);  // buried: this object lives to the turn's end
   const auto& error = connect_error();
-  if (error && error->kind == net::ConnectErrorKind::local_resource && !retired_) hand_back(pending);
+  if (error && error->kind == net::ConnectErrorKind::local_resource && !retired_)
+    hand_back(pending);
   const auto attempts = std::move(attempts_);
   const auto asked = std::move(queries_);
   attempts_.clear();
@@ -162,8 +169,10 @@
   const auto outcome = [&](bool put, std::uint64_t end) {
     return put && send_queue().written() >= end ? Outcome::reset : Outcome::connect_failed;
   };
-  for (const auto& [ref, sent] : attempts) fleet_.attempts_.erase(sent.attempt);
-  if (!attempts.empty()) fleet_.hosts_.at(host_).has_cancelled_calls = true;
+  for (const auto& [ref, sent] : attempts)
+    fleet_.attempts_.erase(sent.attempt);
+  if (!attempts.empty())
+    fleet_.hosts_.at(host_).has_cancelled_calls = true;
   for (const auto& [ref, sent] : attempts) {
     fleet_.dispatcher_->attempt_ended(sent.attempt,
                                       {outcome(sent.written, sent.end_offset), 0, std::nullopt, {}});
--- a/src/idempotency/result_ledger.cpp
+++ b/src/idempotency/result_ledger.cpp
@@ -5,7 +5,8 @@
 namespace lotusyard::idempotency {
 
 bool proves_not_run(const ResultRecord& record) {
-  if (record.stage == ResultStage::cleared) return true;
+  if (record.stage == ResultStage::cleared)
+    return true;
   return record.stage != ResultStage::sent && record.answer.verdict == core::Verdict::refused;
 }
 
@@ -13,14 +14,18 @@
                 const StoreTrust& trust) {
   // A store that cannot be read may hold that it ran. Sent anew, the same id may be a tablet's
   // repeat.
-  if (!trust.healthy) return arrival.redelivered ? Decision::fail_may_have_run : Decision::refuse_unrecorded;
+  if (!trust.healthy)
+    return arrival.redelivered ? Decision::fail_may_have_run : Decision::refuse_unrecorded;
   if (known) {
-    if (known->stage == ResultStage::sent) return Decision::fail_may_have_run;
-    if (known->stage == ResultStage::cleared) return Decision::run;
+    if (known->stage == ResultStage::sent)
+      return Decision::fail_may_have_run;
+    if (known->stage == ResultStage::cleared)
+      return Decision::run;
     // A redelivery gets the answer that stands; a message sent anew after a refusal is a further try.
     return proves_not_run(*known) && !arrival.redelivered ? Decision::run : Decision::answer;
   }
-  if (!arrival.redelivered) return Decision::run;
+  if (!arrival.redelivered)
+    return Decision::run;
   // Not in the store may mean not yet, no more, or at another consumer. Only a call younger than
   // everything the store has forgotten, at the only consumer there is, is known not to have gone out.
   // Published in the future, it shows that this clock is behind, and the mark bounded by it may be too.
@@ -34,8 +39,10 @@
     case ResultStage::sent:
       return !from || *from == ResultStage::cleared || *from == ResultStage::answered ||
              *from == ResultStage::confirmed;  // the last two: a further try after a refusal
-    case ResultStage::cleared: return from && *from == ResultStage::sent;
-    case ResultStage::answered: return true;  // a refusal may come before anything was sent
+    case ResultStage::cleared:
+      return from && *from == ResultStage::sent;
+    case ResultStage::answered:
+      return true;  // a refusal may come before anything was sent
     case ResultStage::confirmed:
       return from && (*from == ResultStage::answered || *from == ResultStage::confirmed);
   }
--- a/src/idempotency/sqlite_result_store.cpp
+++ b/src/idempotency/sqlite_result_store.cpp
@@ -16,7 +16,8 @@
 bool read(Query& row, int first, ResultRecord& out) {
   const int stage = static_cast<int>(row.column_double(first)),
             verdict = static_cast<int>(row.column_double(first + 1));
-  if (stage < 1 || stage > 4 || verdict < 0 || verdict > 2) return false;
+  if (stage < 1 || stage > 4 || verdict < 0 || verdict > 2)
+    return false;
   out.stage = static_cast<ResultStage>(stage);
   out.answer = {static_cast<core::Verdict>(verdict), Millis(row.column_double(first + 2)),
                 row.column_blob(first + 3)};
@@ -49,19 +50,24 @@
 }
 
 bool SqliteResultStore::is_ready() {
-  if (damaged_) return false;
-  if (open_) return true;
+  if (damaged_)
+    return false;
+  if (open_)
+    return true;
   return clock_() >= next_open_ && open();
 }
 
 // SQLite opens a file for reading alone if the file system is read-only, as it is after an error of the disk;
 // that ends only with another opening.
 bool SqliteResultStore::is_writable() {
-  if (!is_ready()) return false;
-  if (sqlite3_db_readonly(db_, "main") != 1) return true;
+  if (!is_ready())
+    return false;
+  if (sqlite3_db_readonly(db_, "main") != 1)
+    return true;
   if (clock_() >= next_open_) {
     close();
-    if (!open()) return false;
+    if (!open())
+      return false;
     next_open_ = clock_() + sqlite::Backoff::kLongest;
   }
   return sqlite3_db_readonly(db_, "main") != 1 || check_status(SQLITE_CANTOPEN, "read-only");
@@ -93,7 +99,8 @@
 bool SqliteResultStore::check() {
   Query query(db_, "PRAGMA quick_check(1)");
   const int code = query.step();
-  if (!check_status(code, "check")) return false;
+  if (!check_status(code, "check"))
+    return false;
   const std::string line = query.column_blob(0);
   const auto kind = sqlite::classify_check(line);
   return kind == sqlite::ResultKind::ok || report(kind, "check: " + line);
@@ -102,10 +109,12 @@
 bool SqliteResultStore::load_complete_from() {
   Query about(db_, "SELECT complete_from FROM about");
   const int found = about.step();
-  if (!check_status(found, "about")) return false;
+  if (!check_status(found, "about"))
+    return false;
   // A new store knows nothing of what was before; until it was open nothing was recorded, so nothing went
   // out.
-  if (found != SQLITE_ROW) return set_complete_from(created_at_);
+  if (found != SQLITE_ROW)
+    return set_complete_from(created_at_);
   // The time is of now: a predecessor that held the file until now may have forgotten calls meanwhile. What
   // this process has forgotten itself stays forgotten, whatever the mark is bounded to.
   const Millis now = created_at_ + (clock_() - created_clock_);
@@ -115,28 +124,34 @@
 
 bool SqliteResultStore::check_status(int code, const char* what) {
   const auto kind = sqlite::classify(code);
-  if (kind == sqlite::ResultKind::ok) return true;
+  if (kind == sqlite::ResultKind::ok)
+    return true;
   return report(kind, std::string(what) + ": " + sqlite3_errstr(code));
 }
 
 bool SqliteResultStore::report(sqlite::ResultKind kind, const std::string& text) {
   counters_.add(std::string("answers.store_") + sqlite::name_of(kind));
-  if (kind == sqlite::ResultKind::corrupt) damaged_ = true;
-  if (kind != std::exchange(last_failure_, kind)) log_("answers: " + text);
+  if (kind == sqlite::ResultKind::corrupt)
+    damaged_ = true;
+  if (kind != std::exchange(last_failure_, kind))
+    log_("answers: " + text);
   return false;
 }
 
 bool SqliteResultStore::run(const char* sql) {
-  if (damaged_ || db_ == nullptr) return false;
+  if (damaged_ || db_ == nullptr)
+    return false;
   Query query(db_, sql);
   int code = query.step();
-  while (code == SQLITE_ROW) code = query.step();
+  while (code == SQLITE_ROW)
+    code = query.step();
   return check_status(code, sql);
 }
 
 bool SqliteResultStore::set_complete_from(Millis at) {
   complete_from_ = at;
-  if (!run("DELETE FROM about")) return false;
+  if (!run("DELETE FROM about"))
+    return false;
   Query query(db_, "INSERT INTO about VALUES (?1)");
   return check_status(query.bind_double(1, at.count()).step(), "about");
 }
@@ -145,7 +160,8 @@
   Query query(db_,
               "SELECT count(*), coalesce(sum(length(id) + length(body)), 0), coalesce(sum(stage >= 3), 0)"
               " FROM calls");
-  if (!check_status(query.step(), "measure")) return false;
+  if (!check_status(query.step(), "measure"))
+    return false;
   size_.records = static_cast<std::size_t>(query.column_double(0));
   size_.bytes = static_cast<std::size_t>(query.column_double(1)) + kRecordBytes * size_.records;
   answered_ = static_cast<std::size_t>(query.column_double(2));
@@ -154,18 +170,22 @@
 
 bool SqliteResultStore::find(const std::string& id, std::optional<ResultRecord>& out) {
   out.reset();
-  if (!is_ready()) return false;
+  if (!is_ready())
+    return false;
   Query query(db_, "SELECT stage, verdict, cooldown, body, at, address FROM calls WHERE id = ?1");
   const int code = query.bind_blob(1, id).step();
-  if (!check_status(code, "find")) return false;
-  if (code != SQLITE_ROW) return true;
+  if (!check_status(code, "find"))
+    return false;
+  if (code != SQLITE_ROW)
+    return true;
   out.emplace();
   return read(query, 0, *out) || check_status(SQLITE_CORRUPT, "find");
 }
 
 bool SqliteResultStore::put(const std::string& id, const ResultRecord& record) {
   std::optional<ResultRecord> before;
-  if (!is_writable() || !find(id, before)) return false;
+  if (!is_writable() || !find(id, before))
+    return false;
   const auto from = before ? std::optional<ResultStage>(before->stage) : std::nullopt;
   if (!may_follow(from, record.stage)) {
     counters_.add("answers.guard_stage");
@@ -180,7 +200,8 @@
   query.bind_double(3, static_cast<int>(record.answer.verdict))
       .bind_double(4, record.answer.cooldown.count());
   query.bind_blob(5, record.answer.body).bind_double(6, record.at.count()).bind_blob(7, record.address);
-  if (!check_status(query.step(), "put")) return false;
+  if (!check_status(query.step(), "put"))
+    return false;
   counters_.add("answers.written");
   last_failure_ = sqlite::ResultKind::ok;
   if (!before) {
@@ -198,16 +219,20 @@
 // The one place where the store shrinks. What is forgotten may have run; from then on only calls that
 // are younger can be shown not to have.
 void SqliteResultStore::prune(Millis now) {
-  if (!is_ready()) return;
+  if (!is_ready())
+    return;
   const Pruning due = idempotency::prune(size_, answered_, bounds_, now);
   const std::string excess = std::to_string(due.excess);
   const std::string which =
       "at < ?1 OR id IN (SELECT id FROM calls WHERE stage >= 3 ORDER BY at LIMIT " + excess + ")";
   Query newest(db_, ("SELECT max(at) FROM calls WHERE " + which).c_str());
-  if (!check_status(newest.bind_double(1, due.older_than.count()).step(), "prune")) return;
+  if (!check_status(newest.bind_double(1, due.older_than.count()).step(), "prune"))
+    return;
   const Millis forgotten = bounded_mark(Millis(newest.column_double(0)), now);
-  if (forgotten.count() <= 0) return;
-  if (forgotten > complete_from_ && !set_complete_from(forgotten)) return;
+  if (forgotten.count() <= 0)
+    return;
+  if (forgotten > complete_from_ && !set_complete_from(forgotten))
+    return;
   Query query(db_, ("DELETE FROM calls WHERE " + which).c_str());
   if (check_status(query.bind_double(1, due.older_than.count()).step(), "prune"))
     counters_.add("answers.pruned");
@@ -215,12 +240,14 @@
 }
 
 void SqliteResultStore::for_each(const std::function<void(const std::string&, const ResultRecord&)>& see) {
-  if (!is_ready()) return;
+  if (!is_ready())
+    return;
   Query query(db_, "SELECT id, stage, verdict, cooldown, body, at, address FROM calls ORDER BY at, id");
   int code = query.step();
   for (; code == SQLITE_ROW; code = query.step()) {
     ResultRecord record;
-    if (!read(query, 1, record)) return (void)check_status(SQLITE_CORRUPT, "list");
+    if (!read(query, 1, record))
+      return (void)check_status(SQLITE_CORRUPT, "list");
     see(query.column_blob(0), record);
   }
   check_status(code, "list");
--- a/src/maintenance/admin_endpoint.cpp
+++ b/src/maintenance/admin_endpoint.cpp
@@ -24,9 +24,11 @@
   for (const auto& [id, host] : listed) {
     const bool is_selected = select.value("all", false) || selects("hosts", id) ||
                              selects("zones", host.entry.zone) || selects("kinds", host.entry.kind);
-    if (is_selected) out.push_back({id, host.entry.zone, host.entry.kind});
+    if (is_selected)
+      out.push_back({id, host.entry.zone, host.entry.kind});
   }
-  if (out.empty()) throw std::invalid_argument("hosts: none is chosen");
+  if (out.empty())
+    throw std::invalid_argument("hosts: none is chosen");
   return out;
 }
 
@@ -73,22 +75,30 @@
     return OperatorProposal{{status, why}, std::nullopt};
   };
   json from = json::parse(text, nullptr, false);
-  if (!from.is_object()) return reject(400, "no JSON object");
+  if (!from.is_object())
+    return reject(400, "no JSON object");
   const std::string proposal_id = config::text(config::key(from, "id"));
-  if (proposal_id.empty() || proposal_id.size() > 128) return reject(400, "id: 1 to 128 bytes are needed");
+  if (proposal_id.empty() || proposal_id.size() > 128)
+    return reject(400, "id: 1 to 128 bytes are needed");
   try {
     if (from.contains("added")) {
       json& added = from["added"];
-      if (!added.is_object()) return reject(400, "added: an object is needed");
+      if (!added.is_object())
+        return reject(400, "added: an object is needed");
       added["hosts"] = resolve_selection(added.value("select", json::object()), listed);
       added.erase("select");
       (void)parse_job(added);
     }
-    if (from.contains("bounds")) (void)parse_bounds(from.at("bounds"));
-  } catch (const std::exception& error) { return reject(400, error.what()); }
+    if (from.contains("bounds"))
+      (void)parse_bounds(from.at("bounds"));
+  } catch (const std::exception& error) {
+    return reject(400, error.what());
+  }
   auto entry = parse_entry(from.dump());
-  if (!entry || !may_propose(entry->command)) return reject(400, "no proposal that an operator can make");
-  if (encode_entry(*entry).size() > kMaxEntryBytes) return reject(413, "too long");
+  if (!entry || !may_propose(entry->command))
+    return reject(400, "no proposal that an operator can make");
+  if (encode_entry(*entry).size() > kMaxEntryBytes)
+    return reject(413, "too long");
   return {{}, std::move(entry)};
 }
 
--- a/src/maintenance/disruption_budget.cpp
+++ b/src/maintenance/disruption_budget.cpp
@@ -18,7 +18,8 @@
 UnavailableHosts count_unavailable(const std::map<std::string, HostProgress>& hosts, const HostKey& host) {
   UnavailableHosts out;
   for (const auto& [id, progress] : hosts) {
-    if (!counts_against_bounds(progress.stage)) continue;
+    if (!counts_against_bounds(progress.stage))
+      continue;
     out.jobs.insert(progress.job);
     ++out.all;
     out.same_zone += progress.key.zone == host.zone;
@@ -34,13 +35,15 @@
 std::string exceeded_bound_of(const MaintenanceJob& job, const HostKey& host, const UnavailableHosts& out,
                               int listed_hosts) {
   const DisruptionBounds& bounds = job.bounds;
-  if (out.all >= bounds.max_out) return describe_limit(job, "hosts", bounds.max_out);
+  if (out.all >= bounds.max_out)
+    return describe_limit(job, "hosts", bounds.max_out);
   if (bounds.max_out_per_zone > 0 && out.same_zone >= bounds.max_out_per_zone)
     return describe_limit(job, "of zone " + host.zone, bounds.max_out_per_zone);
   if (bounds.max_out_per_kind > 0 && out.same_kind >= bounds.max_out_per_kind)
     return describe_limit(job, "of kind " + host.kind, bounds.max_out_per_kind);
   const int max_unavailable = DisruptionBudget::max_unavailable_hosts(bounds.min_usable_share, listed_hosts);
-  if (out.all >= max_unavailable) return describe_limit(job, "of those listed", max_unavailable);
+  if (out.all >= max_unavailable)
+    return describe_limit(job, "of those listed", max_unavailable);
   return {};
 }
 
@@ -54,9 +57,11 @@
   UnavailableHosts out = count_unavailable(hosts_, host);
   out.jobs.insert(job.id);
   for (const auto& bounding_job : jobs_) {
-    if (out.jobs.count(bounding_job.id) == 0) continue;
+    if (out.jobs.count(bounding_job.id) == 0)
+      continue;
     std::string exceeded = exceeded_bound_of(bounding_job, host, out, listed_hosts_);
-    if (!exceeded.empty()) return exceeded;
+    if (!exceeded.empty())
+      return exceeded;
   }
   return {};
 }
@@ -66,7 +71,8 @@
   for (const auto& job : jobs_) {
     const bool is_open =
         job.state == MaintenanceJob::State::running || job.state == MaintenanceJob::State::paused;
-    if (is_open) min_usable_share = std::max(min_usable_share, job.bounds.min_usable_share);
+    if (is_open)
+      min_usable_share = std::max(min_usable_share, job.bounds.min_usable_share);
   }
   return max_unavailable_hosts(min_usable_share, listed_hosts_);
 }
--- a/src/maintenance/drain_tracker.cpp
+++ b/src/maintenance/drain_tracker.cpp
@@ -29,14 +29,17 @@
     out.log_lines.push_back("host=" + host + " is left alone");
   }
   for (const auto& [host, previous] : avoided_) {
-    if (avoided.count(host) != 0) continue;
-    if (released_to_operators_.erase(host) != 0) out.restart_slow_start.insert(host);
+    if (avoided.count(host) != 0)
+      continue;
+    if (released_to_operators_.erase(host) != 0)
+      out.restart_slow_start.insert(host);
     out.log_lines.push_back("host=" + host + " is used again" +
                             (out.restart_slow_start.count(host) != 0 ? ", cold" : ""));
   }
   avoided_ = std::move(avoided);
   for (const auto& [host, progress] : state.hosts()) {
-    if (progress.released_to_operators && avoided_.count(host) != 0) released_to_operators_.insert(host);
+    if (progress.released_to_operators && avoided_.count(host) != 0)
+      released_to_operators_.insert(host);
   }
   return out;
 }
@@ -50,7 +53,8 @@
     if (state.hosts().count(id) != 0)
       out.serving_value[id] = std::round(observer.serving_value(id, now) * 100) / 100;
     const bool failed = !is_ready(listed_host) || disabled.count(id) != 0 || observer.is_down(id, now);
-    if (!is_avoided(id) && failed) out.down.insert(id);
+    if (!is_avoided(id) && failed)
+      out.down.insert(id);
   }
   for (const auto& [id, progress] : state.hosts()) {
     const auto avoided = avoided_.find(id);
@@ -59,8 +63,10 @@
       const bool restarted =
           listed_host != nullptr &&
           (avoided->second.vanished || listed_host->entry.started != avoided->second.started);
-      if (restarted && is_ready(*listed_host)) out.restarted.insert(id);
-      if (listed_host == nullptr) avoided->second.vanished = true;
+      if (restarted && is_ready(*listed_host))
+        out.restarted.insert(id);
+      if (listed_host == nullptr)
+        avoided->second.vanished = true;
     }
     if (progress.stage == HostStage::slow_start && observer.last_served(id) > progress.since)
       out.served.insert(id);
--- a/src/maintenance/heartbeat.cpp
+++ b/src/maintenance/heartbeat.cpp
@@ -33,9 +33,12 @@
               {"l", heartbeat.incarnation},
               {"s", heartbeat.sent_at},
               {"h", heartbeat.applied_index}};
-  if (!heartbeat.drained_hosts.empty()) out["d"] = heartbeat.drained_hosts;
-  if (heartbeat.observations) out["v"] = observations_to_json(*heartbeat.observations);
-  if (heartbeat.followed_index) out["f"] = *heartbeat.followed_index;
+  if (!heartbeat.drained_hosts.empty())
+    out["d"] = heartbeat.drained_hosts;
+  if (heartbeat.observations)
+    out["v"] = observations_to_json(*heartbeat.observations);
+  if (heartbeat.followed_index)
+    out["f"] = *heartbeat.followed_index;
   return out;
 }
 
@@ -48,11 +51,16 @@
     from.at("h").get_to(out.applied_index);
     if (out.member.empty() || out.member.size() > kMaxMemberNameBytes || !std::isfinite(out.sent_at))
       return std::nullopt;
-    if (from.contains("d")) from.at("d").get_to(out.drained_hosts);
-    if (from.contains("v")) out.observations = parse_observations(from.at("v"));
-    if (from.contains("f")) out.followed_index = from.at("f").get<std::uint64_t>();
+    if (from.contains("d"))
+      from.at("d").get_to(out.drained_hosts);
+    if (from.contains("v"))
+      out.observations = parse_observations(from.at("v"));
+    if (from.contains("f"))
+      out.followed_index = from.at("f").get<std::uint64_t>();
     return out;
-  } catch (const json::exception&) { return std::nullopt; }
+  } catch (const json::exception&) {
+    return std::nullopt;
+  }
 }
 
 }  // namespace lotusyard::maintenance
--- a/src/maintenance/host_access.cpp
+++ b/src/maintenance/host_access.cpp
@@ -11,7 +11,8 @@
 }  // namespace
 
 void HostAccess::log_lease_change(bool leased) {
-  if (leased == leased_) return;
+  if (leased == leased_)
+    return;
   log_(leased ? "lease held" : "lease over: hosts that may be next are left alone");
   services_.counters.add(leased ? "works.leases" : "works.leases_over");
 }
@@ -21,13 +22,16 @@
   const bool lease_lost = leased_ && !freshness.is_leased;
   leased_ = freshness.is_leased;
   const auto change = drain_tracker_.update(state, leased_, services_.endpoint_states.listed_hosts());
-  for (const auto& line : change.log_lines) log_(line);
+  for (const auto& line : change.log_lines)
+    log_(line);
   services_.endpoint_states.set_in_maintenance(change.avoided, change.restart_slow_start,
                                                services_.loop.now());
   services_.endpoint_states.suspend_all(freshness.must_suspend);
-  if (!lease_lost) return;
+  if (!lease_lost)
+    return;
   // Calls assigned under the lease must not be sent after it has expired.
-  for (const auto& host : change.avoided) services_.host_connections.abort_unsent(host);
+  for (const auto& host : change.avoided)
+    services_.host_connections.abort_unsent(host);
 }
 
 void HostAccess::attempt_ended(const std::string& host, const core::Call& call, core::Outcome outcome) {
--- a/src/maintenance/host_observer.cpp
+++ b/src/maintenance/host_observer.cpp
@@ -25,7 +25,8 @@
   record.rate_updated_at = now;
   record.last_served_at = now;
   record.consecutive_failures = 0;
-  if (functions_.count(function) == 0 && functions_.size() >= kMaxFunctions) evict_oldest_function();
+  if (functions_.count(function) == 0 && functions_.size() >= kMaxFunctions)
+    evict_oldest_function();
   FunctionRecord& function_record = functions_[function];
   function_record.rate = decayed(function_record.rate, now - function_record.rate_updated_at) + worth;
   function_record.rate_updated_at = now;
@@ -50,12 +51,14 @@
 
 double HostObserver::serving_value(const std::string& host, Millis now) const {
   const auto found = hosts_.find(host);
-  if (found == hosts_.end()) return 0;
+  if (found == hosts_.end())
+    return 0;
   double out = decayed(found->second.rate, now - found->second.rate_updated_at);
   for (const auto& [id, function_record] : functions_) {
     bool here = false, elsewhere = false;
     for (const auto& [other, at] : function_record.hosts) {
-      if (now - at <= kWarmInstanceLifetime) (other == host ? here : elsewhere) = true;
+      if (now - at <= kWarmInstanceLifetime)
+        (other == host ? here : elsewhere) = true;
     }
     if (here && !elsewhere)
       out += (kColdStartWeight - 1) * decayed(function_record.rate, now - function_record.rate_updated_at);
