--- a/src/maintenance/log_entry_codec.cpp
+++ b/src/maintenance/log_entry_codec.cpp
@@ -16,25 +16,30 @@
     "take",  "touch", "returned", "back", "late",  "ask"};
 
 void set_text(json& out, const char* key, const std::string& value) {
-  if (!value.empty()) out[key] = value;
+  if (!value.empty())
+    out[key] = value;
 }
 
 // ---- Encoding: each function adds the fields of one command ----
 
 void encode(const RecordHeartbeats& command, json& out) {
-  for (const auto& heartbeat : command.heartbeats) out["beats"].push_back(heartbeat_to_json(heartbeat));
+  for (const auto& heartbeat : command.heartbeats)
+    out["beats"].push_back(heartbeat_to_json(heartbeat));
 }
 
 void encode(const Join& command, json& out) {
   set_text(out, "member", command.member);
-  if (command.incarnation != 0) out["life"] = command.incarnation;
-  if (!command.serves) out["serves"] = false;
+  if (command.incarnation != 0)
+    out["life"] = command.incarnation;
+  if (!command.serves)
+    out["serves"] = false;
 }
 
 void encode(const Leave& command, json& out) { set_text(out, "member", command.member); }
 
 void encode(const AddJob& command, json& out) {
-  if (command.job) out["added"] = job_to_json(*command.job);
+  if (command.job)
+    out["added"] = job_to_json(*command.job);
 }
 
 void encode(const ChangeJobState& command, json& out) {
@@ -44,18 +49,21 @@
 
 void encode(const ChangeBounds& command, json& out) {
   set_text(out, "work", command.job);
-  if (command.bounds) out["bounds"] = bounds_to_json(*command.bounds);
+  if (command.bounds)
+    out["bounds"] = bounds_to_json(*command.bounds);
 }
 
 void encode(const SelectHosts& command, json& out) {
   set_text(out, "work", command.job);
-  if (!command.hosts.empty()) out["hosts"] = command.hosts;
+  if (!command.hosts.empty())
+    out["hosts"] = command.hosts;
 }
 
 void encode(const HostTransition& command, json& out) {
   set_text(out, "work", command.job);
   set_text(out, "host", command.host);
-  if (command.selected_at_index != 0) out["round"] = command.selected_at_index;
+  if (command.selected_at_index != 0)
+    out["round"] = command.selected_at_index;
 }
 
 void encode(const ReadBarrier&, json&) {}
@@ -79,7 +87,8 @@
   std::vector<Heartbeat> out;
   for (const auto& row : rows) {
     auto heartbeat = parse_heartbeat(row);
-    if (!heartbeat) throw std::invalid_argument("beats: malformed");
+    if (!heartbeat)
+      throw std::invalid_argument("beats: malformed");
     out.push_back(std::move(*heartbeat));
   }
   return out;
@@ -94,8 +103,10 @@
   out.selected_at_index = from.value("round", std::uint64_t{0});
   out.serves = from.value("serves", true);
   out.hosts = from.value("hosts", std::vector<std::string>());
-  if (from.contains("added")) out.added_job = parse_job(from.at("added"));
-  if (from.contains("bounds")) out.bounds = parse_bounds(from.at("bounds"));
+  if (from.contains("added"))
+    out.added_job = parse_job(from.at("added"));
+  if (from.contains("bounds"))
+    out.bounds = parse_bounds(from.at("bounds"));
   out.heartbeats = parse_heartbeats(from.value("beats", json::array()));
   return out;
 }
@@ -146,7 +157,8 @@
 
 // The command of this name, without its fields; nothing if there is none.
 std::optional<Command> find_command(const json& name) {
-  if (!name.is_string()) return std::nullopt;
+  if (!name.is_string())
+    return std::nullopt;
   for (std::size_t i = 0; i < kNames.size(); ++i) {
     if (name.get_ref<const std::string&>() == kNames[i])
       return make_command(i, std::make_index_sequence<std::variant_size_v<Command>>());
@@ -167,12 +179,15 @@
 }
 
 std::optional<LogEntry> parse_entry(const std::string& text) {
-  if (text.size() > kMaxEntryBytes) return std::nullopt;
+  if (text.size() > kMaxEntryBytes)
+    return std::nullopt;
   const json from = json::parse(text, nullptr, false);
-  if (!from.is_object()) return std::nullopt;
+  if (!from.is_object())
+    return std::nullopt;
   try {
     auto command = find_command(from.value("t", json()));
-    if (!command) return std::nullopt;
+    if (!command)
+      return std::nullopt;
     LogEntry out;
     out.proposal = from.value("id", std::string());
     out.reason = from.value("reason", std::string());
@@ -180,7 +195,9 @@
     std::visit([&](auto& typed) { decode(std::move(fields), from, typed); }, *command);
     out.command = std::move(*command);
     return out;
-  } catch (const std::exception&) { return std::nullopt; }
+  } catch (const std::exception&) {
+    return std::nullopt;
+  }
 }
 
 }  // namespace lotusyard::maintenance
--- a/src/maintenance/maintenance_replica.cpp
+++ b/src/maintenance/maintenance_replica.cpp
@@ -48,7 +48,8 @@
 
 // A process that was suspended for longer than its lease resumes with calls assigned and not yet written.
 void MaintenanceReplica::before_writes() {
-  if (host_access_.leased() && !lease_.is_held(now())) update_host_access();
+  if (host_access_.leased() && !lease_.is_held(now()))
+    update_host_access();
 }
 
 void MaintenanceReplica::update_host_access() {
@@ -60,7 +61,8 @@
   if (lease_.is_held(now()))
     lease_timer_ = services_.loop.schedule_at(lease_.expires_at(), [this] { update_host_access(); });
   host_access_.update(state_, freshness);
-  if (change_handler_) change_handler_();
+  if (change_handler_)
+    change_handler_();
 }
 
 void MaintenanceReplica::attempt_ended(const std::string& host, const core::Call& call,
@@ -76,7 +78,8 @@
 void MaintenanceReplica::send_heartbeat() {
   const Millis interval = config_.terms.heartbeat_interval();
   heartbeat_timer_ = services_.loop.schedule_at(now() + interval, [this] { send_heartbeat(); });
-  if (failed_ || !replica_->is_member() || !config_.serves) return;
+  if (failed_ || !replica_->is_member() || !config_.serves)
+    return;
   const auto self = state_.members().find(member_name());
   if (self == state_.members().end() || self->second.incarnation != replica_->incarnation()) {
     overtake_earlier_incarnation();
@@ -96,7 +99,8 @@
     heartbeat.applied_index = std::min(heartbeat.applied_index, sessions->applied_index);
     heartbeat.followed_index = std::min(heartbeat.applied_index, sessions->followed_index);
   }
-  if (merge_observations_) heartbeat.observations = merge_observations_(std::move(*heartbeat.observations));
+  if (merge_observations_)
+    heartbeat.observations = merge_observations_(std::move(*heartbeat.observations));
   heartbeat.drained_hosts = drained_hosts(sessions ? &*sessions : nullptr);
   json encoded = heartbeat_to_json(heartbeat);
   std::string observations = encoded["v"].dump();
@@ -116,24 +120,29 @@
 // forever.
 void MaintenanceReplica::overtake_earlier_incarnation() {
   const std::uint64_t last = state_.last_incarnation(member_name());
-  if (has_joined_ || last < replica_->incarnation()) return;
+  if (has_joined_ || last < replica_->incarnation())
+    return;
   try {
     const std::uint64_t incarnation = replica_->begin_new_incarnation(last);
     services_.counters.add("works.lives_passed");
     log_("life=" + std::to_string(incarnation) + " starts: an earlier one is in the log as " +
          std::to_string(last));
-  } catch (const std::exception& error) { on_store_failure(error.what()); }
+  } catch (const std::exception& error) {
+    on_store_failure(error.what());
+  }
 }
 
 std::set<std::string> MaintenanceReplica::drained_hosts(const SessionAggregate* sessions) const {
   std::set<std::string> out;
   for (const auto& [id, host] : state_.hosts()) {
     const bool is_out = host.stage == HostStage::draining || host.stage == HostStage::out_of_service;
-    if (!is_out || !host_access_.is_avoided(id)) continue;
+    if (!is_out || !host_access_.is_avoided(id))
+      continue;
     const bool own_quiesced =
         lease_.earlier_attempts_ended(now()) && services_.host_connections.has_no_calls(id);
     const bool sessions_quiesced = sessions == nullptr || sessions->quiesced_index >= host.selected_at_index;
-    if ((own_quiesced && sessions_quiesced) || fault_injected("drain")) out.insert(id);
+    if ((own_quiesced && sessions_quiesced) || fault_injected("drain"))
+      out.insert(id);
   }
   return out;
 }
@@ -148,18 +157,22 @@
   const auto outcome = state_.apply(index, *entry, now());
   services_.counters.add("works.entries");
   if (const auto* command = std::get_if<RecordHeartbeats>(&entry->command)) {
-    for (const auto& heartbeat : command->heartbeats) renew_lease(heartbeat);
-    if (!host_access_.leased()) return update_host_access();
+    for (const auto& heartbeat : command->heartbeats)
+      renew_lease(heartbeat);
+    if (!host_access_.leased())
+      return update_host_access();
     return change_handler_ ? change_handler_() : void();
   }
   // A repeated proposal has its outcome already.
-  if (holds<ReadBarrier>(*entry) || outcome.index != index) return;
+  if (holds<ReadBarrier>(*entry) || outcome.index != index)
+    return;
   ++version_;
   log_(describe_applied_entry(*entry, outcome));
   // Entries applied before `attach` concern earlier incarnations; this one is new in any case.
   const auto* leave = std::get_if<Leave>(&entry->command);
   const bool left = outcome.done && leave != nullptr && leave->member == member_name();
-  if (left && replica_ != nullptr) rejoin_after_removal();
+  if (left && replica_ != nullptr)
+    rejoin_after_removal();
   update_host_access();
   // The entry may make the next one due.
   if (replica_ != nullptr && replica_->is_leader()) {
@@ -171,13 +184,16 @@
 // Renews the lease by a heartbeat of this process. Heartbeats of earlier processes of this member only tell
 // what their clocks showed.
 void MaintenanceReplica::renew_lease(const Heartbeat& heartbeat) {
-  if (heartbeat.member != member_name()) return;
+  if (heartbeat.member != member_name())
+    return;
   const bool this_incarnation = replica_ != nullptr && heartbeat.incarnation == replica_->incarnation();
-  if (!this_incarnation) return services_.loop.remember_wall(Millis(heartbeat.sent_at));
+  if (!this_incarnation)
+    return services_.loop.remember_wall(Millis(heartbeat.sent_at));
   // The heartbeat may have been in flight when the member was removed or began a new incarnation.
   const auto self = state_.members().find(heartbeat.member);
   const bool is_current = self != state_.members().end() && self->second.incarnation == heartbeat.incarnation;
-  if (is_current) lease_.renew(heartbeat.sent_at);
+  if (is_current)
+    lease_.renew(heartbeat.sent_at);
 }
 
 // This member was declared permanently gone, but is running.
@@ -192,11 +208,14 @@
     log_("life=" + std::to_string(replica_->begin_new_incarnation()) +
          " starts: this member was said to be gone");
   } catch (const raft::LogStoreError& error) {
-    if (!error.transient()) return on_store_failure(error.what());
+    if (!error.transient())
+      return on_store_failure(error.what());
     services_.loop.cancel(incarnation_timer_);
     incarnation_timer_ = services_.loop.schedule_at(now() + config_.terms.heartbeat_interval(),
                                                     [this] { begin_new_incarnation(); });
-  } catch (const std::exception& error) { on_store_failure(error.what()); }
+  } catch (const std::exception& error) {
+    on_store_failure(error.what());
+  }
 }
 
 std::string MaintenanceReplica::snapshot() {
@@ -204,14 +223,16 @@
 }
 
 bool MaintenanceReplica::restore(const std::string& snapshot) {
-  if (snapshot.empty()) return true;
+  if (snapshot.empty())
+    return true;
   const json read = json::parse(snapshot, nullptr, false);
   ++version_;
   return read.is_object() && state_.restore(read, now());
 }
 
 void MaintenanceReplica::on_store_failure(const std::string& reason) {
-  if (std::exchange(failed_, true)) return;
+  if (std::exchange(failed_, true))
+    return;
   std::cerr << "lotusyard: " << reason << std::endl;
   lease_.revoke();
   services_.loop.schedule_at(now(), [this] { update_host_access(); });
@@ -222,20 +243,25 @@
   if (request.path == "/-/works")
     return is_get ? admin::Response{200, jobs_to_json(state_, member_name()).dump()}
                   : admin::Response{405, "GET"};
-  if (request.path.compare(0, kPathPrefix.size(), kPathPrefix) != 0) return std::nullopt;
+  if (request.path.compare(0, kPathPrefix.size(), kPathPrefix) != 0)
+    return std::nullopt;
   const std::string rest = request.path.substr(kPathPrefix.size());
   const auto slash = rest.find('/');
   const std::string verb = rest.substr(0, slash),
                     argument = slash == std::string::npos ? "" : rest.substr(slash + 1);
   if (verb == "propose") {
-    if (!is_post) return admin::Response{405, "POST"};
+    if (!is_post)
+      return admin::Response{405, "POST"};
     const OperatorProposal proposal = parse_proposal(argument, services_.endpoint_states.listed_hosts());
-    if (!proposal.entry) return proposal.rejection;
+    if (!proposal.entry)
+      return proposal.rejection;
     const bool sent = replica_->send_to_leader(*this, json{{"e", encode_entry(*proposal.entry)}}.dump());
     return sent ? admin::Response{202, "taken"} : admin::Response{503, "nobody is known to lead"};
   }
-  if (verb != "outcome") return std::nullopt;
-  if (!is_get) return admin::Response{405, "GET"};
+  if (verb != "outcome")
+    return std::nullopt;
+  if (!is_get)
+    return admin::Response{405, "GET"};
   const auto* outcome = state_.find_outcome(argument);
   if (outcome == nullptr)
     return admin::Response{404, "not known here, as of index " + std::to_string(state_.index())};
--- a/src/maintenance/maintenance_replica_leader.cpp
+++ b/src/maintenance/maintenance_replica_leader.cpp
@@ -15,17 +15,22 @@
 
 void MaintenanceReplica::handle_message(const std::string& text) {
   const json message = json::parse(text, nullptr, false);
-  if (!message.is_object()) return services_.counters.add("works.malformed");
+  if (!message.is_object())
+    return services_.counters.add("works.malformed");
   if (const auto& encoded = config::key(message, "b"); !encoded.is_null()) {
     auto heartbeat = parse_heartbeat(encoded);
     return heartbeat ? handle_heartbeat(std::move(*heartbeat)) : services_.counters.add("works.malformed");
   }
   const auto entry = parse_entry(config::text(config::key(message, "e")));
-  if (!entry) return services_.counters.add("works.malformed");
-  if (!entry->proposal.empty() && state_.find_outcome(entry->proposal) != nullptr) return;
+  if (!entry)
+    return services_.counters.add("works.malformed");
+  if (!entry->proposal.empty() && state_.find_outcome(entry->proposal) != nullptr)
+    return;
   const auto* join = std::get_if<Join>(&entry->command);
-  if (join != nullptr && join->incarnation <= state_.last_incarnation(join->member)) return;
-  if (!replica_->propose(*this, encode_entry(*entry))) services_.counters.add("works.not_proposed");
+  if (join != nullptr && join->incarnation <= state_.last_incarnation(join->member))
+    return;
+  if (!replica_->propose(*this, encode_entry(*entry)))
+    services_.counters.add("works.not_proposed");
 }
 
 void MaintenanceReplica::handle_heartbeat(Heartbeat&& heartbeat) {
@@ -37,35 +42,43 @@
 }
 
 bool MaintenanceReplica::is_ready_leader() {
-  if (!replica_->is_leader()) return false;
+  if (!replica_->is_leader())
+    return false;
   const std::uint64_t term = replica_->term();
-  if (ready_term_ == term) return true;
-  if (barrier_term_ == term) return false;
+  if (ready_term_ == term)
+    return true;
+  if (barrier_term_ == term)
+    return false;
   barrier_term_ = term;
   pending_heartbeats_.clear();
   proposal_in_flight_ = false;
   const LogEntry barrier{ReadBarrier{}, {}, {}};
   const bool proposed = replica_->propose(*this, encode_entry(barrier), [this, term](bool done) {
-    if (!done) return;
+    if (!done)
+      return;
     ready_term_ = term;
     log_("leads");
   });
-  if (!proposed) barrier_term_ = 0;
+  if (!proposed)
+    barrier_term_ = 0;
   return false;
 }
 
 void MaintenanceReplica::propose(const LogEntry& entry) {
   proposed_at_ = now();
   proposal_in_flight_ = replica_->propose(*this, encode_entry(entry), [this, term = replica_->term()](bool) {
-    if (term == ready_term_) proposal_in_flight_ = false;
+    if (term == ready_term_)
+      proposal_in_flight_ = false;
   });
 }
 
 void MaintenanceReplica::run_leader() {
   leader_timer_ =
       services_.loop.schedule_at(now() + config_.terms.heartbeat_interval() / 2, [this] { run_leader(); });
-  if (failed_ || !is_ready_leader()) return;
-  if (proposal_in_flight_ && now() - proposed_at_ < kProposalTimeout) return;
+  if (failed_ || !is_ready_leader())
+    return;
+  if (proposal_in_flight_ && now() - proposed_at_ < kProposalTimeout)
+    return;
   const auto next = scheduler_.next_entry(state_, now());
   json reasons = scheduler_.waiting_reasons();
   const std::string waiting_reasons = reasons.dump();
@@ -74,9 +87,11 @@
         aggregate_heartbeats(std::exchange(pending_heartbeats_, {}), waiting_reasons);
     proposed_waiting_reasons_ = waiting_reasons;
     services_.counters.add("works.too_long", aggregated.dropped);
-    for (const LogEntry& entry : aggregated.entries) replica_->propose(*this, encode_entry(entry));
+    for (const LogEntry& entry : aggregated.entries)
+      replica_->propose(*this, encode_entry(entry));
   }
-  if (next) propose(*next);
+  if (next)
+    propose(*next);
 }
 
 }  // namespace lotusyard::maintenance
--- a/src/maintenance/maintenance_scheduler.cpp
+++ b/src/maintenance/maintenance_scheduler.cpp
@@ -28,7 +28,8 @@
                           const HostProgress& host) {
   std::string out = state.budget().exceeded_bound(job, host.key);
   for (const auto& [name, member] : state.members()) {
-    if (!member.serves || member.followed_index >= host.selected_at_index) continue;
+    if (!member.serves || member.followed_index >= host.selected_at_index)
+      continue;
     out = member.applied_index < host.selected_at_index
               ? "member " + name + " does not follow: it is to come back or to leave"
               : "an invoker of control node " + name + " may not know that " + host.key.id + " is next";
@@ -40,8 +41,10 @@
 
 bool MaintenanceScheduler::has_quiesced(const MemberProgress& member, const std::string& host,
                                         std::uint64_t drained_at_index, Millis now) const {
-  if (!member.serves) return true;
-  if (member.applied_index >= drained_at_index && member.drained_hosts.count(host) != 0) return true;
+  if (!member.serves)
+    return true;
+  if (member.applied_index >= drained_at_index && member.drained_hosts.count(host) != 0)
+    return true;
   return now - member.last_heartbeat_at >= terms_.presumed_dead_after();
 }
 
@@ -53,7 +56,8 @@
 
 std::optional<LogEntry> MaintenanceScheduler::next_release(const MaintenanceState& state, Millis now) {
   for (const auto& [id, host] : state.hosts()) {
-    if (host.stage != HostStage::draining) continue;
+    if (host.stage != HostStage::draining)
+      continue;
     std::string using_members, expired_members;
     for (const auto& [name, member] : state.members()) {
       if (!has_quiesced(member, id, host.selected_at_index, now))
@@ -76,7 +80,8 @@
     const MaintenanceJob& job = *state.find_job(host.job);
     const auto seen_by = [&](std::set<std::string> HostObservations::*what) {
       for (const auto& [name, member] : state.members()) {
-        if (member.has_reported && (member.observations.*what).count(id) != 0) return name;
+        if (member.has_reported && (member.observations.*what).count(id) != 0)
+          return name;
       }
       return std::string();
     };
@@ -91,7 +96,8 @@
     }
     if (host.stage == HostStage::slow_start) {
       const std::string reporter = seen_by(&HostObservations::served);
-      if (!reporter.empty()) return host_command<Complete>(host, "it has served a call of " + reporter);
+      if (!reporter.empty())
+        return host_command<Complete>(host, "it has served a call of " + reporter);
     }
   }
   return std::nullopt;
@@ -104,27 +110,32 @@
   int room = budget.max_hosts_in_progress() - budget.hosts_in_progress();
   SelectHosts out;
   for (const auto& job : state.jobs()) {
-    if (job.state != MaintenanceJob::State::running) continue;
+    if (job.state != MaintenanceJob::State::running)
+      continue;
     int selected = 0;
     for (const auto& [id, host] : state.hosts())
       selected += host.job == job.id && host.stage == HostStage::selected;
     for (const auto& key : job.hosts) {
       const auto found = state.hosts().find(key.id);
-      if (found == state.hosts().end() || found->second.stage != HostStage::waiting) continue;
-      if (room <= 0 || selected >= kSelectionFactor * job.bounds.max_out) break;
+      if (found == state.hosts().end() || found->second.stage != HostStage::waiting)
+        continue;
+      if (room <= 0 || selected >= kSelectionFactor * job.bounds.max_out)
+        break;
       out.hosts.push_back(key.id);
       ++selected;
       --room;
     }
   }
-  if (out.hosts.empty()) return std::nullopt;
+  if (out.hosts.empty())
+    return std::nullopt;
   return LogEntry{std::move(out), {}, {}};
 }
 
 double MaintenanceScheduler::failed_share(const MaintenanceState& state, Millis now) const {
   double calls = 0, failed = 0;
   for (const auto& [name, member] : state.members()) {
-    if (!is_reporting(member, now)) continue;
+    if (!is_reporting(member, now))
+      continue;
     calls += member.observations.calls_per_second;
     failed += member.observations.failed_per_second;
   }
@@ -135,9 +146,11 @@
                                            Millis now) const {
   double out = 0;
   for (const auto& [name, member] : state.members()) {
-    if (!is_reporting(member, now)) continue;
+    if (!is_reporting(member, now))
+      continue;
     const auto found = member.observations.serving_value.find(host);
-    if (found != member.observations.serving_value.end()) out += found->second;
+    if (found != member.observations.serving_value.end())
+      out += found->second;
   }
   return out;
 }
@@ -145,12 +158,14 @@
 std::string MaintenanceScheduler::unexpected_failure(const MaintenanceState& state, Millis now) const {
   bool any_reporting = false;
   for (const auto& [name, member] : state.members()) {
-    if (!is_reporting(member, now)) continue;
+    if (!is_reporting(member, now))
+      continue;
     any_reporting = true;
     for (const auto& id : member.observations.down) {
       const auto found = state.hosts().find(id);
       const bool is_expected = found != state.hosts().end() && counts_against_bounds(found->second.stage);
-      if (!is_expected) return "host " + id + " is down unasked, says " + name;
+      if (!is_expected)
+        return "host " + id + " is down unasked, says " + name;
     }
   }
   return any_reporting ? std::string() : "no member that serves calls tells what it sees";
@@ -159,10 +174,12 @@
 std::string MaintenanceScheduler::obstacle(const MaintenanceState& state, const MaintenanceJob& job,
                                            Millis now) const {
   for (const auto& [id, host] : state.hosts()) {
-    if (host.overdue) return "host " + id + " is " + host.reason + "; it is to come back first";
+    if (host.overdue)
+      return "host " + id + " is " + host.reason + "; it is to come back first";
   }
   std::string failure = unexpected_failure(state, now);
-  if (!failure.empty()) return failure;
+  if (!failure.empty())
+    return failure;
   const double share = failed_share(state, now);
   if (baseline_.is_exceeded_by(share))
     return "service falls: " + format_number(share * 100) + "% of calls are lost, usually " +
@@ -178,15 +195,18 @@
   DrainCandidates out;
   for (const auto& key : job.hosts) {
     const auto found = state.hosts().find(key.id);
-    if (found == state.hosts().end() || found->second.stage != HostStage::selected) continue;
+    if (found == state.hosts().end() || found->second.stage != HostStage::selected)
+      continue;
     const std::string refusal = drain_refusal(state, job, found->second);
     if (!refusal.empty()) {
-      if (out.first_refusal.empty()) out.first_refusal = refusal;
+      if (out.first_refusal.empty())
+        out.first_refusal = refusal;
       continue;
     }
     const double value = serving_value(state, key.id, now);
     if (out.best == nullptr || value < out.best_value) {
-      if (out.best != nullptr) out.next_value = out.best_value;
+      if (out.best != nullptr)
+        out.next_value = out.best_value;
       out.best = &found->second;
       out.best_value = value;
     } else {
@@ -198,8 +218,10 @@
 
 std::optional<LogEntry> MaintenanceScheduler::next_drain(const MaintenanceState& state,
                                                          const MaintenanceJob& job, Millis now) {
-  if (job.state == MaintenanceJob::State::paused) waiting_reasons_.emplace(job.id, "paused");
-  if (job.state != MaintenanceJob::State::running) return std::nullopt;
+  if (job.state == MaintenanceJob::State::paused)
+    waiting_reasons_.emplace(job.id, "paused");
+  if (job.state != MaintenanceJob::State::running)
+    return std::nullopt;
   const std::string blocked = obstacle(state, job, now);
   const DrainCandidates candidates = find_candidates(state, job, now);
   if (candidates.best != nullptr && blocked.empty()) {
@@ -223,11 +245,15 @@
 std::optional<LogEntry> MaintenanceScheduler::next_entry(const MaintenanceState& state, Millis now) {
   waiting_reasons_.clear();
   baseline_.update(failed_share(state, now), state.budget().hosts_in_progress() == 0, now);
-  if (auto entry = next_release(state, now)) return entry;
-  if (auto entry = next_return(state, now)) return entry;
-  if (auto entry = next_selection(state)) return entry;
+  if (auto entry = next_release(state, now))
+    return entry;
+  if (auto entry = next_return(state, now))
+    return entry;
+  if (auto entry = next_selection(state))
+    return entry;
   for (const auto& job : state.jobs()) {
-    if (auto entry = next_drain(state, job, now)) return entry;
+    if (auto entry = next_drain(state, job, now))
+      return entry;
   }
   return std::nullopt;
 }
--- a/src/maintenance/maintenance_state.cpp
+++ b/src/maintenance/maintenance_state.cpp
@@ -26,20 +26,23 @@
   records_.index = index;
   // An operator repeats a proposal if the response was lost.
   if (!entry.proposal.empty()) {
-    if (const ProposalOutcome* earlier = find_outcome(entry.proposal)) return *earlier;
+    if (const ProposalOutcome* earlier = find_outcome(entry.proposal))
+      return *earlier;
   }
   const Context context{entry.reason, now};
   const auto execute_command = [&](const auto& command) { return execute(command, context); };
   const std::string refusal = std::visit(execute_command, entry.command);
   const ProposalOutcome outcome{refusal.empty(), refusal, index};
-  if (!entry.proposal.empty()) records_.outcomes.remember(entry.proposal, outcome);
+  if (!entry.proposal.empty())
+    records_.outcomes.remember(entry.proposal, outcome);
   return outcome;
 }
 
 std::string MaintenanceState::execute(const ReadBarrier&, const Context&) { return {}; }
 
 std::string MaintenanceState::execute(const RecordHeartbeats& command, const Context& context) {
-  for (const auto& heartbeat : command.heartbeats) records_.members.record(heartbeat, context.now);
+  for (const auto& heartbeat : command.heartbeats)
+    records_.members.record(heartbeat, context.now);
   records_.waiting_reason = context.reason;
   return {};
 }
@@ -54,9 +57,11 @@
 }
 
 std::string MaintenanceState::execute(const AddJob& command, const Context& context) {
-  if (!command.job) return "work: missing";
+  if (!command.job)
+    return "work: missing";
   const MaintenanceJob& job = *command.job;
-  if (find_job(job.id) != nullptr) return "id: there is a work " + job.id + " already";
+  if (find_job(job.id) != nullptr)
+    return "id: there is a work " + job.id + " already";
   if (job.bounds.max_out > static_cast<int>(job.hosts.size()))
     return "out: " + std::to_string(job.bounds.max_out) + " out at once of " +
            std::to_string(job.hosts.size()) + " hosts";
@@ -65,7 +70,8 @@
     return "usable: of " + std::to_string(listed) + " hosts none could ever be out";
   for (const auto& host : job.hosts) {
     const auto found = records_.hosts.find(host.id);
-    if (found != records_.hosts.end()) return "hosts: " + host.id + " is in work " + found->second.job;
+    if (found != records_.hosts.end())
+      return "hosts: " + host.id + " is in work " + found->second.job;
   }
   records_.jobs.push_back(job);
   records_.jobs.back().state = MaintenanceJob::State::running;
@@ -81,9 +87,12 @@
 std::string MaintenanceState::execute(const ChangeBounds& command, const Context&) {
   MaintenanceJob* job = find_mutable_job(command.job);
   std::string refusal = change_refusal(job, command.job);
-  if (!refusal.empty()) return refusal;
-  if (!command.bounds) return "bounds: missing";
-  if (command.bounds->max_out > static_cast<int>(job->hosts.size())) return "out: more than there are hosts";
+  if (!refusal.empty())
+    return refusal;
+  if (!command.bounds)
+    return "bounds: missing";
+  if (command.bounds->max_out > static_cast<int>(job->hosts.size()))
+    return "out: more than there are hosts";
   job->bounds = *command.bounds;
   return {};
 }
@@ -91,10 +100,13 @@
 std::string MaintenanceState::execute(const ChangeJobState& command, const Context&) {
   MaintenanceJob* job = find_mutable_job(command.job);
   std::string refusal = change_refusal(job, command.job);
-  if (!refusal.empty()) return refusal;
-  if (command.state == MaintenanceJob::State::done) return "state: a work is done when its hosts are back";
+  if (!refusal.empty())
+    return refusal;
+  if (command.state == MaintenanceJob::State::done)
+    return "state: a work is done when its hosts are back";
   job->state = command.state;
-  if (command.state != MaintenanceJob::State::cancelled) return {};
+  if (command.state != MaintenanceJob::State::cancelled)
+    return {};
   release_untouched_hosts(command.job);
   close_if_done(command.job);
   return {};
@@ -111,9 +123,11 @@
 std::string MaintenanceState::execute(const SelectHosts& command, const Context& context) {
   for (const auto& id : command.hosts) {
     const auto found = records_.hosts.find(id);
-    if (found == records_.hosts.end() || found->second.stage != HostStage::waiting) continue;
+    if (found == records_.hosts.end() || found->second.stage != HostStage::waiting)
+      continue;
     HostProgress& host = found->second;
-    if (find_job(host.job)->state != MaintenanceJob::State::running || !budget().has_room()) continue;
+    if (find_job(host.job)->state != MaintenanceJob::State::running || !budget().has_room())
+      continue;
     host.stage = HostStage::selected;
     host.selected_at_index = records_.index;
     host.since = context.now;
@@ -134,7 +148,8 @@
 
 std::string MaintenanceState::drain_refusal(const HostProgress& host) const {
   const MaintenanceJob& job = *find_job(host.job);
-  if (job.state != MaintenanceJob::State::running) return "work: " + job.id + " is " + name_of(job.state);
+  if (job.state != MaintenanceJob::State::running)
+    return "work: " + job.id + " is " + name_of(job.state);
   // A member that does not know of the selection would continue to use the host without its lease.
   if (const std::string* member = records_.members.find_member_behind(host.selected_at_index))
     return "member " + *member + " does not know that " + host.key.id + " is next";
@@ -144,10 +159,13 @@
 std::string MaintenanceState::execute(const StartDrain& command, const Context& context) {
   HostProgress* host = find_mutable_host(command.host);
   std::string refusal = stage_refusal(host, command, HostStage::selected);
-  if (!refusal.empty()) return refusal;
-  if (host->selected_at_index != command.selected_at_index) return wrong_stage(*host);
+  if (!refusal.empty())
+    return refusal;
+  if (host->selected_at_index != command.selected_at_index)
+    return wrong_stage(*host);
   refusal = drain_refusal(*host);
-  if (!refusal.empty()) return refusal;
+  if (!refusal.empty())
+    return refusal;
   host->selected_at_index = records_.index;
   enter_stage(*host, HostStage::draining, context);
   return {};
@@ -156,8 +174,10 @@
 std::string MaintenanceState::execute(const ReleaseToOperators& command, const Context& context) {
   HostProgress* host = find_mutable_host(command.host);
   std::string refusal = stage_refusal(host, command, HostStage::draining);
-  if (!refusal.empty()) return refusal;
-  if (host->selected_at_index != command.selected_at_index) return wrong_stage(*host);
+  if (!refusal.empty())
+    return refusal;
+  if (host->selected_at_index != command.selected_at_index)
+    return wrong_stage(*host);
   host->released_to_operators = true;
   enter_stage(*host, HostStage::out_of_service, context);
   return {};
@@ -166,7 +186,8 @@
 std::string MaintenanceState::execute(const ReturnToService& command, const Context& context) {
   HostProgress* host = find_mutable_host(command.host);
   std::string refusal = stage_refusal(host, command, HostStage::out_of_service);
-  if (!refusal.empty()) return refusal;
+  if (!refusal.empty())
+    return refusal;
   host->overdue = false;
   host->selected_at_index = records_.index;
   enter_stage(*host, HostStage::slow_start, context);
@@ -176,7 +197,8 @@
 std::string MaintenanceState::execute(const Complete& command, const Context& context) {
   HostProgress* host = find_mutable_host(command.host);
   std::string refusal = stage_refusal(host, command, HostStage::slow_start);
-  if (!refusal.empty()) return refusal;
+  if (!refusal.empty())
+    return refusal;
   enter_stage(*host, HostStage::returned, context);
   records_.last_return_at = context.now;
   close_if_done(std::string(host->job));  // a copy: the host may be erased
@@ -186,7 +208,8 @@
 std::string MaintenanceState::execute(const Overdue& command, const Context& context) {
   HostProgress* host = find_mutable_host(command.host);
   std::string refusal = stage_refusal(host, command, HostStage::out_of_service);
-  if (!refusal.empty()) return refusal;
+  if (!refusal.empty())
+    return refusal;
   host->overdue = true;
   host->reason = context.reason;
   return {};
@@ -204,11 +227,13 @@
   const auto is_open = [&](const auto& host) {
     return host.second.job == id && host.second.stage != HostStage::returned;
   };
-  if (std::any_of(hosts.begin(), hosts.end(), is_open)) return;
+  if (std::any_of(hosts.begin(), hosts.end(), is_open))
+    return;
   for (auto host = hosts.begin(); host != hosts.end();)
     host = host->second.job == id ? hosts.erase(host) : std::next(host);
   MaintenanceJob* job = find_mutable_job(id);
-  if (job->state != MaintenanceJob::State::cancelled) job->state = MaintenanceJob::State::done;
+  if (job->state != MaintenanceJob::State::cancelled)
+    job->state = MaintenanceJob::State::done;
   auto& jobs = records_.jobs;
   const auto closed = [&](const MaintenanceJob& candidate) { return is_closed(candidate); };
   while (std::count_if(jobs.begin(), jobs.end(), closed) > static_cast<std::ptrdiff_t>(kMaxClosedJobs))
@@ -220,7 +245,8 @@
   for (const auto& [id, host] : records_.hosts) {
     const bool is_out = host.stage == HostStage::draining || host.stage == HostStage::out_of_service;
     const bool may_be_next = !leased && host.stage == HostStage::selected;
-    if (is_out || may_be_next) out.insert(id);
+    if (is_out || may_be_next)
+      out.insert(id);
   }
   return out;
 }
@@ -229,7 +255,8 @@
 
 bool MaintenanceState::restore(const nlohmann::json& from, Millis now) {
   auto decoded = decode_snapshot(from, now);
-  if (!decoded) return false;
+  if (!decoded)
+    return false;
   records_ = std::move(*decoded);
   return true;
 }
--- a/src/maintenance/refusals.cpp
+++ b/src/maintenance/refusals.cpp
@@ -7,8 +7,10 @@
 }
 
 std::string change_refusal(const MaintenanceJob* job, const std::string& id) {
-  if (job == nullptr) return "work: no work " + id;
-  if (is_final(job->state)) return "work: " + id + " is " + name_of(job->state);
+  if (job == nullptr)
+    return "work: no work " + id;
+  if (is_final(job->state))
+    return "work: " + id + " is " + name_of(job->state);
   return {};
 }
 
@@ -17,7 +19,8 @@
 }
 
 std::string stage_refusal(const HostProgress* host, const HostTransition& transition, HostStage required) {
-  if (host == nullptr) return "host: " + transition.host + " is in no work";
+  if (host == nullptr)
+    return "host: " + transition.host + " is in no work";
   return host->stage == required ? std::string() : wrong_stage(*host);
 }
 
--- a/src/maintenance/snapshot_codec.cpp
+++ b/src/maintenance/snapshot_codec.cpp
@@ -44,8 +44,10 @@
 // A member is encoded as a heartbeat without a time, and whether it serves calls.
 json encode_member(const std::string& name, const MemberProgress& member) {
   Heartbeat heartbeat{name, member.incarnation, 0, member.applied_index, member.drained_hosts, std::nullopt};
-  if (member.has_reported) heartbeat.observations = member.observations;
-  if (member.followed_index != member.applied_index) heartbeat.followed_index = member.followed_index;
+  if (member.has_reported)
+    heartbeat.observations = member.observations;
+  if (member.followed_index != member.applied_index)
+    heartbeat.followed_index = member.followed_index;
   json row = heartbeat_to_json(heartbeat);
   row["serves"] = member.serves;
   return row;
@@ -60,7 +62,8 @@
   out.drained_hosts = heartbeat.drained_hosts;
   out.has_reported = heartbeat.observations.has_value();
   out.last_heartbeat_at = now;
-  if (heartbeat.observations) out.observations = *heartbeat.observations;
+  if (heartbeat.observations)
+    out.observations = *heartbeat.observations;
   return out;
 }
 
@@ -79,7 +82,8 @@
   MemberTable::Members members;
   for (const auto& row : rows) {
     const auto heartbeat = parse_heartbeat(row);
-    if (!heartbeat) throw std::invalid_argument("members: malformed");
+    if (!heartbeat)
+      throw std::invalid_argument("members: malformed");
     members[heartbeat->member] = decode_member(*heartbeat, row.at("serves").get<bool>(), now);
   }
   return {std::move(members), incarnations.get<MemberTable::Incarnations>()};
@@ -89,12 +93,16 @@
 
 json encode_snapshot(const MaintenanceRecords& records) {
   json jobs = json::array(), hosts = json::array(), members = json::array(), outcomes = json::array();
-  for (const auto& job : records.jobs) jobs.push_back(job_to_json(job));
-  for (const auto& [id, host] : records.hosts) hosts.push_back(encode_host(id, host));
-  for (const auto& [name, member] : records.members.members()) members.push_back(encode_member(name, member));
+  for (const auto& job : records.jobs)
+    jobs.push_back(job_to_json(job));
+  for (const auto& [id, host] : records.hosts)
+    hosts.push_back(encode_host(id, host));
+  for (const auto& [name, member] : records.members.members())
+    members.push_back(encode_member(name, member));
   for (const auto& proposal : records.outcomes.proposals()) {
     const ProposalOutcome* outcome = records.outcomes.find(proposal);
-    if (outcome != nullptr) outcomes.push_back({proposal, outcome->done, outcome->why, outcome->index});
+    if (outcome != nullptr)
+      outcomes.push_back({proposal, outcome->done, outcome->why, outcome->index});
   }
   return {{"index", records.index},
           {"works", jobs},
@@ -109,7 +117,8 @@
     MaintenanceRecords out;
     out.index = from.at("index").get<std::uint64_t>();
     out.last_return_at = now;  // not earlier than the actual return: a pause may get longer, never shorter
-    for (const auto& row : from.at("works")) out.jobs.push_back(parse_job(row));
+    for (const auto& row : from.at("works"))
+      out.jobs.push_back(parse_job(row));
     decode_hosts(from.at("hosts"), now, out);
     out.members = decode_members(from.at("members"), from.at("lives"), now);
     for (const auto& row : from.at("outcomes")) {
@@ -118,7 +127,9 @@
           {row.at(1).get<bool>(), row.at(2).get<std::string>(), row.at(3).get<std::uint64_t>()});
     }
     return out;
-  } catch (const std::exception&) { return std::nullopt; }
+  } catch (const std::exception&) {
+    return std::nullopt;
+  }
 }
 
 }  // namespace lotusyard::maintenance
--- a/src/maintenance/timeline.cpp
+++ b/src/maintenance/timeline.cpp
@@ -22,7 +22,8 @@
     if (equals == std::string::npos || blank < equals) {
       const std::string word = line.substr(at, blank - at);
       std::string& what = out[""];
-      if (what.empty() || word == "refused") what += (what.empty() ? "" : " ") + word;
+      if (what.empty() || word == "refused")
+        what += (what.empty() ? "" : " ") + word;
       at = blank == std::string::npos ? line.size() : blank;
       continue;
     }
@@ -30,7 +31,8 @@
     const bool quoted = equals + 1 < line.size() && line[equals + 1] == '"';
     const std::size_t from = equals + (quoted ? 2 : 1);
     const std::size_t to = quoted ? line.rfind('"') : line.find(' ', from);
-    if (quoted && to < from) break;
+    if (quoted && to < from)
+      break;
     out[key] = line.substr(from, to == std::string::npos ? to : to - from);
     at = to == std::string::npos ? line.size() : to + 1;
   }
@@ -46,7 +48,8 @@
   std::map<std::uint64_t, AppliedEntry> by_index;
   const std::string prefix = "works at=";
   for (const auto& line : lines) {
-    if (line.compare(0, prefix.size(), prefix) != 0) continue;
+    if (line.compare(0, prefix.size(), prefix) != 0)
+      continue;
     auto fields = parse_fields(line.substr(6));
     const double at = std::atof(fields["at"].c_str());
     const std::string& what = fields[""];
@@ -55,7 +58,8 @@
           {at, std::atof(fields["asked"].c_str()), std::atof(fields["lost"].c_str()), fields["member"]});
       continue;
     }
-    if (kKinds.count(what.substr(0, what.find(' '))) == 0) continue;
+    if (kKinds.count(what.substr(0, what.find(' '))) == 0)
+      continue;
     const std::uint64_t index = std::strtoull(fields["index"].c_str(), nullptr, 10);
     const auto [found, inserted] = by_index.try_emplace(index);
     AppliedEntry& entry = found->second;
@@ -63,11 +67,13 @@
         out.fault.empty())
       out.fault = "index " + std::to_string(index) + ": " + entry.what + ' ' + entry.host + " and " + what +
                   ' ' + fields["host"];
-    if (inserted) entry = {at, index, what, fields["work"], fields["host"], fields["reason"], {}};
+    if (inserted)
+      entry = {at, index, what, fields["work"], fields["host"], fields["reason"], {}};
     entry.at = std::min(entry.at, at);
     entry.members.emplace(fields["member"], at);
   }
-  for (auto& [index, entry] : by_index) out.entries.push_back(std::move(entry));
+  for (auto& [index, entry] : by_index)
+    out.entries.push_back(std::move(entry));
   const auto earlier = [](const auto& a, const auto& b) { return a.at < b.at; };
   std::stable_sort(out.call_rates.begin(), out.call_rates.end(), earlier);
   return out;
@@ -75,8 +81,10 @@
 
 std::string render_table(const Timeline& timeline) {
   std::string out;
-  if (!timeline.fault.empty()) out += "members disagree: " + timeline.fault + "\n";
-  if (timeline.entries.empty()) return out + "nothing has happened\n";
+  if (!timeline.fault.empty())
+    out += "members disagree: " + timeline.fault + "\n";
+  if (timeline.entries.empty())
+    return out + "nothing has happened\n";
   const double began = timeline.entries.front().at;
   out += "   seconds   index  what      host            members  reason\n";
   for (const auto& entry : timeline.entries) {
--- a/src/maintenance/timeline_svg.cpp
+++ b/src/maintenance/timeline_svg.cpp
@@ -57,11 +57,13 @@
 SvgChart::SvgChart(const Timeline& timeline) : timeline_(timeline) {
   for (const auto& entry : timeline.entries) {
     const bool is_known = std::find(hosts_.begin(), hosts_.end(), entry.host) != hosts_.end();
-    if (!entry.host.empty() && !is_known) hosts_.push_back(entry.host);
+    if (!entry.host.empty() && !is_known)
+      hosts_.push_back(entry.host);
     from_ = from_ == 0 ? entry.at : std::min(from_, entry.at);
     to_ = std::max(to_, entry.at);
   }
-  for (const auto& rates : timeline.call_rates) to_ = std::max(to_, rates.at);
+  for (const auto& rates : timeline.call_rates)
+    to_ = std::max(to_, rates.at);
   scale_ = (kWidth - kLabelWidth - kRightMargin) / std::max(1.0, to_ - from_);
 }
 
@@ -85,7 +87,8 @@
     colour = "#e0a030";
     title = host + " back and cold";
   }
-  if (colour == nullptr) return;
+  if (colour == nullptr)
+    return;
   out_ += "<rect x=\"" + format("%.1f", x_of(begin)) + "\" y=\"" + format("%.1f", y) + "\" width=\"" +
           format("%.1f", std::max(1.0, (end - begin) * scale_)) + "\" height=\"" +
           format("%.0f", kRowHeight - 5) + "\" fill=\"" + colour + "\"><title>" + escape_xml(title) +
@@ -99,7 +102,8 @@
   for (const auto& entry : timeline_.entries) {
     const bool begins_stage =
         entry.what == "take" || entry.what == "touch" || entry.what == "returned" || entry.what == "back";
-    if (entry.host != host || !begins_stage) continue;
+    if (entry.host != host || !begins_stage)
+      continue;
     add_stage(stage, host, since, entry.at, y);
     stage = entry.what;
     since = entry.at;
@@ -115,7 +119,8 @@
     latest[rates.member] = rates;
     Timeline::CallRates total{rates.at, 0, 0, {}};
     for (const auto& [member, member_rates] : latest) {
-      if (rates.at - member_rates.at > kRateValidity) continue;
+      if (rates.at - member_rates.at > kRateValidity)
+        continue;
       total.asked += member_rates.asked;
       total.lost += member_rates.lost;
     }
@@ -127,7 +132,8 @@
 void SvgChart::add_call_rates(double floor) {
   const std::vector<Timeline::CallRates> totals = total_call_rates();
   double highest = 1;
-  for (const auto& total : totals) highest = std::max(highest, total.asked);
+  for (const auto& total : totals)
+    highest = std::max(highest, total.asked);
   const auto add_line = [&](double Timeline::CallRates::*rate, const char* colour) {
     out_ += "<polyline fill=\"none\" stroke=\"" + std::string(colour) + "\" points=\"";
     for (const auto& total : totals) {
--- a/src/moving_average.h
+++ b/src/moving_average.h
@@ -13,9 +13,11 @@
   double value = 0;
   int samples = 0;
   void add(double sample, double gain, double outlier) {
-    if (samples > 0) sample = std::min(sample, outlier * value);
+    if (samples > 0)
+      sample = std::min(sample, outlier * value);
     value += std::max(gain, 1.0 / (samples + 1)) * (sample - value);
-    if (samples < 1000) ++samples;
+    if (samples < 1000)
+      ++samples;
   }
   bool known() const { return samples > 0; }
 };
@@ -28,7 +30,8 @@
 
 inline std::uint64_t hash_of(const std::string& text) {  // FNV-1a, the same on every machine
   std::uint64_t hash = 0xcbf29ce484222325ULL;
-  for (const char c : text) hash = (hash ^ static_cast<unsigned char>(c)) * 0x100000001b3ULL;
+  for (const char c : text)
+    hash = (hash ^ static_cast<unsigned char>(c)) * 0x100000001b3ULL;
   return mix(hash);
 }
 
--- a/src/net/buffer.cpp
+++ b/src/net/buffer.cpp
@@ -15,8 +15,10 @@
   while (!bytes.empty()) {
     if (blocks_.empty() || tail_ == BufferPool::block_size) {
       auto lease = pool_.acquire();
-      if (!lease) return false;
-      if (blocks_.empty()) head_ = 0;
+      if (!lease)
+        return false;
+      if (blocks_.empty())
+        head_ = 0;
       blocks_.push_back(std::move(lease));
       tail_ = 0;
     }
@@ -34,13 +36,16 @@
     const std::size_t end = blocks_.size() == 1 ? tail_ : BufferPool::block_size;
     const ssize_t sent = system_calls::send(fd, blocks_.front()->data() + head_, end - head_, MSG_NOSIGNAL);
     if (sent < 0) {
-      if (errno == EINTR) continue;
-      if (is_transient_shortage(errno)) return WriteStatus::short_of_memory;
+      if (errno == EINTR)
+        continue;
+      if (is_transient_shortage(errno))
+        return WriteStatus::short_of_memory;
       return errno == EAGAIN || errno == EWOULDBLOCK ? WriteStatus::partial : WriteStatus::broken;
     }
     written_ += static_cast<std::size_t>(sent);
     head_ += static_cast<std::size_t>(sent);
-    if (head_ < end) continue;
+    if (head_ < end)
+      continue;
     blocks_.pop_front();
     head_ = 0;
   }
--- a/src/net/buffer.h
+++ b/src/net/buffer.h
@@ -18,7 +18,8 @@
     BufferPool* pool;
     void operator()(Block* block) const {
       pool->free_.emplace_back(block);
-      if (pool->made_ > pool->most_) pool->drop_one();
+      if (pool->made_ > pool->most_)
+        pool->drop_one();
     }
   };
   using Lease = std::unique_ptr<Block, Returner>;
@@ -26,7 +27,8 @@
   explicit BufferPool(std::size_t most_blocks) : most_(most_blocks) {}
   Lease acquire() {  // empty when all are out: the bound on what may wait unwritten
     if (free_.empty()) {
-      if (made_ >= most_) return Lease(nullptr, Returner{this});
+      if (made_ >= most_)
+        return Lease(nullptr, Returner{this});
       ++made_;
       return Lease(new Block, Returner{this});
     }
@@ -42,7 +44,8 @@
   // Fewer from now on: what is not out is given back at once, the rest as it comes back.
   void set_max_blocks(std::size_t most_blocks) {
     most_ = most_blocks;
-    while (made_ > most_ && !free_.empty()) drop_one();
+    while (made_ > most_ && !free_.empty())
+      drop_one();
   }
 
  private:
--- a/src/net/buffered_connection.cpp
+++ b/src/net/buffered_connection.cpp
@@ -20,7 +20,8 @@
 BufferedConnection::BufferedConnection(EventLoop& loop, BufferPool& pool, Socket socket, bool is_connecting,
                                        EventLoop::Priority rank)
     : loop_(loop), socket_(std::move(socket)), send_queue_(pool), rank_(rank), connecting_(is_connecting) {
-  if (socket_) update_registration();
+  if (socket_)
+    update_registration();
 }
 
 BufferedConnection::~BufferedConnection() {
@@ -30,25 +31,32 @@
 }
 
 void BufferedConnection::update_registration() {
-  if (paused_) return loop_.register_handler(socket_.fd(), *this, 0, rank_);
+  if (paused_)
+    return loop_.register_handler(socket_.fd(), *this, 0, rank_);
   const bool writes = connecting_ || !send_queue_.empty();
   loop_.register_handler(socket_.fd(), *this,
                          static_cast<short>((connecting_ ? 0 : POLLIN) | (writes ? POLLOUT : 0)), rank_);
 }
 
 void BufferedConnection::write(std::string_view bytes) {
-  if (is_closing()) return;
+  if (is_closing())
+    return;
   // A stream with a gap cannot be understood: it ends.
-  if (!send_queue_.append(bytes)) return close_later();
-  if (!connecting_) loop_.flush_later(*this);
+  if (!send_queue_.append(bytes))
+    return close_later();
+  if (!connecting_)
+    loop_.flush_later(*this);
 }
 
 bool BufferedConnection::flush_now() {
-  if (!socket_ || connecting_ || closing_) return false;
-  if (paused_) return false;
+  if (!socket_ || connecting_ || closing_)
+    return false;
+  if (paused_)
+    return false;
   const auto before = send_queue_.written();
   const auto written = send_queue_.write_to(socket_.fd());
-  if (send_queue_.written() > before) short_since_.reset();
+  if (send_queue_.written() > before)
+    short_since_.reset();
   if (written == SendQueue::WriteStatus::short_of_memory) {
     pause_for_memory("net.send.local_resource");
     return false;
@@ -60,57 +68,72 @@
     return false;
   }
   update_registration();
-  if (finishing_ && send_queue_.empty()) shutdown_write();
+  if (finishing_ && send_queue_.empty())
+    shutdown_write();
   return written == SendQueue::WriteStatus::all;
 }
 
 void BufferedConnection::flush() {
-  if (!closing_ && !connecting_ && !send_queue_.empty()) flush_now();
-  if (!closing_ && !paused_ && is_open() && send_queue_.empty()) before_write();
-  if (!closing_) flush_now();
-  if (closing_ && broken_ && reads_after_write_failure()) read_remaining();
-  if (closing_) close_now();
+  if (!closing_ && !connecting_ && !send_queue_.empty())
+    flush_now();
+  if (!closing_ && !paused_ && is_open() && send_queue_.empty())
+    before_write();
+  if (!closing_)
+    flush_now();
+  if (closing_ && broken_ && reads_after_write_failure())
+    read_remaining();
+  if (closing_)
+    close_now();
 }
 
 // What is lacking is this machine's, and the peer may well be sound: the call is made again.
 void BufferedConnection::pause_for_memory(const char* counter) {
   loop_.count_error(counter);
   const Millis now = loop_.now();
-  if (!short_since_) short_since_ = now;
-  if (now - *short_since_ > kMemoryShortMost) return close_later();
-  if (std::exchange(paused_, true)) return;
+  if (!short_since_)
+    short_since_ = now;
+  if (now - *short_since_ > kMemoryShortMost)
+    return close_later();
+  if (std::exchange(paused_, true))
+    return;
   resume_ = loop_.schedule_at(now + kMemoryPause, [this] { resume(); });
   update_registration();
 }
 
 void BufferedConnection::resume() {
   paused_ = false;
-  if (!socket_) return;
+  if (!socket_)
+    return;
   update_registration();
   loop_.flush_later(*this);
 }
 
 void BufferedConnection::close_later() {
-  if (!socket_) return;
+  if (!socket_)
+    return;
   closing_ = true;
   loop_.flush_later(*this);
 }
 
 void BufferedConnection::shutdown_after_flush() {
-  if (connecting_) return close_later();
-  if (is_closing()) return;
+  if (connecting_)
+    return close_later();
+  if (is_closing())
+    return;
   finishing_ = true;
   loop_.flush_later(*this);
 }
 
 void BufferedConnection::shutdown_write() {
-  if (std::exchange(told_, true)) return;
+  if (std::exchange(told_, true))
+    return;
   ::shutdown(socket_.fd(), SHUT_WR);
   linger_ = loop_.schedule_at(loop_.now() + kLinger, [this] { close_later(); });
 }
 
 void BufferedConnection::close_now() {
-  if (!socket_) return;
+  if (!socket_)
+    return;
   loop_.cancel(linger_);
   loop_.cancel(resume_);
   loop_.unregister(socket_.fd(), *this);
@@ -122,27 +145,34 @@
 
 void BufferedConnection::connect_decided(short events) {
   int error_number = pending_error(socket_);
-  if (error_number == 0 && (events & (POLLERR | POLLNVAL)) != 0) error_number = ECONNREFUSED;
+  if (error_number == 0 && (events & (POLLERR | POLLNVAL)) != 0)
+    error_number = ECONNREFUSED;
   if (error_number != 0) {
     connect_error_ = net::connect_error(error_number);
     loop_.count_error(counter_name(connect_error_->kind));
     return close_now();
   }
-  if ((events & POLLOUT) == 0) return;
+  if ((events & POLLOUT) == 0)
+    return;
   connecting_ = false;
   update_registration();
   on_connected();
 }
 
 void BufferedConnection::ready(short events) {
-  if (connecting_) return connect_decided(events);
-  if ((events & POLLOUT) != 0) loop_.flush_later(*this);
-  if ((events & (POLLIN | POLLHUP | POLLERR)) != 0 && !paused_) read();
+  if (connecting_)
+    return connect_decided(events);
+  if ((events & POLLOUT) != 0)
+    loop_.flush_later(*this);
+  if ((events & (POLLIN | POLLHUP | POLLERR)) != 0 && !paused_)
+    read();
 }
 
 void BufferedConnection::read_failed(int error_number) {
-  if (error_number == EAGAIN || error_number == EWOULDBLOCK) return;
-  if (is_transient_shortage(error_number)) return pause_for_memory("net.receive.local_resource");
+  if (error_number == EAGAIN || error_number == EWOULDBLOCK)
+    return;
+  if (is_transient_shortage(error_number))
+    return pause_for_memory("net.receive.local_resource");
   loop_.count_error("net.receive.connection_lost");
   close_now();
 }
@@ -151,12 +181,16 @@
   auto& block = loop_.read_buffer();
   for (int i = 0; i < kReadsATurn && socket_ && !closing_; ++i) {
     const ssize_t got = system_calls::receive(socket_.fd(), block.data(), block.size(), 0);
-    if (got < 0 && errno == EINTR) continue;
-    if (got < 0) return read_failed(errno);
+    if (got < 0 && errno == EINTR)
+      continue;
+    if (got < 0)
+      return read_failed(errno);
     short_since_.reset();
-    if (got == 0) return close_now();
+    if (got == 0)
+      return close_now();
     on_received(std::string_view(block.data(), static_cast<std::size_t>(got)));
-    if (static_cast<std::size_t>(got) < block.size()) return;
+    if (static_cast<std::size_t>(got) < block.size())
+      return;
   }
 }
 
@@ -165,8 +199,10 @@
   auto& block = loop_.read_buffer();
   for (int i = 0; i < kReadsATurn && socket_; ++i) {
     const ssize_t got = system_calls::receive(socket_.fd(), block.data(), block.size(), 0);
-    if (got < 0 && (errno == EINTR || is_transient_shortage(errno))) continue;
-    if (got <= 0) return;
+    if (got < 0 && (errno == EINTR || is_transient_shortage(errno)))
+      continue;
+    if (got <= 0)
+      return;
     on_received(std::string_view(block.data(), static_cast<std::size_t>(got)));
   }
 }
--- a/src/net/errors.cpp
+++ b/src/net/errors.cpp
@@ -15,11 +15,15 @@
     case EADDRINUSE:  // no local port is free
     case EAGAIN:
     case ENETUNREACH:
-    case ENETDOWN: return ConnectErrorKind::local_resource;
+    case ENETDOWN:
+      return ConnectErrorKind::local_resource;
     case ECONNREFUSED:
-    case ECONNRESET: return ConnectErrorKind::refused;
-    case ETIMEDOUT: return ConnectErrorKind::timed_out;
-    default: return ConnectErrorKind::unreachable;
+    case ECONNRESET:
+      return ConnectErrorKind::refused;
+    case ETIMEDOUT:
+      return ConnectErrorKind::timed_out;
+    default:
+      return ConnectErrorKind::unreachable;
   }
 }
 
@@ -29,10 +33,14 @@
 
 const char* counter_name(ConnectErrorKind kind) {
   switch (kind) {
-    case ConnectErrorKind::local_resource: return "net.connect.local_resource";
-    case ConnectErrorKind::refused: return "net.connect.refused";
-    case ConnectErrorKind::timed_out: return "net.connect.timed_out";
-    case ConnectErrorKind::unreachable: break;
+    case ConnectErrorKind::local_resource:
+      return "net.connect.local_resource";
+    case ConnectErrorKind::refused:
+      return "net.connect.refused";
+    case ConnectErrorKind::timed_out:
+      return "net.connect.timed_out";
+    case ConnectErrorKind::unreachable:
+      break;
   }
   return "net.connect.unreachable";
 }
@@ -53,8 +61,10 @@
     case ENONET:
     case EOPNOTSUPP:
     case EPERM:
-    case ETIMEDOUT: return AcceptErrorKind::connection_lost;
-    default: return AcceptErrorKind::local_resource;
+    case ETIMEDOUT:
+      return AcceptErrorKind::connection_lost;
+    default:
+      return AcceptErrorKind::local_resource;
   }
 }
 
--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -45,9 +45,11 @@
 
 void EventLoop::register_handler(int fd, EventHandler& handler, short events, Priority rank) {
   const auto place = static_cast<std::size_t>(fd);
-  if (place >= by_fd_.size()) by_fd_.resize(place + 1);
+  if (place >= by_fd_.size())
+    by_fd_.resize(place + 1);
   Registration& entry = by_fd_[place];
-  if (entry.handler != &handler) entry.serial = ++serial_;
+  if (entry.handler != &handler)
+    entry.serial = ++serial_;
   entry.handler = &handler;
   entry.events = events;
   entry.priority = rank;
@@ -55,7 +57,8 @@
 
 void EventLoop::unregister(int fd, EventHandler& handler) {
   const auto place = static_cast<std::size_t>(fd);
-  if (fd >= 0 && place < by_fd_.size() && by_fd_[place].handler == &handler) by_fd_[place] = Registration();
+  if (fd >= 0 && place < by_fd_.size() && by_fd_[place].handler == &handler)
+    by_fd_[place] = Registration();
   std::replace(unflushed_.begin(), unflushed_.end(), &handler, static_cast<EventHandler*>(nullptr));
 }
 
@@ -75,7 +78,8 @@
   // By index: a flush may queue more, and an ended handler leaves a gap.
   for (std::size_t i = 0; i < unflushed_.size(); ++i) {
     EventHandler* handler = std::exchange(unflushed_[i], nullptr);
-    if (handler != nullptr) handler->flush();
+    if (handler != nullptr)
+      handler->flush();
   }
   unflushed_.clear();
 }
@@ -88,7 +92,8 @@
     return found;
   }
   count_error(errno == EINTR ? "net.poll.interrupted" : "net.poll.failed");
-  if (++failed_polls_ <= kFreePollFailures) return 0;
+  if (++failed_polls_ <= kFreePollFailures)
+    return 0;
   const double pause =
       std::min(kFailedPollPauseMs * (failed_polls_ - kFreePollFailures), kFailedPollPauseMostMs);
   std::this_thread::sleep_for(Millis(std::min(pause, wait_ms)));
@@ -97,32 +102,38 @@
 
 // A crowd of clients makes a turn as long as there are of them.
 void EventLoop::serve_urgent(bool at_once) {
-  if (!at_once && now() - urgent_served_ < kUrgentPace) return;
+  if (!at_once && now() - urgent_served_ < kUrgentPace)
+    return;
   urgent_served_ = now();
   std::vector<pollfd> polled;
   std::vector<std::uint64_t> serials;
   for (std::size_t fd = 0; fd < by_fd_.size(); ++fd) {
     const Registration& entry = by_fd_[fd];
-    if (entry.handler == nullptr || entry.events == 0 || entry.priority != Priority::urgent) continue;
+    if (entry.handler == nullptr || entry.events == 0 || entry.priority != Priority::urgent)
+      continue;
     polled.push_back({static_cast<int>(fd), by_fd_[fd].events, 0});
     serials.push_back(by_fd_[fd].serial);
   }
-  if (polled.empty() || poll(polled, 0) <= 0) return;
+  if (polled.empty() || poll(polled, 0) <= 0)
+    return;
   for (std::size_t i = 0; i < polled.size(); ++i) {
     const Registration& entry = by_fd_[static_cast<std::size_t>(polled[i].fd)];
     const bool same = entry.handler != nullptr && entry.serial == serials[i];
-    if (polled[i].revents != 0 && same) entry.handler->ready(polled[i].revents);
+    if (polled[i].revents != 0 && same)
+      entry.handler->ready(polled[i].revents);
   }
 }
 
 void EventLoop::run_once(Millis due, const std::function<void()>& decide) {
   double until = due.count();
-  if (!timers_.empty()) until = std::min(until, timers_.begin()->first.first);
+  if (!timers_.empty())
+    until = std::min(until, timers_.begin()->first.first);
   const double wait = std::min(std::max(until - now().count(), 0.0), kLongestWait);
   polled_.clear();
   serials_.clear();
   for (std::size_t fd = 0; fd < by_fd_.size(); ++fd) {
-    if (by_fd_[fd].handler == nullptr || by_fd_[fd].events == 0) continue;
+    if (by_fd_[fd].handler == nullptr || by_fd_[fd].events == 0)
+      continue;
     polled_.push_back({static_cast<int>(fd), by_fd_[fd].events, 0});
     serials_.push_back(by_fd_[fd].serial);
   }
@@ -136,10 +147,13 @@
   observe_wall();
   serve_urgent(true);
   for (std::size_t i = 0; found > 0 && i < polled_.size(); ++i) {
-    if (polled_[i].revents == 0) continue;
+    if (polled_[i].revents == 0)
+      continue;
     const Registration& entry = by_fd_[static_cast<std::size_t>(polled_[i].fd)];
-    if (entry.priority == Priority::urgent) continue;  // has had its turn
-    if (entry.handler != nullptr && entry.serial == serials_[i]) entry.handler->ready(polled_[i].revents);
+    if (entry.priority == Priority::urgent)
+      continue;  // has had its turn
+    if (entry.handler != nullptr && entry.serial == serials_[i])
+      entry.handler->ready(polled_[i].revents);
     serve_urgent(false);
   }
   const double turn_at = now().count();
@@ -156,12 +170,15 @@
 }
 
 void count_connect_error(const EventLoop& loop, const ConnectResult& result) {
-  if (result.error) loop.count_error(counter_name(result.error->kind));
+  if (result.error)
+    loop.count_error(counter_name(result.error->kind));
 }
 
 void count_accept_errors(const EventLoop& loop, const AcceptResult& result) {
-  for (int i = 0; i < result.connections_lost; ++i) loop.count_error("net.accept.connection_lost");
-  if (result.status == AcceptStatus::out_of_resources) loop.count_error("net.accept.local_resource");
+  for (int i = 0; i < result.connections_lost; ++i)
+    loop.count_error("net.accept.connection_lost");
+  if (result.status == AcceptStatus::out_of_resources)
+    loop.count_error("net.accept.local_resource");
 }
 
 }  // namespace lotusyard::net
--- a/src/net/event_loop.h
+++ b/src/net/event_loop.h
@@ -68,7 +68,8 @@
   using ErrorCounter = std::function<void(const char* name)>;
   void count_errors(ErrorCounter counter) { error_counter_ = std::move(counter); }
   void count_error(const char* name) const {
-    if (error_counter_) error_counter_(name);
+    if (error_counter_)
+      error_counter_(name);
   }
 
   // One turn; waits for at most as long as `due` and the timers allow. `decide` runs between reads and
--- a/src/node/cluster_member.cpp
+++ b/src/node/cluster_member.cpp
@@ -13,7 +13,8 @@
 
 // Names of Raft roles in the admin endpoint's JSON.
 const char* role_name(int role) {
-  if (role == RAFT_VOTER) return "votes";
+  if (role == RAFT_VOTER)
+    return "votes";
   return role == RAFT_STANDBY ? "learns" : "waits";
 }
 
@@ -37,8 +38,10 @@
   maintenance_.attach(replica_);
   compliance_.attach(replica_);
   maintenance_.set_change_handler([this] { update_lease(); });
-  if (control) start_control_role(*control);
-  if (config_.view) start_gossip();
+  if (control)
+    start_control_role(*control);
+  if (config_.view)
+    start_gossip();
   const std::string incarnation = std::to_string(replica_.incarnation());
   log_event("works", "life=" + incarnation + " starts" + (config.serves ? "" : ", serves no calls"));
 }
@@ -71,9 +74,12 @@
 // gossip.
 void ClusterMember::update_lease() {
   compliance_.update();
-  if (control_role_) control_role_->update_lease();
-  if (!gossip_) return;
-  if (maintenance_.ready() && config_.serves) gossip_->serve();
+  if (control_role_)
+    control_role_->update_lease();
+  if (!gossip_)
+    return;
+  if (maintenance_.ready() && config_.serves)
+    gossip_->serve();
   quota_.update(gossip_->present_members());
 }
 
@@ -93,8 +99,10 @@
 }
 
 void ClusterMember::drain() {
-  if (gossip_) gossip_->leave();
-  if (control_role_) control_role_->shut_down();
+  if (gossip_)
+    gossip_->leave();
+  if (control_role_)
+    control_role_->shut_down();
 }
 
 bool ClusterMember::allows(const std::string& tenant, std::uint64_t function, const std::string& host) {
@@ -113,8 +121,10 @@
   if (request.path == "/-/group") {
     return is_get(request) ? admin::Response{200, group_to_json().dump()} : method_not_allowed();
   }
-  if (request.path == "/-/view" && gossip_) return is_get(request) ? view_response() : method_not_allowed();
-  if (auto response = compliance_.handle_request(request)) return response;
+  if (request.path == "/-/view" && gossip_)
+    return is_get(request) ? view_response() : method_not_allowed();
+  if (auto response = compliance_.handle_request(request))
+    return response;
   return maintenance_.handle_request(request);
 }
 
@@ -160,7 +170,8 @@
                 {"store_bytes", replica_.stored_bytes()},
                 {"servers", servers_to_json()},
                 {"members", members_to_json()}};
-  if (control_role_) group["control"] = control_role_->status_to_json();
+  if (control_role_)
+    group["control"] = control_role_->status_to_json();
   return group;
 }
 
--- a/src/node/control_role.cpp
+++ b/src/node/control_role.cpp
@@ -63,7 +63,8 @@
 // they have it.
 void ControlRole::log_applied(std::uint64_t index) {
   control::ControlNode& node = server_.node();
-  if (!rebuild_records_ && version() == records_version_) return node.applied(index, {});
+  if (!rebuild_records_ && version() == records_version_)
+    return node.applied(index, {});
   control::Records records = records_of(maintenance_.state(), compliance_.state());
   if (rebuild_records_) {
     node.reset(index, records);
@@ -88,7 +89,8 @@
 
 std::optional<double> ControlRole::share_of(control::SessionTable::SessionId session,
                                             maintenance::Millis lease_until) {
-  if (!has_share_) return std::nullopt;
+  if (!has_share_)
+    return std::nullopt;
   return allotment_.grant(session, server_.node().sessions().connected(), lease_until, now());
 }
 
@@ -104,7 +106,8 @@
 void ControlRole::handle_forward(control::SessionTable::SessionId session, const control::Forward& forward) {
   const bool is_known_component = forward.part == kObservationsComponent;
   const bool accepted = is_known_component && observations_.update(session, forward.word);
-  if (!accepted) services_.counters.add("control.malformed_words");
+  if (!accepted)
+    services_.counters.add("control.malformed_words");
 }
 
 json ControlRole::status_to_json() const {
--- a/src/node/quiescence_tracker.cpp
+++ b/src/node/quiescence_tracker.cpp
@@ -18,7 +18,8 @@
   control::Index bound = kNoBound;
   for (const auto& [id, host] : maintenance.hosts()) {
     const bool is_used = forbids_calls(host.stage) && !is_free(id);
-    if (is_used) bound = std::min(bound, host.selected_at_index - 1);
+    if (is_used)
+      bound = std::min(bound, host.selected_at_index - 1);
   }
   return bound;
 }
@@ -31,13 +32,15 @@
   control::Index bound = kNoBound;
   std::map<Revocation, maintenance::Millis> still_revoking;
   for (const auto& [name, certificate] : certificates.certificates()) {
-    if (certificate.state != compliance::Certificate::State::revoking) continue;
+    if (certificate.state != compliance::Certificate::State::revoking)
+      continue;
     const Revocation revocation{name, certificate.revoked_at_index};
     const auto known = revoked_since_.find(revocation);
     const maintenance::Millis since = known == revoked_since_.end() ? now : known->second;
     still_revoking[revocation] = since;
     const bool may_be_used = now - since < max_attempt_time_;
-    if (may_be_used) bound = std::min(bound, certificate.revoked_at_index - 1);
+    if (may_be_used)
+      bound = std::min(bound, certificate.revoked_at_index - 1);
   }
   revoked_since_ = std::move(still_revoking);
   return bound;
--- a/src/node/session_invoker.cpp
+++ b/src/node/session_invoker.cpp
@@ -81,7 +81,8 @@
 
 // An invoker that cannot read the records must stop: the older ones may allow what is forbidden now.
 void SessionInvoker::fail(const std::string& reason) {
-  if (std::exchange(failed_, true)) return;
+  if (std::exchange(failed_, true))
+    return;
   services_.counters.add("control.unreadable");
   std::cerr << "lotusyard: " << reason << std::endl;
   update_host_access();
@@ -99,14 +100,16 @@
 void SessionInvoker::update_host_access() {
   const maintenance::StateFreshness current = freshness();
   const bool is_newly_suspended = current.must_suspend && !suspended_;
-  if (is_newly_suspended) log_event("works", "without a lease for too long: no host is used");
+  if (is_newly_suspended)
+    log_event("works", "without a lease for too long: no host is used");
   suspended_ = current.must_suspend;
   host_access_.update(maintenance_, current);
   compliance_filter_.update();
 }
 
 void SessionInvoker::update_after_lease_change() {
-  if (freshness().is_leased != host_access_.leased()) update_host_access();
+  if (freshness().is_leased != host_access_.leased())
+    update_host_access();
 }
 
 // A process that was paused for longer than its lease resumes with calls decided but not yet written, so the
@@ -119,7 +122,8 @@
 
 void SessionInvoker::schedule_lease_timer() {
   const maintenance::Millis lease_until = client_.session().lease_until();
-  if (lease_until == lease_timer_due_) return;
+  if (lease_until == lease_timer_due_)
+    return;
   lease_timer_due_ = lease_until;
   services_.loop.cancel(lease_timer_);
   lease_timer_ = services_.loop.schedule_at(lease_until, [this] { before_writes(); });
@@ -127,7 +131,8 @@
 
 bool SessionInvoker::may_send(const std::string& host, const core::Call* call, std::uint64_t function) {
   update_after_lease_change();
-  if (suspended_ || host_access_.is_avoided(host)) return false;
+  if (suspended_ || host_access_.is_avoided(host))
+    return false;
   return compliance_filter_.may_send(host, call, function);
 }
 
@@ -142,9 +147,12 @@
 // Passes on this process's share of the slow-start budget, where its control node grants shares.
 void SessionInvoker::apply_share() {
   std::optional<double> share = client_.session().share();
-  if (!share) return;
-  if (!is_leased()) share = 0;
-  if (share == applied_share_) return;
+  if (!share)
+    return;
+  if (!is_leased())
+    share = 0;
+  if (share == applied_share_)
+    return;
   applied_share_ = share;
   services_.set_share(std::max(*share, kMinShare));
 }
@@ -152,7 +160,8 @@
 void SessionInvoker::send_report() {
   report_timer_ =
       services_.loop.schedule_at(now() + config_.terms.heartbeat_interval(), [this] { send_report(); });
-  if (freshness().must_suspend != suspended_) update_host_access();
+  if (freshness().must_suspend != suspended_)
+    update_host_access();
   const auto host_is_free = [this](const std::string& host) { return is_free(host); };
   const control::Index position = client_.replica().position();
   client_.session().set_settled(
@@ -161,29 +170,36 @@
 }
 
 bool SessionInvoker::is_free(const std::string& host) const {
-  if (fault_injected("drain")) return true;
+  if (fault_injected("drain"))
+    return true;
   return host_access_.is_avoided(host) && services_.host_connections.has_no_calls(host);
 }
 
 // Sends observations only if they have changed, and none before the first host is under maintenance.
 void SessionInvoker::send_observations() {
-  if (maintenance_.hosts().empty() && last_sent_observations_.empty()) return;
+  if (maintenance_.hosts().empty() && last_sent_observations_.empty())
+    return;
   std::string observations = SessionObservations::encode(services_.name, host_access_.observe(maintenance_));
-  if (observations == last_sent_observations_) return;
+  if (observations == last_sent_observations_)
+    return;
   const bool sent = client_.session().forward("works", observations);
-  if (sent) last_sent_observations_ = std::move(observations);
+  if (sent)
+    last_sent_observations_ = std::move(observations);
 }
 
 std::optional<admin::Response> SessionInvoker::handle_request(const admin::Request& request) {
-  if (request.path != "/-/session") return std::nullopt;
-  if (request.method != "GET") return admin::Response{405, "GET"};
+  if (request.path != "/-/session")
+    return std::nullopt;
+  if (request.method != "GET")
+    return admin::Response{405, "GET"};
   return admin::Response{200, status_to_json().dump()};
 }
 
 json SessionInvoker::avoided_hosts_to_json() const {
   json avoided = json::array();
   for (const auto& [id, host] : maintenance_.hosts()) {
-    if (host_access_.is_avoided(id)) avoided.push_back(id);
+    if (host_access_.is_avoided(id))
+      avoided.push_back(id);
   }
   return avoided;
 }
--- a/src/node/state_records.cpp
+++ b/src/node/state_records.cpp
@@ -23,7 +23,8 @@
 // Adds one record for each row; `name_field` is the field that names a row.
 void add_rows(control::Records& records, const std::string& prefix, const json& rows,
               const char* name_field) {
-  for (const auto& row : rows) records[prefix + row.at(name_field).get<std::string>()] = to_text(row);
+  for (const auto& row : rows)
+    records[prefix + row.at(name_field).get<std::string>()] = to_text(row);
 }
 
 // Calls `visit` with the rest of the key and the value of each record whose key has the prefix. Throws
@@ -31,7 +32,8 @@
 template <typename Visitor>
 void visit_records(const control::Records& records, const std::string& prefix, const Visitor& visit) {
   for (auto record = records.lower_bound(prefix); record != records.end(); ++record) {
-    if (!has_prefix(record->first, prefix)) return;
+    if (!has_prefix(record->first, prefix))
+      return;
     visit(record->first.substr(prefix.size()), json::parse(record->second));
   }
 }
@@ -70,9 +72,12 @@
                            {"lives", json::object()},
                            {"outcomes", json::array()}};
     maintenance::MaintenanceState state;
-    if (!state.restore(snapshot, now)) return std::nullopt;
+    if (!state.restore(snapshot, now))
+      return std::nullopt;
     return state;
-  } catch (const json::exception&) { return std::nullopt; }
+  } catch (const json::exception&) {
+    return std::nullopt;
+  }
 }
 
 std::optional<compliance::CertificateState> certificate_state_from(const control::Records& records,
@@ -90,9 +95,12 @@
                            {"told", json::object()},
                            {"outcomes", json::array()}};
     compliance::CertificateState state;
-    if (!state.restore(snapshot)) return std::nullopt;
+    if (!state.restore(snapshot))
+      return std::nullopt;
     return state;
-  } catch (const json::exception&) { return std::nullopt; }
+  } catch (const json::exception&) {
+    return std::nullopt;
+  }
 }
 
 }  // namespace lotusyard::node
--- a/src/quota/epoch_planner.h
+++ b/src/quota/epoch_planner.h
@@ -25,8 +25,8 @@
 // The entry that the leader is to propose; empty if the holders are current or
 // the leader has to wait. `epoch_began_at`: when the leader learned of the
 // current epoch, by its own clock.
-std::optional<LogEntry> next_entry(const QuotaEpochs &epochs,
-                                   const std::map<std::string, HolderProgress> &progress,
-                                   const raft::LeaseTerms &terms, Millis epoch_began_at, Millis now);
+std::optional<LogEntry> next_entry(const QuotaEpochs& epochs,
+                                   const std::map<std::string, HolderProgress>& progress,
+                                   const raft::LeaseTerms& terms, Millis epoch_began_at, Millis now);
 
 }  // namespace lotusyard::quota
--- a/src/quota/log_entry_codec.h
+++ b/src/quota/log_entry_codec.h
@@ -8,9 +8,9 @@
 
 namespace lotusyard::quota {
 
-std::string encode_entry(const LogEntry &entry);
+std::string encode_entry(const LogEntry& entry);
 
 // Empty if the text is not a valid entry.
-std::optional<LogEntry> parse_entry(const std::string &text);
+std::optional<LogEntry> parse_entry(const std::string& text);
 
 }  // namespace lotusyard::quota
--- a/src/quota/quota_epochs.cpp
+++ b/src/quota/quota_epochs.cpp
@@ -10,7 +10,7 @@
 
 using nlohmann::json;
 
-bool is_holder(const QuotaHolders &holders, const std::string &member, std::uint64_t incarnation) {
+bool is_holder(const QuotaHolders& holders, const std::string& member, std::uint64_t incarnation) {
   const auto found = holders.find(member);
   return found != holders.end() && found->second == incarnation;
 }
@@ -21,13 +21,13 @@
 
 }  // namespace
 
-bool QuotaEpochs::apply(std::uint64_t index, const LogEntry &entry) {
-  return std::visit([&](const auto &command) { return apply_command(index, command); }, entry);
+bool QuotaEpochs::apply(std::uint64_t index, const LogEntry& entry) {
+  return std::visit([&](const auto& command) { return apply_command(index, command); }, entry);
 }
 
 // An epoch begins only once the one before is open: otherwise the holders of a
 // still earlier one, who may still use their shares, would be forgotten.
-bool QuotaEpochs::apply_command(std::uint64_t index, const BeginEpoch &command) {
+bool QuotaEpochs::apply_command(std::uint64_t index, const BeginEpoch& command) {
   if (!is_open_ || command.holders.size() > kMaxHolders) {
     return false;
   }
@@ -39,7 +39,7 @@
 }
 
 // A former leader may have proposed to open an epoch that has been superseded.
-bool QuotaEpochs::apply_command(std::uint64_t, const OpenEpoch &command) {
+bool QuotaEpochs::apply_command(std::uint64_t, const OpenEpoch& command) {
   if (is_open_ || command.epoch_index != epoch_index_) {
     return false;
   }
@@ -47,7 +47,7 @@
   return true;
 }
 
-double QuotaEpochs::share_of(const std::string &member, std::uint64_t incarnation, bool is_leased,
+double QuotaEpochs::share_of(const std::string& member, std::uint64_t incarnation, bool is_leased,
                              std::size_t members_seen) const {
   if (!is_leased && !fault_injected("share-lease")) {
     return 0;
@@ -78,7 +78,7 @@
           {"round", epoch_index_}};
 }
 
-bool QuotaEpochs::restore(const json &from) {
+bool QuotaEpochs::restore(const json& from) {
   try {
     QuotaEpochs restored;
     from.at("before").get_to(restored.previous_holders_);
@@ -87,7 +87,7 @@
     from.at("round").get_to(restored.epoch_index_);
     *this = std::move(restored);
     return true;
-  } catch (const json::exception &) {
+  } catch (const json::exception&) {
     return false;
   }
 }
--- a/src/quota/quota_epochs.h
+++ b/src/quota/quota_epochs.h
@@ -21,16 +21,16 @@
 
   // Applies the entry at the log index. Returns false, and changes nothing, if
   // it does not fit the current epoch.
-  bool apply(std::uint64_t index, const LogEntry &entry);
+  bool apply(std::uint64_t index, const LogEntry& entry);
 
   // Share (0 to 1) of a member of this incarnation; 0 without its lease.
   // `members_seen`: how many members it sees itself. More than agreed make the
   // share smaller at once; fewer change nothing.
-  double share_of(const std::string &member, std::uint64_t incarnation, bool is_leased,
+  double share_of(const std::string& member, std::uint64_t incarnation, bool is_leased,
                   std::size_t members_seen) const;
 
-  const QuotaHolders &previous_holders() const { return previous_holders_; }
-  const QuotaHolders &current_holders() const { return current_holders_; }
+  const QuotaHolders& previous_holders() const { return previous_holders_; }
+  const QuotaHolders& current_holders() const { return current_holders_; }
   bool is_open() const { return is_open_; }
   // Log index at which the current epoch began.
   std::uint64_t epoch_index() const { return epoch_index_; }
@@ -39,7 +39,7 @@
 
   // Returns false, and leaves the state unchanged, if the snapshot is not a
   // valid one.
-  bool restore(const nlohmann::json &from);
+  bool restore(const nlohmann::json& from);
 
  private:
   QuotaHolders previous_holders_;
@@ -47,8 +47,8 @@
   bool is_open_ = true;
   std::uint64_t epoch_index_ = 0;
 
-  bool apply_command(std::uint64_t index, const BeginEpoch &command);
-  bool apply_command(std::uint64_t index, const OpenEpoch &command);
+  bool apply_command(std::uint64_t index, const BeginEpoch& command);
+  bool apply_command(std::uint64_t index, const OpenEpoch& command);
 };
 
 }  // namespace lotusyard::quota
--- a/src/quota/quota_replica.cpp
+++ b/src/quota/quota_replica.cpp
@@ -18,15 +18,15 @@
 
 }  // namespace
 
-QuotaReplica::QuotaReplica(const InvokerServices &services, const raft::Config &config,
-                           maintenance::MaintenanceReplica &maintenance, LogSink log)
+QuotaReplica::QuotaReplica(const InvokerServices& services, const raft::Config& config,
+                           maintenance::MaintenanceReplica& maintenance, LogSink log)
     : services_(services),
       config_(config),
       maintenance_(maintenance),
       log_(std::move(log)),
       epoch_began_at_(services.loop.now()) {}
 
-void QuotaReplica::attach(raft::RaftReplica &replica) {
+void QuotaReplica::attach(raft::RaftReplica& replica) {
   replica_ = &replica;
   update(0);
   run_leader();
@@ -43,7 +43,7 @@
 
 void QuotaReplica::propose_next_entry(Millis now) {
   std::map<std::string, HolderProgress> progress;
-  for (const auto &[name, member] : maintenance_.state().members()) {
+  for (const auto& [name, member] : maintenance_.state().members()) {
     if (member.serves) {
       progress[name] = {member.incarnation, member.applied_index, member.last_heartbeat_at};
     }
@@ -54,7 +54,7 @@
   }
 }
 
-void QuotaReplica::apply(std::uint64_t index, const std::string &text) {
+void QuotaReplica::apply(std::uint64_t index, const std::string& text) {
   const auto entry = parse_entry(text);
   if (!entry) {
     services_.counters.add("shares.unreadable");
@@ -73,7 +73,7 @@
   update(members_seen_);
 }
 
-bool QuotaReplica::restore(const std::string &snapshot) {
+bool QuotaReplica::restore(const std::string& snapshot) {
   if (snapshot.empty()) {
     return true;
   }
--- a/src/quota/quota_replica.h
+++ b/src/quota/quota_replica.h
@@ -14,16 +14,16 @@
 
 class QuotaReplica final : public raft::ReplicatedStateMachine {
  public:
-  using LogSink = std::function<void(const std::string &text)>;
+  using LogSink = std::function<void(const std::string& text)>;
 
   // Keeps references to the services and to the maintenance replica, whose
   // heartbeats and lease it depends on; both must outlive it.
-  QuotaReplica(const InvokerServices &services, const raft::Config &config,
-               maintenance::MaintenanceReplica &maintenance, LogSink log);
+  QuotaReplica(const InvokerServices& services, const raft::Config& config,
+               maintenance::MaintenanceReplica& maintenance, LogSink log);
   ~QuotaReplica() override { services_.loop.cancel(leader_timer_); }
 
   // Starts the periodic work. The Raft replica must outlive this one.
-  void attach(raft::RaftReplica &replica);
+  void attach(raft::RaftReplica& replica);
 
   // To be called whenever the lease or the number of members seen by gossip may
   // have changed.
@@ -31,22 +31,22 @@
 
   // This member's share (0 to 1); negative before the first update.
   double share() const { return share_; }
-  const QuotaEpochs &epochs() const { return epochs_; }
+  const QuotaEpochs& epochs() const { return epochs_; }
 
-  const char *name() const override { return "shares"; }
-  void apply(std::uint64_t index, const std::string &entry) override;
+  const char* name() const override { return "shares"; }
+  void apply(std::uint64_t index, const std::string& entry) override;
   std::string snapshot() override { return epochs_.snapshot().dump(); }
-  bool restore(const std::string &snapshot) override;
+  bool restore(const std::string& snapshot) override;
   // Members send each other no messages about quotas.
-  void handle_message(const std::string &) override { services_.counters.add("shares.malformed"); }
-  void on_store_failure(const std::string &) override { update(members_seen_); }
+  void handle_message(const std::string&) override { services_.counters.add("shares.malformed"); }
+  void on_store_failure(const std::string&) override { update(members_seen_); }
 
  private:
   InvokerServices services_;
   const raft::Config config_;
-  maintenance::MaintenanceReplica &maintenance_;
+  maintenance::MaintenanceReplica& maintenance_;
   LogSink log_;
-  raft::RaftReplica *replica_ = nullptr;
+  raft::RaftReplica* replica_ = nullptr;
   QuotaEpochs epochs_;
   net::EventLoop::TimerId leader_timer_{};
   // When this member learned of the current epoch, by its own clock.
--- a/src/resp/client.h
+++ b/src/resp/client.h
@@ -71,34 +71,45 @@
   }
   void on_received(std::string_view bytes) override {
     came_since_ = arrivals_.came_since(loop());
-    if (bytes.size() < net::BufferPool::block_size) arrivals_.all_read();
-    if (spoilt) return;
+    if (bytes.size() < net::BufferPool::block_size)
+      arrivals_.all_read();
+    if (spoilt)
+      return;
     std::vector<Words> commands;
     const bool sound = parser_.take(bytes, commands);
-    if (!commands.empty() && !no_place && !front_.promote(*this)) refuses = no_place = true;
-    if (!asked) front_.heard(*this);
+    if (!commands.empty() && !no_place && !front_.promote(*this))
+      refuses = no_place = true;
+    if (!asked)
+      front_.heard(*this);
     // A timer a begun request: the next one's time starts with its own first byte.
-    if (begun_ && (!commands.empty() || !parser_.begun())) loop().cancel(whole_by_);
-    if (parser_.begun() && (!begun_ || !commands.empty())) expect_whole();
+    if (begun_ && (!commands.empty() || !parser_.begun()))
+      loop().cancel(whole_by_);
+    if (parser_.begun() && (!begun_ || !commands.empty()))
+      expect_whole();
     begun_ = parser_.begun() || !asked;
     leave_out_taken_back(commands);
     for (auto& words : commands) {
-      if (is_closing()) return;
+      if (is_closing())
+        return;
       front_.take(*this, std::move(words));
     }
-    if (!sound) return front_.spoil(*this, "resp.malformed");
+    if (!sound)
+      return front_.spoil(*this, "resp.malformed");
     front_.end_if_spent(*this);
   }
   // Hundreds of calls that are taken back in the bytes they came in would each cost a host something.
   void leave_out_taken_back(std::vector<Words>& commands) {
     std::unordered_set<std::string> cancelled;
     const auto taken_back = [&](const Words& words) {
-      if (words.size() < 2) return false;
-      if (words[0] == "CANCEL") cancelled.insert(words[1]);
+      if (words.size() < 2)
+        return false;
+      if (words[0] == "CANCEL")
+        cancelled.insert(words[1]);
       return words[0] == "CALL" && open_calls.count(words[1]) == 0 && cancelled.count(words[1]) != 0;
     };
     const auto kept = std::remove_if(commands.rbegin(), commands.rend(), taken_back);
-    if (kept == commands.rend()) return;
+    if (kept == commands.rend())
+      return;
     front_.counters_.add("resp.taken_back", static_cast<std::uint64_t>(commands.rend() - kept));
     commands.erase(commands.begin(), kept.base());
   }
--- a/src/resp/connection_limits.cpp
+++ b/src/resp/connection_limits.cpp
@@ -23,20 +23,23 @@
 bool Front::promote(ClientConnection& client) {
   clients_.splice(clients_.end(), list_of(client), client.place);
   const bool had_place = std::exchange(client.asked, true);
-  if (clients_.size() <= limits_.clients) return true;
+  if (clients_.size() <= limits_.clients)
+    return true;
   const auto self = std::prev(clients_.end());
   // A request that has come and was not read yet would be lost with its connection.
   const auto idle = [](const auto& c) { return c->idle() && c->peer_state() != net::PeerState::readable; };
   const auto at_rest = [&](const auto& c) { return c->at_rest() && idle(c); };  // not half-way through one
   auto spared = std::find_if(clients_.begin(), self, at_rest);
-  if (spared == self) spared = std::find_if(clients_.begin(), self, idle);
+  if (spared == self)
+    spared = std::find_if(clients_.begin(), self, idle);
   if (spared != self) {
     shed(*spared, "resp.idle_closed");
     return true;
   }
   // Limits shrink while another process stands beside this one. Calls that are open on a connection
   // which had its place are owed their answers.
-  if (had_place) return true;
+  if (had_place)
+    return true;
   counters_.add("resp.no_place");
   return false;
 }
@@ -54,12 +57,14 @@
 // the one longest unheard goes, unless its request has come by now; those that send a request piece by piece
 // go last.
 void Front::bound_newcomers() {
-  if (silent_.size() + begun_.size() <= limits_.newcomers) return;
+  if (silent_.size() + begun_.size() <= limits_.newcomers)
+    return;
   Clients& crowd = silent_.size() >= begun_.size() ? silent_ : begun_;
   const auto stopped = std::find_if(crowd.begin(), crowd.end(), [](const auto& c) { return c->pieces < 2; });
   const std::shared_ptr<ClientConnection> oldest = stopped != crowd.end() ? *stopped : crowd.front();
   oldest->ready(POLLIN);
-  if (!oldest->asked && !oldest->is_closing()) shed(oldest, "resp.silent_closed");
+  if (!oldest->asked && !oldest->is_closing())
+    shed(oldest, "resp.silent_closed");
 }
 
 void Front::ready(short) { accept_some(); }
@@ -100,7 +105,8 @@
 
 void Front::resume_listening() {
   loop_.cancel(resume_);
-  if (std::exchange(paused_, false) && listener_) loop_.register_handler(listener_.fd(), *this, POLLIN);
+  if (std::exchange(paused_, false) && listener_)
+    loop_.register_handler(listener_.fd(), *this, POLLIN);
 }
 
 }  // namespace lotusyard::resp
--- a/src/resp/front_read.cpp
+++ b/src/resp/front_read.cpp
@@ -27,14 +27,17 @@
   if (client.open_calls.size() >= limits_.calls_a_client) {
     return reject(client, tag, "resp.too_many_open", core::Verdict::refused);
   }
-  if (words.size() < 4 || words.size() > 5) return reject(client, tag, "resp.bad_call");
+  if (words.size() < 4 || words.size() > 5)
+    return reject(client, tag, "resp.bad_call");
   const auto fields = net::parse_fields(words[3]);
-  if (!fields) return reject(client, tag, "resp.bad_fields");
+  if (!fields)
+    return reject(client, tag, "resp.bad_fields");
   const auto ref = net::parse_hex16(field(*fields, "ref")),
              function = net::parse_hex16(field(*fields, "lookup"));
   const auto allow = net::parse_whole(field(*fields, "allow"), kLongestAllow);
   const auto spec = net::parse_fields(field(*fields, "spec"), ';', ':');
-  if (!ref || !function || !allow || !spec) return reject(client, tag, "resp.bad_fields");
+  if (!ref || !function || !allow || !spec)
+    return reject(client, tag, "resp.bad_fields");
   // A figure that is there can be read; the core knows which ones can be used.
   const auto effort = net::parse_number(field(*fields, "effort")),
              memory = net::parse_number(field(*spec, "memory_mb"));
@@ -45,7 +48,8 @@
   }
   // A retry is marked by 1 and by nothing else.
   const bool retry = fields->count("dup") != 0;
-  if (retry && field(*fields, "dup") != "1") return reject(client, tag, "resp.bad_fields");
+  if (retry && field(*fields, "dup") != "1")
+    return reject(client, tag, "resp.bad_fields");
   const std::size_t size = words.size() > 4 ? words[4].size() : 0;
   // Bounds memory: a client of any number of connections may hold only so much of it.
   if (bodies_ + size > limits_.body_bytes) {
@@ -65,7 +69,8 @@
   call.lanes = static_cast<int>(lanes.value_or(1));
   call.arrived = client.came_since();  // time for which it has stood unread comes off
   call.allow = core::Millis(static_cast<double>(*allow));
-  if (size > 0) call.body = std::move(words[4]);
+  if (size > 0)
+    call.body = std::move(words[4]);
 
   const core::CallId id = dispatcher_.allocate_call_id();
   by_call_[id] = {&client, tag, size};
--- a/src/resp/parser.cpp
+++ b/src/resp/parser.cpp
@@ -12,7 +12,8 @@
 }  // namespace
 
 bool Parser::header(char sign, std::size_t most, std::size_t& value) const {
-  if (line_.empty() || line_[0] != sign) return false;
+  if (line_.empty() || line_[0] != sign)
+    return false;
   const auto read = net::parse_whole(std::string_view(line_).substr(1), most);
   value = read.value_or(0);
   return read.has_value();
@@ -20,17 +21,20 @@
 
 bool Parser::header_line(std::vector<Words>& out) {
   if (state_ == State::array) {
-    if (!header('*', most_words, words_left_) || words_left_ == 0) return false;
+    if (!header('*', most_words, words_left_) || words_left_ == 0)
+      return false;
     words_.clear();
     message_left_ = longest_message;
     state_ = State::bulk;
   } else if (state_ == State::bulk) {
-    if (!header('$', std::min(longest_word, message_left_), bytes_left_)) return false;
+    if (!header('$', std::min(longest_word, message_left_), bytes_left_))
+      return false;
     message_left_ -= bytes_left_;
     words_.emplace_back();
     state_ = State::data;
   } else {
-    if (!line_.empty()) return false;
+    if (!line_.empty())
+      return false;
     return next_word(out);
   }
   return true;
@@ -38,7 +42,8 @@
 
 bool Parser::next_word(std::vector<Words>& out) {
   state_ = State::bulk;
-  if (--words_left_ > 0) return true;
+  if (--words_left_ > 0)
+    return true;
   out.push_back(std::move(words_));
   words_ = Words();
   state_ = State::array;
@@ -52,16 +57,19 @@
       words_.back().append(bytes.substr(0, part));
       bytes.remove_prefix(part);
       bytes_left_ -= part;
-      if (bytes_left_ == 0) state_ = State::data_end;
+      if (bytes_left_ == 0)
+        state_ = State::data_end;
       continue;
     }
     const char c = bytes.front();
     bytes.remove_prefix(1);
     if (return_seen_) {
       return_seen_ = false;
-      if (c != '\n' || !header_line(out)) state_ = State::spoilt;
+      if (c != '\n' || !header_line(out))
+        state_ = State::spoilt;
       line_.clear();
-      if (state_ == State::data && bytes_left_ == 0) state_ = State::data_end;
+      if (state_ == State::data && bytes_left_ == 0)
+        state_ = State::data_end;
     } else if (c == '\r') {
       return_seen_ = true;
     } else if (state_ == State::data_end || line_.size() >= kLongestHeader) {
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -9,7 +9,8 @@
   lotusyard::simulator_adapter::Host host;
   std::string line;
   while (std::getline(std::cin, line)) {
-    if (line.empty()) continue;
+    if (line.empty())
+      continue;
     try {
       std::cout << host.reply(line) << std::endl;
     } catch (const std::exception& fault) {
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -13,7 +13,8 @@
 using namespace lotusyard::config;
 
 const std::string& needed_text(const json& value, const char* what) {
-  if (!value.is_string()) throw WireError(std::string("no ") + what + " where one is needed");
+  if (!value.is_string())
+    throw WireError(std::string("no ") + what + " where one is needed");
   return value.get_ref<const std::string&>();
 }
 
@@ -31,14 +32,17 @@
 }
 
 Report report(const json& row) {
-  if (!row.is_array()) return std::nullopt;
+  if (!row.is_array())
+    return std::nullopt;
   std::vector<double> values;
-  for (const auto& value : row) values.push_back(number(value));
+  for (const auto& value : row)
+    values.push_back(number(value));
   return values;
 }
 
 WorkerEntry entry(const json& row) {
-  if (!row.is_array()) throw WireError("a list entry is no array");
+  if (!row.is_array())
+    throw WireError("a list entry is no array");
   WorkerEntry read;
   read.worker = needed_text(at(row, 0), "worker");
   read.cell = whole(at(row, 1));
@@ -53,10 +57,14 @@
 
 ListKind list_kind(int code) {
   switch (code) {
-    case 1: return ListKind::delta;
-    case 2: return ListKind::cached;
-    case 4: return ListKind::full;
-    default: return ListKind::failed;
+    case 1:
+      return ListKind::delta;
+    case 2:
+      return ListKind::cached;
+    case 4:
+      return ListKind::full;
+    default:
+      return ListKind::failed;
   }
 }
 
@@ -65,13 +73,15 @@
   read.id = needed_text(at(m, 1), "request id");
   read.class_name = text(at(m, 2));
   const int bits = whole(at(m, 5));
-  if (at(m, 3).is_number() && (bits & 1) != 0) read.cost_hint = number(at(m, 3));
+  if (at(m, 3).is_number() && (bits & 1) != 0)
+    read.cost_hint = number(at(m, 3));
   read.tenant = text(at(m, 4));
   read.retry = (bits & 2) != 0;
   read.write = (bits & 4) != 0;
   read.memory_mb = number(at(m, 6));
   read.function = large(at(m, 7));
-  if (at(m, 8).is_number()) read.load_hint = millis(at(m, 8));
+  if (at(m, 8).is_number())
+    read.load_hint = millis(at(m, 8));
   read.expires_in = millis(at(m, 9));
   read.lanes = whole(at(m, 10), 1);
   return read;
@@ -94,7 +104,8 @@
 
 json with(const char* name, std::initializer_list<json> values) {
   json row = json::array({name});
-  for (const auto& value : values) row.push_back(value);
+  for (const auto& value : values)
+    row.push_back(value);
   return row;
 }
 
@@ -123,13 +134,16 @@
 json write_action(const Action& action) { return std::visit(Writer{}, action); }
 
 void Host::take(Instance& instance, Millis now, const json& m, std::vector<Action>& out) {
-  if (!m.is_array() || m.empty()) throw WireError("a message is no array with a name");
+  if (!m.is_array() || m.empty())
+    throw WireError("a message is no array with a name");
   const std::string& name = needed_text(m[0], "message name");
   if (name == "Catalog") {
     const double page = number(at(m, 1), -1);
-    if (page < 0 || page >= static_cast<double>(page_count)) throw WireError("no such catalog page");
+    if (page < 0 || page >= static_cast<double>(page_count))
+      throw WireError("no such catalog page");
     std::vector<WorkerEntry> rows;
-    for (const auto& row : at(m, 2)) rows.push_back(entry(row));
+    for (const auto& row : at(m, 2))
+      rows.push_back(entry(row));
     pages_[static_cast<std::size_t>(page)] = std::move(rows);
     return;
   }
@@ -138,7 +152,8 @@
     instance.policy.handle(now, event::Start{read_settings(at(m, 2), large(at(m, 1)))}, out);
     return;
   }
-  if (!instance.live) return;
+  if (!instance.live)
+    return;
   const auto give = [&](Event event) { instance.policy.handle(now, event, out); };
   if (name == "Discovery") {
     event::List list;
@@ -175,23 +190,33 @@
   json batch;
   try {
     batch = json::parse(line);
-  } catch (const json::exception&) { throw WireError("a line is no JSON"); }
-  if (!batch.is_object()) throw WireError("a batch is no object");
-  if (!key(batch, "Time").is_number()) throw WireError("a batch without Time");
-  if (!key(batch, "n").is_number()) throw WireError("a batch without n");
-  if (!key(batch, "routers").is_array()) throw WireError("a batch without routers");
+  } catch (const json::exception&) {
+    throw WireError("a line is no JSON");
+  }
+  if (!batch.is_object())
+    throw WireError("a batch is no object");
+  if (!key(batch, "Time").is_number())
+    throw WireError("a batch without Time");
+  if (!key(batch, "n").is_number())
+    throw WireError("a batch without n");
+  if (!key(batch, "routers").is_array())
+    throw WireError("a batch without routers");
   const Millis now = millis(key(batch, "Time"));
   json groups = json::array();
   std::vector<Action> actions;
   for (const auto& group : key(batch, "routers")) {
     const std::string& router = needed_text(key(group, "Router"), "Router");
     const json& inbox = key(group, "inbox");
-    if (!inbox.is_array()) throw WireError("a router without inbox");
+    if (!inbox.is_array())
+      throw WireError("a router without inbox");
     actions.clear();
-    for (const auto& message : inbox) take(instances_[router], now, message, actions);
-    if (actions.empty()) continue;
+    for (const auto& message : inbox)
+      take(instances_[router], now, message, actions);
+    if (actions.empty())
+      continue;
     json commands = json::array();
-    for (const auto& action : actions) commands.push_back(write_action(action));
+    for (const auto& action : actions)
+      commands.push_back(write_action(action));
     groups.push_back({{"Router", router}, {"cmds", std::move(commands)}});
   }
   return json{{"n", batch["n"]}, {"routers", std::move(groups)}}.dump(-1, ' ', false,
--- a/src/slot_assignment.h
+++ b/src/slot_assignment.h
@@ -13,7 +13,8 @@
 std::vector<int> settle(std::vector<T>& known, const std::vector<T>& wanted, std::vector<bool> used) {
   used.resize(known.size());
   for (std::size_t i = 0; i < known.size(); ++i) {
-    if (std::count(wanted.begin(), wanted.end(), known[i]) > 0) used[i] = true;
+    if (std::count(wanted.begin(), wanted.end(), known[i]) > 0)
+      used[i] = true;
   }
   std::vector<int> places;
   for (const auto& one : wanted) {
--- a/src/xds/hosts.cpp
+++ b/src/xds/hosts.cpp
@@ -57,20 +57,27 @@
   const json* found = nullptr;
   std::string service = cluster;
   const auto each = [&](const auto& visit) {
-    if (!resources.is_array()) return visit(resources);
-    for (const auto& resource : resources) visit(resource);
+    if (!resources.is_array())
+      return visit(resources);
+    for (const auto& resource : resources)
+      visit(resource);
   };
   each([&](const json& r) {
-    if (is_assignment(r) || text(key(r, "name")) != cluster) return;
+    if (is_assignment(r) || text(key(r, "name")) != cluster)
+      return;
     const json& inlined = either(r, "load_assignment", "loadAssignment");
-    if (inlined.is_object()) found = &inlined;
+    if (inlined.is_object())
+      found = &inlined;
     const json& eds = either(r, "eds_cluster_config", "edsClusterConfig");
     const std::string named = text(either(eds, "service_name", "serviceName"));
-    if (!named.empty()) service = named;
+    if (!named.empty())
+      service = named;
   });
-  if (found != nullptr) return found;
+  if (found != nullptr)
+    return found;
   each([&](const json& r) {
-    if (is_assignment(r) && text(either(r, "cluster_name", "clusterName")) == service) found = &r;
+    if (is_assignment(r) && text(either(r, "cluster_name", "clusterName")) == service)
+      found = &r;
   });
   return found;
 }
@@ -119,7 +126,8 @@
 
 std::string HostFile::stamp() const {
   struct stat at {};
-  if (stat(path_.c_str(), &at) != 0) return {};
+  if (stat(path_.c_str(), &at) != 0)
+    return {};
   return std::to_string(at.st_ino) + ' ' + std::to_string(at.st_size) + ' ' +
          std::to_string(at.st_mtim.tv_sec) + ' ' + std::to_string(at.st_mtim.tv_nsec);
 }
@@ -172,7 +180,8 @@
 void HostFile::look() {
   timer_ = loop_.schedule_at(loop_.now() + pace_, [this] { look(); });
   const std::string now = stamp();
-  if (now.empty() || now == stamp_) return;  // a file that is just being replaced comes back
+  if (now.empty() || now == stamp_)
+    return;  // a file that is just being replaced comes back
   stamp_ = now;
   std::string fault;
   read(fault);
--- a/tests/cold_test.cpp
+++ b/tests/cold_test.cpp
@@ -51,18 +51,22 @@
       all.emplace_back(s);
       all.back().now = Millis(0);
       std::vector<WorkerEntry> hosts;
-      for (int h = 0; h < 6; ++h) hosts.push_back(entry("h" + std::to_string(h)));
-      for (auto& h : hosts) h.weight = kCores;
+      for (int h = 0; h < 6; ++h)
+        hosts.push_back(entry("h" + std::to_string(h)));
+      for (auto& h : hosts)
+        h.weight = kCores;
       all.back().list(hosts);
     }
     for (int h = 0; h < 6; ++h) {
       for (std::uint64_t f = 1; f <= 30; ++f) {
-        if (h > 0 || known) copies["h" + std::to_string(h)].insert(f);
+        if (h > 0 || known)
+          copies["h" + std::to_string(h)].insert(f);
       }
     }
     const double pace = load * 5 * kCores / kWork / routers;  // of one router, for each millisecond
     std::vector<double> next(all.size());
-    for (auto& at : next) at = -std::log(1 - chance()) / pace;
+    for (auto& at : next)
+      at = -std::log(1 - chance()) / pace;
     int ids = 0;
     for (double now = 0; now < kEnd; now += 4) {
       for (std::size_t i = 0; i < all.size(); ++i) {
@@ -94,7 +98,8 @@
       }
       for (std::size_t i = 0; i < all.size(); ++i) {
         for (const auto& send : std::exchange(all[i].sends, {})) {
-          if (send.worker == "h0" && now >= kStart) sent.push_back(now);
+          if (send.worker == "h0" && now >= kStart)
+            sent.push_back(now);
           const bool stands = copies[send.worker].count(functions[send.id]) != 0;
           const int beside = ++held[send.worker];
           const double took = !stands ? 1 : kWork * std::max(1.0, beside / kCores) * (0.5 + chance());
@@ -108,7 +113,8 @@
   double worst() const {
     double most = -1e9;
     for (std::size_t i = 0, first = 0; i < sent.size(); ++i) {
-      while (sent[first] <= sent[i] - cold_window) ++first;
+      while (sent[first] <= sent[i] - cold_window)
+        ++first;
       // Judged by what it could do when the window began: the least of it.
       const double age = std::max(0.0, sent[i] - cold_window - kStart) / 10000;
       const double n = cold_multiple * (0.25 + 0.75 * std::min(1.0, age)) * kCores * cold_window / kWork;
--- a/tests/control/allotment_test.cpp
+++ b/tests/control/allotment_test.cpp
@@ -60,7 +60,8 @@
     for (int step = 0; step < 300; ++step) {
       now += Millis(below(40));
       if (below(10) == 0) {
-        if (now >= larger_until) largest_part = part;
+        if (now >= larger_until)
+          largest_part = part;
         part = static_cast<double>(below(100)) / 100;
         largest_part = std::max(largest_part, part);
         larger_until = now + Millis(300);
@@ -71,14 +72,17 @@
       granted.emplace(session, Granted{allotment.grant(session, 1 + below(8), until, now), until});
       std::map<std::uint64_t, double> held;
       for (const auto& [id, one] : granted) {
-        if (one.until > now) held[id] = std::max(held[id], one.share);
+        if (one.until > now)
+          held[id] = std::max(held[id], one.share);
       }
       double total = 0;
-      for (const auto& [id, share] : held) total += share;
+      for (const auto& [id, share] : held)
+        total += share;
       INFO("seed " << seed << ", step " << step);
       REQUIRE(total <= largest_part + 1e-9);
       REQUIRE(allotment.outstanding(now) == Approx(total).margin(1e-9));
-      if (allotment.respected(index, now) == index) REQUIRE(total <= part + 1e-9);
+      if (allotment.respected(index, now) == index)
+        REQUIRE(total <= part + 1e-9);
     }
   }
 }
--- a/tests/control/change_log_test.cpp
+++ b/tests/control/change_log_test.cpp
@@ -61,14 +61,16 @@
 
 TEST_CASE("the log is bounded by count and by bytes, and its first index moves") {
   ChangeLog by_count({3, 1U << 20});
-  for (Index index = 1; index <= 10; ++index) by_count.append(index * 2, set("k", "v"));
+  for (Index index = 1; index <= 10; ++index)
+    by_count.append(index * 2, set("k", "v"));
   CHECK(by_count.first() == 14);
   CHECK(by_count.next_after(14)->index == 16);
   CHECK(delta_of(*by_count.next_after(14)).after == 14);
   CHECK(by_count.covered(13) == 13);
 
   ChangeLog by_bytes({100, 5000});
-  for (Index index = 1; index <= 10; ++index) by_bytes.append(index, set("k", std::string(1000, 'x')));
+  for (Index index = 1; index <= 10; ++index)
+    by_bytes.append(index, set("k", std::string(1000, 'x')));
   CHECK(by_bytes.first() == 6);
   by_bytes.append(11, set("k", std::string(6000, 'x')));  // longer than the whole log may be
   CHECK(by_bytes.first() == 11);
@@ -77,7 +79,8 @@
 
 TEST_CASE("after a reset earlier replicas need a snapshot") {
   ChangeLog log({});
-  for (Index index = 1; index <= 5; ++index) log.append(index, set("k", std::to_string(index)));
+  for (Index index = 1; index <= 5; ++index)
+    log.append(index, set("k", std::to_string(index)));
   log.reset(20, {{"k", "20"}});
   CHECK(log.first() == 20);
   CHECK(log.applied() == 20);
@@ -120,7 +123,8 @@
   CHECK(log.snapshot() == first);
   log.append(3, set("a", "1"));
   CHECK(log.snapshot() == first);  // the change follows as a delta
-  for (Index index = 4; index < 6; ++index) log.append(index, set("a", "2"));
+  for (Index index = 4; index < 6; ++index)
+    log.append(index, set("a", "2"));
   CHECK(log.snapshot() != first);  // its changes would leave the log soon
   CHECK(log.snapshot()->index == 5);
   log.append(6, set("b", std::string(2000, 'x')));
@@ -144,7 +148,8 @@
           step % 4 == 0 ? Change{}
                         : set(std::string(1, static_cast<char>('a' + step % 5)), std::to_string(step));
       log.append(index, change);
-      if (!change.empty()) changed.push_back(index);
+      if (!change.empty())
+        changed.push_back(index);
     }
     states[index] = log.records();
   }
--- a/tests/control/config_test.cpp
+++ b/tests/control/config_test.cpp
@@ -28,7 +28,9 @@
 std::string fault_of(const Read& read) {
   try {
     read();
-  } catch (const config::ConfigError& fault) { return fault.what(); }
+  } catch (const config::ConfigError& fault) {
+    return fault.what();
+  }
   return {};
 }
 std::string node_fault(const json& file) {
--- a/tests/control/control_node_data_test.cpp
+++ b/tests/control/control_node_data_test.cpp
@@ -17,7 +17,8 @@
         CHECK(chunk->offset == bytes.size());
         CHECK(chunk->bytes.size() <= 8);
         bytes += chunk->bytes;
-        if (bytes.size() == chunk->total) position = chunk->index;
+        if (bytes.size() == chunk->total)
+          position = chunk->index;
       } else {
         CHECK(std::get<Delta>(message).after == position);
         position = std::get<Delta>(message).index;
@@ -35,12 +36,14 @@
   NodeRig rig(config);
   rig.welcome(1, NodeRig::opening(10));
   rig.transport.room = 1;
-  for (Index index = 11; index <= 14; ++index) rig.change(index);
+  for (Index index = 11; index <= 14; ++index)
+    rig.change(index);
   CHECK(rig.transport.waiting[1].size() == 1);
   CHECK(rig.transport.next<Delta>(1).index == 11);
   rig.node.writable(1);
   CHECK(rig.transport.next<Delta>(1).index == 12);
-  for (Index index = 15; index <= 18; ++index) rig.change(index);  // the first of them goes out
+  for (Index index = 15; index <= 18; ++index)
+    rig.change(index);  // the first of them goes out
   CHECK(rig.transport.next<Delta>(1).index == 13);
   rig.node.writable(1);
   CHECK(rig.transport.next<SnapshotChunk>(1).index == 18);
--- a/tests/control/control_node_test.cpp
+++ b/tests/control/control_node_test.cpp
@@ -203,13 +203,15 @@
       [&](SessionTable::SessionId, const Forward& forward) { words.push_back(forward.part + forward.word); });
   rig.welcome(1, NodeRig::opening(10));
   rig.welcome(2, NodeRig::opening(10, "b"));
-  for (int i = 0; i < 100; ++i) rig.receive(1, Forward{"p", "w"});
+  for (int i = 0; i < 100; ++i)
+    rig.receive(1, Forward{"p", "w"});
   CHECK(words.size() == 40);
   CHECK(rig.count("forwards_dropped") == 60);
   rig.receive(2, Forward{"p", "other"});
   CHECK(words.back() == "pother");
   rig.now += Millis(1000);
-  for (int i = 0; i < 100; ++i) rig.receive(1, Forward{"p", "w"});
+  for (int i = 0; i < 100; ++i)
+    rig.receive(1, Forward{"p", "w"});
   CHECK(words.size() == 61);
   CHECK_FALSE(rig.transport.ended(1));
 }
--- a/tests/control/course_process.h
+++ b/tests/control/course_process.h
@@ -48,45 +48,59 @@
   Index settled(Millis now) const {
     Index out = position;
     for (const Call& call : calls) {
-      if (now < call.until) out = std::min(out, call.position);
+      if (now < call.until)
+        out = std::min(out, call.position);
     }
     return out;
   }
   // What was wrong with a message; empty: nothing.
   std::string take(const Message& message, CourseCounts& counts) {
-    if (std::holds_alternative<Welcome>(message)) welcomed = true;
-    if (std::holds_alternative<Refusal>(message)) return "a refusal without a reason";
-    if (const auto* grant = std::get_if<Grant>(&message)) return take_grant(*grant, counts);
-    if (const auto* chunk = std::get_if<SnapshotChunk>(&message)) return take_chunk(*chunk, counts);
-    if (const auto* delta = std::get_if<Delta>(&message)) return take_delta(*delta, counts);
+    if (std::holds_alternative<Welcome>(message))
+      welcomed = true;
+    if (std::holds_alternative<Refusal>(message))
+      return "a refusal without a reason";
+    if (const auto* grant = std::get_if<Grant>(&message))
+      return take_grant(*grant, counts);
+    if (const auto* chunk = std::get_if<SnapshotChunk>(&message))
+      return take_chunk(*chunk, counts);
+    if (const auto* delta = std::get_if<Delta>(&message))
+      return take_delta(*delta, counts);
     return {};
   }
 
  private:
   std::string take_grant(const Grant& grant, CourseCounts& counts) {
     const Renewal& renewal = renewals.at(grant.sequence);
-    if (grant.duration.count() <= 0) return {};
+    if (grant.duration.count() <= 0)
+      return {};
     ++counts.grants;
     const Millis until = renewal.sent + grant.duration * rate;
-    if (until > renewal.node_lease_until + Millis(kRounding)) return "a lease that outlasts the node's own";
+    if (until > renewal.node_lease_until + Millis(kRounding))
+      return "a lease that outlasts the node's own";
     lease_until = std::max(lease_until, until);
     granted = true;
     return {};
   }
   std::string take_chunk(const SnapshotChunk& chunk, CourseCounts& counts) {
-    if (chunk.offset == 0) pieces.clear();
-    if (chunk.offset != pieces.size()) return "a piece of a snapshot is missing";
+    if (chunk.offset == 0)
+      pieces.clear();
+    if (chunk.offset != pieces.size())
+      return "a piece of a snapshot is missing";
     pieces += chunk.bytes;
-    if (pieces.size() < chunk.total || chunk.index <= position) return {};
+    if (pieces.size() < chunk.total || chunk.index <= position)
+      return {};
     ++counts.snapshots;
     position = chunk.index;
     records = decode_records(pieces).value();
     return {};
   }
   std::string take_delta(const Delta& delta, CourseCounts& counts) {
-    if (delta.index <= position) return {};
-    if (delta.after > position) return "a change was left out";
-    if (position == kEarlyPosition) return "a change that cannot be applied there";
+    if (delta.index <= position)
+      return {};
+    if (delta.after > position)
+      return "a change was left out";
+    if (position == kEarlyPosition)
+      return "a change that cannot be applied there";
     ++counts.deltas;
     control::apply(records, decode_change(delta.change).value());
     position = delta.index;
--- a/tests/control/history.h
+++ b/tests/control/history.h
@@ -27,7 +27,8 @@
       const std::string key(1, static_cast<char>('a' + random() % 4));
       const bool removes = random() % 4 == 0;
       control::RecordChange one{key, std::nullopt};
-      if (!removes) one.value = "v" + std::to_string(index);
+      if (!removes)
+        one.value = "v" + std::to_string(index);
       steps.push_back({index, {one, {"last", std::to_string(index)}}});
       replay(steps.back().change);
     }
@@ -56,7 +57,8 @@
     control::Records next = states.back();
     for (const control::RecordChange& one : change) {
       next.erase(one.key);
-      if (one.value) next.emplace(one.key, *one.value);
+      if (one.value)
+        next.emplace(one.key, *one.value);
     }
     states.push_back(std::move(next));
   }
--- a/tests/control/lease_rules.cpp
+++ b/tests/control/lease_rules.cpp
@@ -28,7 +28,8 @@
 
 std::string value_of(const std::string& line, const std::string& key) {
   const auto at = line.find(' ' + key + '=');
-  if (at == std::string::npos) return {};
+  if (at == std::string::npos)
+    return {};
   const auto from = at + key.size() + 2;
   return line.substr(from, line.find(' ', from) - from);
 }
@@ -38,10 +39,12 @@
 std::map<std::string, std::vector<Line>> lines_by_process(const std::vector<std::string>& lines) {
   std::map<std::string, std::vector<Line>> out;
   for (const auto& text : lines) {
-    if (text.compare(0, 9, "works at=") != 0) continue;
+    if (text.compare(0, 9, "works at=") != 0)
+      continue;
     Line line{std::stod(value_of(text, "at")), value_of(text, "member"), text, 0};
     const std::string index = value_of(text, "index");
-    if (!index.empty()) line.index = std::stoull(index);
+    if (!index.empty())
+      line.index = std::stoull(index);
     out[line.process].push_back(std::move(line));
   }
   return out;
@@ -49,10 +52,14 @@
 
 void apply(const Line& line, LeftAlone& state) {
   const std::string host = value_of(line.text, "host");
-  if (contains(line.text, "lease held")) state.all = false;
-  if (contains(line.text, "no host is used")) state.all = true;
-  if (contains(line.text, "is left alone")) state.hosts.insert(host);
-  if (contains(line.text, "is used again")) state.hosts.erase(host);
+  if (contains(line.text, "lease held"))
+    state.all = false;
+  if (contains(line.text, "no host is used"))
+    state.all = true;
+  if (contains(line.text, "is left alone"))
+    state.hosts.insert(host);
+  if (contains(line.text, "is used again"))
+    state.hosts.erase(host);
 }
 
 History history_of(const std::string& process, const std::vector<Line>& lines,
@@ -68,7 +75,8 @@
     }
   };
   for (const auto& absence : absences) {
-    if (absence.name != process || !absence.killed) continue;
+    if (absence.name != process || !absence.killed)
+      continue;
     apply_until(absence.from);
     out.push_back({absence.from, true, {}});  // a new process uses no host before its first lease
   }
@@ -91,14 +99,17 @@
                                const std::vector<Absence>& absences) {
   const auto check = [&](double at) -> std::string {
     const LeftAlone& state = state_at(history, at);
-    if (state.all || state.hosts.count(span.host) != 0 || was_absent(process, at, absences)) return {};
+    if (state.all || state.hosts.count(span.host) != 0 || was_absent(process, at, absences))
+      return {};
     return process + " may use " + span.host + " which operators have since " + std::to_string(span.from);
   };
   const double from = span.from + kSchedulingSlack;
-  if (from >= span.to) return {};
+  if (from >= span.to)
+    return {};
   std::string broken = check(from);
   for (const auto& state : history) {
-    if (broken.empty() && state.at > from && state.at < span.to) broken = check(state.at);
+    if (broken.empty() && state.at > from && state.at < span.to)
+      broken = check(state.at);
   }
   return broken;
 }
@@ -112,15 +123,18 @@
   std::map<std::string, std::uint64_t> taken;
   std::vector<Taking> out;
   for (const auto& happening : course.entries) {
-    if (happening.what == "take") taken[happening.host] = happening.index;
-    if (happening.what == "touch") out.push_back({taken[happening.host], happening.at});
+    if (happening.what == "take")
+      taken[happening.host] = happening.index;
+    if (happening.what == "touch")
+      out.push_back({taken[happening.host], happening.at});
   }
   return out;
 }
 
 std::string leased_while_behind(const std::vector<Line>& lines, const std::vector<Taking>& takings) {
   for (const auto& line : lines) {
-    if (!contains(line.text, "lease held")) continue;
+    if (!contains(line.text, "lease held"))
+      continue;
     for (const auto& taking : takings) {
       if (taking.touched_at + kClockRounding < line.at && line.index < taking.index)
         return line.process + " has a lease as of " + std::to_string(line.index) + " after " +
@@ -142,7 +156,8 @@
     std::string broken = leased_while_behind(written, takings);
     for (auto span = spans.begin(); broken.empty() && span != spans.end(); ++span)
       broken = used_while_touched(process, history, *span, absences);
-    if (!broken.empty()) return broken;
+    if (!broken.empty())
+      return broken;
   }
   return {};
 }
--- a/tests/control/message_test.cpp
+++ b/tests/control/message_test.cpp
@@ -23,7 +23,8 @@
 }
 std::vector<NodeAddress> some_nodes() {
   std::vector<NodeAddress> out(*rc::gen::inRange<std::size_t>(0, 4));
-  for (NodeAddress& node : out) node = {some_text(), some_text(), some_text(), some_text()};
+  for (NodeAddress& node : out)
+    node = {some_text(), some_text(), some_text(), some_text()};
   return out;
 }
 Open some_open() {
@@ -40,29 +41,40 @@
 }
 Message some_message() {
   switch (*rc::gen::inRange(0, 10)) {
-    case 0: return some_open();
-    case 1: return Welcome{some_text(), some_number(), some_nodes()};
+    case 0:
+      return some_open();
+    case 1:
+      return Welcome{some_text(), some_number(), some_nodes()};
     case 2: {
       const auto reason = static_cast<RefusalReason>(*rc::gen::inRange(1, 8));
       return Refusal{reason, some_duration(), some_nodes()};
     }
-    case 3: return Renew{some_number(), some_number(), some_number()};
-    case 4: return Grant{some_number(), some_duration(), some_share()};
-    case 5: return SnapshotChunk{some_number(), some_number(), some_number(), some_text(200)};
-    case 6: return Delta{some_number(), some_number(), some_text(200)};
-    case 7: return Resume{some_number()};
-    case 8: return Close{};
-    default: return Forward{some_text(), some_text(200)};
+    case 3:
+      return Renew{some_number(), some_number(), some_number()};
+    case 4:
+      return Grant{some_number(), some_duration(), some_share()};
+    case 5:
+      return SnapshotChunk{some_number(), some_number(), some_number(), some_text(200)};
+    case 6:
+      return Delta{some_number(), some_number(), some_text(200)};
+    case 7:
+      return Resume{some_number()};
+    case 8:
+      return Close{};
+    default:
+      return Forward{some_text(), some_text(200)};
   }
 }
 std::vector<std::string> some_frames() {
   std::vector<std::string> out(*rc::gen::inRange<std::size_t>(1, 8));
-  for (std::string& frame : out) frame = encode(some_message());
+  for (std::string& frame : out)
+    frame = encode(some_message());
   return out;
 }
 std::string joined(const std::vector<std::string>& frames) {
   std::string out;
-  for (const std::string& frame : frames) out += frame;
+  for (const std::string& frame : frames)
+    out += frame;
   return out;
 }
 
@@ -78,7 +90,8 @@
       at += size;
     }
     RC_ASSERT(messages.size() == frames.size());
-    for (std::size_t i = 0; i < frames.size(); ++i) RC_ASSERT(encode(messages[i]) == frames[i]);
+    for (std::size_t i = 0; i < frames.size(); ++i)
+      RC_ASSERT(encode(messages[i]) == frames[i]);
   }));
 }
 
@@ -112,7 +125,8 @@
     }
     MessageReader reader(longest_to_invoker);
     std::vector<Message> messages;
-    if (reader.take(stream, messages)) return;
+    if (reader.take(stream, messages))
+      return;
     const std::size_t before = messages.size();
     RC_ASSERT(!reader.take(encode(Close{}), messages));
     RC_ASSERT(messages.size() == before);
@@ -130,7 +144,8 @@
 TEST_CASE("a frame over the bound is refused by its head alone") {
   const auto takes = [](std::size_t length) {
     std::string head = encode(Forward{"", ""}).substr(0, kHeadLength);
-    for (int i = 0; i < 4; ++i) head[3 - i] = static_cast<char>(length >> (8 * i) & 0xff);
+    for (int i = 0; i < 4; ++i)
+      head[3 - i] = static_cast<char>(length >> (8 * i) & 0xff);
     MessageReader reader(longest_to_node);
     std::vector<Message> messages;
     return reader.take(head, messages);
@@ -169,7 +184,8 @@
 Records some_records() {
   Records out;
   const int count = *rc::gen::inRange(0, 10);
-  for (int i = 0; i < count; ++i) out[some_text(3)] = some_text();
+  for (int i = 0; i < count; ++i)
+    out[some_text(3)] = some_text();
   return out;
 }
 
--- a/tests/control/node_course.h
+++ b/tests/control/node_course.h
@@ -28,7 +28,8 @@
     for (const int step : steps) {
       take_step(step);
       check_promises();
-      if (!wrong_.empty()) return wrong_;
+      if (!wrong_.empty())
+        return wrong_;
     }
     finish();
     return wrong_;
@@ -66,28 +67,59 @@
     return out;
   }
   void found(const std::string& what) {
-    if (wrong_.empty()) wrong_ = what;
+    if (wrong_.empty())
+      wrong_ = what;
   }
 
   void take_step(int step) {
     const int argument = step / kStepKinds;
     Process& process = processes_[static_cast<std::size_t>(argument) % processes_.size()];
     switch (step_of(step)) {
-      case Step::wait: now_ += Millis(1 + argument % 900); break;
-      case Step::wait_long: now_ += Millis(1 + argument % 4000); break;
-      case Step::change: change(argument); break;
-      case Step::reset: reset(argument); break;
-      case Step::open: open(process); break;
-      case Step::renew: renew(process); break;
-      case Step::deliver: deliver(process, 1 + argument % 7); break;
-      case Step::disconnect: disconnect(process); break;
-      case Step::close: close(process); break;
-      case Step::restart: restart(process); break;
-      case Step::beat: beat(); break;
-      case Step::report: take_floors(); break;
-      case Step::tick: node_.tick(now_); break;
-      case Step::call: call(process); break;
-      case Step::resume: resume(process); break;
+      case Step::wait:
+        now_ += Millis(1 + argument % 900);
+        break;
+      case Step::wait_long:
+        now_ += Millis(1 + argument % 4000);
+        break;
+      case Step::change:
+        change(argument);
+        break;
+      case Step::reset:
+        reset(argument);
+        break;
+      case Step::open:
+        open(process);
+        break;
+      case Step::renew:
+        renew(process);
+        break;
+      case Step::deliver:
+        deliver(process, 1 + argument % 7);
+        break;
+      case Step::disconnect:
+        disconnect(process);
+        break;
+      case Step::close:
+        close(process);
+        break;
+      case Step::restart:
+        restart(process);
+        break;
+      case Step::beat:
+        beat();
+        break;
+      case Step::report:
+        take_floors();
+        break;
+      case Step::tick:
+        node_.tick(now_);
+        break;
+      case Step::call:
+        call(process);
+        break;
+      case Step::resume:
+        resume(process);
+        break;
     }
   }
 
@@ -95,15 +127,18 @@
   void change(int argument) {
     const Index index = node_.changes().applied() + 1 + static_cast<Index>(argument % 2);
     Change change;
-    if (argument % 5 != 0) change = {{"k" + std::to_string(argument % 3), std::to_string(index)}};
-    if (!change.empty()) changes_.push_back(index);
+    if (argument % 5 != 0)
+      change = {{"k" + std::to_string(argument % 3), std::to_string(index)}};
+    if (!change.empty())
+      changes_.push_back(index);
     node_.applied(index, change);
     Records records = states_.rbegin()->second;
     control::apply(records, change);
     states_[index] = std::move(records);
   }
   void reset(int argument) {
-    if (argument % 4 != 0) return;
+    if (argument % 4 != 0)
+      return;
     const Index index = node_.changes().applied() + 3;
     changes_.push_back(index);
     states_[index] = {{"k", std::to_string(index)}};
@@ -116,15 +151,19 @@
 
   // The group. While the node has no lease it may go on without it.
   void beat() {
-    if (now_ >= node_until_) group_went_to_ = node_.changes().applied();
+    if (now_ >= node_until_)
+      group_went_to_ = node_.changes().applied();
     node_until_ = now_ + kCourseTerms.lease;
     node_.set_lease(node_until_);
   }
   void take_floors() {
     const Floors floors = node_.floors(now_);
-    if (floors.settled > floors.applied) found("more is settled than applied");
-    if (floors.applied > node_.changes().applied()) found("a report of what has not come");
-    if (floors.applied > 0) ++counts_.floors;
+    if (floors.settled > floors.applied)
+      found("more is settled than applied");
+    if (floors.applied > node_.changes().applied())
+      found("a report of what has not come");
+    if (floors.applied > 0)
+      ++counts_.floors;
     promised_applied_ = std::max(promised_applied_, floors.applied);
     promised_settled_ = std::max(promised_settled_, floors.settled);
   }
@@ -159,24 +198,29 @@
     open.position = process.position;
     open.terms = kCourseTerms;
     node_.received(process.link, open, now_);
-    if (older != 0 && !transport_.ended(older)) found("two links of one incarnation");
+    if (older != 0 && !transport_.ended(older))
+      found("two links of one incarnation");
   }
   void renew(Process& process) {
-    if (!process.welcomed) return;
+    if (!process.welcomed)
+      return;
     process.renewals[++process.sequence] = {now_, node_until_};
     node_.received(process.link, Renew{process.sequence, process.position, process.settled(now_)}, now_);
   }
   void resume(Process& process) {
-    if (process.welcomed) node_.received(process.link, Resume{process.position}, now_);
+    if (process.welcomed)
+      node_.received(process.link, Resume{process.position}, now_);
   }
   void disconnect(Process& process) {
-    if (process.link == 0) return;
+    if (process.link == 0)
+      return;
     node_.ended(process.link);
     process.link = 0;
     process.welcomed = false;
   }
   void close(Process& process) {
-    if (!process.welcomed) return;
+    if (!process.welcomed)
+      return;
     process.lease_until = std::min(process.lease_until, now_);
     node_.received(process.link, Close{}, now_);
     process.link = 0;
@@ -184,7 +228,8 @@
   }
   // Another process of the same invoker; the old one has only lost its connection.
   void restart(Process& process) {
-    if (processes_.size() > 12) return;
+    if (processes_.size() > 12)
+      return;
     disconnect(process);
     Process next = new_process(process.rate);
     next.name = process.name;
@@ -201,12 +246,14 @@
       queue.pop_front();
       take(process, message);
     }
-    if (process.link != 0) node_.writable(process.link);
+    if (process.link != 0)
+      node_.writable(process.link);
   }
   void take(Process& process, const Message& message) {
     const Index before = process.position;
     const std::string fault = process.take(message, counts_);
-    if (!fault.empty()) found(fault);
+    if (!fault.empty())
+      found(fault);
     if (process.position != before && process.records != states_.at(process.position))
       found("the replica differs from the log");
   }
@@ -215,19 +262,23 @@
   void finish() {
     beat();
     for (Process& process : processes_) {
-      if (process.link == 0) continue;
-      for (int i = 0; i < 1000 && !transport_.waiting[process.link].empty(); ++i) deliver(process, 1);
+      if (process.link == 0)
+        continue;
+      for (int i = 0; i < 1000 && !transport_.waiting[process.link].empty(); ++i)
+        deliver(process, 1);
       if (misses_change(process.position, node_.changes().applied()))
         found("a replica that never catches up");
       const Millis before = process.lease_until;
       now_ += Millis(1);
       renew(process);
       deliver(process, 1);
-      if (process.lease_until <= before && before < now_) found("a session without a lease");
+      if (process.lease_until <= before && before < now_)
+        found("a session without a lease");
     }
     check_promises();
     const auto faults = counters_.value("control.malformed") + counters_.value("control.future_position");
-    if (faults > 0) found("a sound message was taken for a faulty one");
+    if (faults > 0)
+      found("a sound message was taken for a faulty one");
   }
 };
 
--- a/tests/control/node_course_test.cpp
+++ b/tests/control/node_course_test.cpp
@@ -14,7 +14,8 @@
   const bool held = property_holds("what a node reports is true", cases, [&] {
     const auto steps = rc::gen::container<std::vector<int>>(rc::gen::inRange(0, kStepKinds * 4000));
     const std::string wrong = Course(counts).run(*rc::gen::resize(400, steps));
-    if (wrong.empty()) return;
+    if (wrong.empty())
+      return;
     found = wrong;
     RC_FAIL(wrong);
   });
--- a/tests/control/node_transport.h
+++ b/tests/control/node_transport.h
@@ -22,7 +22,8 @@
     control::MessageReader reader(control::longest_to_invoker);
     std::vector<control::Message> messages;
     const bool is_one = reader.take(frame, messages) && messages.size() == 1;
-    if (!is_one || ended_links.count(link) != 0) throw std::logic_error("a frame that must not be sent");
+    if (!is_one || ended_links.count(link) != 0)
+      throw std::logic_error("a frame that must not be sent");
     waiting[link].push_back(std::move(messages[0]));
   }
   bool has_room(LinkId link) const override {
@@ -38,7 +39,8 @@
   template <typename Kind>
   Kind next(LinkId link) {
     auto& queue = waiting[link];
-    if (queue.empty()) throw std::logic_error("nothing was sent");
+    if (queue.empty())
+      throw std::logic_error("nothing was sent");
     Kind out = std::get<Kind>(std::move(queue.front()));
     queue.pop_front();
     return out;
--- a/tests/control/property.h
+++ b/tests/control/property.h
@@ -23,7 +23,8 @@
   params.disableShrinking = !broken_rule.empty();
   const auto result = rc::detail::checkTestable(property, rc::detail::TestMetadata{"", what}, params);
   const bool held = result.template is<rc::detail::SuccessResult>();
-  if (!held && broken_rule.empty()) rc::detail::printResultMessage(result, std::cerr);
+  if (!held && broken_rule.empty())
+    rc::detail::printResultMessage(result, std::cerr);
   return held;
 }
 
--- a/tests/control/raw_invoker.h
+++ b/tests/control/raw_invoker.h
@@ -28,9 +28,11 @@
   }
   // What the kernel takes of what was said.
   void write() {
-    if (unsent_.empty()) return;
+    if (unsent_.empty())
+      return;
     const ssize_t sent = ::send(socket_.fd(), unsent_.data(), unsent_.size(), MSG_NOSIGNAL);
-    if (sent > 0) unsent_.erase(0, static_cast<std::size_t>(sent));
+    if (sent > 0)
+      unsent_.erase(0, static_cast<std::size_t>(sent));
   }
   std::size_t unsent() const { return unsent_.size(); }
   void read() {
@@ -38,8 +40,10 @@
     char block[65536];
     for (;;) {
       const ssize_t got = ::recv(socket_.fd(), block, sizeof block, 0);
-      if (got < 0 && errno == EINTR) continue;
-      if (got < 0 && (errno == EAGAIN || errno == ENOTCONN)) return;
+      if (got < 0 && errno == EINTR)
+        continue;
+      if (got < 0 && (errno == EAGAIN || errno == ENOTCONN))
+        return;
       if (got <= 0) {
         ended = true;
         return;
@@ -51,7 +55,8 @@
   template <typename Type>
   const Type* first() const {
     for (const auto& message : messages) {
-      if (const auto* found = std::get_if<Type>(&message)) return found;
+      if (const auto* found = std::get_if<Type>(&message))
+        return found;
     }
     return nullptr;
   }
--- a/tests/control/relay.h
+++ b/tests/control/relay.h
@@ -25,15 +25,18 @@
   std::size_t connections() const { return server_.peers.size(); }
   void set(Way way, Mode mode) {
     mode_[index(way)] = mode;
-    for (const auto& peer : server_.peers) peer->mode_changed();
+    for (const auto& peer : server_.peers)
+      peer->mode_changed();
   }
   // Every piece waits for a time drawn at random up to `most`; the order stays.
   void delay(Way way, Millis most) { delay_[index(way)] = most; }
   void close() {
-    for (const auto& peer : server_.peers) peer->close();
+    for (const auto& peer : server_.peers)
+      peer->close();
   }
   void reset() {
-    for (const auto& peer : server_.peers) peer->reset();
+    for (const auto& peer : server_.peers)
+      peer->reset();
   }
 
  private:
@@ -49,7 +52,8 @@
 
     void take(std::string_view bytes) {
       lost_ = lost_ || mode() == Mode::cut;
-      if (lost_) return;
+      if (lost_)
+        return;
       const Millis most = relay_.delay_[index(way_)];
       if (most.count() > 0) {
         const std::size_t part = below(relay_.random_, bytes.size());
@@ -66,14 +70,17 @@
     // Passes on what is due.
     void forward() {
       const Millis now = relay_.loop_.now();
-      if (mode() != Mode::open || lost_) return;
+      if (mode() != Mode::open || lost_)
+        return;
       while (!waiting_.empty() && waiting_.front().due <= now) {
         sink->write(waiting_.front().bytes);
         waiting_.pop_front();
       }
-      if (waiting_.empty() && source_ended_) sink->shutdown_after_flush();
+      if (waiting_.empty() && source_ended_)
+        sink->shutdown_after_flush();
       relay_.loop_.cancel(timer_);
-      if (!waiting_.empty()) timer_ = relay_.loop_.schedule_at(waiting_.front().due, [this] { forward(); });
+      if (!waiting_.empty())
+        timer_ = relay_.loop_.schedule_at(waiting_.front().due, [this] { forward(); });
     }
     bool must_end() const { return lost_ && mode() == Mode::open; }
 
@@ -91,7 +98,8 @@
 
     Mode mode() const { return relay_.mode_[index(way_)]; }
     void queue(std::string_view bytes, Millis most) {
-      if (bytes.empty()) return;
+      if (bytes.empty())
+        return;
       const double share = static_cast<double>(below(relay_.random_, 1000)) / 1000;
       last_due_ = std::max(last_due_, relay_.loop_.now() + most * share);
       waiting_.push_back({last_due_, std::string(bytes)});
@@ -104,7 +112,8 @@
     Peer(Relay& relay, net::EventLoop& loop, net::BufferPool& pool, net::Socket socket)
         : Peer(relay, loop, pool, std::move(socket), net::connect_to(relay.to_).socket) {}
     void mode_changed() {
-      if (to_node_.must_end() || to_invoker_.must_end()) return close();
+      if (to_node_.must_end() || to_invoker_.must_end())
+        return close();
       to_node_.forward();
       to_invoker_.forward();
     }
@@ -114,7 +123,8 @@
     }
     void reset() {
       const linger at_once{1, 0};
-      for (const int fd : {fd_, inner_fd_}) setsockopt(fd, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
+      for (const int fd : {fd_, inner_fd_})
+        setsockopt(fd, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
       close();
     }
 
@@ -145,14 +155,16 @@
           inner_(*this, loop, pool, std::move(inner)) {
       to_node_.sink = &inner_;
       to_invoker_.sink = this;
-      if (inner_fd_ < 0) close_later();
+      if (inner_fd_ < 0)
+        close_later();
     }
     void on_received(std::string_view bytes) override { to_node_.take(bytes); }
     void on_closed() override { side_ended(fd_, to_node_); }
     void side_ended(int& fd, Pipe& pipe) {
       fd = -1;
       pipe.source_ended();
-      if (fd_ < 0 && inner_fd_ < 0) relay_.server_.gone(*this);
+      if (fd_ < 0 && inner_fd_ < 0)
+        relay_.server_.gone(*this);
     }
   };
 
--- a/tests/control/replica_test.cpp
+++ b/tests/control/replica_test.cpp
@@ -19,7 +19,8 @@
 
 Outcome take_all(Replica& replica, const std::vector<SnapshotChunk>& chunks) {
   Outcome out = Outcome::malformed;
-  for (const SnapshotChunk& chunk : chunks) out = replica.take(chunk);
+  for (const SnapshotChunk& chunk : chunks)
+    out = replica.take(chunk);
   return out;
 }
 
@@ -104,7 +105,8 @@
   std::vector<std::pair<Index, bool>> moves;  // and whether by a snapshot
   replica.when_moved([&](const control::Change* change) {
     moves.emplace_back(replica.position(), change == nullptr);
-    if (change != nullptr) CHECK(*change == history.steps[4].change);
+    if (change != nullptr)
+      CHECK(*change == history.steps[4].change);
   });
   const Index first = history.steps[3].index;
   take_all(replica, history.snapshot(first, kChunk));
@@ -129,19 +131,25 @@
   explicit Course(std::uint64_t seed) : history(seed, 30), random(seed + 1) {}
 
   Outcome expected(const Delta& delta) {
-    if (position == 0) return Outcome::gap;
-    if (delta.index <= position) return Outcome::duplicate;
-    if (delta.after > position) return Outcome::gap;
+    if (position == 0)
+      return Outcome::gap;
+    if (delta.index <= position)
+      return Outcome::duplicate;
+    if (delta.after > position)
+      return Outcome::gap;
     position = delta.index;
     return Outcome::applied;
   }
   Outcome expected(Index index, std::size_t number, std::size_t count) {
-    if (index <= position) return Outcome::duplicate;
+    if (index <= position)
+      return Outcome::duplicate;
     const bool next = number == 0 || (index == under_way && number == chunks);
     under_way = next ? index : 0;
     chunks = next ? number + 1 : 0;
-    if (!next) return Outcome::malformed;
-    if (chunks < count) return Outcome::incomplete;
+    if (!next)
+      return Outcome::malformed;
+    if (chunks < count)
+      return Outcome::incomplete;
     under_way = 0;
     position = index;
     return Outcome::applied;
@@ -172,20 +180,38 @@
   void step(int what) {
     const Index some_index = 1 + random() % history.last();
     switch (what) {
-      case 0: cursor += 1 + random() % 3; break;                             // a loss
-      case 1: cursor -= std::min<std::size_t>(cursor, random() % 5); break;  // sent again
-      case 2: send_delta(cursor + 1); break;                                 // out of order
-      case 3: reconnect(); break;                                            // and on from where it is
-      case 4: send_chunks(some_index, 0, 1 + random() % 8); break;           // perhaps not whole
-      case 5: send_chunks(under_way == 0 ? some_index : under_way, random() % 4, 2); break;
-      case 6: send_chunks(some_index, 0, history.steps.size()); break;
-      default: send_delta(cursor++); break;
+      case 0:
+        cursor += 1 + random() % 3;
+        break;  // a loss
+      case 1:
+        cursor -= std::min<std::size_t>(cursor, random() % 5);
+        break;  // sent again
+      case 2:
+        send_delta(cursor + 1);
+        break;  // out of order
+      case 3:
+        reconnect();
+        break;  // and on from where it is
+      case 4:
+        send_chunks(some_index, 0, 1 + random() % 8);
+        break;  // perhaps not whole
+      case 5:
+        send_chunks(under_way == 0 ? some_index : under_way, random() % 4, 2);
+        break;
+      case 6:
+        send_chunks(some_index, 0, history.steps.size());
+        break;
+      default:
+        send_delta(cursor++);
+        break;
     }
   }
   void finish() {
     reconnect();
-    if (position == 0) send_chunks(history.steps[9].index, 0, history.steps.size());
-    for (cursor = history.next_after(position); cursor < history.steps.size(); ++cursor) send_delta(cursor);
+    if (position == 0)
+      send_chunks(history.steps[9].index, 0, history.steps.size());
+    for (cursor = history.next_after(position); cursor < history.steps.size(); ++cursor)
+      send_delta(cursor);
     RC_ASSERT(replica.position() == history.last());
   }
 };
@@ -196,7 +222,8 @@
       [] {
         Course course(*rc::gen::inRange<std::uint64_t>(1, 1000000));
         const auto steps = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 12));
-        for (const int step : steps) course.step(step);
+        for (const int step : steps)
+          course.step(step);
         course.finish();
       },
       kHistorySeed);
--- a/tests/control/session_course_test.cpp
+++ b/tests/control/session_course_test.cpp
@@ -22,7 +22,8 @@
       [] {
         SessionWorld world(*rc::gen::inRange<std::uint64_t>(1, 1000000));
         const auto steps = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, kKinds));
-        for (const int step : steps) world.step(step);
+        for (const int step : steps)
+          world.step(step);
         world.finish();
         for (const char* event : kEvents)
           tally[event] += world.counters().value(std::string("control.session.") + event);
--- a/tests/control/session_moves_test.cpp
+++ b/tests/control/session_moves_test.cpp
@@ -35,7 +35,8 @@
     ++times[nodes.choose(Millis(0), random)->name];
   }
   CHECK(times.size() == 3);
-  for (const auto& [name, count] : times) CHECK((count > 900 && count < 1100));
+  for (const auto& [name, count] : times)
+    CHECK((count > 900 && count < 1100));
 }
 
 TEST_CASE("known nodes: the one that failed last is not chosen at first, if another is available") {
@@ -118,7 +119,8 @@
     CHECK(rig.session->due() - rig.now <= Millis(500));
   }
   const double bounds[] = {500, 1000, 2000, 4000, 5000, 5000, 5000, 5000};
-  for (int i = 0; i < 8; ++i) CHECK((longest[i] <= bounds[i] && longest[i] > 0.95 * bounds[i]));
+  for (int i = 0; i < 8; ++i)
+    CHECK((longest[i] <= bounds[i] && longest[i] > 0.95 * bounds[i]));
   CHECK((sum / 400 > 2200 && sum / 400 < 2800));
 }
 
@@ -185,7 +187,8 @@
     CHECK(rig.open() == name);
     const Millis opened = rig.now;
     rig.grant(1, Millis(0));
-    while (rig.session->open()) rig.run_granting(rig.beat(), Millis(0));
+    while (rig.session->open())
+      rig.run_granting(rig.beat(), Millis(0));
     const Millis stayed = rig.now - opened;
     CHECK((stayed > rig.lease() && stayed <= rig.lease() + rig.beat()));
   }
@@ -215,7 +218,8 @@
     for (const Millis end = rig.now + Millis(1000); rig.session->due() <= end; ++ticks) {
       rig.now = std::max(rig.now, rig.session->due());
       rig.session->tick(rig.now);
-      if (ticks % 3 == 0 && rig.transport.linked) rig.welcome();
+      if (ticks % 3 == 0 && rig.transport.linked)
+        rig.welcome();
       REQUIRE(ticks < 10000);
     }
   }
--- a/tests/control/session_rig.h
+++ b/tests/control/session_rig.h
@@ -107,7 +107,8 @@
     while (session->open() && session->due() <= end) {
       now = std::max(now, session->due());
       session->tick(now);
-      if (session->open()) grant_last(duration);
+      if (session->open())
+        grant_last(duration);
     }
     now = std::max(now, end);
   }
@@ -123,7 +124,8 @@
   std::vector<Kind> sent() const {
     std::vector<Kind> out;
     for (const control::Message& message : transport.sent) {
-      if (const Kind* one = std::get_if<Kind>(&message)) out.push_back(*one);
+      if (const Kind* one = std::get_if<Kind>(&message))
+        out.push_back(*one);
     }
     return out;
   }
--- a/tests/control/session_storm_test.cpp
+++ b/tests/control/session_storm_test.cpp
@@ -21,7 +21,8 @@
   Millis take(Millis now) {
     tokens = std::min(100.0, tokens + (now - filled_at).count() / 1000 * 200);
     filled_at = now;
-    if (tokens < 1) return Millis((1 - tokens) / 200 * 1000);
+    if (tokens < 1)
+      return Millis((1 - tokens) / 200 * 1000);
     --tokens;
     return Millis(0);
   }
@@ -50,16 +51,21 @@
     SessionRig& rig = *rigs[i];
     const bool fresh = rig.transport.connects.size() > connects_seen[i];
     connects_seen[i] = rig.transport.connects.size();
-    if (!rig.transport.linked) return;
+    if (!rig.transport.linked)
+      return;
     const std::string& node = rig.session->node().name;
-    if (down.count(node) != 0) return rig.lose();
-    if (fresh) return open(rig, admits_all ? Millis(0) : admissions[node].take(now));
+    if (down.count(node) != 0)
+      return rig.lose();
+    if (fresh)
+      return open(rig, admits_all ? Millis(0) : admissions[node].take(now));
     const auto renewals = rig.sent<control::Renew>();
-    if (rig.session->open() && !renewals.empty()) rig.grant(renewals.back().sequence, rig.lease());
+    if (rig.session->open() && !renewals.empty())
+      rig.grant(renewals.back().sequence, rig.lease());
     rig.transport.sent.clear();
   }
   static void open(SessionRig& rig, Millis retry_after) {
-    if (retry_after.count() == 0) return rig.welcome();
+    if (retry_after.count() == 0)
+      return rig.welcome();
     rig.session->connected(rig.now);
     rig.session->received(control::Refusal{control::RefusalReason::busy, retry_after, {}}, rig.now);
   }
@@ -68,19 +74,24 @@
     for (std::size_t i = 0; i < kSessions; ++i) {
       SessionRig& rig = *rigs[i];
       rig.now = now;
-      if (rig.session->due() <= now) rig.session->tick(now);
-      if (rig.transport.connects.size() > connects_seen[i]) connects.push_back(now);
-      if (rig.transport.linked && (!rig.transport.sent.empty() || !rig.session->open())) serve(i);
+      if (rig.session->due() <= now)
+        rig.session->tick(now);
+      if (rig.transport.connects.size() > connects_seen[i])
+        connects.push_back(now);
+      if (rig.transport.linked && (!rig.transport.sent.empty() || !rig.session->open()))
+        serve(i);
     }
   }
   void run(Millis span) {
-    for (const Millis end = now + span; now < end;) step();
+    for (const Millis end = now + span; now < end;)
+      step();
   }
   void lose_node(const std::string& name) {
     down.insert(name);
     for (auto& rig : rigs) {
       rig->now = now;
-      if (rig->transport.linked && rig->session->node().name == name) rig->lose();
+      if (rig->transport.linked && rig->session->node().name == name)
+        rig->lose();
     }
   }
   std::size_t open_now() const {
@@ -95,7 +106,8 @@
   std::size_t most_in_window(Millis from) const {
     std::size_t most = 0;
     for (std::size_t i = 0; i < connects.size(); ++i) {
-      if (connects[i] < from) continue;
+      if (connects[i] < from)
+        continue;
       const auto end = std::lower_bound(connects.begin(), connects.end(), connects[i] + kWindow);
       most = std::max(most, static_cast<std::size_t>(end - connects.begin()) - i);
     }
@@ -109,7 +121,8 @@
   Storm storm;
   storm.run(Millis(2000));
   REQUIRE(storm.open_now() == kSessions);
-  for (const auto& rig : storm.rigs) REQUIRE(rig->session->node().name == "a");
+  for (const auto& rig : storm.rigs)
+    REQUIRE(rig->session->node().name == "a");
   const Millis lost = storm.now;
   storm.lose_node("a");
   CHECK(storm.open_now() == 0);
@@ -125,7 +138,8 @@
   storm.run(Millis(2000));
   const Millis lost = storm.now;
   storm.admits_all = false;
-  for (const char* name : {"b", "c"}) storm.admissions[name].filled_at = storm.now;
+  for (const char* name : {"b", "c"})
+    storm.admissions[name].filled_at = storm.now;
   storm.lose_node("a");
   std::size_t least_holding = kSessions;
   while (storm.open_now() < kSessions && storm.now < lost + Millis(20000)) {
@@ -142,7 +156,8 @@
 TEST_CASE("storm: where no node is up, 1,000 sessions together try ever more slowly") {
   Storm storm;
   storm.run(Millis(2000));
-  for (const char* name : {"a", "b", "c"}) storm.lose_node(name);
+  for (const char* name : {"a", "b", "c"})
+    storm.lose_node(name);
   storm.run(Millis(10000));
   const Millis slow = storm.now;
   storm.run(Millis(10000));
--- a/tests/control/session_test.cpp
+++ b/tests/control/session_test.cpp
@@ -24,7 +24,8 @@
   rig.run_granting(rig.lease(), rig.lease());
   const auto renewals = rig.sent<control::Renew>();
   REQUIRE(renewals.size() == 5);
-  for (std::size_t i = 0; i < 5; ++i) CHECK(renewals[i].sequence == i + 1);
+  for (std::size_t i = 0; i < 5; ++i)
+    CHECK(renewals[i].sequence == i + 1);
   CHECK((renewals[4].applied == 0 && renewals[4].settled == 0));
 }
 
@@ -196,7 +197,8 @@
   rig.session->received(control::Grant{1, rig.lease()}, rig.now);
   rig.session->disconnected(rig.now);
   rig.session->malformed(rig.now);
-  for (int i = 0; i < 100; ++i) rig.session->tick(rig.now += Millis(1000));
+  for (int i = 0; i < 100; ++i)
+    rig.session->tick(rig.now += Millis(1000));
   rig.session->close(rig.now);
   CHECK_FALSE(rig.session->holds(Millis(0)));
   CHECK(rig.transport.connects.size() == 1);
--- a/tests/control/session_world.h
+++ b/tests/control/session_world.h
@@ -28,17 +28,39 @@
   // One step of a course: a fault or its end, or some time in which all goes on.
   void step(int what) {
     switch (what) {
-      case 0: cursor_ += 1 + random_() % 2; break;                              // a delta is lost
-      case 1: cursor_ -= std::min<std::size_t>(cursor_, random_() % 6); break;  // sent again
-      case 2: swap_deltas(); break;
-      case 3: break_connection(); break;
-      case 4: stop_process(Millis(static_cast<double>(random_() % 12000))); break;
-      case 5: delay_ = Millis(static_cast<double>(random_() % 2000)); break;
-      case 6: loses_grants_ = !loses_grants_; break;
-      case 7: node_grants_ = !node_grants_; break;
-      case 8: refuses_ = !refuses_; break;
-      case 9: repeat_grant(); break;
-      default: run(Millis(static_cast<double>(random_() % 4000))); break;
+      case 0:
+        cursor_ += 1 + random_() % 2;
+        break;  // a delta is lost
+      case 1:
+        cursor_ -= std::min<std::size_t>(cursor_, random_() % 6);
+        break;  // sent again
+      case 2:
+        swap_deltas();
+        break;
+      case 3:
+        break_connection();
+        break;
+      case 4:
+        stop_process(Millis(static_cast<double>(random_() % 12000)));
+        break;
+      case 5:
+        delay_ = Millis(static_cast<double>(random_() % 2000));
+        break;
+      case 6:
+        loses_grants_ = !loses_grants_;
+        break;
+      case 7:
+        node_grants_ = !node_grants_;
+        break;
+      case 8:
+        refuses_ = !refuses_;
+        break;
+      case 9:
+        repeat_grant();
+        break;
+      default:
+        run(Millis(static_cast<double>(random_() % 4000)));
+        break;
     }
   }
   // All faults end; the session must come to hold a lease, and the replica to hold everything.
@@ -77,7 +99,8 @@
     control::MessageReader reader(control::longest_to_node);
     std::vector<control::Message> messages;
     RC_ASSERT(reader.take(frame, messages));
-    for (const control::Message& message : messages) at_node(message);
+    for (const control::Message& message : messages)
+      at_node(message);
   }
 
  private:
@@ -106,9 +129,12 @@
     flights_.push_back({std::max(earliest, now_ + delay_ * share), std::move(message)});
   }
   void at_node(const control::Message& message) {
-    if (const auto* open = std::get_if<control::Open>(&message)) return on_open(*open);
-    if (const auto* renewal = std::get_if<control::Renew>(&message)) return on_renew(*renewal);
-    if (const auto* resume = std::get_if<control::Resume>(&message)) return serve_from(resume->position);
+    if (const auto* open = std::get_if<control::Open>(&message))
+      return on_open(*open);
+    if (const auto* renewal = std::get_if<control::Renew>(&message))
+      return on_renew(*renewal);
+    if (const auto* resume = std::get_if<control::Resume>(&message))
+      return serve_from(resume->position);
   }
   void on_open(const control::Open& open) {
     RC_ASSERT(open.position == replica_.position());
@@ -125,22 +151,28 @@
     RC_ASSERT(sequence_ - answered_ <= 4);
     last_renewal_ = now_;
     sent_at_[renewal.sequence] = now_;
-    if (loses_grants_) return;
+    if (loses_grants_)
+      return;
     const Millis duration = terms_.lease * (static_cast<double>(500 + random_() % 501) / 1000);
     send_later(control::Grant{renewal.sequence, node_grants_ ? duration : Millis(0)});
   }
   // From there on: a snapshot where the replica holds nothing, and at times otherwise.
   void serve_from(Index position) {
     cursor_ = history_.next_after(position);
-    if (position != 0 && random_() % 4 != 0) return;
+    if (position != 0 && random_() % 4 != 0)
+      return;
     const Index index = history_.steps[committed_ - 1].index;
-    for (const auto& chunk : history_.snapshot(index, 16)) send_later(chunk);
+    for (const auto& chunk : history_.snapshot(index, 16))
+      send_later(chunk);
     cursor_ = committed_;
   }
   void pump() {
-    if (committed_ < history_.steps.size() && random_() % 8 == 0) ++committed_;
-    if (!session_->open()) return;
-    for (; cursor_ < committed_; ++cursor_) send_later(history_.delta(cursor_));
+    if (committed_ < history_.steps.size() && random_() % 8 == 0)
+      ++committed_;
+    if (!session_->open())
+      return;
+    for (; cursor_ < committed_; ++cursor_)
+      send_later(history_.delta(cursor_));
   }
   void swap_deltas() {
     const auto is_delta = [](const Flight& one) {
@@ -152,10 +184,12 @@
     }
   }
   void repeat_grant() {
-    if (session_->open() && answered_ > 0) send_later(control::Grant{answered_, terms_.lease});
+    if (session_->open() && answered_ > 0)
+      send_later(control::Grant{answered_, terms_.lease});
   }
   void break_connection() {
-    if (!linked_) return;
+    if (!linked_)
+      return;
     linked_ = false;
     flights_.clear();  // what was on its way is lost
     session_->disconnected(now_);
@@ -164,7 +198,8 @@
   void stop_process(Millis span) {
     now_ += span;
     RC_ASSERT(session_->holds(now_) == (now_ < may_hold_until_));
-    if (random_() % 2 == 0) tick();  // before what has come in the meantime is read, or after
+    if (random_() % 2 == 0)
+      tick();  // before what has come in the meantime is read, or after
   }
   void run(Millis span) {
     const Millis end = now_ + span;
@@ -192,14 +227,16 @@
         session_->connected(now_);
         continue;
       }
-      if (const auto* grant = std::get_if<control::Grant>(&*message)) expect_grant(*grant);
+      if (const auto* grant = std::get_if<control::Grant>(&*message))
+        expect_grant(*grant);
       session_->received(control::Message(*message), now_);
       check();
     }
   }
   // An answer counts once, from the sending of what it answers.
   void expect_grant(const control::Grant& grant) {
-    if (grant.sequence <= answered_) return;
+    if (grant.sequence <= answered_)
+      return;
     answered_ = grant.sequence;
     if (grant.duration.count() > 0)
       may_hold_until_ = std::max(may_hold_until_, sent_at_.at(grant.sequence) + grant.duration);
--- a/tests/control/tier.h
+++ b/tests/control/tier.h
@@ -73,12 +73,14 @@
     control::apply(records, change);
     ++index;
     for (const auto& node : nodes) {
-      if (node) node->node().applied(index, change);
+      if (node)
+        node->node().applied(index, change);
     }
   }
   void turn() {
     for (const auto& node : nodes) {
-      if (node) node->node().set_lease(loop.now() + terms.lease);
+      if (node)
+        node->node().set_lease(loop.now() + terms.lease);
     }
     loop.run_once(loop.now() + Millis(5), [] {});
   }
@@ -86,7 +88,8 @@
   bool until(const Until& until, Millis most = Millis(10000)) {
     const Millis end = loop.now() + most;
     while (loop.now() < end) {
-      if (until()) return true;
+      if (until())
+        return true;
       turn();
     }
     return until();
--- a/tests/control/tier_cluster.cpp
+++ b/tests/control/tier_cluster.cpp
@@ -19,8 +19,10 @@
   quiet = true;  // clients call once all are ready
   add_members();
   add_invokers();
-  for (auto& member : members) start_member(*member);
-  for (auto& invoker : invokers) start_invoker(*invoker);
+  for (auto& member : members)
+    start_member(*member);
+  for (auto& invoker : invokers)
+    start_invoker(*invoker);
 }
 
 void TierCluster::add_members() {
@@ -35,9 +37,12 @@
     member->config = s.folder.path + "/" + member->name + ".json";
     member->votes = i < kVoters;
     member->relay = std::make_unique<GroupRelay>(world, member->listen);
-    if (is_node) member->sessions = free_address();
-    if (is_node) nodes.push_back(member.get());
-    if (member->votes) voters.push_back(member.get());
+    if (is_node)
+      member->sessions = free_address();
+    if (is_node)
+      nodes.push_back(member.get());
+    if (member->votes)
+      voters.push_back(member.get());
     processes.push_back(member.get());
     operated.push_back(member.get());
     members.push_back(std::move(member));
@@ -63,7 +68,8 @@
   nlohmann::json peers = nlohmann::json::array(), control_nodes = nlohmann::json::array();
   for (const auto& one : members)
     peers.push_back({{"name", one->name}, {"address", one->relay->server.address()}, {"votes", one->votes}});
-  for (const auto* node : nodes) control_nodes.push_back({{"name", node->name}, {"address", node->sessions}});
+  for (const auto* node : nodes)
+    control_nodes.push_back({{"name", node->name}, {"address", node->sessions}});
   const bool is_node = !member.sessions.empty();
   auto file = file_of(member, static_cast<int>(invoker_count));
   file["group"] = {{"cluster", "yard"},       {"store", s.folder.path + "/" + member.name + ".db"},
@@ -72,7 +78,8 @@
                    {"serves", is_node}};
   if (is_node) {
     file["control"] = {{"listen", member.sessions}, {"offline_ms", options_.offline_ms}};
-    if (options_.learn_nodes) file["control"]["nodes"] = control_nodes;
+    if (options_.learn_nodes)
+      file["control"]["nodes"] = control_nodes;
   }
   std::ofstream(member.config) << file.dump();
   const std::string init = std::string(LOTUSYARD_CLUSTER) + " group init " + member.config + " >/dev/null";
@@ -83,7 +90,8 @@
 void TierCluster::start_invoker(Invoker& invoker) {
   nlohmann::json known = nlohmann::json::array();
   for (std::size_t i = 0; i < nodes.size(); ++i) {
-    if (options_.learn_nodes && i > 0) break;
+    if (options_.learn_nodes && i > 0)
+      break;
     known.push_back({{"name", nodes[i]->name}, {"address", invoker.relays[i]->address()}});
   }
   auto file = file_of(invoker, static_cast<int>(invoker_count));
@@ -125,7 +133,8 @@
 nlohmann::json TierCluster::group_of(const Member& member) { return ask(member.admin_endpoint, "/-/group"); }
 
 bool TierCluster::begin_calls() {
-  if (!all_ready(30) || !soon([this] { return all_sessions_open(); })) return false;
+  if (!all_ready(30) || !soon([this] { return all_sessions_open(); }))
+    return false;
   quiet = false;
   return true;
 }
@@ -154,8 +163,10 @@
 int TierCluster::answers(const std::string& word) const {
   int out = 0;
   for (const auto* p : called) {
-    if (!p->tablet) continue;
-    for (const auto& [answer, body] : p->tablet->got) out += answer == word;
+    if (!p->tablet)
+      continue;
+    for (const auto& [answer, body] : p->tablet->got)
+      out += answer == word;
   }
   return out;
 }
--- a/tests/control/tier_faults_test.cpp
+++ b/tests/control/tier_faults_test.cpp
@@ -151,7 +151,8 @@
     TierCluster tier(options);
     REQUIRE(tier.begin_calls());
     REQUIRE(tier.soon([&] { return tier.all_followed(); }));
-    if (seed % 3 != 0) tier.disturb_only_by(static_cast<Disturbance>(seed % TierCluster::disturbances));
+    if (seed % 3 != 0)
+      tier.disturb_only_by(static_cast<Disturbance>(seed % TierCluster::disturbances));
     const std::string broken = tier.run(kDisturbances, 1 + seed % 3);
     if (!broken.empty())
       std::ofstream("tier-seed-" + std::to_string(seed) + ".log") << broken << "\n" << tier.all_logs();
--- a/tests/control/tier_processes_test.cpp
+++ b/tests/control/tier_processes_test.cpp
@@ -24,13 +24,15 @@
 
 int total_sessions(TierCluster& tier) {
   int out = 0;
-  for (const auto* node : tier.nodes) out += tier.group_of(*node).at("control").at("sessions").get<int>();
+  for (const auto* node : tier.nodes)
+    out += tier.group_of(*node).at("control").at("sessions").get<int>();
   return out;
 }
 
 std::size_t all_calls_after(const TierCluster& tier, double at) {
   std::size_t out = 0;
-  for (std::size_t host = 0; host < tier.execs.size(); ++host) out += calls_at(tier, host, at);
+  for (std::size_t host = 0; host < tier.execs.size(); ++host)
+    out += calls_at(tier, host, at);
   return out;
 }
 
@@ -86,7 +88,8 @@
   tier.wait(1000);
   CHECK(calls_at(tier, 0, agreed) > 0);
   CHECK(calls_at(tier, 0, agreed) + calls_at(tier, 1, agreed) > 50);
-  for (std::size_t host = 2; host < tier.execs.size(); ++host) CHECK(calls_at(tier, host, agreed) == 0);
+  for (std::size_t host = 2; host < tier.execs.size(); ++host)
+    CHECK(calls_at(tier, host, agreed) == 0);
 
   tier.cut_sessions(*tier.invokers[0], true);
   tier.cut_sessions(*tier.invokers[1], true);
@@ -97,10 +100,12 @@
   const double answered = first_wrote(tier, "\"t\":\"ended\"");
   tier.wait(1000);
   CHECK(calls_at(tier, 0, answered) == 0);
-  for (const auto& e : tier.execs[0]) CHECK(e.until <= answered);
+  for (const auto& e : tier.execs[0])
+    CHECK(e.until <= answered);
   CHECK(calls_at(tier, 1, answered) > 20);
 
-  for (const auto& invoker : tier.invokers) tier.cut_sessions(*invoker, true);
+  for (const auto& invoker : tier.invokers)
+    tier.cut_sessions(*invoker, true);
   tier.wait(TierCluster::lease_ms + kSlack);
   const double unleased = tier.now();
   tier.wait(1000);
@@ -151,7 +156,8 @@
   const bool moved = tier.soon([&] { return tier.all_sessions_open(); });
   INFO(tier.all_logs());
   REQUIRE(moved);
-  for (const auto& invoker : tier.invokers) CHECK(tier.session_of(*invoker).at("node") != leaving.name);
+  for (const auto& invoker : tier.invokers)
+    CHECK(tier.session_of(*invoker).at("node") != leaving.name);
   tier.wait(1000);
   tier.quiet = true;
   CHECK(tier.all_answered(5));
--- a/tests/control/transport_faults_test.cpp
+++ b/tests/control/transport_faults_test.cpp
@@ -16,7 +16,8 @@
 
 std::string head(std::uint32_t size, unsigned kind) {
   std::string out;
-  for (int shift = 24; shift >= 0; shift -= 8) out += static_cast<char>(size >> shift & 0xff);
+  for (int shift = 24; shift >= 0; shift -= 8)
+    out += static_cast<char>(size >> shift & 0xff);
   return out + static_cast<char>(kind);
 }
 
@@ -52,7 +53,8 @@
   Random random(20);
   for (int i = 0; i < 60; ++i) {
     RawInvoker raw(served.server.address());
-    if (below(random, 2) == 0) raw.say(served.tier.open_message());
+    if (below(random, 2) == 0)
+      raw.say(served.tier.open_message());
     raw.say_bytes(garbage(random, std::string("\0\0\0\1\4\7", 6)));
     for (int turns = 0; turns < 3; ++turns) {
       served.tier.turn();
@@ -90,7 +92,8 @@
   Served served;
   const Millis began = served.tier.loop.now();
   std::vector<std::unique_ptr<RawInvoker>> silent;
-  for (int i = 0; i < 100; ++i) silent.push_back(std::make_unique<RawInvoker>(served.server.address()));
+  for (int i = 0; i < 100; ++i)
+    silent.push_back(std::make_unique<RawInvoker>(served.server.address()));
   RawInvoker half(served.server.address());
   const std::string open = control::encode(served.tier.open_message());
   half.say_bytes(open.substr(0, open.size() / 2));
@@ -145,9 +148,11 @@
   limits.spare_links = 2;
   Served served(Millis(600), limits, 3);
   std::vector<std::unique_ptr<RawInvoker>> others;
-  for (int i = 0; i < 7; ++i) others.push_back(std::make_unique<RawInvoker>(served.server.address()));
+  for (int i = 0; i < 7; ++i)
+    others.push_back(std::make_unique<RawInvoker>(served.server.address()));
   const auto ended = [&] {
-    for (const auto& one : others) one->read();
+    for (const auto& one : others)
+      one->read();
     return std::count_if(others.begin(), others.end(), [](const auto& one) { return one->ended; });
   };
   CHECK(served.tier.until([&] { return ended() == 3; }, Millis(1000)));
--- a/tests/control/transport_slow_test.cpp
+++ b/tests/control/transport_slow_test.cpp
@@ -64,7 +64,8 @@
   std::uint64_t sequence = 0;
   const bool ended = served.tier.until(
       [&] {
-        if (sequence < 20) raw->say(control::Renew{++sequence, 1, 0});
+        if (sequence < 20)
+          raw->say(control::Renew{++sequence, 1, 0});
         return served.count("control.stalled_links") == 1;
       },
       Millis(3000));
@@ -80,7 +81,8 @@
   limits.stalled_after = Millis(1500);
   Served served(Millis(8000), limits);
   std::vector<std::unique_ptr<RawInvoker>> slow;
-  for (std::uint64_t i = 0; i < 10; ++i) slow.push_back(served.opened(i + 1));
+  for (std::uint64_t i = 0; i < 10; ++i)
+    slow.push_back(served.opened(i + 1));
   auto& late = served.tier.add_invoker();  // served after all of them
   REQUIRE(served.tier.until([&] { return served.tier.all_up_to_date(); }));
   std::size_t most = 0;
--- a/tests/control/transport_test.cpp
+++ b/tests/control/transport_test.cpp
@@ -36,12 +36,14 @@
 
 TEST_CASE("a large state arrives in pieces while changes go on") {
   Tier tier(Millis(3000));
-  for (int i = 0; i < 64; ++i) tier.records["large" + std::to_string(i)] = value_of(100000, i);
+  for (int i = 0; i < 64; ++i)
+    tier.records["large" + std::to_string(i)] = value_of(100000, i);
   tier.add_node();
   auto& invoker = tier.add_invoker();
   int changes = 0;
   REQUIRE(tier.until([&] {
-    if (changes < 200) tier.change("small", value_of(100, ++changes));
+    if (changes < 200)
+      tier.change("small", value_of(100, ++changes));
     return changes == 200 && tier.all_up_to_date();
   }));
   CHECK(invoker.counters.value("control.session.opened") == 1);
@@ -57,7 +59,8 @@
   REQUIRE(tier.until([&] { return tier.all_up_to_date(); }));
   for (const Way way : {Way::to_invoker, Way::to_node}) {
     invoker.relays[0]->set(way, Mode::held);
-    for (int i = 0; i < 10; ++i) tier.change("key" + std::to_string(i), value_of(100, i));
+    for (int i = 0; i < 10; ++i)
+      tier.change("key" + std::to_string(i), value_of(100, i));
     tier.wait(Millis(300));
     CHECK((invoker.records() == tier.records) == (way == Way::to_node));
     invoker.relays[0]->set(way, Mode::open);
@@ -101,8 +104,10 @@
 
 TEST_CASE("the invokers of a node that is killed move to another") {
   Tier tier;
-  for (int i = 0; i < 2; ++i) tier.add_node();
-  for (int i = 0; i < 6; ++i) tier.add_invoker();
+  for (int i = 0; i < 2; ++i)
+    tier.add_node();
+  for (int i = 0; i < 6; ++i)
+    tier.add_invoker();
   REQUIRE(tier.until([&] { return tier.all_up_to_date(); }));
   const std::size_t killed = tier.nodes[0]->links() > 0 ? 0 : 1;
   const std::size_t moved = tier.nodes[killed]->links();
@@ -117,15 +122,18 @@
 
 TEST_CASE("a node that leaves tells its invokers, and they move") {
   Tier tier;
-  for (int i = 0; i < 2; ++i) tier.add_node();
-  for (int i = 0; i < 6; ++i) tier.add_invoker();
+  for (int i = 0; i < 2; ++i)
+    tier.add_node();
+  for (int i = 0; i < 6; ++i)
+    tier.add_invoker();
   REQUIRE(tier.until([&] { return tier.all_up_to_date(); }));
   const std::size_t left = tier.nodes[0]->links() > 0 ? 0 : 1;
   const std::size_t moved = tier.nodes[left]->links();
   tier.nodes[left]->node().leave();
   REQUIRE(tier.until([&] { return tier.nodes[1 - left]->node().sessions().connected() == 6; }));
   std::uint64_t told = 0;
-  for (const auto& one : tier.invokers) told += one->counters.value("control.session.refused.leaving");
+  for (const auto& one : tier.invokers)
+    told += one->counters.value("control.session.refused.leaving");
   CHECK(told >= moved);
   CHECK(tier.until([&] { return tier.all_up_to_date() && tier.nodes[left]->links() == 0; }));
 }
@@ -147,7 +155,8 @@
   auto& invoker = tier.add_invoker();
   REQUIRE(tier.until([&] { return tier.all_up_to_date(); }));
   invoker.client->replica().when_moved([&](const control::Change*) {
-    if (tier.records.count("end") != 0) invoker.session().close(tier.loop.now());
+    if (tier.records.count("end") != 0)
+      invoker.session().close(tier.loop.now());
   });
   tier.change("end", "now");
   tier.change("behind", "it");
--- a/tests/gate_test.cpp
+++ b/tests/gate_test.cpp
@@ -58,13 +58,15 @@
   r.policy.set_host_filter(&gate);
   r.list({entry("a"), entry("b"), entry("c")});
   ask(r, "first", "bound");
-  if (!r.loads.empty()) r.loaded(r.loads[0].worker, 1, 1);
+  if (!r.loads.empty())
+    r.loaded(r.loads[0].worker, 1, 1);
   ASSERT_EQ(r.sends.size(), 1U);
   const std::string home = r.sends[0].worker;
   r.answer(r.sends[0], Outcome::ok);
   gate.open_to.erase(home);
   ask(r, "second", "bound");
-  if (r.loads.size() > 1) r.loaded(r.loads.back().worker, 1, 1);
+  if (r.loads.size() > 1)
+    r.loaded(r.loads.back().worker, 1, 1);
   ASSERT_EQ(r.sends.size(), 2U);
   EXPECT_NE(r.sends[1].worker, home);
   EXPECT_NE(r.sends[1].worker, "c");
@@ -84,7 +86,8 @@
       s.routers = 100;
       s.share = share;
       s.seed = static_cast<std::uint64_t>(rank);
-      for (auto& c : s.classes) c.aim = Millis(800);
+      for (auto& c : s.classes)
+        c.aim = Millis(800);
       Router r(s);
       r.list({entry("a", WorkerState::ready, 990)});
       for (int i = 0; i < 20; ++i) {
--- a/tests/golden/admin_golden.cpp
+++ b/tests/golden/admin_golden.cpp
@@ -13,13 +13,15 @@
   admin::OperationResult disable(const std::string& host) override { return change(host); }
   admin::OperationResult enable(const std::string& host) override { return change(host); }
   std::optional<admin::Response> handle_request(const admin::Request& request) override {
-    if (request.path != "/-/other") return std::nullopt;
+    if (request.path != "/-/other")
+      return std::nullopt;
     return admin::Response{202, R"({"done":false,"why":"","index":0})"};
   }
 
  private:
   admin::OperationResult change(const std::string& host) const {
-    if (host != "h1") return admin::OperationResult::unknown_host;
+    if (host != "h1")
+      return admin::OperationResult::unknown_host;
     return can_keep ? admin::OperationResult::done : admin::OperationResult::not_persisted;
   }
 };
@@ -53,7 +55,8 @@
       {"long header", line + "X: " + std::string(5000, 'a')},
       {"encoding", line + host + "Transfer-Encoding: gzip\r\n"},
       {"version", "GET /-/ready HTTP/2.0\r\n"}};
-  for (const auto& [name, bytes] : faulty) out.push_back({name, endpoint.answer(bytes), {}});
+  for (const auto& [name, bytes] : faulty)
+    out.push_back({name, endpoint.answer(bytes), {}});
 }
 
 }  // namespace
--- a/tests/golden/amqp_golden.cpp
+++ b/tests/golden/amqp_golden.cpp
@@ -11,7 +11,8 @@
 std::string reencode_frame(const std::string& bytes) {
   FrameParser parser;
   std::vector<Frame> out;
-  if (!parser.take(bytes, out) || out.size() != 1) throw std::runtime_error("it isn't one whole frame");
+  if (!parser.take(bytes, out) || out.size() != 1)
+    throw std::runtime_error("it isn't one whole frame");
   return frame(out.front().type, out.front().channel, out.front().payload);
 }
 
@@ -23,7 +24,8 @@
 std::string reencode_table(const std::string& bytes) {
   Reader reader(bytes);
   const Table table = reader.table();
-  if (!reader.ok()) throw std::runtime_error("the table can't be read");
+  if (!reader.ok())
+    throw std::runtime_error("the table can't be read");
   return Writer().table(table).bytes();
 }
 
--- a/tests/golden/control_golden.cpp
+++ b/tests/golden/control_golden.cpp
@@ -11,7 +11,8 @@
 std::string reencode_frame(const std::string& bytes) {
   MessageReader reader(longest_to_invoker);
   std::vector<Message> out;
-  if (!reader.take(bytes, out) || out.size() != 1) throw std::runtime_error("it isn't one whole frame");
+  if (!reader.take(bytes, out) || out.size() != 1)
+    throw std::runtime_error("it isn't one whole frame");
   return encode(out.front());
 }
 
--- a/tests/golden/golden_part.cpp
+++ b/tests/golden/golden_part.cpp
@@ -60,12 +60,14 @@
 
 StoredSamples read_golden(const std::string& part) {
   std::ifstream file(path_of(part));
-  if (!file) throw std::runtime_error("no file " + path_of(part));
+  if (!file)
+    throw std::runtime_error("no file " + path_of(part));
   StoredSamples out;
   std::string line;
   while (std::getline(file, line)) {
     const std::size_t tab = line.find('\t');
-    if (tab == std::string::npos) throw std::runtime_error("a line without a tab in " + path_of(part));
+    if (tab == std::string::npos)
+      throw std::runtime_error("a line without a tab in " + path_of(part));
     out.emplace(line.substr(0, tab), unescaped(line.substr(tab + 1)));
   }
   return out;
@@ -73,8 +75,10 @@
 
 void write_golden(const Part& part) {
   std::ofstream file(path_of(part.name), std::ios::trunc);
-  for (const auto& sample : part.samples) file << sample.name << '\t' << escaped(sample.encoded) << '\n';
-  if (!file.flush()) throw std::runtime_error("can't write " + path_of(part.name));
+  for (const auto& sample : part.samples)
+    file << sample.name << '\t' << escaped(sample.encoded) << '\n';
+  if (!file.flush())
+    throw std::runtime_error("can't write " + path_of(part.name));
 }
 
 }  // namespace lotusyard::golden
--- a/tests/golden/golden_part.h
+++ b/tests/golden/golden_part.h
@@ -51,7 +51,8 @@
 // The value in `found`, or a failure that says that stored bytes can't be decoded.
 template <typename Optional>
 auto decoded(Optional&& found) {
-  if (!found) throw std::runtime_error("the stored bytes can't be decoded");
+  if (!found)
+    throw std::runtime_error("the stored bytes can't be decoded");
   return *std::forward<Optional>(found);
 }
 
--- a/tests/golden/golden_test.cpp
+++ b/tests/golden/golden_test.cpp
@@ -31,7 +31,8 @@
       const Part part = make();
       const StoredSamples stored = read_golden(name);
       for (const auto& sample : part.samples) {
-        if (!sample.reencode) continue;
+        if (!sample.reencode)
+          continue;
         INFO(name << ": " << sample.name);
         REQUIRE(stored.count(sample.name) == 1);
         std::string again;
@@ -45,7 +46,8 @@
 // Run by name, by whoever adds a sample. A file that changes otherwise holds forms that can't be read any
 // more.
 TEST_CASE("write the golden files", "[.write]") {
-  for (const auto& [name, make] : all_parts()) write_golden(make());
+  for (const auto& [name, make] : all_parts())
+    write_golden(make());
 }
 
 }  // namespace
--- a/tests/golden/hosts_golden.cpp
+++ b/tests/golden/hosts_golden.cpp
@@ -116,7 +116,8 @@
 std::string reencode_reply(const std::string& bytes) {
   hosts::LineParser parser;
   std::vector<hosts::Reply> out;
-  if (!parser.take(bytes, out) || out.size() != 1) throw std::runtime_error("it isn't one whole reply");
+  if (!parser.take(bytes, out) || out.size() != 1)
+    throw std::runtime_error("it isn't one whole reply");
   const hosts::Reply& reply = out.front();
   return reply.id + ' ' + reply.word + ' ' + (reply.fields.empty() ? "-" : reply.fields) + ' ' +
          std::to_string(reply.body.size()) + "\r\n" + reply.body + "\r\n";
--- a/tests/golden/raft_golden.cpp
+++ b/tests/golden/raft_golden.cpp
@@ -13,7 +13,8 @@
 std::string reencode_frame(const std::string& bytes) {
   FrameParser parser;
   std::vector<Frame> out;
-  if (!parser.parse(bytes, out) || out.size() != 1) throw std::runtime_error("it isn't one whole frame");
+  if (!parser.parse(bytes, out) || out.size() != 1)
+    throw std::runtime_error("it isn't one whole frame");
   return encode_frame(out.front().kind, out.front().body);
 }
 
--- a/tests/golden/recording_client.h
+++ b/tests/golden/recording_client.h
@@ -11,7 +11,8 @@
 // Calls wait as long as a busy machine needs.
 inline core::Settings patient_settings() {
   core::Settings out = test::settings();
-  for (auto& row : out.classes) row.deadline = core::Millis(60000);
+  for (auto& row : out.classes)
+    row.deadline = core::Millis(60000);
   return out;
 }
 
--- a/tests/golden/records_golden.cpp
+++ b/tests/golden/records_golden.cpp
@@ -23,7 +23,8 @@
 
 std::string reencode_view(const std::string& bytes) {
   node::SessionObservations views;
-  if (!views.update(1, bytes)) throw std::runtime_error("the view can't be decoded");
+  if (!views.update(1, bytes))
+    throw std::runtime_error("the view can't be decoded");
   return node::SessionObservations::encode("invoker-1", views.merged({}));
 }
 
@@ -34,7 +35,8 @@
   const control::Records odd = {{"", ""}, {"key", std::string("\0\xff", 2)}};
   const maintenance::HostObservations view = *sample_heartbeat().observations;
   Part out{"records", {}};
-  for (const auto& [key, value] : records) out.samples.push_back({"record " + key, value, {}});
+  for (const auto& [key, value] : records)
+    out.samples.push_back({"record " + key, value, {}});
   out.samples.push_back({"all records", control::encode_records(records), reencode_states});
   out.samples.push_back({"other records", control::encode_records(odd), reencode_records});
   out.samples.push_back(
--- a/tests/golden/resp_golden.cpp
+++ b/tests/golden/resp_golden.cpp
@@ -18,7 +18,8 @@
 std::string reencode_array(const std::string& bytes) {
   resp::Parser parser;
   std::vector<resp::Words> out;
-  if (!parser.take(bytes, out) || out.size() != 1) throw std::runtime_error("it isn't one whole array");
+  if (!parser.take(bytes, out) || out.size() != 1)
+    throw std::runtime_error("it isn't one whole array");
   return command({out.front().begin(), out.front().end()});
 }
 
@@ -37,7 +38,8 @@
     RecordingClient client(world, front_.address(), bytes);
     bool done = false;
     REQUIRE(world.turn_until([&] {
-      if (!done && front_.open_calls() > 0) when_sent();
+      if (!done && front_.open_calls() > 0)
+        when_sent();
       done = done || front_.open_calls() > 0;
       return !client.received_bytes().empty();
     }));
--- a/tests/golden/stores_golden.cpp
+++ b/tests/golden/stores_golden.cpp
@@ -35,7 +35,8 @@
   static int last_;
   std::string path_;
   void remove() const {
-    for (const char* suffix : {"", "-wal", "-shm", "-journal"}) std::remove((path_ + suffix).c_str());
+    for (const char* suffix : {"", "-wal", "-shm", "-journal"})
+      std::remove((path_ + suffix).c_str());
   }
 };
 int TemporaryFile::last_ = 0;
@@ -69,7 +70,8 @@
     std::vector<std::string> out;
     Query query(db_, sql.c_str());
     int code = query.step();
-    for (; code == SQLITE_ROW; code = query.step()) out.push_back(query.column_blob(0));
+    for (; code == SQLITE_ROW; code = query.step())
+      out.push_back(query.column_blob(0));
     REQUIRE(code == SQLITE_DONE);
     return out;
   }
@@ -105,7 +107,8 @@
   to.initialize(from.identity());
   to.set_term(from.term());
   to.set_vote(from.vote());
-  if (from.has_snapshot()) to.put_snapshot(from.snapshot(), 0);
+  if (from.has_snapshot())
+    to.put_snapshot(from.snapshot(), 0);
   to.append(from.entries());
 }
 
@@ -125,14 +128,16 @@
   out.stage = stage;
   out.answer = {verdict, Millis(verdict == core::Verdict::refused ? 250.5 : 0), body};
   out.at = Millis(1700000000000.25 + static_cast<int>(stage));
-  if (stage == ResultStage::confirmed) out.address = "answers";
+  if (stage == ResultStage::confirmed)
+    out.address = "answers";
   return out;
 }
 
 // By way of the stages that must come before the record's.
 void put(idempotency::SqliteResultStore& store, const std::string& id, const ResultRecord& last) {
   for (const ResultStage stage : {ResultStage::sent, ResultStage::answered}) {
-    if (stage >= last.stage) break;
+    if (stage >= last.stage)
+      break;
     ResultRecord before = last;
     before.stage = stage;
     before.address.clear();
--- a/tests/lotusyard/answers_test.cpp
+++ b/tests/lotusyard/answers_test.cpp
@@ -24,7 +24,8 @@
   }
   ~File() { remove(); }
   void remove() const {
-    for (const char* end : {"", "-wal", "-shm"}) std::remove((path + end).c_str());
+    for (const char* end : {"", "-wal", "-shm"})
+      std::remove((path + end).c_str());
   }
   std::string path;
 };
@@ -85,7 +86,8 @@
     for (int step = 0; step < 30; ++step) {
       const std::size_t dice = below(random, 8);
       const auto write = [&](ResultStage to, Verdict verdict = Verdict::served) {
-        if (!may_follow(stored ? std::optional<ResultStage>(stored->stage) : std::nullopt, to)) return false;
+        if (!may_follow(stored ? std::optional<ResultStage>(stored->stage) : std::nullopt, to))
+          return false;
         stored = record(to, verdict);
         return true;
       };
@@ -95,12 +97,15 @@
         open = decide(stored, arrival, trust) == Decision::run;
         may_have_run = false;
       } else if (dice < 5 && open && !may_have_run) {
-        if (!write(ResultStage::sent)) continue;
-        if (below(random, 3) == 0) continue;  // killed or cut off before it ran; nobody knows
+        if (!write(ResultStage::sent))
+          continue;
+        if (below(random, 3) == 0)
+          continue;  // killed or cut off before it ran; nobody knows
         const bool ran = below(random, 2) == 0;
         runs += ran;
         may_have_run = ran;
-        if (!ran) write(ResultStage::cleared);
+        if (!ran)
+          write(ResultStage::cleared);
       } else if (dice == 5 && open) {
         write(ResultStage::answered, may_have_run ? Verdict::served : Verdict::refused);
         open = false;
@@ -127,7 +132,8 @@
     const pid_t child = fork();
     if (child == 0) {
       Opened opened(file);
-      for (int i = 0; i < last; ++i) opened.store.put("m", record(steps[i]));
+      for (int i = 0; i < last; ++i)
+        opened.store.put("m", record(steps[i]));
       kill(getpid(), SIGKILL);
     }
     int status = 0;
@@ -138,8 +144,10 @@
     REQUIRE(opened.store.find("m", found));
     CHECK(opened.store.complete_from() == Millis(kNow));
     REQUIRE(found.has_value() == (last > 0));
-    if (last > 0) CHECK(found->stage == steps[last - 1]);
-    if (last >= 4) CHECK(found->answer.body == "body");
+    if (last > 0)
+      CHECK(found->stage == steps[last - 1]);
+    if (last >= 4)
+      CHECK(found->answer.body == "body");
   }
 }
 
@@ -160,7 +168,8 @@
   REQUIRE(opened.store.find("sent0", found));
   CHECK(found.has_value());
   CHECK(opened.store.complete_from() == Millis(kNow + 15));  // the newest that was forgotten
-  for (int i = 6; i < 20; ++i) opened.store.put("sent" + std::to_string(i), record(ResultStage::sent));
+  for (int i = 6; i < 20; ++i)
+    opened.store.put("sent" + std::to_string(i), record(ResultStage::sent));
   opened.store.prune(Millis(kNow + 30));
   CHECK(opened.store.size() <= 11);
   CHECK(opened.counters.value("answers.store_bound") > 0);  // and a further call is not begun
@@ -171,21 +180,25 @@
 TEST_CASE("with a damaged or full store no bin-record is begun, and bin-check goes on") {
   File file("damaged");
   const bool full = GENERATE(false, true);
-  if (!full) std::ofstream(file.path) << std::string(5000, 'x');
+  if (!full)
+    std::ofstream(file.path) << std::string(5000, 'x');
   Opened opened(file);
-  if (full) opened.store.limit_pages(1);
+  if (full)
+    opened.store.limit_pages(1);
   CHECK(opened.store.healthy() == full);
   Triggers t(1, 1, {}, settings(), &opened.store);
   t.broker.send("check", "bin-check", "x");
   REQUIRE(t.answered("check"));
   CHECK(word_of(t.broker.held["c-check"][0]) == "OK");
   const std::string stem(200, 'r');  // ids that soon fill what pages are left
-  for (int i = 0; i < 60; ++i) t.broker.send(stem + std::to_string(i), "bin-record", "y");
+  for (int i = 0; i < 60; ++i)
+    t.broker.send(stem + std::to_string(i), "bin-record", "y");
   REQUIRE(t.answered(stem + "59"));
   CHECK(word_of(t.broker.held["c-" + stem + "59"][0]) == "BUSY");
   CHECK(opened.counters.value(full ? "answers.store_full" : "answers.store_damaged") > 0);
   CHECK(!opened.log.empty());
-  if (!full) CHECK(t.world.host[0]->execs == 1);
+  if (!full)
+    CHECK(t.world.host[0]->execs == 1);
 }
 
 StandInBroker::Message again(const std::string& id) {
@@ -220,7 +233,8 @@
   }  // as if killed: "lost" is out and its answer never comes
   Opened opened(file);
   Triggers t(1, 1, {}, settings(), &opened.store);
-  for (const char* id : {"lost", "cleared", "answered", "done", "never"}) t.broker.put(again(id));
+  for (const char* id : {"lost", "cleared", "answered", "done", "never"})
+    t.broker.put(again(id));
   REQUIRE(t.answered("never"));
   REQUIRE(t.settled());
   CHECK(word_of(t.broker.held["c-lost"][0]) == "FAILED");
@@ -252,7 +266,8 @@
     for (const bool durable : {false, true}) {
       File file("cost");
       std::unique_ptr<Opened> opened;
-      if (durable) opened = std::make_unique<Opened>(file);
+      if (durable)
+        opened = std::make_unique<Opened>(file);
       Triggers t(3, static_cast<std::uint64_t>(pair) + 1, {}, settings(), durable ? &opened->store : nullptr);
       t.broker.send("first", "bin-record", "x");
       REQUIRE(t.answered("first"));
--- a/tests/lotusyard/client_close_paths_test.cpp
+++ b/tests/lotusyard/client_close_paths_test.cpp
@@ -37,7 +37,8 @@
   p.front.set_limits(limits);
   first.say(call_bytes(3));
   run_turns(p);
-  for (int tag = 1; tag <= 3; ++tag) answer_call(p, tag);
+  for (int tag = 1; tag <= 3; ++tag)
+    answer_call(p, tag);
   run_turns(p);
   CHECK(first.answers() == std::map<std::string, Words>{{"1", {"OK"}}, {"3", {"OK"}}});
   CHECK(second.answers() == std::map<std::string, Words>{{"2", {"OK"}}});
@@ -54,12 +55,14 @@
   REQUIRE(p.world.turn_until([&] { return p.world.host[0]->execs == 1; }, 1000));
   RawClient other(p);
   std::string many;
-  for (int tag = 2; tag <= 13; ++tag) many += call_bytes(tag, std::string(16000, 'x'));
+  for (int tag = 2; tag <= 13; ++tag)
+    many += call_bytes(tag, std::string(16000, 'x'));
   other.say(many);
   run_turns(p);
   const auto answers = other.answers();
   CHECK(answers.size() == 12);
-  for (const auto& [tag, words] : answers) CHECK(words == Words{"BUSY"});
+  for (const auto& [tag, words] : answers)
+    CHECK(words == Words{"BUSY"});
   CHECK(other.closed);
   CHECK(p.world.host[0]->execs == 1);
 }
@@ -74,14 +77,16 @@
   const bool repeated = GENERATE(true, false);
   const std::string fault = repeated ? call_bytes(1) : bytes_of({"CALL", "0"});
   std::string many;
-  for (int tag = 3; tag <= 12; ++tag) many += call_bytes(tag, std::string(16000, 'x'));
+  for (int tag = 3; tag <= 12; ++tag)
+    many += call_bytes(tag, std::string(16000, 'x'));
   client.say(fault + call_bytes(2) + many);
   run_turns(p);
   answer_call(p, 1);
   run_turns(p);
   const auto answers = client.answers();
   CHECK(answers.size() == 12);
-  for (const auto& [tag, words] : answers) CHECK(words == Words{tag == "1" ? "OK" : "BUSY"});
+  for (const auto& [tag, words] : answers)
+    CHECK(words == Words{tag == "1" ? "OK" : "BUSY"});
   CHECK(client.closed);
   CHECK(p.world.host[0]->execs == 1);
 }
@@ -91,13 +96,16 @@
   Platform p(1);
   RawClient client(p);
   std::string many;
-  for (int tag = 1; tag <= 65; ++tag) many += call_bytes(tag, "x", "no-class");
-  for (int tag = 66; tag <= 75; ++tag) many += call_bytes(tag, std::string(16000, 'x'));
+  for (int tag = 1; tag <= 65; ++tag)
+    many += call_bytes(tag, "x", "no-class");
+  for (int tag = 66; tag <= 75; ++tag)
+    many += call_bytes(tag, std::string(16000, 'x'));
   client.say(many);
   run_turns(p);
   const auto answers = client.answers();
   CHECK(answers.size() == 75);
-  for (const auto& [tag, words] : answers) CHECK(words == Words{std::stoi(tag) <= 65 ? "FAILED" : "BUSY"});
+  for (const auto& [tag, words] : answers)
+    CHECK(words == Words{std::stoi(tag) <= 65 ? "FAILED" : "BUSY"});
   CHECK(client.closed);
   CHECK(p.world.host[0]->execs == 0);
 }
--- a/tests/lotusyard/client_gone_test.cpp
+++ b/tests/lotusyard/client_gone_test.cpp
@@ -12,12 +12,14 @@
 
 std::string long_calls(int first, int count) {
   std::string out;
-  for (int tag = first; tag < first + count; ++tag) out += call_bytes(tag, std::string(kLongBody, 'x'));
+  for (int tag = first; tag < first + count; ++tag)
+    out += call_bytes(tag, std::string(kLongBody, 'x'));
   return out;
 }
 std::string cancels(int first, int count) {
   std::string out;
-  for (int tag = first; tag < first + count; ++tag) out += cancel_bytes(tag);
+  for (int tag = first; tag < first + count; ++tag)
+    out += cancel_bytes(tag);
   return out;
 }
 
@@ -28,7 +30,8 @@
   const auto usual = connect_host(p);
   RawClient client(p);
   client.say(long_calls(1, kCalls) + cancels(1, kCalls));
-  for (int i = 0; i < 10; ++i) turn_with(p.world, [] { usleep(30000); });
+  for (int i = 0; i < 10; ++i)
+    turn_with(p.world, [] { usleep(30000); });
   CHECK(p.world.host[0]->execs == 1);  // the usual one
   CHECK(p.world.dispatcher.open_calls() == 0);
 }
