--- a/tests/lotusyard/clubs_test.cpp
+++ b/tests/lotusyard/clubs_test.cpp
@@ -33,7 +33,8 @@
     void on_received(std::string_view bytes) override {
       std::vector<hosts::Reply> lines;
       REQUIRE(parser_.take(bytes, lines));
-      for (const auto& line : lines) host_.take(number, line);
+      for (const auto& line : lines)
+        host_.take(number, line);
     }
     void on_closed() override { host_.server.gone(*this); }
   };
@@ -49,9 +50,11 @@
 
   void say(int peer, const std::string& text) {
     for (const auto& p : server.peers) {
-      if (p->number != peer || p->is_closing()) continue;
+      if (p->number != peer || p->is_closing())
+        continue;
       p->write(text);
-      if (below(random_, 60) != 0) return;
+      if (below(random_, 60) != 0)
+        return;
       ++runs_.cut;  // the machine's network is poor: the answer may have gone out, or not
       return p->close_later();
     }
@@ -62,7 +65,8 @@
     return found->second;
   }
   void take(int peer, const hosts::Reply& line) {
-    if (line.id == "health" || line.id == "load") ++runs_.probes;
+    if (line.id == "health" || line.id == "load")
+      ++runs_.probes;
     const auto fields = net::parse_fields(line.fields);
     if (line.id == "ensure") {
       REQUIRE(fields);
@@ -73,22 +77,27 @@
       world_.loop.schedule_at(
           at, [this, peer, tag, stands] { say(peer, tag + " data count=" + (stands ? "1" : "0") + "\r\n"); });
     }
-    if (line.id != "exec") return;  // a cancel stops nothing
+    if (line.id != "exec")
+      return;  // a cancel stops nothing
     REQUIRE(fields);
     const std::string ref = line.word, body = line.body, key = net::field(*fields, "op");
-    if (below(random_, 40) == 0) return say(peer, ref + " full - 0\r\n\r\n");
+    if (below(random_, 40) == 0)
+      return say(peer, ref + " full - 0\r\n\r\n");
     const Millis arrived = world_.loop.now();
     const auto known = key.empty() ? runs_.keys.end() : runs_.keys.find(key);
     const bool repeat = known != runs_.keys.end() && arrived - known->second < kWindow;
-    if (!key.empty() && !repeat) runs_.keys[key] = arrived;
+    if (!key.empty() && !repeat)
+      runs_.keys[key] = arrived;
     ++inflight_;
     const Millis begins = std::max(load(net::field(*fields, "asset")), world_.loop.now());
     const Millis ends = begins + kRun * slow * (1.0 + static_cast<double>(below(random_, 3)));
     world_.loop.schedule_at(ends, [this, peer, ref, body, key, repeat] {
       --inflight_;
       runs_.dropped += repeat;
-      if (!repeat) ++runs_.by_body[body];
-      if (!repeat && !key.empty()) ++runs_.by_key[key];
+      if (!repeat)
+        ++runs_.by_body[body];
+      if (!repeat && !key.empty())
+        ++runs_.by_key[key];
       say(peer, ref + " data l=inflight:" + std::to_string(inflight_) + ";x0:0.2;x1:0,crowd=1 " +
                     std::to_string(body.size()) + "\r\n" + body + "\r\n");
     });
@@ -105,7 +114,8 @@
   CAPTURE(seed);
   Random random(seed);
   core::Settings s = keyed_settings(kWindow - Millis(100));  // from a send; a host counts from its arrival
-  for (auto& c : s.classes) c.aim = Millis(150), c.deadline = Millis(500);
+  for (auto& c : s.classes)
+    c.aim = Millis(150), c.deadline = Millis(500);
   s.miss_is_answered = s.probes = false;
   s.reports = lotusyard::policy::ReportMode::answers;
   s.report_fields = {lotusyard::policy::ReportField::inflight, lotusyard::policy::ReportField::pinned,
@@ -156,17 +166,20 @@
     c.arrived = world.loop.now();
     c.allow = std::min(Millis(250), t.first + Millis(500) - c.arrived);
     t.id = world.dispatcher.allocate_call_id();
-    if (world.dispatcher.admit(t.id, std::move(c), clients)) taken.insert(t.id);
+    if (world.dispatcher.admit(t.id, std::move(c), clients))
+      taken.insert(t.id);
   };
   const Millis began = world.loop.now();
   const auto retry = [&](Try& t) {  // as clients do: what the class allows, while its time lasts
     const auto found = clients.answers.find(t.id);
-    if (t.over || found == clients.answers.end()) return;
+    if (t.over || found == clients.answers.end())
+      return;
     const auto verdict = found->second.front().verdict;
     const bool again = verdict == core::Verdict::refused || t.cls != "bin-record";
     t.over = verdict == core::Verdict::served || !again || t.tries >= 3 ||
              world.loop.now() - t.first > Millis(400);
-    if (!t.over) send(t);
+    if (!t.over)
+      send(t);
   };
   while (wanted.size() < 500) {
     const Millis next = began + Millis(3.0 * static_cast<double>(wanted.size()));
@@ -174,24 +187,29 @@
     Try t;
     t.cls = s.classes[below(random, 3)].name;
     t.body = "b" + std::to_string(wanted.size());
-    if (t.cls == "booking") t.key = "k" + std::to_string(wanted.size());
+    if (t.cls == "booking")
+      t.key = "k" + std::to_string(wanted.size());
     t.function = 1 + below(random, 12);
     t.first = world.loop.now();
     wanted.push_back(t);
     send(wanted.back());
-    for (auto& other : wanted) retry(other);
-    if (wanted.size() % 100 != 0) continue;
+    for (auto& other : wanted)
+      retry(other);
+    if (wanted.size() % 100 != 0)
+      continue;
     fleet[below(random, 5)]->slow = 1.0 + static_cast<double>(below(random, 12));
   }
   const auto settled = [&] {
-    for (auto& t : wanted) retry(t);
+    for (auto& t : wanted)
+      retry(t);
     return world.dispatcher.open_calls() == 0;
   };
   REQUIRE(world.turn_until(settled, 20000));
   const Millis rest = world.loop.now() + kWindow;  // what was given up runs to its end
   world.turn_until([&] { return world.loop.now() > rest; });
 
-  for (const auto id : taken) CHECK(clients.answers[id].size() == 1);
+  for (const auto id : taken)
+    CHECK(clients.answers[id].size() == 1);
   std::size_t served = 0;
   for (const auto& t : wanted) {
     const auto& answers = clients.answers[t.id];
@@ -200,9 +218,11 @@
       CHECK(answers[0].body == t.body);
       CHECK(runs.by_body[t.body] >= 1);
     }
-    if (t.cls == "bin-record") CHECK(runs.by_body[t.body] <= 1);
+    if (t.cls == "bin-record")
+      CHECK(runs.by_body[t.body] <= 1);
   }
-  for (const auto& [key, count] : runs.by_key) CHECK(count == 1);
+  for (const auto& [key, count] : runs.by_key)
+    CHECK(count == 1);
   CHECK(runs.by_key.size() > 20);
   CHECK(runs.dropped > 0);
   CHECK(served > wanted.size() / 10);
--- a/tests/lotusyard/cluster.h
+++ b/tests/lotusyard/cluster.h
@@ -27,7 +27,8 @@
       m->config = s.folder.path + "/" + m->name + ".json";
       m->relay = std::make_unique<GroupRelay>(world, m->listen);
       peers.push_back({{"name", m->name}, {"address", m->relay->server.address()}, {"votes", i < voters}});
-      for (auto* list : {&processes, &called, &operated}) list->push_back(m.get());
+      for (auto* list : {&processes, &called, &operated})
+        list->push_back(m.get());
       members.push_back(std::move(m));
     }
     for (auto& m : members) {
@@ -35,7 +36,8 @@
       file["group"] = {{"cluster", "yard"},   {"store", s.folder.path + "/" + m->name + ".db"},
                        {"listen", m->listen}, {"members", peers},
                        {"lease_ms", lease},   {"election_ms", election}};
-      if (view_period > 0) file["group"]["view"] = {{"period_ms", view_period}};
+      if (view_period > 0)
+        file["group"]["view"] = {{"period_ms", view_period}};
       std::ofstream(m->config) << file.dump();
       const std::string init = std::string(LOTUSYARD_CLUSTER) + " group init " + m->config + " >/dev/null";
       REQUIRE(std::system(init.c_str()) == 0);
@@ -47,22 +49,33 @@
     const Member& other = *members[below(random, members.size())];
     const double span = 200 + static_cast<double>(below(random, 1500));
     switch (below(random, 6)) {
-      case 0: kill_for(m, span); break;
-      case 1: stop_for(m, span); break;
-      case 2: m.relay->cut.insert(other.name); break;
+      case 0:
+        kill_for(m, span);
+        break;
+      case 1:
+        stop_for(m, span);
+        break;
+      case 2:
+        m.relay->cut.insert(other.name);
+        break;
       case 3:
         for (const auto& one : members) {  // cut off from all, both ways
           m.relay->cut.insert(one->name);
           one->relay->cut.insert(m.name);
         }
         break;
-      case 4: m.relay->reset(); break;
-      default: heal(); break;
+      case 4:
+        m.relay->reset();
+        break;
+      default:
+        heal();
+        break;
     }
   }
   void heal() override {
     for (auto& m : members) {
-      for (const auto& from : members) m->relay->heal(from->name);
+      for (const auto& from : members)
+        m->relay->heal(from->name);
     }
   }
 };
--- a/tests/lotusyard/compliance_test.cpp
+++ b/tests/lotusyard/compliance_test.cpp
@@ -125,7 +125,9 @@
     try {
       compliance::parse_entry(what);
       return std::string("taken");
-    } catch (const std::exception& f) { return std::string(f.what()); }
+    } catch (const std::exception& f) {
+      return std::string(f.what());
+    }
   };
   json good = {
       {"t", "certify"},
--- a/tests/lotusyard/config_test.cpp
+++ b/tests/lotusyard/config_test.cpp
@@ -25,7 +25,9 @@
 std::string fault_of(const json& file) {
   try {
     config::read_config(file, {});
-  } catch (const config::ConfigError& fault) { return fault.what(); }
+  } catch (const config::ConfigError& fault) {
+    return fault.what();
+  }
   return {};
 }
 
@@ -100,7 +102,8 @@
       "bins", fault);
   REQUIRE(list);
   std::string states;
-  for (const auto& m : list->hosts) states += m.entry.state == core::WorkerState::ready ? 'r' : 'd';
+  for (const auto& m : list->hosts)
+    states += m.entry.state == core::WorkerState::ready ? 'r' : 'd';
   CHECK(states == "rddrd");
   CHECK(list->hosts[1].address == "127.0.0.1:2");
   CHECK(list->hosts[0].entry.zone == "osborne-park");
@@ -155,7 +158,9 @@
   try {
     config::check_replacement(config::outline(running), next);
     config::read_config(next, {});
-  } catch (const config::ConfigError& fault) { return fault.what(); }
+  } catch (const config::ConfigError& fault) {
+    return fault.what();
+  }
   return {};
 }
 
@@ -172,7 +177,8 @@
     for (json::json_pointer at(pointer); !at.empty(); at.pop_back()) {
       const std::string key = at.back();
       const bool optional = key == "Odd" || key == "AimStretch" || pointer.rfind("/known/", 0) == 0;
-      if (key.find_first_not_of("0123456789") == std::string::npos || optional) continue;
+      if (key.find_first_not_of("0123456789") == std::string::npos || optional)
+        continue;
       ++keys;
       INFO(at.to_string());
       json next = running;
@@ -180,8 +186,10 @@
       CHECK(fault_of_next(running, next).find(key) != std::string::npos);
       for (const json& other : {json("text"), json(7), json::array(), json::object(), json()}) {
         json changed = running;
-        if (other.is_number() == changed[at].is_number() && other.type() == changed[at].type()) continue;
-        if (other.is_number() && changed[at].is_number()) continue;
+        if (other.is_number() == changed[at].is_number() && other.type() == changed[at].type())
+          continue;
+        if (other.is_number() && changed[at].is_number())
+          continue;
         changed[at] = other;
         CHECK_FALSE(fault_of_next(running, changed).empty());
       }
--- a/tests/lotusyard/console_test.cpp
+++ b/tests/lotusyard/console_test.cpp
@@ -12,7 +12,8 @@
 
 // The parser's status: 0 if more is to come, 200 once whole, else what the caller is owed.
 int status_of(const Parser& parser) {
-  if (parser.state() == Parser::State::faulty) return parser.fault();
+  if (parser.state() == Parser::State::faulty)
+    return parser.fault();
   return parser.state() == Parser::State::whole ? 200 : 0;
 }
 int read_cut(Random& random, const std::string& bytes, admin::Request* out = nullptr) {
@@ -22,7 +23,8 @@
     parser.take(std::string_view(bytes).substr(at, part));
     at += part;
   }
-  if (out != nullptr) *out = parser.request();
+  if (out != nullptr)
+    *out = parser.request();
   return status_of(parser);
 }
 const std::string host = "Host: x\r\n";
@@ -74,7 +76,8 @@
       {505, "GET /-/ready HTTP/2.0\r\n"}};
   for (const auto& [status, bytes] : faulty) {
     INFO(bytes.substr(0, 120));
-    for (int i = 0; i < 20; ++i) CHECK(read_cut(random, bytes) == status);
+    for (int i = 0; i < 20; ++i)
+      CHECK(read_cut(random, bytes) == status);
   }
 }
 
@@ -82,7 +85,8 @@
   Random random(7);
   for (int i = 0; i < 3000; ++i) {
     std::string bytes = garbage(random, "GET POST/-hosts%2: \r\n0123456789HTTP.Content-Length");
-    if (below(random, 2) == 0) bytes = "POST /-/hosts/a/enable HTTP/1.1\r\n" + bytes;
+    if (below(random, 2) == 0)
+      bytes = "POST /-/hosts/a/enable HTTP/1.1\r\n" + bytes;
     const int status = read_cut(random, bytes);
     CHECK((status == 0 || status == 200 || (status >= 400 && status < 600)));
   }
@@ -115,8 +119,10 @@
   OperationResult disable(const std::string& id) override { return change("out " + id, id); }
   OperationResult enable(const std::string& id) override { return change("in " + id, id); }
   OperationResult change(const std::string& what, const std::string& id) {
-    if (id != "s-1") return OperationResult::unknown_host;
-    if (!keeps) return OperationResult::not_persisted;
+    if (id != "s-1")
+      return OperationResult::unknown_host;
+    if (!keeps)
+      return OperationResult::not_persisted;
     told.push_back(what);
     return OperationResult::done;
   }
@@ -162,7 +168,8 @@
   std::list<Call> halves;
   for (int i = 0; i < 30; ++i) {
     halves.emplace_back(desk.world, desk.admin_endpoint.address(), i % 2 == 0 ? "" : "GET /-/rea");
-    if (i % 3 == 0) CHECK(desk.ask(get("/-/ready")) == 200);
+    if (i % 3 == 0)
+      CHECK(desk.ask(get("/-/ready")) == 200);
   }
   REQUIRE(desk.world.turn_until(
       [&] { return std::all_of(halves.begin(), halves.end(), [](const auto& c) { return c.closed; }); }));
@@ -200,9 +207,11 @@
         call->flush_now();
       }
       const auto until = desk.world.loop.now() + Millis(5);
-      while (desk.world.loop.now() < until) {}
+      while (desk.world.loop.now() < until) {
+      }
       ++worked;
-      if (worked_after < 0 && desk.world.counters.value("console.calls") > 0) worked_after = worked;
+      if (worked_after < 0 && desk.world.counters.value("console.calls") > 0)
+        worked_after = worked;
     }));
     desk.world.loop.register_handler(ends.back().fd(), *crowd.back(), POLLIN);
   }
@@ -210,7 +219,8 @@
   CHECK(turns_begun == 1);
   CHECK(desk.world.counters.value("console.calls") == 1);
   CHECK((worked_after > 0 && worked_after < 40));
-  for (std::size_t i = 0; i < crowd.size(); ++i) desk.world.loop.unregister(ends[i].fd(), *crowd[i]);
+  for (std::size_t i = 0; i < crowd.size(); ++i)
+    desk.world.loop.unregister(ends[i].fd(), *crowd[i]);
 }
 
 }  // namespace
--- a/tests/lotusyard/core_test.cpp
+++ b/tests/lotusyard/core_test.cpp
@@ -20,7 +20,8 @@
                     Millis patience) override {
     CHECK(patience.count() > 0);
     CHECK(answers.count(a.call) == 0);
-    for (const auto& [other, o] : attempts) CHECK_FALSE((other.call == a.call && o.out));
+    for (const auto& [other, o] : attempts)
+      CHECK_FALSE((other.call == a.call && o.out));
     CHECK(a.number < 4);
     attempts[a] = {call.body, host};
   }
@@ -105,11 +106,14 @@
       }
       const auto now_out = b.desk.attempts;
       for (const auto& [attempt, o] : now_out) {
-        if (!b.desk.attempts[attempt].out || below(random, 3) != 0) continue;
+        if (!b.desk.attempts[attempt].out || below(random, 3) != 0)
+          continue;
         const auto outcome = static_cast<core::Outcome>(below(random, 9));
-        if (outcome == core::Outcome::timeout || outcome == core::Outcome::cancelled) continue;
+        if (outcome == core::Outcome::timeout || outcome == core::Outcome::cancelled)
+          continue;
         b.desk.attempts[attempt].out = false;
-        if (!lotusyard::policy::proves_never_ran(outcome)) ++may_have_run[attempt.call];
+        if (!lotusyard::policy::proves_never_ran(outcome))
+          ++may_have_run[attempt.call];
         b.dispatcher.attempt_ended(attempt, {outcome, 0, std::nullopt, o.body});
       }
       if (below(random, 10) == 0 && !deadline.empty()) {
@@ -122,7 +126,8 @@
       }
       b.pass(Millis(static_cast<double>(below(random, 40))));
       for (const auto& [id, at] : deadline) {
-        if (b.now > at + Millis(16) && !left[id]) CHECK(b.desk.answers[id].size() == 1);
+        if (b.now > at + Millis(16) && !left[id])
+          CHECK(b.desk.answers[id].size() == 1);
       }
     }
     b.pass(Millis(3000));
@@ -130,10 +135,13 @@
     for (const auto& [id, at] : deadline) {
       const auto& answers = b.desk.answers[id];
       CHECK(answers.size() == (left[id] ? 0U : 1U));
-      if (once[id]) CHECK(may_have_run[id] <= 1);
-      if (!answers.empty() && answers[0].verdict == core::Verdict::refused) CHECK(may_have_run[id] == 0);
+      if (once[id])
+        CHECK(may_have_run[id] <= 1);
+      if (!answers.empty() && answers[0].verdict == core::Verdict::refused)
+        CHECK(may_have_run[id] == 0);
     }
-    for (const auto& [attempt, o] : b.desk.attempts) CHECK_FALSE(o.out);
+    for (const auto& [attempt, o] : b.desk.attempts)
+      CHECK_FALSE(o.out);
   }
 }
 
@@ -252,9 +260,11 @@
   one.classes.resize(1);
   Bench b(1, one);
   std::vector<core::CallId> ids;  // more than one host takes at once: the rest is held
-  for (int i = 0; i < 40; ++i) ids.push_back(b.call("bin-check", "00000000000000" + std::to_string(10 + i)));
+  for (int i = 0; i < 40; ++i)
+    ids.push_back(b.call("bin-check", "00000000000000" + std::to_string(10 + i)));
   std::set<core::CallId> out;
-  for (const auto& [attempt, o] : b.desk.attempts) out.insert(attempt.call);
+  for (const auto& [attempt, o] : b.desk.attempts)
+    out.insert(attempt.call);
   REQUIRE((!out.empty() && out.size() < ids.size() - 1));
   const auto spared = *std::find_if(ids.begin(), ids.end(), [&](auto id) { return out.count(id) == 0; });
   b.dispatcher.abort_calls(core::Dispatcher::CallSelection::never_sent,
@@ -262,11 +272,13 @@
   for (const auto id : ids) {
     const bool goes_on = out.count(id) != 0 || id == spared;
     REQUIRE(b.desk.answers.count(id) == (goes_on ? 0 : 1));
-    if (!goes_on) CHECK(b.desk.answers[id].at(0).verdict == core::Verdict::refused);
+    if (!goes_on)
+      CHECK(b.desk.answers[id].at(0).verdict == core::Verdict::refused);
   }
   for (const auto& [attempt, o] : std::map<core::Attempt, Desk::Out>(b.desk.attempts))
     b.dispatcher.attempt_ended(attempt, {core::Outcome::ok, 0, std::nullopt, {}});
-  for (const auto id : out) CHECK(b.desk.answers[id].size() == 1);
+  for (const auto id : out)
+    CHECK(b.desk.answers[id].size() == 1);
 }
 
 }  // namespace
--- a/tests/lotusyard/descriptors_test.cpp
+++ b/tests/lotusyard/descriptors_test.cpp
@@ -18,12 +18,14 @@
   const rlimit least{96, 96};
   REQUIRE(prlimit(process.pid(), RLIMIT_NOFILE, &least, nullptr) == 0);
   s.log.server.stop();
-  for (const auto& peer : s.log.server.peers) peer->close_later();
+  for (const auto& peer : s.log.server.peers)
+    peer->close_later();
   process.signal(SIGSTOP);  // all of them stand before it in one turn
   std::list<Tablet> idle;
   for (int i = 0; i < 300; ++i) {  // every second one has asked something once
     idle.emplace_back(s.world, s.listen);
-    if (i % 2 == 0) idle.back().call(1, "bin-check", "idle" + std::to_string(i));
+    if (i % 2 == 0)
+      idle.back().call(1, "bin-check", "idle" + std::to_string(i));
     s.world.turn();
   }
   process.signal(SIGCONT);
--- a/tests/lotusyard/discovery_test.cpp
+++ b/tests/lotusyard/discovery_test.cpp
@@ -31,7 +31,8 @@
         text += std::to_string(log_.events) + "\n";
         write(text.substr(0, below(log_.random, text.size() + 1)));
         flush_now();
-        if (!log_.stays_open) close_later();
+        if (!log_.stays_open)
+          close_later();
       }
     }
     void on_closed() override { log_.server.gone(*this); }
@@ -50,13 +51,16 @@
   core::Counters counters;
   StandInLog log(loop, pool);
   std::vector<std::string> told, all;
-  for (int i = 4; i <= 20; ++i) all.push_back("s" + std::to_string(i));
+  for (int i = 4; i <= 20; ++i)
+    all.push_back("s" + std::to_string(i));
   discovery::Discovery discovery(loop, pool, counters, log.server.address(), discovery::Log(3),
                                  [&](const core::HostListUpdate& list) {
-                                   for (const auto& m : list.hosts) told.push_back(m.entry.worker);
+                                   for (const auto& m : list.hosts)
+                                     told.push_back(m.entry.worker);
                                  });
   discovery.start();
-  for (int i = 0; i < 5000 && told.size() < all.size(); ++i) loop.run_once(loop.now() + Millis(20), [] {});
+  for (int i = 0; i < 5000 && told.size() < all.size(); ++i)
+    loop.run_once(loop.now() + Millis(20), [] {});
   CHECK(told == all);
   CHECK(log.asked.size() > 1);
   CHECK(log.asked.front() == 3);
@@ -75,7 +79,8 @@
       loop, pool, counters, old.server.address(), discovery::Log(3),
       [&](const core::HostListUpdate& list) { told.push_back(list.hosts.at(0).entry.worker); });
   const auto turn_until = [&](const auto& until) {
-    for (int i = 0; i < 5000 && !until(); ++i) loop.run_once(loop.now() + Millis(20), [] {});
+    for (int i = 0; i < 5000 && !until(); ++i)
+      loop.run_once(loop.now() + Millis(20), [] {});
     return until();
   };
   discovery.start();
@@ -103,9 +108,11 @@
   Millis next = loop.now();
   for (int i = 0; i < 5000 && log.asked.size() < 2; ++i) {
     loop.run_once(loop.now() + Millis(20), [] {});
-    if (loop.now() < next) continue;
+    if (loop.now() < next)
+      continue;
     next = loop.now() + Millis(20);
-    for (const auto& peer : log.server.peers) peer->write("x");  // it trickles on, but no line ends
+    for (const auto& peer : log.server.peers)
+      peer->write("x");  // it trickles on, but no line ends
   }
   CHECK(log.asked.size() == 2);
   CHECK(log.asked.back() == told);
--- a/tests/lotusyard/fault_vfs.cpp
+++ b/tests/lotusyard/fault_vfs.cpp
@@ -14,7 +14,8 @@
     bytes.resize(std::min(bytes.size(), change.offset));
     return;
   }
-  if (bytes.size() < change.offset + change.data.size()) bytes.resize(change.offset + change.data.size());
+  if (bytes.size() < change.offset + change.data.size())
+    bytes.resize(change.offset + change.data.size());
   bytes.replace(change.offset, change.data.size(), change.data);
 }
 
@@ -22,32 +23,41 @@
   Change change{offset, data, false};
   const bool crashes = crashes_now();
   const bool was_crashed = std::exchange(crashed_, crashes);
-  if (was_crashed) return SQLITE_IOERR_WRITE;
+  if (was_crashed)
+    return SQLITE_IOERR_WRITE;
   const bool grows = offset + data.size() > file.bytes.size();
   const bool full = (is_full && grows) || happens(rates.full);
   const bool fails = full || crashes || happens(rates.write_error);
-  if (fails) change.data.resize(random_() % (data.size() + 1));  // a short write
+  if (fails)
+    change.data.resize(random_() % (data.size() + 1));  // a short write
   apply(file.bytes, change);
   file.unsynced.push_back(std::move(change));
-  if (!fails) return SQLITE_OK;
+  if (!fails)
+    return SQLITE_OK;
   return full ? SQLITE_FULL : SQLITE_IOERR_WRITE;
 }
 
 int FaultDisk::truncate(Content& file, std::size_t size) {
-  if (crashes_now()) crashed_ = true;
-  if (crashed_ || happens(rates.write_error)) return SQLITE_IOERR_TRUNCATE;
+  if (crashes_now())
+    crashed_ = true;
+  if (crashed_ || happens(rates.write_error))
+    return SQLITE_IOERR_TRUNCATE;
   file.unsynced.push_back({size, {}, true});
   apply(file.bytes, file.unsynced.back());
   return SQLITE_OK;
 }
 
 int FaultDisk::sync(Content& file) {
-  if (crashes_now()) crashed_ = true;
-  if (crashed_) return SQLITE_IOERR_FSYNC;
-  if (sync_lies) return SQLITE_OK;
+  if (crashes_now())
+    crashed_ = true;
+  if (crashed_)
+    return SQLITE_IOERR_FSYNC;
+  if (sync_lies)
+    return SQLITE_OK;
   if (happens(rates.sync_error)) {
     // As kernels do: what could not be written is forgotten, and a later sync says nothing of it.
-    if (random_() % 2 == 0) file.unsynced.clear();
+    if (random_() % 2 == 0)
+      file.unsynced.clear();
     return SQLITE_IOERR_FSYNC;
   }
   file.durable = file.bytes;
@@ -56,8 +66,10 @@
 }
 
 int FaultDisk::remove(const std::string& name) {
-  if (crashes_now()) crashed_ = true;
-  if (crashed_) return SQLITE_IOERR_DELETE;
+  if (crashes_now())
+    crashed_ = true;
+  if (crashed_)
+    return SQLITE_IOERR_DELETE;
   return files_.erase(name) == 1 ? SQLITE_OK : SQLITE_IOERR_DELETE_NOENT;
 }
 
@@ -70,8 +82,10 @@
     if (crash_kind == Crash::power_lost) {
       std::string survived = file->durable;
       for (auto& change : file->unsynced) {
-        if (random_() % 2 == 0) continue;
-        if (!change.truncates && random_() % 4 == 0) change.data.resize(random_() % (change.data.size() + 1));
+        if (random_() % 2 == 0)
+          continue;
+        if (!change.truncates && random_() % 4 == 0)
+          change.data.resize(random_() % (change.data.size() + 1));
         apply(survived, change);
       }
       file->bytes = survived;
@@ -98,13 +112,15 @@
     FaultFile& me = of(file);
     unlock(file, SQLITE_LOCK_NONE);
     --me.content->open;
-    if (me.deletes_on_close) me.disk->files_.erase(me.name);
+    if (me.deletes_on_close)
+      me.disk->files_.erase(me.name);
     me.~FaultFile();
     return SQLITE_OK;
   }
   static int read(sqlite3_file* file, void* out, int size, sqlite3_int64 offset) {
     FaultFile& me = of(file);
-    if (me.disk->crashed_ || me.disk->happens(me.disk->rates.read_error)) return SQLITE_IOERR_READ;
+    if (me.disk->crashed_ || me.disk->happens(me.disk->rates.read_error))
+      return SQLITE_IOERR_READ;
     const auto& bytes = me.content->bytes;
     const auto from = std::min(static_cast<std::size_t>(offset), bytes.size());
     const auto got = std::min(bytes.size() - from, static_cast<std::size_t>(size));
@@ -130,13 +146,16 @@
     const bool others_reserve = content.reserved != nullptr && content.reserved != &me;
     const bool others_read = content.shared.size() > content.shared.count(&me);
     if (level == SQLITE_LOCK_SHARED) {
-      if (content.is_exclusive && others_reserve) return SQLITE_BUSY;
+      if (content.is_exclusive && others_reserve)
+        return SQLITE_BUSY;
       content.shared.insert(&me);
       return SQLITE_OK;
     }
-    if (others_reserve || (level == SQLITE_LOCK_EXCLUSIVE && others_read)) return SQLITE_BUSY;
+    if (others_reserve || (level == SQLITE_LOCK_EXCLUSIVE && others_read))
+      return SQLITE_BUSY;
     content.reserved = &me;
-    if (level == SQLITE_LOCK_EXCLUSIVE) content.is_exclusive = true;
+    if (level == SQLITE_LOCK_EXCLUSIVE)
+      content.is_exclusive = true;
     return SQLITE_OK;
   }
   static int unlock(sqlite3_file* file, int level) {
@@ -146,7 +165,8 @@
       content.reserved = nullptr;
       content.is_exclusive = false;
     }
-    if (level == SQLITE_LOCK_NONE) content.shared.erase(&me);
+    if (level == SQLITE_LOCK_NONE)
+      content.shared.erase(&me);
     return SQLITE_OK;
   }
   static int is_reserved(sqlite3_file* file, int* out) {
@@ -217,15 +237,20 @@
 int FaultVfs::open(sqlite3_vfs* vfs, const char* path, sqlite3_file* file, int flags, int* out_flags) {
   FaultDisk& disk = of(vfs).disk_of(path);
   file->pMethods = nullptr;
-  if (disk.crashed_ || disk.happens(disk.rates.open_error)) return SQLITE_CANTOPEN;
-  if (disk.happens(disk.rates.no_memory)) return SQLITE_NOMEM;
+  if (disk.crashed_ || disk.happens(disk.rates.open_error))
+    return SQLITE_CANTOPEN;
+  if (disk.happens(disk.rates.no_memory))
+    return SQLITE_NOMEM;
   const std::string name = path == nullptr ? "temporary" : path;
   auto& content = disk.files_[name];
-  if (!content) content = std::make_shared<FaultDisk::Content>();
+  if (!content)
+    content = std::make_shared<FaultDisk::Content>();
   ++content->open;
   new (file) FaultFile{{&kMethods}, &disk, content, name, (flags & SQLITE_OPEN_DELETEONCLOSE) != 0};
-  if (disk.is_read_only) flags = (flags & ~SQLITE_OPEN_READWRITE) | SQLITE_OPEN_READONLY;
-  if (out_flags != nullptr) *out_flags = flags;
+  if (disk.is_read_only)
+    flags = (flags & ~SQLITE_OPEN_READWRITE) | SQLITE_OPEN_READONLY;
+  if (out_flags != nullptr)
+    *out_flags = flags;
   return SQLITE_OK;
 }
 
@@ -241,7 +266,8 @@
 }
 
 int FaultVfs::randomness(sqlite3_vfs* vfs, int size, char* out) {
-  for (int i = 0; i < size; ++i) out[i] = static_cast<char>(of(vfs).random_());
+  for (int i = 0; i < size; ++i)
+    out[i] = static_cast<char>(of(vfs).random_());
   return size;
 }
 
--- a/tests/lotusyard/fleet_test.cpp
+++ b/tests/lotusyard/fleet_test.cpp
@@ -20,11 +20,13 @@
     for (const auto& line : lines()) {
       std::istringstream in(line);
       std::string word;
-      if (!(in >> word) || word != part) continue;
+      if (!(in >> word) || word != part)
+        continue;
       Line read;
       while (in >> word) {
         const auto at = word.find('=');
-        if (at != std::string::npos) read.words[word.substr(0, at)] = word.substr(at + 1);
+        if (at != std::string::npos)
+          read.words[word.substr(0, at)] = word.substr(at + 1);
       }
       read.at = std::stod(read.words["at"]);
       read.member = read.words["member"];
@@ -35,14 +37,16 @@
   }
   std::map<std::string, double> parts() const {
     std::map<std::string, double> out;
-    for (const auto& line : told("shares")) out[line.member] = std::stod(line.words.at("part"));
+    for (const auto& line : told("shares"))
+      out[line.member] = std::stod(line.words.at("part"));
     return out;
   }
   // What the member believes of another now.
   std::string believes(const std::string& member, const std::string& of) const {
     std::string out;
     for (const auto& line : told("view")) {
-      if (line.member == member && line.words.at("of") == of) out = line.words.at("standing");
+      if (line.member == member && line.words.at("of") == of)
+        out = line.words.at("standing");
     }
     return out;
   }
@@ -68,17 +72,20 @@
     auto dead = killed.begin();
     double most = 0;
     for (const auto& line : told("shares")) {
-      for (; dead != killed.end() && dead->first <= line.at; ++dead) now.erase(dead->second);
+      for (; dead != killed.end() && dead->first <= line.at; ++dead)
+        now.erase(dead->second);
       now[line.member] = std::stod(line.words.at("part"));
       double sum = 0;
-      for (const auto& [member, part] : now) sum += part;
+      for (const auto& [member, part] : now)
+        sum += part;
       most = std::max(most, sum);
     }
     return most;
   }
   void cut_off(const Member& m, bool cut) {
     for (const auto& other : members) {
-      if (other->name == m.name) continue;
+      if (other->name == m.name)
+        continue;
       if (cut) {
         other->relay->cut.insert(m.name);
         const_cast<Member&>(m).relay->cut.insert(other->name);
@@ -170,7 +177,8 @@
   REQUIRE(fleet.soon([&] { return wrote(fleet, "\"name\":\"c1\",\"round\"") > revoked; }));
   const double over = wrote(fleet, "\"name\":\"c1\",\"round\"");
   wait(1000);
-  for (std::size_t host = 0; host < 4; ++host) CHECK(calls_at(fleet, host, over) == 0);
+  for (std::size_t host = 0; host < 4; ++host)
+    CHECK(calls_at(fleet, host, over) == 0);
   CHECK(fleet.broken_rule(1) == "");
 }
 
--- a/tests/lotusyard/gather_test.cpp
+++ b/tests/lotusyard/gather_test.cpp
@@ -52,7 +52,8 @@
 
 TEST_CASE("a sign of life that fits no entry is left out and counted, the others are not") {
   auto heard = heard_from(3);
-  for (int i = 0; i < 40000; ++i) heard["m1"].drained_hosts.insert("host-" + std::to_string(i));
+  for (int i = 0; i < 40000; ++i)
+    heard["m1"].drained_hosts.insert("host-" + std::to_string(i));
   const AggregatedHeartbeats gathered = aggregate_heartbeats(std::move(heard), "{}");
   CHECK(gathered.dropped == 1);
   REQUIRE(gathered.entries.size() == 1);
--- a/tests/lotusyard/group_relay.h
+++ b/tests/lotusyard/group_relay.h
@@ -26,7 +26,8 @@
     Peer(GroupRelay& relay, net::EventLoop& loop, net::BufferPool& pool, net::Socket socket)
         : BufferedConnection(loop, pool, std::move(socket), false), relay_(relay), inner_(relay) {
       inner_.back = [this](std::string_view more) {
-        if (!dead) write(more);
+        if (!dead)
+          write(more);
       };
       inner_.gone = [this] { close_later(); };
     }
@@ -44,10 +45,12 @@
                                true) {}
       void on_connected() override { loop().flush_later(*this); }
       void on_received(std::string_view bytes) override {
-        if (back) back(bytes);
+        if (back)
+          back(bytes);
       }
       void on_closed() override {
-        if (gone) gone();
+        if (gone)
+          gone();
       }
       std::function<void(std::string_view)> back;
       std::function<void()> gone;
@@ -58,11 +61,15 @@
     void on_received(std::string_view bytes) override {
       if (from.empty()) {
         std::vector<Frame> frames;
-        if (!parser_.parse(bytes, frames)) return over();
-        if (!frames.empty()) from = raft::decode_hello(frames[0].body).value_or(raft::Hello()).member;
+        if (!parser_.parse(bytes, frames))
+          return over();
+        if (!frames.empty())
+          from = raft::decode_hello(frames[0].body).value_or(raft::Hello()).member;
       }
-      if (relay_.cut.count(from) != 0) dead = true;  // whatever comes is lost, and nobody is told
-      if (dead) return;
+      if (relay_.cut.count(from) != 0)
+        dead = true;  // whatever comes is lost, and nobody is told
+      if (dead)
+        return;
       inner_.write(bytes);
     }
     void on_closed() override {
@@ -71,12 +78,14 @@
     }
   };
   void reset() {
-    for (const auto& peer : server.peers) peer->over();
+    for (const auto& peer : server.peers)
+      peer->over();
   }
   void heal(const std::string& from) {
     cut.erase(from);
     for (const auto& peer : server.peers) {
-      if (peer->dead) peer->over();
+      if (peer->dead)
+        peer->over();
     }
   }
   std::set<std::string> cut;  // members from whom nothing comes through
--- a/tests/lotusyard/group_test.cpp
+++ b/tests/lotusyard/group_test.cpp
@@ -51,7 +51,8 @@
     CHECK(store.entries()[1].data == std::string("t\0wo", 4));
     store.set_term(8);
     CHECK(store.vote() == 0);
-    for (int i = 0; i < 20; ++i) store.append({{8, RAFT_COMMAND, std::string(100, 'x')}});
+    for (int i = 0; i < 20; ++i)
+      store.append({{8, RAFT_COMMAND, std::string(100, 'x')}});
     store.put_snapshot({18, 8, 1, {{3, "127.0.0.1:1", RAFT_VOTER}}, "board"}, 4);
     CHECK(store.first_index() == 15);
     CHECK(store.entries().size() == 8);
@@ -77,7 +78,8 @@
       for (int i = 1;; ++i) {
         store.set_term(static_cast<std::uint64_t>(i));
         store.append({{static_cast<std::uint64_t>(i), RAFT_COMMAND, std::string(3000, 'e')}});
-        if (write(out, "x", 1) != 1) _exit(1);  // told, once it is kept
+        if (write(out, "x", 1) != 1)
+          _exit(1);  // told, once it is kept
       }
     }
     usleep(static_cast<useconds_t>(20000 + 7000 * round));
@@ -89,7 +91,8 @@
     const auto entries = store.entries();
     CHECK(entries.size() >= promised);
     CHECK(entries.size() <= promised + 1);
-    for (const auto& e : entries) CHECK(e.data == std::string(3000, 'e'));
+    for (const auto& e : entries)
+      CHECK(e.data == std::string(3000, 'e'));
     CHECK(store.term() >= entries.size());
   }
 }
@@ -106,8 +109,10 @@
     setrlimit(RLIMIT_FSIZE, &most);
     std::size_t done = 0;
     try {
-      for (;; ++done) store.append({{1, RAFT_COMMAND, std::string(3000, 'e')}});
-    } catch (const LogStoreError&) {}
+      for (;; ++done)
+        store.append({{1, RAFT_COMMAND, std::string(3000, 'e')}});
+    } catch (const LogStoreError&) {
+    }
     _exit(static_cast<int>(std::min<std::size_t>(done, 200)));
   }
   int status = 0;
@@ -127,7 +132,8 @@
     {
       LogStore store(path);
       store.initialize({"yard", "a", 1, 0});
-      for (int i = 0; i < 20; ++i) store.append({{1, RAFT_COMMAND, std::string(500, 'e')}});
+      for (int i = 0; i < 20; ++i)
+        store.append({{1, RAFT_COMMAND, std::string(500, 'e')}});
     }
     std::ostringstream text;
     text << std::ifstream(path, std::ios::binary).rdbuf();
@@ -135,7 +141,8 @@
     if (round % 2 == 0) {
       bytes.resize(below(random, bytes.size()));
     } else {
-      for (int i = 0; i < 50; ++i) bytes[below(random, bytes.size())] = static_cast<char>(random());
+      for (int i = 0; i < 50; ++i)
+        bytes[below(random, bytes.size())] = static_cast<char>(random());
     }
     std::ofstream(path, std::ios::binary | std::ios::trunc) << bytes;
     try {
@@ -182,7 +189,8 @@
       spoilt.resize(below(random, spoilt.size()));
     else
       spoilt[below(random, spoilt.size())] = static_cast<char>(random());
-    if (auto read = raft::decode_message(spoilt)) raft::free_message(*read);
+    if (auto read = raft::decode_message(spoilt))
+      raft::free_message(*read);
     FrameParser parser;
     std::vector<Frame> out;
     parser.parse(garbage(random, std::string("\0\0\0\x01\x02\x03", 6)), out);
@@ -238,7 +246,8 @@
   const std::string broken = cluster.run(0, 2);
   INFO(cluster.all_logs());
   REQUIRE(broken == "");
-  for (auto& m : cluster.members) m->process->signal(SIGTERM);
+  for (auto& m : cluster.members)
+    m->process->signal(SIGTERM);
   for (auto& m : cluster.members) {
     REQUIRE(cluster.s.until([&] { return m->process->status() >= 0; }));
     CHECK(m->process->status() == 0);
@@ -276,16 +285,19 @@
   Cluster::Member& away = *cluster.members[2];
   const auto touches = [&] {
     int out = 0;
-    for (const auto& h : maintenance::parse_timeline(cluster.lines()).entries) out += h.what == "touch";
+    for (const auto& h : maintenance::parse_timeline(cluster.lines()).entries)
+      out += h.what == "touch";
     return out;
   };
   double checked = 0;
   const auto touched = [&](int times) {
     return cluster.until(
         [&] {
-          if (cluster.world.loop.now().count() < checked) return false;
+          if (cluster.world.loop.now().count() < checked)
+            return false;
           checked = cluster.world.loop.now().count() + 50;
-          if (touches() >= times) return true;
+          if (touches() >= times)
+            return true;
           cluster.give_back(0);
           return false;
         },
@@ -345,7 +357,8 @@
   };
   Cluster::Member& lost = *cluster.members[2];
   end(lost);
-  for (const char* part : {"", "-wal", "-shm"}) std::remove((cluster.s.folder.path + "/c.db" + part).c_str());
+  for (const char* part : {"", "-wal", "-shm"})
+    std::remove((cluster.s.folder.path + "/c.db" + part).c_str());
   cluster.start(lost);
   const bool in = ready(lost);
   INFO(cluster.all_logs());
--- a/tests/lotusyard/helper.h
+++ b/tests/lotusyard/helper.h
@@ -53,7 +53,8 @@
   s.classes[0].name = "bin-check";
   s.classes[0].semantics = lotusyard::policy::Semantics::repeatable;
   s.classes[1].name = "bin-record";
-  for (auto& c : s.classes) c.aim = c.deadline = Millis(1500);
+  for (auto& c : s.classes)
+    c.aim = c.deadline = Millis(1500);
   s.tick = Millis(4);
   s.answer_grace = Millis(16);
   s.drain_grace = Millis(2000);
@@ -93,7 +94,8 @@
   }
   ~Server() override { stop(); }
   void stop() {
-    if (listener_) loop_.unregister(listener_.fd(), *this);
+    if (listener_)
+      loop_.unregister(listener_.fd(), *this);
     listener_.close();
   }
   const std::string& address() const { return address_; }
@@ -105,7 +107,8 @@
   }
   void gone(Peer& peer) {
     for (auto i = peers.begin(); i != peers.end(); ++i) {
-      if (i->get() != &peer) continue;
+      if (i->get() != &peer)
+        continue;
       loop_.delete_later(*i);
       peers.erase(i);
       return;
@@ -144,7 +147,8 @@
     void on_received(std::string_view bytes) override {
       std::vector<hosts::Reply> lines;
       REQUIRE(parser_.take(bytes, lines));
-      for (const auto& line : lines) host_.take(*this, line);
+      for (const auto& line : lines)
+        host_.take(*this, line);
     }
     void on_closed() override { host_.server.gone(*this); }
   };
@@ -157,18 +161,25 @@
 
  private:
   void take(Peer& peer, const hosts::Reply& line) {
-    if (line.id == "drop") ++drops;
-    if (peer.stalled) return;
-    if (line.id == "health") ++signs;
-    if (line.id == "health" && !mute) peer.write(line.word + " well - 0\r\n\r\n");
-    if (line.id == "load") peer.write(line.word + " well l=inflight:1;util:0.5 0\r\n\r\n");
+    if (line.id == "drop")
+      ++drops;
+    if (peer.stalled)
+      return;
+    if (line.id == "health")
+      ++signs;
+    if (line.id == "health" && !mute)
+      peer.write(line.word + " well - 0\r\n\r\n");
+    if (line.id == "load")
+      peer.write(line.word + " well l=inflight:1;util:0.5 0\r\n\r\n");
     if (line.id == "ensure") {
       const bool asks_only = line.fields.find("count=0") != std::string::npos;
       ++(asks_only ? asks : orders);
-      if (asks_only && mute) return;
+      if (asks_only && mute)
+        return;
       peer.write(line.word + " data count=1\r\n");
     }
-    if (line.id != "exec") return;
+    if (line.id != "exec")
+      return;
     ++execs;
     fields.push_back(line.fields);
     const Reaction reaction = react(line.body);
@@ -177,15 +188,23 @@
     const std::string body = reaction.length == 0 ? line.body : std::string(reaction.length, 'x');
     const std::string whole = line.word + ' ' + reaction.word + " l=inflight:1;util:0.5 " +
                               std::to_string(body.size()) + "\r\n" + body + "\r\n";
-    if (reaction.kind == Reaction::stranger) peer.write("00000000000000ff data - 1\r\nx\r\n");
-    if (reaction.kind == Reaction::noise) peer.write(line.word + " d\x01ta =,= 3\r\nxyz\r\n");
-    if (reaction.kind == Reaction::twice) peer.write(whole);
-    if (reaction.kind <= Reaction::reply || reaction.kind >= Reaction::twice) peer.write(whole);
+    if (reaction.kind == Reaction::stranger)
+      peer.write("00000000000000ff data - 1\r\nx\r\n");
+    if (reaction.kind == Reaction::noise)
+      peer.write(line.word + " d\x01ta =,= 3\r\nxyz\r\n");
+    if (reaction.kind == Reaction::twice)
+      peer.write(whole);
+    if (reaction.kind <= Reaction::reply || reaction.kind >= Reaction::twice)
+      peer.write(whole);
     peer.stalled = reaction.kind == Reaction::stall;
-    if (peer.stalled) peer.write(whole.substr(0, whole.size() / 2));
-    if (reaction.kind == Reaction::half) peer.write(whole.substr(0, whole.size() / 2));
-    if (reaction.kind == Reaction::half) peer.flush_now();
-    if (reaction.kind == Reaction::half || reaction.kind == Reaction::hang_up) peer.close_later();
+    if (peer.stalled)
+      peer.write(whole.substr(0, whole.size() / 2));
+    if (reaction.kind == Reaction::half)
+      peer.write(whole.substr(0, whole.size() / 2));
+    if (reaction.kind == Reaction::half)
+      peer.flush_now();
+    if (reaction.kind == Reaction::half || reaction.kind == Reaction::hang_up)
+      peer.close_later();
   }
 };
 
@@ -201,7 +220,8 @@
             s, [this] { return loop.now(); }, fleet, counters) {
     loop.count_errors([this](const char* name) { counters.add(name); });
     fleet.attach(dispatcher);
-    for (std::size_t i = 0; i < hosts; ++i) host.push_back(std::make_unique<StandInHost>(loop, pool));
+    for (std::size_t i = 0; i < hosts; ++i)
+      host.push_back(std::make_unique<StandInHost>(loop, pool));
     tell(lotusyard::policy::WorkerState::ready);
   }
   // The whole list anew; the given state is that of all hosts, or of one.
@@ -212,7 +232,8 @@
     for (std::size_t i = 0; i < host.size(); ++i) {
       core::ListedHost member;
       member.entry.worker = "h" + std::to_string(i);
-      if (one == SIZE_MAX || one == i) states[i] = {state, Millis(started), loop.now()};
+      if (one == SIZE_MAX || one == i)
+        states[i] = {state, Millis(started), loop.now()};
       member.entry.state = states[i].state;
       member.entry.started = states[i].started;
       member.address = host[i]->server.address();
@@ -229,7 +250,8 @@
   template <typename Until>
   bool turn_until(const Until& until, int most = 200000) {
     for (int i = 0; i < most; ++i) {
-      if (until()) return true;  // asked once: some of what is asked has effects
+      if (until())
+        return true;  // asked once: some of what is asked has effects
       turn();
     }
     return until();
@@ -289,7 +311,8 @@
 
     void on_received(std::string_view bytes) override {
       const std::size_t part = std::min(8 - greeting_.size(), bytes.size());
-      if (part > 0) greeting_.append(bytes.substr(0, part));
+      if (part > 0)
+        greeting_.append(bytes.substr(0, part));
       bytes.remove_prefix(part);
       if (part > 0 && greeting_.size() == 8) {
         REQUIRE(greeting_ == std::string("AMQP\0\0\x09\x01", 8));
@@ -298,23 +321,27 @@
       }
       std::vector<amqp::Frame> frames;
       REQUIRE(parser_.take(bytes, frames));
-      for (const auto& frame : frames) take(frame);
+      for (const auto& frame : frames)
+        take(frame);
     }
     void take(const amqp::Frame& frame) {
       using namespace amqp;
-      if (frame.type == FrameType::heartbeat) return;
+      if (frame.type == FrameType::heartbeat)
+        return;
       if (frame.type == FrameType::header) {
         auto read = read_content_header(frame.payload);
         REQUIRE(read);
         left_ = read->first;
         publishing_ = {std::move(read->second), {}, false};
-        if (left_ == 0) broker_.published(*this, reply_queue_, publishing_);
+        if (left_ == 0)
+          broker_.published(*this, reply_queue_, publishing_);
         return;
       }
       if (frame.type == FrameType::body) {
         publishing_.body += frame.payload;
         left_ -= frame.payload.size();
-        if (left_ == 0) broker_.published(*this, reply_queue_, publishing_);
+        if (left_ == 0)
+          broker_.published(*this, reply_queue_, publishing_);
         return;
       }
       Reader in(frame.payload);
@@ -329,14 +356,19 @@
                        Writer().u16(broker_.close_with).short_text("as told").u16(0).u16(0));
           }
           return say(method::connection_open_ok, 0, Writer().short_text(""));
-        case method::channel_open: return say(method::channel_open_ok, 1, Writer().long_text(""));
-        case method::confirm_select: return say(method::confirm_select_ok, 1, Writer());
+        case method::channel_open:
+          return say(method::channel_open_ok, 1, Writer().long_text(""));
+        case method::confirm_select:
+          return say(method::confirm_select_ok, 1, Writer());
         case method::basic_qos:
           in.u32();
           prefetch = in.u16();
           return say(method::basic_qos_ok, 1, Writer());
-        case method::exchange_declare: return say(method::exchange_declare_ok, 1, Writer());
-        case method::queue_bind: ++broker_.bindings; return say(method::queue_bind_ok, 1, Writer());
+        case method::exchange_declare:
+          return say(method::exchange_declare_ok, 1, Writer());
+        case method::queue_bind:
+          ++broker_.bindings;
+          return say(method::queue_bind_ok, 1, Writer());
         case method::queue_declare: {
           in.u16();
           const std::string name = in.short_text();
@@ -373,13 +405,18 @@
           reply_queue_ = in.short_text();
           return;
         case method::basic_ack:
-          if (unacked.erase(in.u64()) == 1) ++broker_.acked;
+          if (unacked.erase(in.u64()) == 1)
+            ++broker_.acked;
           return broker_.deliver(*this);
         case method::basic_reject:
-          if (unacked.erase(in.u64()) == 1) ++broker_.rejected;
+          if (unacked.erase(in.u64()) == 1)
+            ++broker_.rejected;
           return broker_.deliver(*this);
-        case method::connection_close: say(method::connection_close_ok, 0, Writer()); return;
-        default: return;
+        case method::connection_close:
+          say(method::connection_close_ok, 0, Writer());
+          return;
+        default:
+          return;
       }
     }
     void on_closed() override {
@@ -426,14 +463,17 @@
   }
   void put(Message&& m) {
     queue.push_back(std::move(m));
-    for (const auto& peer : server.peers) deliver(*peer);
+    for (const auto& peer : server.peers)
+      deliver(*peer);
   }
   void say_all(std::uint32_t id, const amqp::Writer& arguments) {
-    for (const auto& peer : server.peers) peer->say(id, 0, arguments);
+    for (const auto& peer : server.peers)
+      peer->say(id, 0, arguments);
   }
   void drop_all() {
     dropped += server.peers.size();
-    for (const auto& peer : server.peers) peer->close_later();
+    for (const auto& peer : server.peers)
+      peer->close_later();
   }
   void deliver(Peer& peer) {
     while (peer.consuming && peer.is_open() && !queue.empty() && peer.unacked.size() < peer.prefetch) {
@@ -442,22 +482,28 @@
       queue.erase(queue.begin() + static_cast<std::ptrdiff_t>(pick));
       write_delivery(peer, m);
       peer.unacked[peer.last_tag] = m;
-      if (!chance(chaos.redeliver)) continue;
+      if (!chance(chaos.redeliver))
+        continue;
       m.redelivered = true;  // the same again under a further tag, as a broker does that recovers
       write_delivery(peer, m);
     }
   }
   void published(Peer& peer, const std::string& reply_queue, const Message& answer) {
-    if (chance(chaos.drop / 2)) return drop(peer);  // it never arrived
+    if (chance(chaos.drop / 2))
+      return drop(peer);  // it never arrived
     const std::uint64_t number = ++peer.publishings;
-    if (chance(chaos.nack)) return peer.say(amqp::method::basic_nack, 1, amqp::Writer().u64(number).u8(0));
+    if (chance(chaos.nack))
+      return peer.say(amqp::method::basic_nack, 1, amqp::Writer().u64(number).u8(0));
     REQUIRE(reply_queue == "answers");
     answers.push_back(answer);
     held[answer.properties.correlation_id].push_back(answer);
-    if (chance(chaos.drop / 2)) return drop(peer);  // it is held, but the confirm is lost
-    if (withhold) return;
+    if (chance(chaos.drop / 2))
+      return drop(peer);  // it is held, but the confirm is lost
+    if (withhold)
+      return;
     peer.say(amqp::method::basic_ack, 1, amqp::Writer().u64(number).u8(0));
-    if (!chance(chaos.drop / 2)) return;
+    if (!chance(chaos.drop / 2))
+      return;
     peer.flush_now();  // the confirm arrives, our ack is lost
     drop(peer);
   }
--- a/tests/lotusyard/host_deadline_test.cpp
+++ b/tests/lotusyard/host_deadline_test.cpp
@@ -25,7 +25,8 @@
   void watch(const net::EventLoop& loop, StandInHost& host) {
     host.react = [this, &loop, &host](const std::string&) {
       ++calls;
-      if (sent.count() > 0) most = std::max(most, told_patience(host) - (kAllow - (loop.now() - sent)));
+      if (sent.count() > 0)
+        most = std::max(most, told_patience(host) - (kAllow - (loop.now() - sent)));
       return Reaction();
     };
   }
@@ -55,12 +56,14 @@
   excess.watch(p.world.loop, *p.world.host[0]);
   RawClient client(p);
   std::string many;
-  for (int tag = 1; tag <= 24; ++tag) many += call_bytes(tag, std::string(16000, 'x'));
+  for (int tag = 1; tag <= 24; ++tag)
+    many += call_bytes(tag, std::string(16000, 'x'));
   turn_with(p.world, [&] {
     excess.sent = p.world.loop.now();
     client.say(many);
   });
-  for (int i = 0; i < 8; ++i) turn_with(p.world, [] { usleep(100000); });
+  for (int i = 0; i < 8; ++i)
+    turn_with(p.world, [] { usleep(100000); });
   REQUIRE(excess.calls > 8);
   CHECK(excess.most.count() < kSlack.count());
 }
@@ -106,13 +109,15 @@
   REQUIRE(s.ready(s.consoles.back()));
   REQUIRE(s.until([&] { return s.log.asked == 1; }));
   Excess excess;
-  for (auto& host : s.world.host) excess.watch(s.world.loop, *host);
+  for (auto& host : s.world.host)
+    excess.watch(s.world.loop, *host);
   Tablet tablet(s.world, s.listen);
   tablet.call(1, "bin-record", "first", 1000);
   REQUIRE(s.until([&] { return tablet.open.empty(); }));
   const auto pass = [&](double ms) {
     const Millis end = s.world.loop.now() + Millis(ms);
-    while (s.world.loop.now() < end) s.world.turn();
+    while (s.world.loop.now() < end)
+      s.world.turn();
   };
   pass(300);  // it waits for whatever comes
   process.signal(SIGSTOP);
@@ -151,7 +156,8 @@
 bool is_at(int fd, int (*name)(int, sockaddr*, socklen_t*), const std::string& address) {
   sockaddr_in at{};
   socklen_t size = sizeof at;
-  if (name(fd, reinterpret_cast<sockaddr*>(&at), &size) != 0 || at.sin_family != AF_INET) return false;
+  if (name(fd, reinterpret_cast<sockaddr*>(&at), &size) != 0 || at.sin_family != AF_INET)
+    return false;
   return "127.0.0.1:" + std::to_string(ntohs(at.sin_port)) == address;
 }
 // Makes the kernel's room as small as can be, for what listens at the address and for connections to it.
@@ -160,7 +166,8 @@
   int narrowed = 0;
   while (const dirent* entry = readdir(folder.get())) {
     const int fd = std::atoi(entry->d_name), least = 1;
-    if (!is_at(fd, &getsockname, address) && !is_at(fd, &getpeername, address)) continue;
+    if (!is_at(fd, &getsockname, address) && !is_at(fd, &getpeername, address))
+      continue;
     REQUIRE(setsockopt(fd, SOL_SOCKET, SO_SNDBUF, &least, sizeof least) == 0);
     REQUIRE(setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &least, sizeof least) == 0);
     ++narrowed;
@@ -186,19 +193,23 @@
   };
   RawClient usual(p), client(p);
   usual.say(call_bytes(100));
-  for (int i = 0; i < 100 && usual.answers().empty(); ++i) both_turn();
+  for (int i = 0; i < 100 && usual.answers().empty(); ++i)
+    both_turn();
   REQUIRE(excess.calls == 1);
   narrow_sockets_of(host.server.address());
   excess.sent = p.world.loop.now();
   std::string many;
-  for (int tag = 1; tag <= 24; ++tag) many += call_bytes(tag, std::string(16000, 'x'));
+  for (int tag = 1; tag <= 24; ++tag)
+    many += call_bytes(tag, std::string(16000, 'x'));
   client.say(many);
-  while (p.world.loop.now() < excess.sent + Millis(60)) p.world.turn();
+  while (p.world.loop.now() < excess.sent + Millis(60))
+    p.world.turn();
   // One call is cut in two; all others can still be looked at, and taken back.
   CHECK(p.world.dispatcher.open_calls() > 8);
   CHECK(p.world.pool.blocks_in_use() <= 2);
   CHECK(p.world.counters.value("hosts.stuck_calls") == 0);
-  while (p.world.loop.now() < excess.sent + Millis(200)) p.world.turn();
+  while (p.world.loop.now() < excess.sent + Millis(200))
+    p.world.turn();
   CHECK(p.world.counters.value("hosts.stuck_calls") == 1);
 }
 
--- a/tests/lotusyard/hot_restart_test.cpp
+++ b/tests/lotusyard/hot_restart_test.cpp
@@ -33,7 +33,8 @@
 TEST_CASE("a pool that is to hold less gives back what is not out, and the rest as it comes back") {
   net::BufferPool pool(8);
   std::vector<net::BufferPool::Lease> leases;
-  for (int i = 0; i < 6; ++i) leases.push_back(pool.acquire());
+  for (int i = 0; i < 6; ++i)
+    leases.push_back(pool.acquire());
   leases.pop_back();
   pool.set_max_blocks(2);
   CHECK(pool.blocks_in_use() == 5);
--- a/tests/lotusyard/keys_test.cpp
+++ b/tests/lotusyard/keys_test.cpp
@@ -113,8 +113,10 @@
   CHECK(keys.size() == 1);
   const auto same = keyed("same");
   for (std::uint64_t i = 0; i < 100; ++i) {
-    if (keys.begin(same, rule(), Millis(10000)) != IdempotencyKeys::KeyDecision::accepted) break;
-    if (keys.may_send_to(same, rule(), {}, Millis(10000))) keys.record_send(same, {i, 0}, {}, Millis(10000));
+    if (keys.begin(same, rule(), Millis(10000)) != IdempotencyKeys::KeyDecision::accepted)
+      break;
+    if (keys.may_send_to(same, rule(), {}, Millis(10000)))
+      keys.record_send(same, {i, 0}, {}, Millis(10000));
   }
   CHECK_FALSE(keys.may_send_to(same, rule(), {}, Millis(10000)));
 }
@@ -136,7 +138,8 @@
     CHECK(answers.count(a.call) == 0);
     int out = 1;
     for (const auto& [other, o] : attempts) {
-      if (other.call != a.call || !o.out) continue;
+      if (other.call != a.call || !o.out)
+        continue;
       ++out;
       CHECK(o.host != host);
     }
@@ -146,7 +149,8 @@
   bool cancel_attempt(const Attempt& a) override { return std::exchange(attempts.at(a).out, false); }
   void probe(const std::string&) override {}
   void load_copies(const std::string& host, std::uint64_t function, int copies) override {
-    if (copies > 0) orders.emplace_back(host, function);
+    if (copies > 0)
+      orders.emplace_back(host, function);
   }
   void unload(const std::string&, std::uint64_t) override {}
   void answer(core::CallId call, core::Answer&& a) override { answers[call].push_back(std::move(a)); }
@@ -171,12 +175,14 @@
       core::HostList list;
       list.kind = whole ? core::ListKind::full : core::ListKind::delta;
       for (int i = 0; i < 6; ++i) {
-        if (!whole && below(random, 3) != 0) continue;
+        if (!whole && below(random, 3) != 0)
+          continue;
         list.entries.emplace_back();
         list.entries.back().worker = "h" + std::to_string(i);
         list.entries.back().zone = place(i).zone;
         list.entries.back().cell = place(i).cell;
-        if (!whole) list.entries.back().state = static_cast<core::WorkerState>(below(random, 3));
+        if (!whole)
+          list.entries.back().state = static_cast<core::WorkerState>(below(random, 3));
       }
       dispatcher->update_endpoints(std::move(list));
     };
@@ -192,34 +198,41 @@
         c.ref = "r" + std::to_string(step);
         c.class_name = s.classes[below(random, 3)].name;
         const std::size_t key = below(random, 40);
-        if (c.class_name == "booking") c.key = "k" + std::to_string(key);
+        if (c.class_name == "booking")
+          c.key = "k" + std::to_string(key);
         c.function = 1 + below(random, 3);
-        if (!c.key.empty()) c.function = 1 + key % 3;
+        if (!c.key.empty())
+          c.function = 1 + key % 3;
         c.lanes = 4;
         c.arrived = now;
         c.allow = Millis(300.0 + static_cast<double>(below(random, 900)));
         c.retry = below(random, 4) == 0;
         last = dispatcher->allocate_call_id();
         cls[last] = c.class_name;
-        if (!dispatcher->admit(last, std::move(c), desk)) cls.erase(last);
+        if (!dispatcher->admit(last, std::move(c), desk))
+          cls.erase(last);
       }
       while (orders_told < desk.orders.size()) {
         const auto order = desk.orders[orders_told++];
         dispatcher->load_ended({order.first, order.second, core::Outcome::ok, Millis(200), 1});
       }
       for (const auto& [attempt, o] : std::map<Attempt, Ledger::Out>(desk.attempts)) {
-        if (!desk.attempts.at(attempt).out || below(random, 12) != 0) continue;
+        if (!desk.attempts.at(attempt).out || below(random, 12) != 0)
+          continue;
         const auto outcome = static_cast<core::Outcome>(below(random, 9));
-        if (outcome == core::Outcome::timeout || outcome == core::Outcome::cancelled) continue;
+        if (outcome == core::Outcome::timeout || outcome == core::Outcome::cancelled)
+          continue;
         desk.attempts.at(attempt).out = false;
-        if (lotusyard::policy::proves_never_ran(outcome)) never_ran.insert(attempt);
+        if (lotusyard::policy::proves_never_ran(outcome))
+          never_ran.insert(attempt);
         dispatcher->attempt_ended(attempt, {outcome, 0, std::nullopt, {}});
       }
       if (below(random, 12) == 0 && cls.count(last) != 0 && desk.answers.count(last) == 0) {
         left.insert(last);
         dispatcher->client_disconnected(last);
       }
-      if (below(random, 40) == 0) tell_list(below(random, 2) == 0);
+      if (below(random, 40) == 0)
+        tell_list(below(random, 2) == 0);
       now += Millis(static_cast<double>(below(random, 40)));
       dispatcher->tick();
     }
@@ -228,32 +241,40 @@
       dispatcher->tick();
     }
     CHECK(dispatcher->open_calls() == 0);
-    for (const auto& [id, name] : cls) CHECK(desk.answers[id].size() == (left.count(id) != 0 ? 0U : 1U));
+    for (const auto& [id, name] : cls)
+      CHECK(desk.answers[id].size() == (left.count(id) != 0 ? 0U : 1U));
     CHECK(desk.most_out <= (s.second_copies ? 2 : 1));
     std::map<core::CallId, int> runs;
     std::map<std::string, std::vector<const Ledger::Out*>> by_key;
     for (const auto& [attempt, o] : desk.attempts) {
       CHECK_FALSE(o.out);
       CHECK(attempt.number < s.max_attempts);
-      if (never_ran.count(attempt) != 0) continue;
+      if (never_ran.count(attempt) != 0)
+        continue;
       ++runs[attempt.call];
-      if (!o.key.empty()) by_key[o.key].push_back(&o);
+      if (!o.key.empty())
+        by_key[o.key].push_back(&o);
     }
     for (const auto& [id, n] : runs) {
-      if (cls[id] == "bin-record") CHECK(n <= 1);
+      if (cls[id] == "bin-record")
+        CHECK(n <= 1);
       const auto& answers = desk.answers[id];
-      if (!answers.empty()) CHECK(answers[0].verdict != core::Verdict::refused);
+      if (!answers.empty())
+        CHECK(answers[0].verdict != core::Verdict::refused);
     }
     for (auto& [key, outs] : by_key) {
       std::sort(outs.begin(), outs.end(), [](auto* a, auto* b) { return a->at < b->at; });
       const Ledger::Out *start = outs[0], *before = outs[0];
       for (const auto* o : outs) {
-        if (o->at - before->at >= s.classes[2].key_window * 2) start = o;  // a new request by now
+        if (o->at - before->at >= s.classes[2].key_window * 2)
+          start = o;  // a new request by now
         before = o;
         CHECK(o->at - start->at < s.classes[2].key_window);
         const HostLocation a = place(start->host[1] - '0'), b = place(o->host[1] - '0');
-        if (s.classes[2].scope == KeyScope::zone) CHECK(a.zone == b.zone);
-        if (s.classes[2].scope == KeyScope::cell) CHECK(a.cell == b.cell);
+        if (s.classes[2].scope == KeyScope::zone)
+          CHECK(a.zone == b.zone);
+        if (s.classes[2].scope == KeyScope::cell)
+          CHECK(a.cell == b.cell);
       }
     }
     second_copies += desk.most_out == 2;
--- a/tests/lotusyard/last_look_test.cpp
+++ b/tests/lotusyard/last_look_test.cpp
@@ -49,7 +49,8 @@
   return usual;
 }
 void turns(Platform& p, int count = 20) {
-  for (int i = 0; i < count; ++i) p.world.turn();
+  for (int i = 0; i < count; ++i)
+    p.world.turn();
 }
 // One turn; `between` happens after all was read and decided, before anything is written.
 template <typename Between>
@@ -80,7 +81,8 @@
   }
   SECTION("closed behind further requests, of which a turn reads only a part") {
     std::string many;
-    for (int tag = 1; tag <= 12; ++tag) many += call(tag, "bin-check", std::string(16000, 'x'));
+    for (int tag = 1; tag <= 12; ++tag)
+      many += call(tag, "bin-check", std::string(16000, 'x'));
     client.say(many);
     client.socket.close();
   }
@@ -95,8 +97,10 @@
   const auto usual = link_up(p);
   Bytes client(p);
   std::string many;
-  for (int tag = 1; tag <= 12; ++tag) many += call(tag, "bin-check", std::string(16000, 'x'));
-  for (int tag = 1; tag <= 12; ++tag) many += cancel(tag);
+  for (int tag = 1; tag <= 12; ++tag)
+    many += call(tag, "bin-check", std::string(16000, 'x'));
+  for (int tag = 1; tag <= 12; ++tag)
+    many += cancel(tag);
   client.say(many);
   turns(p);
   CHECK(p.world.host[0]->execs == 1);  // the usual one
@@ -165,7 +169,8 @@
   bool closed = false;
   while (!closed) {
     turn_with(p, [&] {
-      if (p.world.dispatcher.open_calls() < 2) return;
+      if (p.world.dispatcher.open_calls() < 2)
+        return;
       const auto peer = p.world.host[0]->server.peers.front();
       peer->write(ref + " data - 5\r\nfirst\r\n");
       peer->flush_now();
@@ -232,16 +237,21 @@
     "a sound call before garbage, half a request or a repeated tag gets its answer, then the connection "
     "ends") {
   core::Settings patient = settings();
-  for (auto& cls : patient.classes) cls.aim = cls.deadline = Millis(5000);
+  for (auto& cls : patient.classes)
+    cls.aim = cls.deadline = Millis(5000);
   Platform p(1, {}, World::limits(), patient);
   p.world.host[0]->react = [](const std::string&) { return Reaction{Kind::silence, ""}; };
   Client client(p.world, p.front.address());
   client.call("1", "bin-record", "sound", 5000);
   const auto which = GENERATE(0, 1, 2, 3);
-  if (which == 0) client.write("garbage\r\n\r\n*2\r\n");
-  if (which == 1) client.write("*3\r\n$5\r\nCHE");
-  if (which == 2) client.call("1", "bin-record", "again");
-  if (which == 3) client.say({"CALL", "0"});
+  if (which == 0)
+    client.write("garbage\r\n\r\n*2\r\n");
+  if (which == 1)
+    client.write("*3\r\n$5\r\nCHE");
+  if (which == 2)
+    client.call("1", "bin-record", "again");
+  if (which == 3)
+    client.say({"CALL", "0"});
   INFO("which " << which);
   const char* const why[] = {"resp.malformed", "resp.half_request", "resp.tag_repeated", "resp.no_tag"};
   REQUIRE(p.world.turn_until([&] { return p.world.counters.value(why[which]) == 1; }, 2000));
@@ -256,7 +266,8 @@
   // Behind bytes that cannot be understood nothing can be told; behind a faulty tag a sound call can be.
   const bool readable = which >= 2;
   CHECK(client.got.size() == (readable ? 2 : 1));
-  if (readable) CHECK(*client.answer("5") == resp::Words{"5", "BUSY"});
+  if (readable)
+    CHECK(*client.answer("5") == resp::Words{"5", "BUSY"});
   CHECK(p.world.host[0]->execs == 1);
 }
 
--- a/tests/lotusyard/listeners_test.cpp
+++ b/tests/lotusyard/listeners_test.cpp
@@ -20,7 +20,8 @@
   SystemCallFaults faults;
   faults.fail(SystemCall::accept, {error});
   const Millis end = loop.now() + Millis(300);
-  while (loop.now() < end) turn();
+  while (loop.now() < end)
+    turn();
   return faults.calls(SystemCall::accept);
 }
 bool few(int accepts) { return accepts > 0 && accepts < 20; }
@@ -70,7 +71,8 @@
   Client client(p.world, p.front.address());
   SystemCallFaults faults;
   faults.fail(SystemCall::accept, {error}, 1, 5);
-  for (int i = 0; i < 2 && p.world.counters.value("resp.connections") == 0; ++i) p.world.turn();
+  for (int i = 0; i < 2 && p.world.counters.value("resp.connections") == 0; ++i)
+    p.world.turn();
   CHECK(p.world.counters.value("resp.connections") == 1);
   CHECK(p.world.counters.value("net.accept.connection_lost") == 5);
 }
--- a/tests/lotusyard/local_connect_test.cpp
+++ b/tests/lotusyard/local_connect_test.cpp
@@ -7,7 +7,8 @@
 
 int execs(const Platform& p) {
   int sum = 0;
-  for (const auto& host : p.world.host) sum += host->execs;
+  for (const auto& host : p.world.host)
+    sum += host->execs;
   return sum;
 }
 std::unique_ptr<Client> client_of(Platform& p) {
@@ -50,7 +51,8 @@
   {
     SystemCallFaults faults;
     faults.fail(call, {EADDRNOTAVAIL});
-    for (int i = 0; i < 8; ++i) client->call(std::to_string(i + 1), "bin-check", "b" + std::to_string(i + 1));
+    for (int i = 0; i < 8; ++i)
+      client->call(std::to_string(i + 1), "bin-check", "b" + std::to_string(i + 1));
     run_for(p, Millis(200));
   }
   const Millis after = p.world.loop.now();
@@ -92,8 +94,10 @@
     faults.fail(SystemCall::connect, {EADDRNOTAVAIL});
     client->call("1", "bin-check", "gone");
     run_for(p, Millis(50));
-    if (cancels) client->say({"CANCEL", "1"});
-    if (!cancels) p.world.tell(lotusyard::policy::WorkerState::draining);
+    if (cancels)
+      client->say({"CANCEL", "1"});
+    if (!cancels)
+      p.world.tell(lotusyard::policy::WorkerState::draining);
     run_for(p, Millis(50));
   }
   run_for(p, Millis(300));
--- a/tests/lotusyard/log_store_faults_test.cpp
+++ b/tests/lotusyard/log_store_faults_test.cpp
@@ -21,7 +21,8 @@
 
 Durable read_back(const LogStore& store) {
   Durable out{store.term(), store.vote(), {}};
-  for (const auto& entry : store.entries()) out.log.push_back(entry.data);
+  for (const auto& entry : store.entries())
+    out.log.push_back(entry.data);
   return out;
 }
 
@@ -33,7 +34,8 @@
       next.vote = 0;
       return [term = next.term](LogStore& store) { store.set_term(term); };
     case 1:
-      if (next.vote == 0) next.vote = 1 + below(random, 3);
+      if (next.vote == 0)
+        next.vote = 1 + below(random, 3);
       return [vote = next.vote](LogStore& store) { store.set_vote(vote); };
     case 2: {
       const std::size_t keep = below(random, next.log.size() + 1);
@@ -80,27 +82,35 @@
         change(store);
         said = tried = next;
       } catch (const LogStoreError& fault) {
-        if (!fault.transient()) return std::string("damaged by trouble that passed: ") + fault.what();
+        if (!fault.transient())
+          return std::string("damaged by trouble that passed: ") + fault.what();
         tried = next;
         disk.rates = FaultRates();
-        if (disk.crashed()) break;
+        if (disk.crashed())
+          break;
         store.recover();
-        if (!(read_back(store) == said) && !(read_back(store) == tried)) return "holds what it never said";
+        if (!(read_back(store) == said) && !(read_back(store) == tried))
+          return "holds what it never said";
         said = tried = read_back(store);
       }
     }
   } catch (const LogStoreError& fault) {
-    if (!fault.transient()) return std::string("damaged by trouble that passed: ") + fault.what();
+    if (!fault.transient())
+      return std::string("damaged by trouble that passed: ") + fault.what();
   }
-  if (changes != nullptr) *changes = disk.changes() - before;
+  if (changes != nullptr)
+    *changes = disk.changes() - before;
   disk.crash();
   disk.restart();
   disk.rates = FaultRates();
   Durable found;
   try {
     found = read_back(LogStore("d:log"));
-  } catch (const LogStoreError& fault) { return fault.what(); }
-  if (found == said || found == tried) return "";
+  } catch (const LogStoreError& fault) {
+    return fault.what();
+  }
+  if (found == said || found == tried)
+    return "";
   return found.term < said.term    ? "the term goes back"
          : found.vote != said.vote ? "a vote is forgotten"
                                    : "an entry is lost";
@@ -137,15 +147,20 @@
 std::string run_group(std::uint64_t seed, bool lies = false) {
   ReplicaWorld world(seed);
   Random random(seed);
-  for (auto& r : world.replicas) r.disk->sync_lies = lies;
+  for (auto& r : world.replicas)
+    r.disk->sync_lies = lies;
   for (int i = 0; i < 60 && world.checker.broken.empty(); ++i) {
     world.propose();
     world.run(Millis(50));
     auto& r = world.replicas[below(random, ReplicaWorld::kReplicas)];
-    if (below(random, 6) == 0) r.disk->rates = below(random, 2) == 0 ? FaultRates() : random_rates(random);
-    if (below(random, 10) == 0) r.disk->is_full = !r.disk->is_full;
-    if (below(random, 10) == 0) world.loss = static_cast<unsigned>(below(random, 20));
-    if (below(random, 10) > 0) continue;
+    if (below(random, 6) == 0)
+      r.disk->rates = below(random, 2) == 0 ? FaultRates() : random_rates(random);
+    if (below(random, 10) == 0)
+      r.disk->is_full = !r.disk->is_full;
+    if (below(random, 10) == 0)
+      world.loss = static_cast<unsigned>(below(random, 20));
+    if (below(random, 10) > 0)
+      continue;
     r.disk->crash_kind = below(random, 2) == 0 || lies ? Crash::power_lost : Crash::process_killed;
     r.disk->crash_at = r.disk->changes() + 1 + below(random, 12);
   }
@@ -162,7 +177,8 @@
 
 TEST_CASE("replicas: the checker finds disks that say they are durable before they are") {
   int found = 0;
-  for (std::uint64_t seed = 1; seed <= 40; ++seed) found += run_group(seed, true).empty() ? 0 : 1;
+  for (std::uint64_t seed = 1; seed <= 40; ++seed)
+    found += run_group(seed, true).empty() ? 0 : 1;
   CHECK(found > 0);
 }
 
@@ -190,7 +206,8 @@
 TEST_CASE("replicas: all disks full for 10 s stop the group, which goes on by itself after") {
   ReplicaWorld world(4);
   world.run(Millis(2000));
-  for (auto& r : world.replicas) r.disk->rates.full = 1000;
+  for (auto& r : world.replicas)
+    r.disk->rates.full = 1000;
   for (int i = 0; i < 200; ++i) {
     world.propose();
     world.run(Millis(50));
@@ -204,9 +221,12 @@
   ReplicaWorld world(6);
   world.run(Millis(2000));
   for (int i = 0; i < 400; ++i) {
-    for (int n = 0; n < 6; ++n) world.propose();
-    if (i % 40 == 20) world.replicas[i / 40 % 3].disk->rates.sync_error = 400;
-    if (i % 40 == 35) world.replicas[i / 40 % 3].disk->rates = FaultRates();
+    for (int n = 0; n < 6; ++n)
+      world.propose();
+    if (i % 40 == 20)
+      world.replicas[i / 40 % 3].disk->rates.sync_error = 400;
+    if (i % 40 == 35)
+      world.replicas[i / 40 % 3].disk->rates = FaultRates();
     world.run(Millis(20));
   }
   CHECK(std::any_of(std::begin(world.replicas), std::end(world.replicas),
@@ -223,7 +243,8 @@
   auto& out = world.replicas[2];
   out.disk->rates.full = 1000;
   for (int i = 0; i < 400; ++i) {
-    for (int n = 0; n < 6; ++n) world.propose();
+    for (int n = 0; n < 6; ++n)
+      world.propose();
     world.run(Millis(20));
   }
   CHECK(world.checker.acknowledged().size() > 1200);
--- a/tests/lotusyard/membership_test.cpp
+++ b/tests/lotusyard/membership_test.cpp
@@ -34,7 +34,8 @@
       named.insert(m.entry.worker);
     }
     for (auto& [id, entry] : hosts) {
-      if (list.complete && named.count(id) == 0) entry.state = WorkerState::gone;
+      if (list.complete && named.count(id) == 0)
+        entry.state = WorkerState::gone;
     }
   }};
 };
@@ -95,10 +96,12 @@
       one = std::make_unique<Seen>();
       one->membership.set_disabled(*DisabledHostFiles(folder.path).read(), Millis(0));
       core::HostListUpdate all{true, {}};
-      for (const auto& [id, m] : listed) all.hosts.push_back(m);
+      for (const auto& [id, m] : listed)
+        all.hosts.push_back(m);
       one->membership.apply_list(all, core::ListKind::cached);
     };
-    for (auto& one : process) start(one);
+    for (auto& one : process)
+      start(one);
     for (int step = 1; step <= 120; ++step) {
       const Millis now(1000.0 * step);
       const std::string id(1, static_cast<char>('a' + below(random, 5)));
@@ -109,11 +112,13 @@
         case 1: {
           const auto state = static_cast<WorkerState>(below(random, 3));
           listed[id] = member(id, state, below(random, 2) == 0 ? 0 : now.count());
-          for (auto& p : process) p->membership.apply_list({false, {listed[id]}}, core::ListKind::delta);
+          for (auto& p : process)
+            p->membership.apply_list({false, {listed[id]}}, core::ListKind::delta);
           break;
         }
         case 2:  // the call out, killed at times between the file and the memory
-          if (!one.membership.is_known(id)) break;
+          if (!one.membership.is_known(id))
+            break;
           REQUIRE(files.add(id));
           out.insert(id);
           if (below(random, 4) == 0) {
@@ -123,7 +128,8 @@
           }
           break;
         case 3:
-          if (!one.membership.is_known(id)) break;
+          if (!one.membership.is_known(id))
+            break;
           REQUIRE(files.remove(id));
           out.erase(id);
           if (below(random, 4) == 0) {
@@ -132,10 +138,14 @@
             one.membership.enable(id, now);
           }
           break;
-        case 4: start(process[below(random, 2)]); break;  // it is replaced
-        default: break;
+        case 4:
+          start(process[below(random, 2)]);
+          break;  // it is replaced
+        default:
+          break;
       }
-      for (auto& p : process) p->membership.set_disabled(*files.read(), now);
+      for (auto& p : process)
+        p->membership.set_disabled(*files.read(), now);
       for (const auto& p : process) {
         REQUIRE(p->membership.disabled() == out);
         for (const auto& [host_id, m] : listed) {
@@ -151,7 +161,8 @@
   Random random(12);
   for (int i = 0; i < 2000; ++i) {
     std::string id = garbage(random, "s-0./%_Az").substr(0, 60);
-    if (id.empty()) continue;
+    if (id.empty())
+      continue;
     const std::string name = DisabledHostFiles::file_name(id);
     CHECK(name.find('/') == std::string::npos);
     CHECK((name != "." && name != ".."));
--- a/tests/lotusyard/net_test.cpp
+++ b/tests/lotusyard/net_test.cpp
@@ -17,14 +17,17 @@
   const auto read = [&] {
     char bytes[5000];
     const ssize_t size = recv(in.fd(), bytes, sizeof bytes, 0);
-    if (size > 0) got.append(bytes, static_cast<std::size_t>(size));
+    if (size > 0)
+      got.append(bytes, static_cast<std::size_t>(size));
   };
   for (int round = 0; round < 400; ++round) {
     const std::string part(below(random, 3000), static_cast<char>('a' + round % 26));
     sent += part;
     REQUIRE(box.append(part));
-    if (below(random, 2) == 0) CHECK(box.write_to(out.fd()) != net::SendQueue::WriteStatus::broken);
-    if (below(random, 2) == 0) read();
+    if (below(random, 2) == 0)
+      CHECK(box.write_to(out.fd()) != net::SendQueue::WriteStatus::broken);
+    if (below(random, 2) == 0)
+      read();
     while (pool.blocks_in_use() > 4) {
       box.write_to(out.fd());
       read();
@@ -60,7 +63,8 @@
   const auto taken_back = loop.schedule_at(now + Millis(2), [&] { rung += 'x'; });
   loop.schedule_at(now + Millis(2), [&] { rung += 'b'; });
   loop.cancel(taken_back);
-  for (int i = 0; i < 1000 && rung.size() < 3; ++i) loop.run_once(now + Millis(10), [] {});
+  for (int i = 0; i < 1000 && rung.size() < 3; ++i)
+    loop.run_once(now + Millis(10), [] {});
   CHECK(rung == "abc");
 }
 
--- a/tests/lotusyard/parsers_test.cpp
+++ b/tests/lotusyard/parsers_test.cpp
@@ -12,7 +12,8 @@
 
 std::string random_bytes(Random& random, std::size_t most) {
   std::string out(below(random, most), ' ');
-  for (char& c : out) c = static_cast<char>(random());
+  for (char& c : out)
+    c = static_cast<char>(random());
   return out;
 }
 
@@ -23,7 +24,8 @@
     std::string bytes;
     for (auto& words : sent) {
       words.resize(1 + below(random, resp::Parser::most_words));
-      for (auto& word : words) word = random_bytes(random, below(random, 20) == 0 ? 3000 : 20);
+      for (auto& word : words)
+        word = random_bytes(random, below(random, 20) == 0 ? 3000 : 20);
       resp::write_array(bytes, std::vector<std::string_view>(words.begin(), words.end()));
     }
     bool sound = false;
--- a/tests/lotusyard/part_test.cpp
+++ b/tests/lotusyard/part_test.cpp
@@ -41,7 +41,8 @@
   }
   template <typename Until>
   bool until(const Until& done) {
-    for (int i = 0; i < 2000 && !done(); ++i) loop.run_once(loop.now() + Millis(5), [] {});
+    for (int i = 0; i < 2000 && !done(); ++i)
+      loop.run_once(loop.now() + Millis(5), [] {});
     return done();
   }
 };
--- a/tests/lotusyard/platform.h
+++ b/tests/lotusyard/platform.h
@@ -26,7 +26,8 @@
     const auto has = [&] {
       return std::any_of(got.begin(), got.end(), [&](const auto& w) { return w[0] == tag; });
     };
-    if (!world_.turn_until([&] { return has() || closed; }, 20000) || !has()) return nullptr;
+    if (!world_.turn_until([&] { return has() || closed; }, 20000) || !has())
+      return nullptr;
     return &*std::find_if(got.begin(), got.end(), [&](const auto& w) { return w[0] == tag; });
   }
   std::vector<resp::Words> got;
--- a/tests/lotusyard/platform_test.cpp
+++ b/tests/lotusyard/platform_test.cpp
@@ -39,17 +39,22 @@
   }
   SECTION("the 33rd open call is refused") {
     p.world.host[0]->react = [](const std::string&) { return Reaction{Kind::silence, ""}; };
-    for (int i = 1; i <= 33; ++i) c.call(std::to_string(i), "bin-check", std::to_string(i));
+    for (int i = 1; i <= 33; ++i)
+      c.call(std::to_string(i), "bin-check", std::to_string(i));
     REQUIRE(c.answer("33") != nullptr);
     CHECK(c.answer("33")->at(1) == "BUSY");
     CHECK(p.world.counters.value("resp.too_many_open") == 1);
   }
   SECTION("a repeated tag, a missing tag or an oversized word closes the connection") {
     const auto which = GENERATE(0, 1, 2);
-    if (which < 1) c.call("1", "bin-check", "x");
-    if (which < 1) c.call("1", "bin-check", "y");
-    if (which == 1) c.say({"CALL", "0"});
-    if (which == 2) c.say({"CALL", "1", std::string(20000, 'x')});
+    if (which < 1)
+      c.call("1", "bin-check", "x");
+    if (which < 1)
+      c.call("1", "bin-check", "y");
+    if (which == 1)
+      c.say({"CALL", "0"});
+    if (which == 2)
+      c.say({"CALL", "1", std::string(20000, 'x')});
     CHECK(p.world.turn_until([&] { return c.closed; }, 20000));
     CHECK(p.world.counters.value(which < 1    ? "resp.tag_repeated"
                                  : which == 1 ? "resp.no_tag"
@@ -110,7 +115,8 @@
   usual.say({"CHECK", "1"});
   REQUIRE(usual.answer("1") != nullptr);
   std::list<Client> silent;
-  for (int i = 0; i < 40; ++i) silent.emplace_back(p.world, p.front.address());
+  for (int i = 0; i < 40; ++i)
+    silent.emplace_back(p.world, p.front.address());
   Client late(p.world, p.front.address());
   late.call("1", "bin-check", "x");
   REQUIRE(late.answer("1") != nullptr);
@@ -134,12 +140,15 @@
         began + Millis(2200.0 * static_cast<double>(at + 1) / static_cast<double>(request.size()));
     REQUIRE(p.world.turn_until([&] { return p.world.loop.now() >= next; }));
     REQUIRE_FALSE(slow.closed);
-    if (at == 0) continue;  // from its second piece on it is known to go on
+    if (at == 0)
+      continue;  // from its second piece on it is known to go on
     for (int i = 0; i < 8; ++i) {
       crowd.emplace_back(p.world, p.front.address());
-      if (i % 2 == 0) crowd.back().write("*3\r\n$5\r\nCHE");
+      if (i % 2 == 0)
+        crowd.back().write("*3\r\n$5\r\nCHE");
     }
-    while (crowd.size() > 40) crowd.pop_front();
+    while (crowd.size() > 40)
+      crowd.pop_front();
   }
   REQUIRE(slow.answer("1") != nullptr);
   CHECK(slow.answer("1")->at(1) == "UP");
@@ -174,8 +183,10 @@
     timer_ = world_.loop.schedule_at(world_.loop.now() + Millis(5), [this] {
       char block[5000];
       const ssize_t some = reads ? ::recv(socket_.fd(), block, sizeof block, 0) : -1;
-      if (some == 0) closed = true;
-      if (some > 0) got_.append(block, static_cast<std::size_t>(some));
+      if (some == 0)
+        closed = true;
+      if (some > 0)
+        got_.append(block, static_cast<std::size_t>(some));
       const auto head = got_.find("OK\r\n$0\r\n\r\n$");
       const auto line = head == std::string::npos ? head : got_.find("\r\n", head + 11);
       if (line != std::string::npos) {
@@ -185,7 +196,8 @@
           got_.erase(0, line + 4 + length);
         }
       }
-      if (!closed) read_later();
+      if (!closed)
+        read_later();
     });
   }
 };
@@ -210,10 +222,12 @@
   p.world.pool.set_max_blocks(shares.unwritten / net::BufferPool::block_size);
   p.world.host[0]->react = [](const std::string&) { return Reaction{Kind::reply, "data", 230000}; };
   std::list<SlowReader> readers;
-  for (int i = 0; i < 4; ++i) readers.emplace_back(p.world, p.front.address());
+  for (int i = 0; i < 4; ++i)
+    readers.emplace_back(p.world, p.front.address());
   int number = 0;
   for (auto& reader : readers) {
-    for (int i = 0; i < 2; ++i) reader.say(call_bytes(++number, "long"));
+    for (int i = 0; i < 2; ++i)
+      reader.say(call_bytes(++number, "long"));
   }
   REQUIRE(p.world.turn_until([&] {
     return std::all_of(readers.begin(), readers.end(),
@@ -239,7 +253,8 @@
   SlowReader mute(world, front.address());
   mute.reads = false;
   Client usual(world, front.address());
-  for (int i = 1; i <= 30; ++i) mute.say(call_bytes(i, "long"));
+  for (int i = 1; i <= 30; ++i)
+    mute.say(call_bytes(i, "long"));
   REQUIRE(world.turn_until([&] { return world.counters.value("resp.unread_closed") == 1; }, 20000));
   for (int i = 1; i <= 5; ++i) {
     usual.call(std::to_string(i), "bin-check", "short");
@@ -272,8 +287,10 @@
 TEST_CASE("calls that are taken back in the bytes they came in reach no host") {
   Platform p(1);
   Client c(p.world, p.front.address());
-  for (int i = 1; i <= 20; ++i) c.call(std::to_string(i), "bin-check", std::to_string(i));
-  for (int i = 1; i <= 19; ++i) c.say({"CANCEL", std::to_string(i)});
+  for (int i = 1; i <= 20; ++i)
+    c.call(std::to_string(i), "bin-check", std::to_string(i));
+  for (int i = 1; i <= 19; ++i)
+    c.say({"CANCEL", std::to_string(i)});
   REQUIRE(c.answer("20") != nullptr);
   CHECK(c.answer("20")->at(1) == "OK");
   CHECK(c.got.size() == 1);
@@ -289,7 +306,8 @@
   };
   c.call("1", "bin-record", "sound", 600);
   REQUIRE(p.world.turn_until([&] { return p.world.host[0]->execs == 1; }, 20000));
-  for (int i = 2; i <= 200; ++i) c.call(std::to_string(i), "no-class", "x");
+  for (int i = 2; i <= 200; ++i)
+    c.call(std::to_string(i), "no-class", "x");
   REQUIRE(c.answer("1") != nullptr);
   CHECK(c.got.size() == 200);
   CHECK(p.world.turn_until([&] { return c.closed; }));
@@ -386,7 +404,8 @@
   Platform p(2);
   p.world.host[0]->server.stop();
   Client c(p.world, p.front.address());
-  for (int i = 1; i <= 6; ++i) c.call(std::to_string(i), "bin-record", std::to_string(i));
+  for (int i = 1; i <= 6; ++i)
+    c.call(std::to_string(i), "bin-record", std::to_string(i));
   for (int i = 1; i <= 6; ++i) {
     REQUIRE(c.answer(std::to_string(i)) != nullptr);
     CHECK(c.answer(std::to_string(i))->at(1) == "OK");
@@ -431,7 +450,8 @@
   REQUIRE(world.turn_until([&] { return desk.verdicts.size() == 1; }, 20000));
   const Millis due = world.loop.now() + Millis(50);
   world.loop.schedule_at(due, [&] { call("000000000000000b"); });
-  while (world.loop.now() < due) {}  // both timers ring in one turn, the connection's first
+  while (world.loop.now() < due) {
+  }  // both timers ring in one turn, the connection's first
   REQUIRE(world.turn_until([&] { return desk.verdicts.size() == 2; }, 20000));
   CHECK(desk.verdicts[1] == core::Verdict::served);
   CHECK(world.counters.value("hosts.links_opened") == 2);
@@ -464,7 +484,8 @@
 // 0.2 s: on a day of 100 invokers more signs than calls.
 TEST_CASE("silent links are asked for few signs, however many calls wait on them") {
   World world(12);
-  for (auto& host : world.host) host->react = [](const std::string&) { return Reaction{Kind::silence, ""}; };
+  for (auto& host : world.host)
+    host->react = [](const std::string&) { return Reaction{Kind::silence, ""}; };
   for (std::size_t i = 0; i < 24; ++i) {
     core::Call call;
     call.ref = net::hex16(i + 1);
@@ -475,7 +496,8 @@
   const Millis began = world.loop.now();
   world.turn_until([&] { return world.loop.now() - began > Millis(1500); }, 20000);
   int execs = 0, signs = 0;
-  for (const auto& host : world.host) execs += host->execs, signs += host->signs;
+  for (const auto& host : world.host)
+    execs += host->execs, signs += host->signs;
   CHECK(execs == 24);
   CHECK(signs >= 1);
   CHECK(signs <= 6);  // what is saved up at first, and one for twenty attempts
@@ -508,9 +530,11 @@
   const std::string key = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
   CHECK(call("booking", ",replay=" + key) == "OK");
   std::vector<std::string> fields;
-  for (const auto& host : world.host) fields.insert(fields.end(), host->fields.begin(), host->fields.end());
+  for (const auto& host : world.host)
+    fields.insert(fields.end(), host->fields.begin(), host->fields.end());
   REQUIRE(fields.size() == 2);  // the first failed, and may be tried again under its key
-  for (const auto& f : fields) CHECK(f.find(",op=" + key) != std::string::npos);
+  for (const auto& f : fields)
+    CHECK(f.find(",op=" + key) != std::string::npos);
   CHECK(call("bin-check", "") == "OK");
   CHECK(call("booking", ",replay=" + key + ",dup=1") == "OK");
   const int execs = world.host[0]->execs + world.host[1]->execs;
--- a/tests/lotusyard/process.h
+++ b/tests/lotusyard/process.h
@@ -36,26 +36,33 @@
           const net::Socket* listener = nullptr, const char* program = LOTUSYARD_PROGRAM)
       : log_(log) {
     std::vector<std::string> words;
-    for (const auto& [name, value] : environment) words.push_back(name + "=" + value);
+    for (const auto& [name, value] : environment)
+      words.push_back(name + "=" + value);
     std::vector<char*> given;
-    for (auto& word : words) given.push_back(word.data());
+    for (auto& word : words)
+      given.push_back(word.data());
     given.push_back(nullptr);
     const int fd = listener == nullptr ? -1 : listener->fd();
     pid_ = fork();
     REQUIRE(pid_ >= 0);
-    if (pid_ > 0) return;
+    if (pid_ > 0)
+      return;
     const int out = open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
     dup2(out, 1);
     dup2(out, 2);
-    if (fd >= 0 && fd != 3) dup2(fd, 3);
-    if (fd == 3) fcntl(3, F_SETFD, 0);
-    for (int other = fd >= 0 ? 4 : 3; other < 256; ++other) close(other);
+    if (fd >= 0 && fd != 3)
+      dup2(fd, 3);
+    if (fd == 3)
+      fcntl(3, F_SETFD, 0);
+    for (int other = fd >= 0 ? 4 : 3; other < 256; ++other)
+      close(other);
     char* const arguments[] = {const_cast<char*>(program), nullptr};
     execve(program, arguments, given.data());
     _exit(127);
   }
   ~Process() {
-    if (pid_ <= 0) return;
+    if (pid_ <= 0)
+      return;
     kill(pid_, SIGKILL);
     waitpid(pid_, nullptr, 0);
   }
@@ -63,9 +70,11 @@
   void signal(int number) const { REQUIRE(kill(pid_, number) == 0); }
   // The status with which it has ended; -1 while it runs, 1000 and its signal if it was killed.
   int status() {
-    if (pid_ <= 0) return status_;
+    if (pid_ <= 0)
+      return status_;
     int status = 0;
-    if (waitpid(pid_, &status, WNOHANG) != pid_) return -1;
+    if (waitpid(pid_, &status, WNOHANG) != pid_)
+      return -1;
     pid_ = 0;
     return status_ = WIFEXITED(status) ? WEXITSTATUS(status) : 1000 + WTERMSIG(status);
   }
--- a/tests/lotusyard/process_rig.h
+++ b/tests/lotusyard/process_rig.h
@@ -48,7 +48,8 @@
       world.host.push_back(std::make_unique<StandInHost>(world.loop, world.pool));
     execs.resize(world.host.size());
     for (std::size_t i = 0; i < world.host.size(); ++i) {
-      if (i >= 2) s.tell(i, "ready");
+      if (i >= 2)
+        s.tell(i, "ready");
       StandInHost& host = *world.host[i];
       host.react = [this, i, &host](const std::string& body) { return record(i, host, body); };
     }
@@ -77,7 +78,8 @@
   void start(ServedProcess& p) {
     std::map<std::string, std::string> environment = {{"BALANCER_CONFIG", p.config},
                                                       {"TMPDIR", s.folder.path}};
-    if (!breaks.empty()) environment["LOTUSYARD_BREAKS"] = breaks;
+    if (!breaks.empty())
+      environment["LOTUSYARD_BREAKS"] = breaks;
     p.process = std::make_unique<Process>(log_of(p), environment, nullptr,
                                           breaks.empty() ? LOTUSYARD_CLUSTER : LOTUSYARD_CLUSTER_FAULTY);
     p.back_at = 0;
@@ -85,14 +87,16 @@
   }
   // Killed, and started again after so many milliseconds.
   void kill_for(ServedProcess& p, double span) {
-    if (p.back_at > 0) return;
+    if (p.back_at > 0)
+      return;
     p.process->signal(SIGKILL);
     REQUIRE(s.until([&] { return p.process->status() >= 0; }));
     absences.push_back({p.name, true, now()});
     p.back_at = now() + span;
   }
   void stop_for(ServedProcess& p, double span) {
-    if (p.back_at > 0) return;
+    if (p.back_at > 0)
+      return;
     p.process->signal(SIGSTOP);
     absences.push_back({p.name, false, now()});
     p.stopped = true;
@@ -100,16 +104,19 @@
   }
   void revive(ServedProcess& p) {
     for (auto& absence : absences) {
-      if (absence.name == p.name) absence.to = std::min(absence.to, now());
+      if (absence.name == p.name)
+        absence.to = std::min(absence.to, now());
     }
-    if (!p.stopped) return start(p);
+    if (!p.stopped)
+      return start(p);
     p.process->signal(SIGCONT);
     p.stopped = false;
     p.back_at = 0;
   }
   void revive_all() {
     for (auto* p : processes) {
-      if (p->back_at > 0) revive(*p);
+      if (p->back_at > 0)
+        revive(*p);
     }
   }
 
@@ -118,10 +125,12 @@
   virtual void turn() {
     if (now() >= calls_at && !quiet) {
       calls_at = now() + 10;
-      for (auto* p : called) call(*p);
+      for (auto* p : called)
+        call(*p);
     }
     for (auto* p : processes) {
-      if (p->back_at > 0 && now() >= p->back_at) revive(*p);
+      if (p->back_at > 0 && now() >= p->back_at)
+        revive(*p);
     }
     world.turn();
   }
@@ -129,7 +138,8 @@
   bool until(const Until& done, double seconds) {
     const double give_up = now() + seconds * 1000;
     while (now() < give_up) {
-      if (done()) return true;
+      if (done())
+        return true;
       turn();
     }
     return done();
@@ -140,7 +150,8 @@
     double checked = 0;
     return until(
         [&] {
-          if (now() < checked) return false;
+          if (now() < checked)
+            return false;
           checked = now() + 50;
           return done();
         },
@@ -158,9 +169,12 @@
   // ---- Clients and operators ----
 
   void call(ServedProcess& p) {
-    if (p.stopped || p.back_at > 0) return;
-    if (!p.tablet || p.tablet->closed) p.tablet = std::make_shared<Tablet>(world, p.clients);
-    if (p.tablet->open.size() > 50) return;
+    if (p.stopped || p.back_at > 0)
+      return;
+    if (!p.tablet || p.tablet->closed)
+      p.tablet = std::make_shared<Tablet>(world, p.clients);
+    if (p.tablet->open.size() > 50)
+      return;
     const bool is_record = ++number % 3 == 0;
     p.tablet->call(number, is_record ? "bin-record" : "bin-check",
                    (is_record ? "record " : "check ") + std::to_string(number), 350,
@@ -173,13 +187,17 @@
   void give_back(double after) {
     std::map<std::string, double> out;
     for (const auto& h : maintenance::parse_timeline(lines()).entries) {
-      if (h.what == "touch") out[h.host] = h.at;
-      if (h.what == "returned") out.erase(h.host);
+      if (h.what == "touch")
+        out[h.host] = h.at;
+      if (h.what == "returned")
+        out.erase(h.host);
     }
     for (const auto& [host, at] : out) {
-      if (now() - at < after) continue;
+      if (now() - at < after)
+        continue;
       ServedProcess& p = *operated[below(random, operated.size())];
-      if (p.back_at > 0) continue;
+      if (p.back_at > 0)
+        continue;
       propose(
           p, {{"t", "returned"}, {"id", "r" + host + std::to_string(static_cast<long>(at))}, {"host", host}});
     }
@@ -191,13 +209,15 @@
     std::vector<std::string> out;
     for (const auto* p : processes) {
       std::ifstream in(log_of(*p));
-      for (std::string line; std::getline(in, line);) out.push_back(line);
+      for (std::string line; std::getline(in, line);)
+        out.push_back(line);
     }
     return out;
   }
   std::string all_logs() const {
     std::string out;
-    for (const auto& line : lines()) out += line + "\n";
+    for (const auto& line : lines())
+      out += line + "\n";
     return out;
   }
   virtual std::string broken_rule(int most_out) const { return broken_work_rule(lines(), execs, most_out); }
@@ -213,7 +233,8 @@
     const double at_host = now();
     execs[number_of_host].push_back({at_host, silent ? at_host + patience : at_host, body});
     Reaction out;
-    if (silent) out.kind = Reaction::silence;
+    if (silent)
+      out.kind = Reaction::silence;
     return out;
   }
 };
--- a/tests/lotusyard/raw_client.h
+++ b/tests/lotusyard/raw_client.h
@@ -25,9 +25,11 @@
     ssize_t some = 0;
     while ((some = ::recv(socket.fd(), block, sizeof block, 0)) > 0)
       REQUIRE(parser.take({block, static_cast<std::size_t>(some)}, got));
-    if (some == 0) closed = true;
+    if (some == 0)
+      closed = true;
     std::map<std::string, std::vector<std::string>> out;
-    for (const auto& words : got) out[words.at(0)].push_back(words.at(1));
+    for (const auto& words : got)
+      out[words.at(0)].push_back(words.at(1));
     return out;
   }
   resp::Parser parser;
@@ -55,7 +57,8 @@
   return usual;
 }
 inline void run_turns(Platform& p, int count = 12) {
-  for (int i = 0; i < count; ++i) p.world.turn();
+  for (int i = 0; i < count; ++i)
+    p.world.turn();
 }
 // One turn; `between` happens after all was read and decided, before anything is written.
 template <typename Between>
--- a/tests/lotusyard/regulated.h
+++ b/tests/lotusyard/regulated.h
@@ -54,7 +54,8 @@
   double out = 0;
   for (const auto& line : rig.lines()) {
     const auto at = line.find(" at=");
-    if (line.find(text) == std::string::npos || at == std::string::npos) continue;
+    if (line.find(text) == std::string::npos || at == std::string::npos)
+      continue;
     const double time = std::stod(line.substr(at + 4));
     out = out == 0 ? time : std::min(out, time);
   }
--- a/tests/lotusyard/replica_restart_test.cpp
+++ b/tests/lotusyard/replica_restart_test.cpp
@@ -20,7 +20,8 @@
   bool restore(const std::string&) override { return false; }
   std::vector<raft_append_entries_result> answers;
   void send(std::uint64_t, const std::string&, const raft_message& message) override {
-    if (message.type == RAFT_IO_APPEND_ENTRIES_RESULT) answers.push_back(message.append_entries_result);
+    if (message.type == RAFT_IO_APPEND_ENTRIES_RESULT)
+      answers.push_back(message.append_entries_result);
   }
   void on_store_failure(const std::string& why) override { failure = why; }
   void on_store_unavailable(sqlite::ResultKind, const std::string&) override { ++unavailable_times; }
@@ -41,7 +42,8 @@
   raft::RaftCore replica(scheduler, store, user, 1, "a", kElection, 1);
   const auto run = [&](Millis span) {
     const Millis until = scheduler.now() + span;
-    while (scheduler.run_next(until)) {}
+    while (scheduler.run_next(until)) {
+    }
   };
   const auto heartbeat = [&](std::uint64_t commit) {
     raft_message message{};
--- a/tests/lotusyard/replica_world.h
+++ b/tests/lotusyard/replica_world.h
@@ -26,28 +26,35 @@
         speaks(from, m.append_entries.term);
         one(leaders_[m.append_entries.term], from, "two leaders in one term");
         break;
-      case RAFT_IO_APPEND_ENTRIES_RESULT: speaks(from, m.append_entries_result.term); break;
+      case RAFT_IO_APPEND_ENTRIES_RESULT:
+        speaks(from, m.append_entries_result.term);
+        break;
       case RAFT_IO_REQUEST_VOTE:
-        if (m.request_vote.pre_vote) return;  // of a term that it has not come to
+        if (m.request_vote.pre_vote)
+          return;  // of a term that it has not come to
         speaks(from, m.request_vote.term);
         one(votes_[{from, m.request_vote.term}], from, "two votes in one term");
         break;
       case RAFT_IO_REQUEST_VOTE_RESULT:
-        if (m.request_vote_result.pre_vote == raft_tribool_true) return;
+        if (m.request_vote_result.pre_vote == raft_tribool_true)
+          return;
         speaks(from, m.request_vote_result.term);
         if (m.request_vote_result.vote_granted)
           one(votes_[{from, m.request_vote_result.term}], to, "two votes in one term");
         break;
-      default: break;
+      default:
+        break;
     }
   }
   void applied(std::uint64_t index, const std::string& entry) {
     const auto first = log_.try_emplace(index, entry).first;
-    if (first->second != entry) fault("two entries at index " + std::to_string(index));
+    if (first->second != entry)
+      fault("two entries at index " + std::to_string(index));
   }
   void acknowledged(const std::string& entry) { acknowledged_.insert(entry); }
   void fault(const std::string& what) {
-    if (broken.empty()) broken = what;
+    if (broken.empty())
+      broken = what;
   }
   const std::set<std::string>& acknowledged() const { return acknowledged_; }
   std::string broken;
@@ -59,11 +66,13 @@
   std::set<std::string> acknowledged_;
 
   void speaks(std::uint64_t from, std::uint64_t term) {
-    if (term < terms_[from]) fault("the term goes back at " + std::to_string(from));
+    if (term < terms_[from])
+      fault("the term goes back at " + std::to_string(from));
     terms_[from] = term;
   }
   void one(std::uint64_t& known, std::uint64_t now, const char* rule) {
-    if (known != 0 && known != now) fault(rule);
+    if (known != 0 && known != now)
+      fault(rule);
     known = now;
   }
 };
@@ -87,23 +96,27 @@
 
     std::string path() const { return "r" + std::to_string(id) + ":log"; }
     void apply(std::uint64_t index, const std::string& entry) override {
-      if (index <= last) world->checker.fault("applied twice: " + entry);
+      if (index <= last)
+        world->checker.fault("applied twice: " + entry);
       last = index;
       state.push_back(entry);
       world->checker.applied(index, entry);
     }
     std::string snapshot() override {
       std::string out = std::to_string(last) + '\n';
-      for (const auto& entry : state) out += entry + '\n';
+      for (const auto& entry : state)
+        out += entry + '\n';
       return out;
     }
     bool restore(const std::string& from) override {
       std::istringstream in(from);
       std::string line;
       std::getline(in, line);
-      if (std::stoull(line) < last) world->checker.fault("the state goes back");
+      if (std::stoull(line) < last)
+        world->checker.fault("the state goes back");
       last = std::stoull(line);
-      for (state.clear(); std::getline(in, line);) state.push_back(line);
+      for (state.clear(); std::getline(in, line);)
+        state.push_back(line);
       return true;
     }
     void send(std::uint64_t to, const std::string&, const raft_message& message) override {
@@ -128,10 +141,12 @@
         servers.push_back({s, "r" + std::to_string(s), RAFT_VOTER});
       raft::RaftCore::bootstrap(store, servers);
     }
-    for (auto& r : replicas) start(r);
+    for (auto& r : replicas)
+      start(r);
   }
   ~ReplicaWorld() {
-    for (auto& r : replicas) stop(r);
+    for (auto& r : replicas)
+      stop(r);
   }
 
   FaultVfs vfs;  // the stores go first
@@ -148,7 +163,8 @@
       r.consensus = std::make_unique<raft::RaftCore>(scheduler, *r.store, r, r.id, "r" + std::to_string(r.id),
                                                      kElection, random());
     } catch (const raft::LogStoreError& fault) {
-      if (!fault.transient()) checker.fault(std::string("damaged by trouble that passed: ") + fault.what());
+      if (!fault.transient())
+        checker.fault(std::string("damaged by trouble that passed: ") + fault.what());
       stop(r);
     }
   }
@@ -167,10 +183,12 @@
   }
   void propose() {
     for (auto& r : replicas) {
-      if (!r.consensus || !r.consensus->is_leader()) continue;
+      if (!r.consensus || !r.consensus->is_leader())
+        continue;
       const std::string entry = "e" + std::to_string(++proposed);
       r.consensus->propose(entry, [this, entry](bool done) {
-        if (done) checker.acknowledged(entry);
+        if (done)
+          checker.acknowledged(entry);
       });
     }
   }
@@ -178,13 +196,17 @@
     const Millis until = scheduler.now() + span;
     while (checker.broken.empty() && scheduler.run_next(until)) {
       for (auto& r : replicas) {
-        if (r.disk->crashed()) crash(r);
-        if (!r.consensus && scheduler.now() >= r.back_at) start(r);
-        if (!r.failure.empty()) checker.fault("failed for good: " + r.failure);
+        if (r.disk->crashed())
+          crash(r);
+        if (!r.consensus && scheduler.now() >= r.back_at)
+          start(r);
+        if (!r.failure.empty())
+          checker.fault("failed for good: " + r.failure);
       }
     }
     for (auto& r : replicas) {
-      if (!r.consensus) start(r);
+      if (!r.consensus)
+        start(r);
     }
   }
   // With disks that are well again all take part, and have all that clients were told.
@@ -199,24 +221,30 @@
     const int before = proposed;
     propose();
     run(Millis(1000));
-    if (proposed == before) checker.fault("nobody leads though the disks are well");
+    if (proposed == before)
+      checker.fault("nobody leads though the disks are well");
     for (auto& r : replicas) {
-      if (!r.consensus || !r.consensus->is_available()) return checker.fault("not available again");
+      if (!r.consensus || !r.consensus->is_available())
+        return checker.fault("not available again");
       const std::set<std::string> has(r.state.begin(), r.state.end());
       for (const auto& entry : checker.acknowledged()) {
-        if (has.count(entry) == 0) checker.fault("lost " + entry + " at " + std::to_string(r.id));
+        if (has.count(entry) == 0)
+          checker.fault("lost " + entry + " at " + std::to_string(r.id));
       }
     }
   }
 
  private:
   void deliver_later(std::uint64_t from, std::uint64_t to, const std::string& body) {
-    if (to == 0 || to > kReplicas || below(random, 100) < loss) return;
+    if (to == 0 || to > kReplicas || below(random, 100) < loss)
+      return;
     scheduler.at(scheduler.now() + kDelay, [this, from, to, body] {
       Replica& r = replicas[to - 1];
       auto message = raft::decode_message(body);
-      if (!message) return checker.fault("a message that cannot be read");
-      if (!r.consensus) return raft::free_message(*message);
+      if (!message)
+        return checker.fault("a message that cannot be read");
+      if (!r.consensus)
+        return raft::free_message(*message);
       r.consensus->receive(from, "r" + std::to_string(from), std::move(*message));
     });
   }
--- a/tests/lotusyard/service.h
+++ b/tests/lotusyard/service.h
@@ -32,7 +32,8 @@
   while (true) {
     next = (next + 1) % kPorts;
     const std::string address = "127.0.0.1:" + std::to_string(kFirst + next);
-    if (net::listen_on(address)) return address;
+    if (net::listen_on(address))
+      return address;
   }
 }
 
@@ -48,7 +49,8 @@
     ChangeLog& log_;
     void on_received(std::string_view) override {
       ++log_.asked;
-      for (const auto& line : log_.lines) write(line);  // those it has it passes over
+      for (const auto& line : log_.lines)
+        write(line);  // those it has it passes over
     }
     void on_closed() override { log_.server.gone(*this); }
   };
@@ -64,7 +66,8 @@
                          {"size", 2},
                          {"up_since_ms", started}}}}};
     lines.push_back(event.dump() + "\n");
-    for (const auto& peer : server.peers) peer->write(lines.back());
+    for (const auto& peer : server.peers)
+      peer->write(lines.back());
   }
   int asked = 0;
   std::vector<std::string> lines;
@@ -102,7 +105,8 @@
     for (const auto& words : answers) {
       const auto asked = open.find(words.at(0));
       REQUIRE(asked != open.end());
-      if (words.at(1) == "OK") CHECK(words.at(3) == asked->second);
+      if (words.at(1) == "OK")
+        CHECK(words.at(3) == asked->second);
       got.emplace_back(words.at(1), asked->second);
       open.erase(asked);
     }
@@ -122,8 +126,10 @@
   std::list<std::string> consoles;
   std::list<Process> processes;
   explicit Service(bool inherited = true) : inherited_(inherited) {
-    for (std::size_t i = 0; i < 2; ++i) tell(i, "ready");
-    if (!inherited) listener = net::Socket();
+    for (std::size_t i = 0; i < 2; ++i)
+      tell(i, "ready");
+    if (!inherited)
+      listener = net::Socket();
     write(platform_file(listen, log.server.address()));
   }
   void write(const nlohmann::json& file) { std::ofstream(config, std::ios::trunc) << file.dump(); }
@@ -134,8 +140,10 @@
     consoles.push_back(free_address());
     std::map<std::string, std::string> environment = {
         {"BALANCER_CONFIG", config}, {"BALANCER_CONSOLE", consoles.back()}, {"TMPDIR", folder.path}};
-    if (inherited_) environment["BALANCER_LISTEN_FD"] = "3";
-    for (const auto& [name, value] : more) environment[name] = value;
+    if (inherited_)
+      environment["BALANCER_LISTEN_FD"] = "3";
+    for (const auto& [name, value] : more)
+      environment[name] = value;
     processes.emplace_back(folder.path + "/log" + std::to_string(processes.size()), environment,
                            inherited_ ? &listener : nullptr);
     return processes.back();
@@ -144,7 +152,8 @@
   bool until(const Until& done) {
     const auto give_up = world.loop.now() + Millis(30000);
     while (world.loop.now() < give_up) {
-      if (done()) return true;  // asked once: some of what is asked sends calls
+      if (done())
+        return true;  // asked once: some of what is asked sends calls
       world.turn();
     }
     return false;
@@ -166,7 +175,8 @@
   int post(const std::string& console, const std::string& path) { return ask(console, "POST", path); }
   int runs(const std::string& body) const {
     int all = 0;
-    for (const auto& one : world.host) all += one->runs.count(body) == 0 ? 0 : one->runs.at(body);
+    for (const auto& one : world.host)
+      all += one->runs.count(body) == 0 ? 0 : one->runs.at(body);
     return all;
   }
   // Calls one after the other; how many each host has run of them.
--- a/tests/lotusyard/service_test.cpp
+++ b/tests/lotusyard/service_test.cpp
@@ -26,7 +26,8 @@
   s.tell(0, "ready", 5);
   CHECK(s.serve(10)[0] == 0);
   if (inherited) {  // killed, or replaced: the next one knows
-    if (GENERATE(true, false)) s.processes.front().signal(SIGKILL);
+    if (GENERATE(true, false))
+      s.processes.front().signal(SIGKILL);
     s.start();
     const std::string second = s.consoles.back();
     REQUIRE(s.ready(second));
@@ -106,7 +107,8 @@
 // its connection is sent once more, as the platform's front does; all others must get their answer.
 TEST_CASE("a process is replaced under clients: no call is lost, and no bin-record runs twice") {
   Service s;
-  for (auto& host : s.world.host) host->react = [](const std::string&) { return Reaction(); };
+  for (auto& host : s.world.host)
+    host->react = [](const std::string&) { return Reaction(); };
   s.start();
   REQUIRE(s.ready(s.consoles.back()));
   std::vector<std::unique_ptr<Tablet>> tablets(8);
@@ -122,24 +124,31 @@
     for (std::size_t i = 0; i < tablets.size(); ++i) {
       auto& tablet = tablets[i];
       if (tablet && tablet->closed) {
-        if (tablet->open.empty() && tablet->asked_at.count() == 0) ++refused_connections;
-        for (const auto& call : tablet->open) crossed.insert(call.second);
+        if (tablet->open.empty() && tablet->asked_at.count() == 0)
+          ++refused_connections;
+        for (const auto& call : tablet->open)
+          crossed.insert(call.second);
         tablet.reset();
       }
-      if (!tablet) tablet = std::make_unique<Tablet>(s.world, s.listen);
-      if (!tablet->open.empty()) continue;
+      if (!tablet)
+        tablet = std::make_unique<Tablet>(s.world, s.listen);
+      if (!tablet->open.empty())
+        continue;
       for (const auto& answer : tablet->got) {
         ++answered;
         next_call[i] = now + Millis(static_cast<double>(below(random, 30)));
         CHECK((answer.first == "OK" || answer.first == "BUSY"));
-        if (answer.first == "BUSY") CHECK(s.runs(answer.second) == 0);
+        if (answer.first == "BUSY")
+          CHECK(s.runs(answer.second) == 0);
       }
       tablet->got.clear();
-      if (now < next_call[i]) continue;
+      if (now < next_call[i])
+        continue;
       ++number;
       tablet->call(number, number % 2 == 0 ? "bin-record" : "bin-check", std::to_string(number), 800);
     }
-    if (now < next_step) continue;
+    if (now < next_step)
+      continue;
     if (!under_way) {
       s.start();
       under_way = true;
@@ -157,8 +166,10 @@
   INFO("answered " << answered << ", crossed " << crossed.size());
   CHECK(answered > 50);
   CHECK(refused_connections == 0);
-  for (const auto& body : crossed) CHECK(s.runs(body) == 0);  // it may be sent once more
-  for (int i = 2; i <= number; i += 2) CHECK(s.runs(std::to_string(i)) <= 1);
+  for (const auto& body : crossed)
+    CHECK(s.runs(body) == 0);  // it may be sent once more
+  for (int i = 2; i <= number; i += 2)
+    CHECK(s.runs(std::to_string(i)) <= 1);
 }
 
 }  // namespace
--- a/tests/lotusyard/shares_test.cpp
+++ b/tests/lotusyard/shares_test.cpp
@@ -59,34 +59,41 @@
   void follow(Person& p) {
     for (; p.follows < log.size(); ++p.follows) {
       const Line& line = log[p.follows];
-      if (line.entry) p.epochs.apply(p.follows + 1, *line.entry);
+      if (line.entry)
+        p.epochs.apply(p.follows + 1, *line.entry);
       const auto mine = line.stamps.find(p.name);
-      if (mine != line.stamps.end() && mine->second.first == p.life) p.lease->renew(mine->second.second);
+      if (mine != line.stamps.end() && mine->second.first == p.life)
+        p.lease->renew(mine->second.second);
     }
   }
   void lead() {
     Person& p = people[leader];
-    if (!p.up || p.cut) return;
+    if (!p.up || p.cut)
+      return;
     follow(p);
     for (std::size_t i = std::exchange(led_to, p.follows); i < p.follows; ++i) {
-      if (log[i].entry && std::holds_alternative<quota::BeginEpoch>(*log[i].entry)) parted = clock(p);
+      if (log[i].entry && std::holds_alternative<quota::BeginEpoch>(*log[i].entry))
+        parted = clock(p);
       for (const auto& [name, stamp] : log[i].stamps)
         signs[name] = {stamp.first, log[i].has.at(name), clock(p)};
     }
     Line line;
     for (const auto& other : people) {
-      if (!other.up || other.cut || random() % 3 == 0) continue;
+      if (!other.up || other.cut || random() % 3 == 0)
+        continue;
       line.stamps[other.name] = {other.life, clock(other).count()};
       line.has[other.name] = other.follows;
     }
     log.push_back(std::move(line));
-    if (p.follows < lead_from) return;
+    if (p.follows < lead_from)
+      return;
     if (const auto entry = quota::next_entry(p.epochs, signs, terms, parted, clock(p)))
       log.push_back({quota::parse_entry(quota::encode_entry(*entry)), {}, {}});
   }
   void elect() {
     const std::size_t next = random() % people.size();
-    if (!people[next].up || people[next].cut) return;
+    if (!people[next].up || people[next].cut)
+      return;
     leader = next;
     lead_from = log.size();
     for (auto& [name, sign] : signs)
@@ -96,19 +103,26 @@
   void disturb() {
     Person& p = people[random() % people.size()];
     switch (random() % 4) {
-      case 0: p.cut = !p.cut; break;
+      case 0:
+        p.cut = !p.cut;
+        break;
       case 1:
         p.up = !p.up;
-        if (!p.up) break;
+        if (!p.up)
+          break;
         ++p.life;
         p.epochs = QuotaEpochs();
         p.follows = 0;
         p.lease.emplace(terms, clock(p));
         break;
-      case 2: elect(); break;
-      default: break;
+      case 2:
+        elect();
+        break;
+      default:
+        break;
     }
-    if (!people[leader].up || people[leader].cut) elect();
+    if (!people[leader].up || people[leader].cut)
+      elect();
   }
   double sum(std::size_t seen_by_a_side) {
     double out = 0;
@@ -122,11 +136,14 @@
   double run(int turns) {
     for (int i = 0; i < turns; ++i) {
       now += 20;
-      if (i % 12 == 0) lead();
+      if (i % 12 == 0)
+        lead();
       for (auto& p : people) {
-        if (p.up && !p.cut && random() % 4 == 0) follow(p);
+        if (p.up && !p.cut && random() % 4 == 0)
+          follow(p);
       }
-      if (i % 60 == 59) disturb();
+      if (i % 60 == 59)
+        disturb();
       most = std::max(most, sum(1));
     }
     return most;
@@ -157,8 +174,10 @@
   Table table(5, 4);
   for (int i = 0; i < 2000; ++i) {
     table.now += 20;
-    if (i % 12 == 0) table.lead();
-    for (auto& p : table.people) table.follow(p);
+    if (i % 12 == 0)
+      table.lead();
+    for (auto& p : table.people)
+      table.follow(p);
   }
   CHECK(table.sum(4) == Approx(1));
   const auto& p = table.people[1];
--- a/tests/lotusyard/shutdown_test.cpp
+++ b/tests/lotusyard/shutdown_test.cpp
@@ -9,7 +9,8 @@
 
 void pass(Service& s, double ms) {
   const Millis until = s.world.loop.now() + Millis(ms);
-  while (s.world.loop.now() < until) s.world.turn();
+  while (s.world.loop.now() < until)
+    s.world.turn();
 }
 
 // Failure found: the process ended 3.6 s after SIGTERM with calls open, and they were lost: a call that came
@@ -18,7 +19,8 @@
     "a process that has to end answers what is still open, and a bin-record only as what may have run") {
   Service s(false);
   auto file = platform_file(s.listen, s.log.server.address());
-  for (auto& cls : file["settings"]["Classes"]) cls["HardLimit"] = 9000;
+  for (auto& cls : file["settings"]["Classes"])
+    cls["HardLimit"] = 9000;
   s.write(file);
   Process& process = s.start();
   REQUIRE(s.ready(s.consoles.back()));
@@ -42,7 +44,8 @@
   CHECK(tablet.open.empty());
   const std::map<std::string, std::string> words = [&] {
     std::map<std::string, std::string> out;
-    for (const auto& [word, body] : tablet.got) out[body] = word;
+    for (const auto& [word, body] : tablet.got)
+      out[body] = word;
     return out;
   }();
   CHECK(words == std::map<std::string, std::string>{{"out", "FAILED"}, {"held", "BUSY"}});
--- a/tests/lotusyard/sqlite_result_test.cpp
+++ b/tests/lotusyard/sqlite_result_test.cpp
@@ -24,7 +24,8 @@
   sqlite::Backoff backoff;
   CHECK(backoff.next() == sqlite::Backoff::kShortest);
   CHECK(backoff.next() == 2 * sqlite::Backoff::kShortest);
-  for (int i = 0; i < 20; ++i) CHECK(backoff.next() <= sqlite::Backoff::kLongest);
+  for (int i = 0; i < 20; ++i)
+    CHECK(backoff.next() <= sqlite::Backoff::kLongest);
   CHECK(backoff.next() == sqlite::Backoff::kLongest);
   backoff.reset();
   CHECK(backoff.next() == sqlite::Backoff::kShortest);
--- a/tests/lotusyard/store_faults_test.cpp
+++ b/tests/lotusyard/store_faults_test.cpp
@@ -28,14 +28,17 @@
   Call& operator[](const std::string& id) { return calls_[id]; }
   const std::string& broken() const { return broken_; }
   void fault(const std::string& what) {
-    if (broken_.empty()) broken_ = what;
+    if (broken_.empty())
+      broken_ = what;
   }
   // After a crash every call stands where the store took it to, or one refused change further.
   void check(const std::string& id, const std::optional<ResultRecord>& found) {
     const Call& call = calls_[id];
     const std::optional<ResultStage> stage = found ? std::optional<ResultStage>(found->stage) : std::nullopt;
-    if (stage != call.kept && stage != call.tried) fault("lost what was taken of " + id);
-    if (call.answered && (!found || found->answer.body != "answer of " + id)) fault("lost answer of " + id);
+    if (stage != call.kept && stage != call.tried)
+      fault("lost what was taken of " + id);
+    if (call.answered && (!found || found->answer.body != "answer of " + id))
+      fault("lost answer of " + id);
   }
   const std::map<std::string, Call>& calls() const { return calls_; }
 
@@ -69,7 +72,8 @@
     ResultRecord record;
     record.stage = stage;
     record.at = Millis(kStart) + clock;
-    if (stage >= ResultStage::answered) record.answer = {Verdict::served, Millis(0), "answer of " + id};
+    if (stage >= ResultStage::answered)
+      record.answer = {Verdict::served, Millis(0), "answer of " + id};
     const bool taken = store->put(id, record);
     auto& call = history[id];
     if (taken) {
@@ -89,10 +93,14 @@
     trust.healthy = store->find(id, known);
     trust.complete_from = store->complete_from();
     const DeliveryFacts arrival{call.runs > 0 || call.kept.has_value(), std::nullopt};
-    if (decide(known, arrival, trust) != Decision::run || !put(id, ResultStage::sent)) return;
-    if (++call.runs > 1) history.fault("second run of " + id);
-    if (below(random_, 4) == 0) return;  // its answer never comes
-    if (put(id, ResultStage::answered) && below(random_, 2) == 0) put(id, ResultStage::confirmed);
+    if (decide(known, arrival, trust) != Decision::run || !put(id, ResultStage::sent))
+      return;
+    if (++call.runs > 1)
+      history.fault("second run of " + id);
+    if (below(random_, 4) == 0)
+      return;  // its answer never comes
+    if (put(id, ResultStage::answered) && below(random_, 2) == 0)
+      put(id, ResultStage::confirmed);
   }
   void step() {
     clock += kStep;
@@ -103,14 +111,18 @@
     disk.rates = FaultRates();
     disk.is_full = false;
     clock += sqlite::Backoff::kLongest;
-    if (!store) open();
+    if (!store)
+      open();
     for (const auto& [id, call] : history.calls()) {
       std::optional<ResultRecord> found;
-      if (!store->find(id, found)) return history.fault("still not available");
+      if (!store->find(id, found))
+        return history.fault("still not available");
       history.check(id, found);
     }
-    if (store->is_damaged()) history.fault("damaged by trouble that passed");
-    if (!put("last", ResultStage::sent)) history.fault("takes nothing though the disk is well");
+    if (store->is_damaged())
+      history.fault("damaged by trouble that passed");
+    if (!put("last", ResultStage::sent))
+      history.fault("takes nothing though the disk is well");
   }
 
  private:
@@ -124,9 +136,11 @@
   rig.disk.crash_kind = kind;
   rig.disk.sync_lies = lies;
   rig.open();
-  for (int i = 0; i < 25 && !rig.disk.crashed(); ++i) rig.step();
+  for (int i = 0; i < 25 && !rig.disk.crashed(); ++i)
+    rig.step();
   rig.store.reset();  // what is folded back at the end is written and synced, too
-  if (changes != nullptr) *changes = rig.disk.changes();
+  if (changes != nullptr)
+    *changes = rig.disk.changes();
   rig.crash();
   rig.open();
   rig.end();
@@ -152,9 +166,12 @@
   rig.open();
   for (int i = 0; i < 60 && rig.history.broken().empty(); ++i) {
     rig.step();
-    if (below(random, 12) == 0) rig.disk.is_full = !rig.disk.is_full;
-    if (below(random, 12) == 0) rig.disk.rates = random_rates(random);
-    if (below(random, 20) > 0) continue;
+    if (below(random, 12) == 0)
+      rig.disk.is_full = !rig.disk.is_full;
+    if (below(random, 12) == 0)
+      rig.disk.rates = random_rates(random);
+    if (below(random, 20) > 0)
+      continue;
     rig.disk.crash_kind = below(random, 2) == 0 ? Crash::process_killed : Crash::power_lost;
     rig.crash();
     rig.open();
@@ -172,7 +189,8 @@
 
 TEST_CASE("answers: the checker finds a store that says it is durable before it is") {
   int found = 0;
-  for (std::uint64_t seed = 1; seed <= 40; ++seed) found += run_schedule(seed, true).empty() ? 0 : 1;
+  for (std::uint64_t seed = 1; seed <= 40; ++seed)
+    found += run_schedule(seed, true).empty() ? 0 : 1;
   CHECK(found > 10);
 }
 
--- a/tests/lotusyard/system_call_faults.cpp
+++ b/tests/lotusyard/system_call_faults.cpp
@@ -15,7 +15,8 @@
 // True if the call is to fail; errno is set.
 bool fails(SystemCall call) {
   const int error = current == nullptr ? 0 : current->next_error(call);
-  if (error == 0) return false;
+  if (error == 0)
+    return false;
   errno = error;
   return true;
 }
@@ -23,7 +24,8 @@
 std::size_t transfer(std::size_t bytes) { return current == nullptr ? bytes : current->transfer(bytes); }
 
 std::uint16_t port_of(const sockaddr* address) {
-  if (address->sa_family != AF_INET) return 0;
+  if (address->sa_family != AF_INET)
+    return 0;
   return ntohs(reinterpret_cast<const sockaddr_in*>(address)->sin_port);
 }
 
@@ -56,7 +58,8 @@
 int SystemCallFaults::next_error(SystemCall call) {
   Rule& rule = at(call);
   ++rule.calls;
-  if (rule.errors.empty() || rule.failures >= rule.most || !happens(rule.chance)) return 0;
+  if (rule.errors.empty() || rule.failures >= rule.most || !happens(rule.chance))
+    return 0;
   ++rule.failures;
   return rule.errors[random_() % rule.errors.size()];
 }
@@ -80,7 +83,8 @@
   return meant && test::fails(SystemCall::connect) ? -1 : ::connect(fd, address, size);
 }
 int pending_error(int fd) {
-  if (test::fails(SystemCall::pending_error)) return errno;
+  if (test::fails(SystemCall::pending_error))
+    return errno;
   int error = 0;
   socklen_t size = sizeof error;
   return getsockopt(fd, SOL_SOCKET, SO_ERROR, &error, &size) == 0 ? error : errno;
@@ -89,9 +93,11 @@
   return test::fails(SystemCall::accept) ? -1 : ::accept4(listener, nullptr, nullptr, flags);
 }
 int poll(pollfd* descriptors, nfds_t count, int timeout_ms) {
-  if (!test::fails(SystemCall::poll)) return ::poll(descriptors, count, timeout_ms);
+  if (!test::fails(SystemCall::poll))
+    return ::poll(descriptors, count, timeout_ms);
   // A call that fails leaves these as they are; that they look ready must not matter.
-  for (nfds_t i = 0; i < count; ++i) descriptors[i].revents = POLLIN | POLLOUT;
+  for (nfds_t i = 0; i < count; ++i)
+    descriptors[i].revents = POLLIN | POLLOUT;
   return -1;
 }
 ssize_t receive(int fd, void* bytes, std::size_t size, int flags) {
--- a/tests/lotusyard/system_call_storm_test.cpp
+++ b/tests/lotusyard/system_call_storm_test.cpp
@@ -42,7 +42,8 @@
 template <typename Make>
 auto made(const Make& make) {
   auto stream = make();
-  while (!stream->is_connecting()) stream = make();
+  while (!stream->is_connecting())
+    stream = make();
   return stream;
 }
 
@@ -58,13 +59,15 @@
       client.call(tag, i % 2 == 0 ? "bin-check" : "bin-record", body);
       const resp::Words* answer = client.answer(tag);
       REQUIRE(answer != nullptr);
-      if ((*answer)[1] != "OK") continue;
+      if ((*answer)[1] != "OK")
+        continue;
       ++served;
       CHECK(answer->back() == body);
     }
     CHECK(served == 40);
     for (const auto& host : p.world.host) {
-      for (const auto& [body, runs] : host->runs) CHECK(runs == 1);
+      for (const auto& [body, runs] : host->runs)
+        CHECK(runs == 1);
     }
   });
 }
@@ -73,7 +76,8 @@
   in_each_weather([](std::uint64_t seed, const auto& begin) {
     Triggers t(3, seed);
     begin();
-    for (int i = 0; i < 20; ++i) t.broker.send(std::to_string(i), "bin-check", "body " + std::to_string(i));
+    for (int i = 0; i < 20; ++i)
+      t.broker.send(std::to_string(i), "bin-check", "body " + std::to_string(i));
     for (int i = 0; i < 20; ++i) {
       REQUIRE(t.answered(std::to_string(i)));
       const auto& answer = t.broker.held["c-" + std::to_string(i)].front();
@@ -97,7 +101,8 @@
     void on_received(std::string_view bytes) override {
       std::vector<std::string> lines;
       REQUIRE(cutter_.take(bytes, lines));
-      for (const auto& line : lines) tell(std::stoull(line.substr(6)));
+      for (const auto& line : lines)
+        tell(std::stoull(line.substr(6)));
     }
     void tell(std::size_t since) {
       for (std::size_t i = since + 1; i <= 20; ++i) {
@@ -121,14 +126,17 @@
     WholeLog log(loop, pool);
     std::vector<std::string> told;
     const auto keep = [&](const core::HostListUpdate& list) {
-      for (const auto& member : list.hosts) told.push_back(member.entry.worker);
+      for (const auto& member : list.hosts)
+        told.push_back(member.entry.worker);
     };
     discovery::Discovery discovery(loop, pool, counters, log.server.address(), discovery::Log(0), keep);
     begin();
     discovery.start();
-    for (int i = 0; i < 20000 && told.size() < 20; ++i) loop.run_once(loop.now() + Millis(20), [] {});
+    for (int i = 0; i < 20000 && told.size() < 20; ++i)
+      loop.run_once(loop.now() + Millis(20), [] {});
     REQUIRE(told.size() == 20);
-    for (std::size_t i = 0; i < 20; ++i) CHECK(told[i] == "s" + std::to_string(i + 1));
+    for (std::size_t i = 0; i < 20; ++i)
+      CHECK(told[i] == "s" + std::to_string(i + 1));
   });
 }
 
@@ -175,7 +183,8 @@
   in_each_weather([](std::uint64_t, const auto& begin) {
     Tier tier;
     tier.add_node();
-    for (int i = 0; i < 2; ++i) tier.add_invoker();
+    for (int i = 0; i < 2; ++i)
+      tier.add_invoker();
     begin();
     for (int i = 0; i < 30; ++i) {
       tier.change("key" + std::to_string(i % 7), std::string(50, 'v') + std::to_string(i));
--- a/tests/lotusyard/system_calls_test.cpp
+++ b/tests/lotusyard/system_calls_test.cpp
@@ -42,7 +42,8 @@
   template <typename Until>
   bool until(const Until& done, Millis most = Millis(4000)) {
     const Millis end = loop.now() + most;
-    while (!done() && loop.now() < end) loop.run_once(loop.now() + Millis(5), [] {});
+    while (!done() && loop.now() < end)
+      loop.run_once(loop.now() + Millis(5), [] {});
     return done();
   }
 };
@@ -140,7 +141,8 @@
       SystemCallFaults faults;
       faults.fail(SystemCall::poll, {error});
       const Millis end = pair.loop.now() + Millis(200);
-      while (pair.loop.now() < end) pair.loop.run_once(end, [] {});
+      while (pair.loop.now() < end)
+        pair.loop.run_once(end, [] {});
       CHECK(rung);
       CHECK(pair.near.got.empty());
       CHECK(faults.calls(SystemCall::receive) == 0);
--- a/tests/lotusyard/triggers.h
+++ b/tests/lotusyard/triggers.h
@@ -32,7 +32,8 @@
   }
   std::size_t unacked() const {
     std::size_t sum = 0;
-    for (const auto& peer : broker.server.peers) sum += peer->unacked.size();
+    for (const auto& peer : broker.server.peers)
+      sum += peer->unacked.size();
     return sum;
   }
   World world;
@@ -57,7 +58,8 @@
 // Ends after so many calls, or after that time with about a hundred calls a second.
 inline Tally chaos_run(std::uint64_t seed, std::size_t calls, Millis most = Millis(0)) {
   core::Settings s = settings();
-  for (auto& c : s.classes) c.aim = c.deadline = Millis(400);
+  for (auto& c : s.classes)
+    c.aim = c.deadline = Millis(400);
   Triggers t(3, seed, {}, s);
   t.broker.chaos = {12, 60, 300, 40};
   Random random(seed);
@@ -66,11 +68,15 @@
     t.world.host[i]->react = [&, i](const std::string&) {
       const auto& told = t.world.states[i];
       const bool drained = told.state != lotusyard::policy::WorkerState::ready;
-      if (drained && t.world.loop.now() - told.at > s.drain_grace) ++tally.after_drain;
+      if (drained && t.world.loop.now() - told.at > s.drain_grace)
+        ++tally.after_drain;
       const std::size_t dice = below(random, 1000);
-      if (dice < 10) return Reaction{Reaction::silence, ""};
-      if (dice < 13) return Reaction{Reaction::half, "data"};
-      if (dice < 16) return Reaction{Reaction::hang_up, ""};
+      if (dice < 10)
+        return Reaction{Reaction::silence, ""};
+      if (dice < 13)
+        return Reaction{Reaction::half, "data"};
+      if (dice < 16)
+        return Reaction{Reaction::hang_up, ""};
       return Reaction{Reaction::reply, dice < 40   ? "absent"
                                        : dice < 60 ? "full"
                                        : dice < 80 ? "failed"
@@ -82,13 +88,15 @@
   std::size_t next_drain = 40, next_drop = 30;
   while (tally.sent < calls) {
     const Millis past = t.world.loop.now() - began;
-    if (most.count() > 0 && past >= most) break;
+    if (most.count() > 0 && past >= most)
+      break;
     const auto due = most.count() > 0 ? static_cast<std::size_t>(past.count() / 10) : calls;
     for (int i = 0; i < 4 && tally.sent < due && t.broker.queue.size() < 8; ++i) {
       const bool record = below(random, 3) == 0;
       const std::string id = "m" + std::to_string(tally.sent++);
       t.broker.send(id, record ? "bin-record" : "bin-check", "bin of " + id);
-      if (record) records.push_back("bin of " + id);
+      if (record)
+        records.push_back("bin of " + id);
     }
     t.world.turn();
     // A short run must not depend on chance for its drops; a long one has them at any moment.
@@ -96,7 +104,8 @@
       next_drop += 30;
       t.broker.drop_all();
     }
-    if (tally.sent < next_drain) continue;
+    if (tally.sent < next_drain)
+      continue;
     // One host drains at a time, and comes back reborn when the next one goes.
     next_drain += 100;
     const std::size_t back = tally.drains++ % t.world.host.size();
@@ -106,16 +115,21 @@
   tally.settled = t.settled();
   for (std::size_t i = 0; i < tally.sent; ++i) {
     const auto& held = t.broker.held["c-m" + std::to_string(i)];
-    if (held.empty()) ++tally.lost;
+    if (held.empty())
+      ++tally.lost;
     for (const auto& answer : held) {
-      if (word_of(answer) != word_of(held.front()) || answer.body != held.front().body) ++tally.differing;
+      if (word_of(answer) != word_of(held.front()) || answer.body != held.front().body)
+        ++tally.differing;
     }
-    if (!held.empty() && word_of(held.front()) == "OK") ++tally.served;
+    if (!held.empty() && word_of(held.front()) == "OK")
+      ++tally.served;
   }
   for (const auto& body : records) {
     int runs = 0;
-    for (const auto& host : t.world.host) runs += host->runs.count(body) == 0 ? 0 : host->runs.at(body);
-    if (runs > 1) ++tally.repeated_runs;
+    for (const auto& host : t.world.host)
+      runs += host->runs.count(body) == 0 ? 0 : host->runs.at(body);
+    if (runs > 1)
+      ++tally.repeated_runs;
   }
   tally.dropped = t.broker.dropped;
   return tally;
--- a/tests/lotusyard/triggers_gone_test.cpp
+++ b/tests/lotusyard/triggers_gone_test.cpp
@@ -32,7 +32,8 @@
   };
   for (auto& host : t.world.host) {
     host->react = [&](const std::string&) {
-      if (!gone) go();
+      if (!gone)
+        go();
       return Reaction{Reaction::reply, "full"};
     };
   }
@@ -40,7 +41,8 @@
   while (!gone) {
     t.world.loop.run_once(t.world.loop.now() + Millis(20), [&] {
       t.world.dispatcher.tick();
-      if (!retry && t.world.dispatcher.open_calls() > 0) go();  // decided, and not written yet
+      if (!retry && t.world.dispatcher.open_calls() > 0)
+        go();  // decided, and not written yet
     });
   }
   const Millis until = t.world.loop.now() + Millis(300);
@@ -59,7 +61,8 @@
   while (!gone) {
     t.world.loop.run_once(t.world.loop.now() + Millis(20), [&] {
       t.world.dispatcher.tick();
-      if (gone || t.world.dispatcher.open_calls() == 0) return;
+      if (gone || t.world.dispatcher.open_calls() == 0)
+        return;
       close_broker(t);
       gone = true;
     });
--- a/tests/lotusyard/triggers_test.cpp
+++ b/tests/lotusyard/triggers_test.cpp
@@ -72,7 +72,8 @@
   std::swap(next.classes[0].semantics, next.classes[1].semantics);
   bool changed = false;
   const auto change = [&] {
-    if (std::exchange(changed, true)) return;
+    if (std::exchange(changed, true))
+      return;
     t.world.dispatcher.apply_settings(next);
     t.front->apply_settings(next);
   };
@@ -243,8 +244,10 @@
       CHECK(plan.wait >= bounds.first / 2);
       CHECK(plan.wait <= bounds.most);
       CHECK(plan.say.empty());
-      if (i < 3) before += plan.wait;
-      if (i >= 27) sum += plan.wait;
+      if (i < 3)
+        before += plan.wait;
+      if (i >= 27)
+        sum += plan.wait;
       waits.insert(plan.wait.count());
     }
     CHECK(reached.size() == 3);
@@ -254,7 +257,8 @@
     const auto served = recovery.broker();
     amqp::Recovery flapping({"a:1"}, seed);
     Millis last{0};
-    for (int i = 0; i < 12; ++i) last = flapping.after({0, true, Millis(5), false}).wait;
+    for (int i = 0; i < 12; ++i)
+      last = flapping.after({0, true, Millis(5), false}).wait;
     CHECK(last >= bounds.most / 2);
     CHECK(recovery.after({320, true, bounds.settled, false}).broker != served);
     amqp::Recovery refused({"a:1"}, seed);
@@ -288,7 +292,8 @@
   REQUIRE(t.answered("first"));
   t.broker.say_all(amqp::method::connection_blocked, amqp::Writer().short_text("low on memory"));
   REQUIRE(t.world.turn_until([&] { return t.world.counters.value("amqp.blocked") == 1; }, 20000));
-  for (int i = 0; i < 10; ++i) t.broker.send("m" + std::to_string(i), "bin-record", "y" + std::to_string(i));
+  for (int i = 0; i < 10; ++i)
+    t.broker.send("m" + std::to_string(i), "bin-record", "y" + std::to_string(i));
   REQUIRE(t.world.turn_until([&] { return t.world.host[0]->execs == 11; }, 20000));
   const Millis began = t.world.loop.now();
   t.world.turn_until([&] { return t.world.loop.now() - began > Millis(100); }, 20000);
@@ -303,7 +308,8 @@
 TEST_CASE("with no confirm coming, consuming pauses") {
   Triggers t(1);
   t.broker.withhold = true;
-  for (int i = 0; i < 100; ++i) t.broker.send("m" + std::to_string(i), "bin-check", "x");
+  for (int i = 0; i < 100; ++i)
+    t.broker.send("m" + std::to_string(i), "bin-check", "x");
   REQUIRE(t.answered("m15"));
   const Millis began = t.world.loop.now();
   t.world.turn_until([&] { return t.world.loop.now() - began > Millis(200); }, 20000);
@@ -327,7 +333,8 @@
 TEST_CASE("what the file wants is declared in its order; a mismatch names its key and is not hurried") {
   Triggers t(1, 1, {}, settings(), nullptr, {}, topology_of_calls());
   const bool fits = GENERATE(true, false);
-  if (!fits) t.broker.queues["calls"] = {{"x-message-ttl", std::int64_t{1}}};
+  if (!fits)
+    t.broker.queues["calls"] = {{"x-message-ttl", std::int64_t{1}}};
   std::ostringstream said;
   auto* const before = std::cerr.rdbuf(said.rdbuf());
   t.broker.send("a", "bin-check", "x");
--- a/tests/lotusyard/try_test.cpp
+++ b/tests/lotusyard/try_test.cpp
@@ -11,7 +11,8 @@
   REQUIRE(cluster.all_ready(20));
   const std::string admin_endpoint = cluster.members[1]->admin_endpoint;
   std::cout << "three members are in; their admin endpoints are at";
-  for (const auto& m : cluster.members) std::cout << ' ' << m->admin_endpoint;
+  for (const auto& m : cluster.members)
+    std::cout << ' ' << m->admin_endpoint;
   std::cout << "\n$ lotusyard_cluster works add kernel-update --at " << admin_endpoint
             << " --all --out 2 --wait" << std::endl;
   const pid_t child = fork();
@@ -25,25 +26,30 @@
   double checked = 0;
   const bool ended = cluster.until(
       [&] {
-        if (cluster.world.loop.now().count() < checked) return false;
+        if (cluster.world.loop.now().count() < checked)
+          return false;
         checked = cluster.world.loop.now().count() + 100;
         cluster.give_back(700);  // whoever works on a machine takes as long
         return waitpid(child, &status, WNOHANG) == child;
       },
       45);
-  if (!ended) kill(child, SIGKILL);
+  if (!ended)
+    kill(child, SIGKILL);
   REQUIRE(ended);
   CHECK(WEXITSTATUS(status) == 0);
   CHECK(cluster.broken_rule(2) == "");
   std::map<std::string, int> words;
   for (const auto& m : cluster.members) {
-    for (const auto& [word, body] : m->tablet->got) ++words[word];
+    for (const auto& [word, body] : m->tablet->got)
+      ++words[word];
   }
   std::cout << "calls meanwhile:";
-  for (const auto& [word, count] : words) std::cout << ' ' << count << ' ' << word;
+  for (const auto& [word, count] : words)
+    std::cout << ' ' << count << ' ' << word;
   std::cout << "\n$ lotusyard_cluster works timeline *.log --svg works.svg" << std::endl;
   std::string command = std::string(LOTUSYARD_CLUSTER) + " works timeline";
-  for (const auto& m : cluster.members) command += ' ' + cluster.log_of(*m);
+  for (const auto& m : cluster.members)
+    command += ' ' + cluster.log_of(*m);
   CHECK(std::system((command + " --svg works.svg").c_str()) == 0);
   std::cout << "the chart is in works.svg" << std::endl;
 }
--- a/tests/lotusyard/view_measure.cpp
+++ b/tests/lotusyard/view_measure.cpp
@@ -25,7 +25,8 @@
     Spread join, crash, heal, sent, bytes;
     for (std::uint64_t seed = 1; seed <= (n > 100 ? 3 : 10); ++seed) {
       ViewNet net(seed, n);
-      for (std::size_t i = 0; i + 1 < n; ++i) net.start(i);
+      for (std::size_t i = 0; i + 1 < n; ++i)
+        net.start(i);
       net.run(20000);
       net.start(n - 1);
       join.all.push_back(net.settles(60000));
@@ -34,7 +35,8 @@
       crash.all.push_back(net.settles(60000));
       net.run(10000);
       std::set<std::size_t> side;
-      for (std::size_t i = 0; i < n / 2; ++i) side.insert(i);
+      for (std::size_t i = 0; i < n / 2; ++i)
+        side.insert(i);
       net.part(side);
       net.run(30000);
       net.heal();
@@ -42,7 +44,8 @@
       net.run(20000);
       net.measure_bytes = true;
       std::uint64_t before = 0, after = 0, weight = 0;
-      for (const auto& node : net.nodes) before += node.sent;
+      for (const auto& node : net.nodes)
+        before += node.sent;
       net.run(30000);
       for (const auto& node : net.nodes) {
         after += node.sent;
@@ -74,7 +77,8 @@
           }
         }
         std::uint64_t suspected = 0;
-        for (const auto& node : net.nodes) suspected += node.swim->counts().suspected;
+        for (const auto& node : net.nodes)
+          suspected += node.swim->counts().suspected;
         std::cout << n << ' ' << loss << ' ' << (stalls ? "stalls" : "-") << ": " << net.false_deaths << ' '
                   << suspected << std::endl;
       }
--- a/tests/lotusyard/view_net.h
+++ b/tests/lotusyard/view_net.h
@@ -67,11 +67,13 @@
         std::make_unique<SwimProtocol>(MemberRecord{n.name, n.address, n.life, 0, MemberStatus::joining, {}},
                                        seed_addresses, pace, random(), Millis(now));
     n.due = now;
-    if (serves) n.swim->serve(Millis(now));
+    if (serves)
+      n.swim->serve(Millis(now));
     say(n.name + " starts");
   }
   void start_all() {
-    for (std::size_t i = 0; i < nodes.size(); ++i) start(i);
+    for (std::size_t i = 0; i < nodes.size(); ++i)
+      start(i);
     events.clear();
     say("all start");
   }
@@ -94,7 +96,8 @@
   void part(const std::set<std::size_t>& side, const std::string& what = "a cut") {
     for (std::size_t i = 0; i < nodes.size(); ++i) {
       for (std::size_t k = 0; k < nodes.size(); ++k) {
-        if (side.count(i) != side.count(k)) cut.insert({i, k});
+        if (side.count(i) != side.count(k))
+          cut.insert({i, k});
       }
     }
     say(what);
@@ -109,16 +112,19 @@
     nodes[i].due = nodes[i].swim->next_deadline().count();
     for (auto& out : nodes[i].swim->take_outgoing()) {
       ++nodes[i].sent;
-      if (measure_bytes) nodes[i].bytes += gossip::encode_message(out.message).size();
+      if (measure_bytes)
+        nodes[i].bytes += gossip::encode_message(out.message).size();
       const auto to = by_address.find(out.address);
-      if (to == by_address.end() || cut.count({i, to->second}) != 0 || chance() < loss) continue;
+      if (to == by_address.end() || cut.count({i, to->second}) != 0 || chance() < loss)
+        continue;
       flights.push({now + delay * (0.5 + chance()), ++order, i, to->second, std::move(out.message)});
     }
     for (const auto& change : nodes[i].swim->take_changes()) {
       ++changes;
       if (change.status == MemberStatus::dead && really_down.count({change.name, change.incarnation}) == 0) {
         // What is cut off for longer than a suspicion lasts is rightly held for dead.
-        if (cut.empty()) ++false_deaths;
+        if (cut.empty())
+          ++false_deaths;
       }
     }
   }
@@ -127,14 +133,17 @@
   void step(double until) {
     double next = until;
     for (const auto& n : nodes) {
-      if (n.swim) next = std::min(next, std::max(n.due, n.stalled_until));
+      if (n.swim)
+        next = std::min(next, std::max(n.due, n.stalled_until));
     }
-    if (!flights.empty()) next = std::min(next, flights.top().at);
+    if (!flights.empty())
+      next = std::min(next, flights.top().at);
     now = std::max(now, next);
     while (!flights.empty() && flights.top().at <= now) {
       Flight f = flights.top();
       flights.pop();
-      if (!nodes[f.to].swim || cut.count({f.from, f.to}) != 0) continue;
+      if (!nodes[f.to].swim || cut.count({f.from, f.to}) != 0)
+        continue;
       if (!runs(f.to)) {
         nodes[f.to].while_stalled.push_back(std::move(f.message));
         continue;
@@ -143,10 +152,14 @@
       carry(f.to);
     }
     for (std::size_t i = 0; i < nodes.size(); ++i) {
-      if (!runs(i)) continue;
-      if (nodes[i].due > now && nodes[i].while_stalled.empty()) continue;
-      if (nodes[i].due <= now) nodes[i].swim->tick(Millis(now));
-      for (const auto& m : std::exchange(nodes[i].while_stalled, {})) nodes[i].swim->receive(Millis(now), m);
+      if (!runs(i))
+        continue;
+      if (nodes[i].due > now && nodes[i].while_stalled.empty())
+        continue;
+      if (nodes[i].due <= now)
+        nodes[i].swim->tick(Millis(now));
+      for (const auto& m : std::exchange(nodes[i].while_stalled, {}))
+        nodes[i].swim->receive(Millis(now), m);
       carry(i);
     }
   }
@@ -154,7 +167,8 @@
     const double until = now + span;
     while (now < until) {
       step(until);
-      if (draws) draw();
+      if (draws)
+        draw();
     }
   }
   char mark(std::size_t at, std::size_t of) const {
@@ -162,37 +176,45 @@
     return peer == nullptr ? '.' : "~+?x<"[static_cast<std::size_t>(peer->status)];
   }
   std::string cell(std::size_t at) const {
-    if (!nodes[at].swim) return std::string(nodes.size(), ' ');
+    if (!nodes[at].swim)
+      return std::string(nodes.size(), ' ');
     std::string out;
-    for (std::size_t of = 0; of < nodes.size(); ++of) out += mark(at, of);
+    for (std::size_t of = 0; of < nodes.size(); ++of)
+      out += mark(at, of);
     return out;
   }
   // A row whenever what somebody believes is another, or something happens: time since the start in periods.
   void draw() {
     std::string row;
-    for (std::size_t i = 0; i < nodes.size(); ++i) row += "  " + cell(i);
-    if (row == last_row_ && events.empty()) return;
+    for (std::size_t i = 0; i < nodes.size(); ++i)
+      row += "  " + cell(i);
+    if (row == last_row_ && events.empty())
+      return;
     last_row_ = row;
     char at[16];
     std::snprintf(at, sizeof at, "%5.1f", (now - 1000) / pace.period.count());
     std::string said;
-    for (const auto& [when, what] : std::exchange(events, {})) said += (said.empty() ? "   " : ", ") + what;
+    for (const auto& [when, what] : std::exchange(events, {}))
+      said += (said.empty() ? "   " : ", ") + what;
     drawing += at + row + said + "\n";
   }
   std::string head() const {
     std::string out = "     ";
-    for (const auto& n : nodes) out += "  " + n.name + std::string(nodes.size() - n.name.size(), ' ');
+    for (const auto& n : nodes)
+      out += "  " + n.name + std::string(nodes.size() - n.name.size(), ' ');
     return out + "\n";
   }
   // Every node that runs believes of every other what is true.
   bool settled() const {
     for (std::size_t i = 0; i < nodes.size(); ++i) {
-      if (!nodes[i].swim) continue;
+      if (!nodes[i].swim)
+        continue;
       for (std::size_t k = 0; k < nodes.size(); ++k) {
         const MemberRecord* peer = nodes[i].swim->member_table().find(nodes[k].name);
         const bool up =
             peer != nullptr && peer->status <= MemberStatus::alive && peer->incarnation == nodes[k].life;
-        if (up != (nodes[k].swim != nullptr)) return false;
+        if (up != (nodes[k].swim != nullptr))
+          return false;
       }
     }
     return true;
@@ -201,7 +223,8 @@
   double settles(double span) {
     const double began = now;
     while (now < began + span) {
-      if (settled()) return now - began;
+      if (settled())
+        return now - began;
       run(20);
     }
     return settled() ? now - began : -1;
--- a/tests/lotusyard/view_test.cpp
+++ b/tests/lotusyard/view_test.cpp
@@ -132,10 +132,12 @@
   ViewNet net(6, 8);
   net.start_all();
   net.run(5000);
-  for (std::size_t i = 1; i < 5; ++i) net.cut.insert({i, 0});  // half of them cannot reach a
+  for (std::size_t i = 1; i < 5; ++i)
+    net.cut.insert({i, 0});  // half of them cannot reach a
   const auto before = net.changes;
   net.run(120000);
-  for (const auto& n : net.nodes) CHECK(n.swim->member_table().find("a")->status != MemberStatus::dead);
+  for (const auto& n : net.nodes)
+    CHECK(n.swim->member_table().find("a")->status != MemberStatus::dead);
   CHECK(net.changes - before < 8 * 8 * 4);  // nobody flaps: as much as four pieces of gossip known to all
 }
 
@@ -166,20 +168,24 @@
   params.seed = 7;
   const auto result = rc::detail::checkTestable(property, rc::detail::TestMetadata{"", what}, params);
   const bool held = result.template is<rc::detail::SuccessResult>();
-  if (!held && broken_rule.empty()) rc::detail::printResultMessage(result, std::cerr);
+  if (!held && broken_rule.empty())
+    rc::detail::printResultMessage(result, std::cerr);
   return held;
 }
 bool order_matters() {
   return !holds("facts merge alike in any order, repeated or not", 300, [] {
     const auto count = *rc::gen::inRange<std::size_t>(0, 12);
     std::vector<gossip::HostObservation> all;
-    for (std::size_t i = 0; i < count; ++i) all.push_back(some_fact());
+    for (std::size_t i = 0; i < count; ++i)
+      all.push_back(some_fact());
     gossip::MemberMetadata one, other;
-    for (const auto& f : all) one.merge(f);
+    for (const auto& f : all)
+      one.merge(f);
     std::mt19937_64 random(*rc::gen::arbitrary<std::uint64_t>());
     for (int twice = 0; twice < 2; ++twice) {
       std::shuffle(all.begin(), all.end(), random);
-      for (const auto& f : all) other.merge(f);
+      for (const auto& f : all)
+        other.merge(f);
     }
     RC_ASSERT(state_of(one) == state_of(other));
   });
@@ -223,7 +229,8 @@
          read->self.refutation == 4));
   for (int i = 0; i < 4000; ++i) {
     std::string spoilt = body;
-    if (i % 2 == 0) spoilt.resize(random() % spoilt.size());
+    if (i % 2 == 0)
+      spoilt.resize(random() % spoilt.size());
     spoilt[random() % (spoilt.size() + 1)] = static_cast<char>(random());
     gossip::decode_message(spoilt);
   }
@@ -242,22 +249,36 @@
   for (const int step : course) {
     const auto who = static_cast<std::size_t>(step % 5);
     switch (step / 5 % 6) {
-      case 0: net.nodes[who].swim ? net.crash(who) : net.start(who); break;
-      case 1: net.stall(who, 1000 + 400 * (step % 7)); break;
-      case 2: net.part({who, (who + 2) % 5}); break;
-      case 3: net.heal(); break;
-      case 4: net.cut.insert({who, (who + 1) % 5}); break;
-      default: net.loss = net.loss > 0 ? 0 : 0.2; break;
+      case 0:
+        net.nodes[who].swim ? net.crash(who) : net.start(who);
+        break;
+      case 1:
+        net.stall(who, 1000 + 400 * (step % 7));
+        break;
+      case 2:
+        net.part({who, (who + 2) % 5});
+        break;
+      case 3:
+        net.heal();
+        break;
+      case 4:
+        net.cut.insert({who, (who + 1) % 5});
+        break;
+      default:
+        net.loss = net.loss > 0 ? 0 : 0.2;
+        break;
     }
     net.run(300 + 150 * (step % 11), drawing != nullptr);
   }
   net.loss = 0;
   net.heal();
   for (std::size_t i = 0; i < 5; ++i) {
-    if (!net.nodes[i].swim) net.start(i);
+    if (!net.nodes[i].swim)
+      net.start(i);
   }
   const double took = net.settles(25000);
-  if (drawing != nullptr) *drawing = drawn(net);
+  if (drawing != nullptr)
+    *drawing = drawn(net);
   return took < 0 ? "views differ 25 s after the last fault" : std::string();
 }
 
@@ -266,7 +287,8 @@
     const auto seed = *rc::gen::inRange<std::uint64_t>(1, 1000000);
     const auto course = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 330));
     const std::string wrong = wrong_after(seed, course);
-    if (wrong.empty()) return;
+    if (wrong.empty())
+      return;
     std::string drawing;  // of the course as it is when it has been cut down
     wrong_after(seed, course, &drawing);
     RC_FAIL(wrong + drawing);
@@ -312,7 +334,8 @@
   CHECK(net.nodes[1].swim->member_table().find("d") == nullptr);
   net.heal();
   net.run(5000);
-  for (std::size_t i = 0; i < 3; ++i) CHECK(net.nodes[i].swim->member_table().find("d") == nullptr);
+  for (std::size_t i = 0; i < 3; ++i)
+    CHECK(net.nodes[i].swim->member_table().find("d") == nullptr);
 }
 
 TEST_CASE("tables are bounded, and those gone longest give their places") {
--- a/tests/lotusyard/work_rig.h
+++ b/tests/lotusyard/work_rig.h
@@ -23,7 +23,8 @@
     return until(
         [&] {
           const auto running = std::find_if(operated.begin(), operated.end(), runs);
-          if (running != operated.end()) propose(**running, work);
+          if (running != operated.end())
+            propose(**running, work);
           const auto course = maintenance::parse_timeline(lines());
           return std::any_of(course.entries.begin(), course.entries.end(),
                              [&](const auto& h) { return h.what == "add"; });
@@ -34,9 +35,11 @@
   bool done() const {
     const auto course = maintenance::parse_timeline(lines());
     std::map<std::string, int> back;
-    for (const auto& h : course.entries) back[h.host] += h.what == "back";
+    for (const auto& h : course.entries)
+      back[h.host] += h.what == "back";
     int all = 0;
-    for (const auto& [host, times] : back) all += times > 0;
+    for (const auto& [host, times] : back)
+      all += times > 0;
     return all == static_cast<int>(world.host.size());
   }
   // One work over all hosts, with as many disturbances; what is broken, else empty.
@@ -49,22 +52,26 @@
       disturb();
       give_back(100);
       const std::string broken = broken_rule(most_out);
-      if (!broken.empty()) return broken;
+      if (!broken.empty())
+        return broken;
     }
     heal();
     revive_all();
     double checked = 0;
     const bool ended = until(
         [&] {
-          if (now() < checked) return false;
+          if (now() < checked)
+            return false;
           checked = now() + 100;
           give_back(100);
           return done();
         },
         60);
     const std::string broken = broken_rule(most_out);
-    if (!broken.empty()) return broken;
-    if (!ended) return "the work does not end";
+    if (!broken.empty())
+      return broken;
+    if (!ended)
+      return "the work does not end";
     const auto answered = [](const auto* p) {
       return !p->tablet || p->tablet->closed || p->tablet->open.size() < 40;
     };
--- a/tests/lotusyard/work_rules.h
+++ b/tests/lotusyard/work_rules.h
@@ -31,17 +31,23 @@
   std::set<std::string> out;
   std::map<std::string, double> touched;
   for (const auto& h : course.entries) {
-    if (h.what == "take") out.insert(h.host);
-    if (h.what == "back") out.erase(h.host);
+    if (h.what == "take")
+      out.insert(h.host);
+    if (h.what == "back")
+      out.erase(h.host);
     if (static_cast<int>(out.size()) > most_out)
       return std::to_string(out.size()) + " hosts out at index " + std::to_string(h.index);
-    if (h.what == "touch") touched[h.host] = h.at;
-    if (h.what != "returned") continue;
-    if (touched.count(h.host) == 0) return h.host + " is back and was not out";
+    if (h.what == "touch")
+      touched[h.host] = h.at;
+    if (h.what != "returned")
+      continue;
+    if (touched.count(h.host) == 0)
+      return h.host + " is back and was not out";
     spans.push_back({h.host, touched[h.host], h.at});
     touched.erase(h.host);
   }
-  for (const auto& [host, at] : touched) spans.push_back({host, at, kForever});
+  for (const auto& [host, at] : touched)
+    spans.push_back({host, at, kForever});
   return {};
 }
 
@@ -60,7 +66,8 @@
   std::map<std::string, int> records;
   for (const auto& host : executions) {
     for (const auto& e : host) {
-      if (e.body.compare(0, 6, "record") == 0 && ++records[e.body] > 1) return e.body + " ran twice";
+      if (e.body.compare(0, 6, "record") == 0 && ++records[e.body] > 1)
+        return e.body + " ran twice";
     }
   }
   return {};
@@ -68,7 +75,8 @@
 
 inline std::size_t number_of_host(const std::string& host, std::size_t hosts) {
   for (std::size_t i = 0; i < hosts; ++i) {
-    if (host == "h" + std::to_string(i)) return i;
+    if (host == "h" + std::to_string(i))
+      return i;
   }
   return hosts;
 }
@@ -77,7 +85,8 @@
 inline std::string broken_work_rule(const std::vector<std::string>& lines, const Executions& executions,
                                     int most_out) {
   const auto course = maintenance::parse_timeline(lines);
-  if (!course.fault.empty()) return "members disagree: " + course.fault;
+  if (!course.fault.empty())
+    return "members disagree: " + course.fault;
   std::vector<TouchedSpan> spans;
   std::string broken = touched_spans(course, most_out, spans);
   for (auto span = spans.begin(); broken.empty() && span != spans.end(); ++span)
--- a/tests/lotusyard/works_measure.cpp
+++ b/tests/lotusyard/works_measure.cpp
@@ -10,7 +10,8 @@
 
 void print(const std::string& what, std::vector<double> values) {
   std::sort(values.begin(), values.end());
-  if (values.empty()) return;
+  if (values.empty())
+    return;
   std::cout << what << ": " << values.size() << " runs, least " << values.front() << ", median "
             << values[values.size() / 2] << ", most " << values.back() << std::endl;
 }
@@ -20,14 +21,16 @@
   std::string word;
   double ticks = 0;
   for (int i = 1; i <= 15 && in >> word; ++i) {
-    if (i >= 14) ticks += std::stod(word);
+    if (i >= 14)
+      ticks += std::stod(word);
   }
   return ticks * 1000 / static_cast<double>(sysconf(_SC_CLK_TCK));
 }
 
 double first(const Cluster& cluster, const std::string& what) {
   for (const auto& h : maintenance::parse_timeline(cluster.lines()).entries) {
-    if (h.what == what) return h.at;
+    if (h.what == what)
+      return h.at;
   }
   return 0;
 }
@@ -35,8 +38,10 @@
 std::map<std::string, int> answers(const Cluster& cluster) {
   std::map<std::string, int> out;
   for (const auto& m : cluster.members) {
-    if (!m->tablet) continue;
-    for (const auto& [word, body] : m->tablet->got) ++out[word];
+    if (!m->tablet)
+      continue;
+    for (const auto& [word, body] : m->tablet->got)
+      ++out[word];
   }
   return out;
 }
@@ -51,10 +56,12 @@
     to_touch.push_back(first(cluster, "touch") - first(cluster, "add"));
     std::string leader;
     for (const auto& line : cluster.lines()) {
-      if (line.find(" leads") != std::string::npos) leader = line.substr(line.find("member=") + 7, 1);
+      if (line.find(" leads") != std::string::npos)
+        leader = line.substr(line.find("member=") + 7, 1);
     }
     Cluster::Member* led = nullptr;
-    for (auto& m : cluster.members) led = m->name == leader ? m.get() : led;
+    for (auto& m : cluster.members)
+      led = m->name == leader ? m.get() : led;
     REQUIRE(led != nullptr);
     const double died = cluster.world.loop.now().count();
     led->process->signal(SIGKILL);
@@ -64,12 +71,14 @@
         [&] {
           cluster.give_back(0);
           for (const auto& h : maintenance::parse_timeline(cluster.lines()).entries) {
-            if (next == 0 && h.at > died && (h.what == "returned" || h.what == "take")) next = h.at;
+            if (next == 0 && h.at > died && (h.what == "returned" || h.what == "take"))
+              next = h.at;
           }
           return next > 0;
         },
         20);
-    if (next > 0) after_death.push_back(next - died);
+    if (next > 0)
+      after_death.push_back(next - died);
   }
   print("from add to the first host that may be touched, ms (lease 600, election 200)", to_touch);
   print("from the leader's death to the next agreed step, ms", after_death);
@@ -118,9 +127,11 @@
           by_hand("enable", host);
         }
       } else {
-        for (int host = 0; host < 3 && how == "all"; ++host) by_hand("disable", host);
+        for (int host = 0; host < 3 && how == "all"; ++host)
+          by_hand("disable", host);
         wait(800);
-        for (int host = 0; host < 3 && how == "all"; ++host) by_hand("enable", host);
+        for (int host = 0; host < 3 && how == "all"; ++host)
+          by_hand("enable", host);
       }
       took.push_back(cluster.world.loop.now().count() - began - 1000);
       wait(1000);
@@ -147,15 +158,18 @@
   REQUIRE(cluster.all_ready(60));
   const auto counters = [&](const std::string& name) {
     std::vector<double> out;
-    for (auto& m : cluster.members) m->process->signal(SIGUSR1);
+    for (auto& m : cluster.members)
+      m->process->signal(SIGUSR1);
     const double until = cluster.world.loop.now().count() + 500;
     cluster.until([&] { return cluster.world.loop.now().count() >= until; }, 5);
-    for (auto& m : cluster.members) out.push_back(static_cast<double>(m->process->counter(name)));
+    for (auto& m : cluster.members)
+      out.push_back(static_cast<double>(m->process->counter(name)));
     return out;
   };
   const auto sent = counters("group.sent");
   std::vector<double> used;
-  for (auto& m : cluster.members) used.push_back(processor_ms(m->process->pid()));
+  for (auto& m : cluster.members)
+    used.push_back(processor_ms(m->process->pid()));
   const double began = cluster.world.loop.now().count();
   cluster.until([&] { return cluster.world.loop.now().count() >= began + 10000; }, 20);
   const double seconds = (cluster.world.loop.now().count() - began) / 1000;
@@ -163,7 +177,8 @@
   for (std::size_t i = 0; i < cluster.members.size(); ++i)
     processor.push_back((processor_ms(cluster.members[i]->process->pid()) - used[i]) / seconds);
   const auto now_sent = counters("group.sent");
-  for (std::size_t i = 0; i < sent.size(); ++i) messages.push_back((now_sent[i] - sent[i]) / (seconds + 0.5));
+  for (std::size_t i = 0; i < sent.size(); ++i)
+    messages.push_back((now_sent[i] - sent[i]) / (seconds + 0.5));
   print(std::to_string(count) + " members at rest, lease 3 s: processor ms a second, by member", processor);
   print(std::to_string(count) + " members at rest: frames sent a second, by member", messages);
 }
--- a/tests/lotusyard/works_test.cpp
+++ b/tests/lotusyard/works_test.cpp
@@ -102,13 +102,15 @@
       p.ahead = static_cast<double>(below(random, 100000));
       people.push_back(p);
     }
-    for (auto& p : people) begin(p);
+    for (auto& p : people)
+      begin(p);
     order.emplace(terms);
   }
   Millis clock(const Person& p) const { return Millis(now * p.clock + p.ahead); }
   void begin(Person& p) { p.lease.emplace(terms, clock(p)); }
   bool may_use(const Person& p, const std::string& host) const {
-    if (!p.up || !p.lease->was_ever_held()) return false;
+    if (!p.up || !p.lease->was_ever_held())
+      return false;
     const bool leased = bug.ignores_lease || p.lease->is_held(clock(p));
     return p.board.hosts_to_avoid(leased).count(host) == 0;
   }
@@ -123,15 +125,18 @@
       const LogEntry& e = log[p.follows];
       p.board.apply(p.follows + 1, e, clock(p));
       const auto* beats = std::get_if<maintenance::RecordHeartbeats>(&e.command);
-      if (beats == nullptr) continue;
+      if (beats == nullptr)
+        continue;
       for (const auto& b : beats->heartbeats) {
-        if (b.member == p.name && b.incarnation == p.life) p.lease->renew(b.sent_at);
+        if (b.member == p.name && b.incarnation == p.life)
+          p.lease->renew(b.sent_at);
       }
     }
   }
   void call(Person& p) {
     const std::string host = "h" + std::to_string(below(random, static_cast<std::size_t>(hosts)));
-    if (!may_use(p, host)) return;
+    if (!may_use(p, host))
+      return;
     p.calls[host] = now + 1 + static_cast<double>(below(random, 400));
   }
   // What no member may break, by true time.
@@ -158,7 +163,8 @@
     std::set<std::string> out;
     int away = 0;
     for (const auto& [id, h] : newest.hosts()) {
-      if (h.stage == HostStage::out_of_service) out.insert(id);
+      if (h.stage == HostStage::out_of_service)
+        out.insert(id);
       away += h.stage == HostStage::draining || h.stage == HostStage::out_of_service ||
               h.stage == HostStage::slow_start;
     }
@@ -166,12 +172,15 @@
     return out;
   }
   void beat(Person& p) {
-    if (!p.up || now < p.beats_at) return;
+    if (!p.up || now < p.beats_at)
+      return;
     p.beats_at = now + terms.heartbeat_interval().count();
     const auto mine = p.board.members().find(p.name);
-    if (!p.reachable || !people[leader].up || !people[leader].reachable) return;
+    if (!p.reachable || !people[leader].up || !people[leader].reachable)
+      return;
     if (mine == p.board.members().end() || mine->second.incarnation != p.life) {
-      if (people[leader].board.last_incarnation(p.name) < p.life) append(joins(p.name, p.life));
+      if (people[leader].board.last_incarnation(p.name) < p.life)
+        append(joins(p.name, p.life));
       return;
     }
     maintenance::Heartbeat b = beat_of(p.name, p.life, p.board.index(), hosts);
@@ -181,26 +190,31 @@
       const bool quiet = p.calls.count(id) == 0 || p.calls[id] <= now;
       if (gone && (bug.ignores_drain || (quiet && p.lease->earlier_attempts_ended(clock(p)))))
         b.drained_hosts.insert(id);
-      if (h.stage == HostStage::slow_start) b.observations->served.insert(id);
+      if (h.stage == HostStage::slow_start)
+        b.observations->served.insert(id);
       b.observations->serving_value[id] = static_cast<double>(below(random, 10));
     }
     heard[p.name] = b;
   }
   void lead() {
     Person& p = people[leader];
-    if (!p.up || !p.reachable || p.follows < led_from) return;
+    if (!p.up || !p.reachable || p.follows < led_from)
+      return;
     if (!heard.empty()) {
       std::vector<maintenance::Heartbeat> all;
-      for (auto& [name, b] : heard) all.push_back(b);
+      for (auto& [name, b] : heard)
+        all.push_back(b);
       heard.clear();
       append(beats(all));
       return;
     }
-    if (auto next = order->next_entry(p.board, clock(p))) append(*next);
+    if (auto next = order->next_entry(p.board, clock(p)))
+      append(*next);
   }
   void elect() {
     for (std::size_t i = 0; i < people.size(); ++i) {
-      if (!people[i].up || !people[i].reachable || i == leader) continue;
+      if (!people[i].up || !people[i].reachable || i == leader)
+        continue;
       leader = i;
       order.emplace(terms);
       heard.clear();
@@ -211,35 +225,44 @@
   void turn() {
     now += 5;
     for (auto& p : people) {
-      if (p.up && p.reachable && below(random, 3) == 0) follow(p);
-      if (p.up && below(random, 2) == 0) call(p);
+      if (p.up && p.reachable && below(random, 3) == 0)
+        follow(p);
+      if (p.up && below(random, 2) == 0)
+        call(p);
       beat(p);
     }
-    if (below(random, 4) == 0) lead();
+    if (below(random, 4) == 0)
+      lead();
     watch();
   }
   void disturb() {
     Person& p = people[below(random, people.size())];
     switch (below(random, 5)) {
-      case 0: p.reachable = !p.reachable; break;
+      case 0:
+        p.reachable = !p.reachable;
+        break;
       case 1:
         if (p.up) {  // killed: its calls go on at the hosts
           p.up = false;
         } else {  // it has its log again, and a new life; all of it is read anew
           p.up = true;
           ++p.life;
-          for (const auto& [host, until] : p.calls) p.earlier[host] = std::max(p.earlier[host], until);
+          for (const auto& [host, until] : p.calls)
+            p.earlier[host] = std::max(p.earlier[host], until);
           p.calls.clear();
           p.board = MaintenanceState();
           const std::size_t kept = p.follows;
           p.follows = 0;
           begin(p);
-          for (; p.follows < kept; ++p.follows) p.board.apply(p.follows + 1, log[p.follows], clock(p));
+          for (; p.follows < kept; ++p.follows)
+            p.board.apply(p.follows + 1, log[p.follows], clock(p));
         }
         break;
-      default: break;
+      default:
+        break;
     }
-    if (!people[leader].up || !people[leader].reachable || below(random, 6) == 0) elect();
+    if (!people[leader].up || !people[leader].reachable || below(random, 6) == 0)
+      elect();
     // As an operator would: what is out comes back.
     if (const auto out = truly_touched(); !out.empty() && below(random, 2) == 0)
       append(about<maintenance::ReturnToService>(
@@ -249,7 +272,8 @@
     append(adds(work_of(hosts, 2)));
     for (int i = 0; i < turns && broken.empty(); ++i) {
       turn();
-      if (i % 40 == 39) disturb();
+      if (i % 40 == 39)
+        disturb();
     }
     return broken;
   }
@@ -331,7 +355,8 @@
   MaintenanceJob first = work_of(4, 3), second = work_of(4, 3);
   first.bounds.max_out_per_zone = 1;
   second.id = "v";
-  for (auto& h : second.hosts) h.id = "k" + h.id;
+  for (auto& h : second.hosts)
+    h.id = "k" + h.id;
   second.bounds.max_out = 2;
   REQUIRE(t.apply(adds(first)).done);
   REQUIRE(t.apply(adds(second)).done);
@@ -372,7 +397,9 @@
   const auto faulty = [](const char* text) {
     try {
       maintenance::parse_job(nlohmann::json::parse(text));
-    } catch (const std::invalid_argument& fault) { return std::string(fault.what()); }
+    } catch (const std::invalid_argument& fault) {
+      return std::string(fault.what());
+    }
     return std::string("taken");
   };
   CHECK_THAT(faulty(R"({"id":"w","hosts":[["h","z","k"]],"bounds":{"out":0}})"), Catch::StartsWith("out: "));
@@ -415,10 +442,12 @@
   const std::string whole = before.snapshot().dump();
   for (int i = 0; i < 300; ++i) {
     std::string spoilt = whole;
-    for (int n = 0; n < 3; ++n) spoilt[below(random, spoilt.size())] = static_cast<char>(random());
+    for (int n = 0; n < 3; ++n)
+      spoilt[below(random, spoilt.size())] = static_cast<char>(random());
     const auto read = nlohmann::json::parse(spoilt, nullptr, false);
     MaintenanceState other;
-    if (!read.is_object() || !other.restore(read, Millis(0))) CHECK(other.jobs().empty());
+    if (!read.is_object() || !other.restore(read, Millis(0)))
+      CHECK(other.jobs().empty());
     maintenance::parse_entry(spoilt);  // neither ends the process
   }
 }
@@ -505,7 +534,8 @@
     const Millis at(i * 100);
     watch.record_success("busy", 1, 1, at);
     watch.record_success("other", 1, 1, at);
-    if (i % 2 == 0) watch.record_success("alone", 2, 1, at);
+    if (i % 2 == 0)
+      watch.record_success("alone", 2, 1, at);
   }
   const Millis now(10000);
   CHECK(watch.serving_value("alone", now) > watch.serving_value("busy", now));
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -12,7 +12,8 @@
 
 std::vector<WorkerEntry> fleet() {
   std::vector<WorkerEntry> workers;
-  for (int i = 0; i < 40; ++i) workers.push_back(entry(id("w", i)));
+  for (int i = 0; i < 40; ++i)
+    workers.push_back(entry(id("w", i)));
   return workers;
 }
 
@@ -21,7 +22,8 @@
   Settings s = settings();
   s.routers = 100;
   s.max_attempts = 50;
-  for (auto& c : s.classes) c.aim = Millis(800);
+  for (auto& c : s.classes)
+    c.aim = Millis(800);
   return s;
 }
 
@@ -30,8 +32,10 @@
   Router r(std::move(s));
   r.list({entry("a"), entry("b"), entry("c")});
   r.request("first");
-  if (!r.loads.empty()) r.loaded(r.loads[0].worker, 1, copies);
-  if (!r.sends.empty()) r.answer(r.sends.back(), Outcome::ok);
+  if (!r.loads.empty())
+    r.loaded(r.loads[0].worker, 1, copies);
+  if (!r.sends.empty())
+    r.answer(r.sends.back(), Outcome::ok);
   return r;
 }
 std::string home(const Router& r) { return r.sends.at(0).worker; }
@@ -97,7 +101,8 @@
         EXPECT_EQ(r.loads[0].worker, "new");
         ++loaded;
         r.loaded("new", f, 1);
-        if (r.sends.back().worker == "new" && r.sends.size() > f) ++used;
+        if (r.sends.back().worker == "new" && r.sends.size() > f)
+          ++used;
         break;
       }
       r.pass(100);
@@ -138,7 +143,8 @@
     const bool refusable = std::string(cls) == "safe";
     ASSERT_EQ(r.refused.size(), refusable ? 1U : 0U);
     ASSERT_EQ(r.failed.size(), refusable ? 0U : 1U);
-    if (!refusable) continue;
+    if (!refusable)
+      continue;
     EXPECT_GT(r.advice.back().count(), 0);
     EXPECT_LE(r.advice.back().count(), 300);
   }
@@ -177,7 +183,8 @@
 TEST(GivingUp, AFirstTryIsKnownByWhatMostAreGiven) {
   Router r;
   r.list({});
-  for (int i = 0; i < 5; ++i) r.request(id("first", i), 1, "safe", 2100);
+  for (int i = 0; i < 5; ++i)
+    r.request(id("first", i), 1, "safe", 2100);
   r.request("last", 1, "safe", 3500);  // 500 ms after its first try: 500 ms of its aim are left
   r.request("again", 1, "safe", 2100);
   r.pass(450);
@@ -196,7 +203,8 @@
     r.list({entry("a"), entry("cold", WorkerState::ready, 999)});
     for (int i = 0; i < 20 && r.sends.empty(); ++i) {
       r.request(id("x", i), static_cast<std::uint64_t>(i), "safe", 4000);
-      if (!r.loads.empty()) r.loaded(r.loads.back().worker, r.loads.back().function, 1);
+      if (!r.loads.empty())
+        r.loaded(r.loads.back().worker, r.loads.back().function, 1);
     }
     ASSERT_FALSE(r.sends.empty()) << routers;
     r.answer(r.sends.back(), Outcome::ok);
@@ -222,7 +230,8 @@
   std::size_t back = 0;
   for (int i = 0; i < 25; ++i) {
     r.request(id("y", i), 1, "safe", 4000);
-    if (r.sends.back().worker == bad) ++back;
+    if (r.sends.back().worker == bad)
+      ++back;
     r.answer(r.sends.back(), Outcome::ok);
     r.pass(100);
   }
@@ -235,7 +244,8 @@
   Settings s = crowd_settings();
   s.miss_is_answered = true;
   s.tells_warm = false;
-  for (auto& c : s.classes) c.aim = Millis(240);
+  for (auto& c : s.classes)
+    c.aim = Millis(240);
   Router r(s);
   r.list(fleet());
   for (int i = 0; i < 6; ++i) {
@@ -263,7 +273,8 @@
   s.report_fields = {ReportField::inflight};
   Router r(s);
   auto workers = fleet();
-  for (auto& w : workers) w.weight = 2;
+  for (auto& w : workers)
+    w.weight = 2;
   r.list(workers);
   const auto answer = [&](double inflight, Outcome outcome = Outcome::ok, double pause = 1000) {
     const auto& send = r.sends.back();
@@ -312,7 +323,8 @@
   std::set<std::string> used;
   std::size_t told = 0;
   for (int i = 0; i < 3000; ++i) {
-    if (i % 300 == 0) r.request(id("x", i));
+    if (i % 300 == 0)
+      r.request(id("x", i));
     while (told < r.sends.size()) {
       used.insert(r.sends[told].worker);
       const auto send = r.sends[told++];
@@ -334,8 +346,10 @@
   for (int i = 0; i < 4; ++i) {
     r.request(id("x", i));
     last = r.sends.size();
-    if (r.sends.back().worker == bad) r.answer(r.sends.back(), Outcome::error);
-    if (!r.loads.empty()) r.loaded(r.loads.back().worker, 1, 1);
+    if (r.sends.back().worker == bad)
+      r.answer(r.sends.back(), Outcome::error);
+    if (!r.loads.empty())
+      r.loaded(r.loads.back().worker, 1, 1);
     r.pass(40);
   }
   EXPECT_GE(r.sends.size(), last);
@@ -362,7 +376,8 @@
     const std::string call = "c" + std::to_string(day);
     r.request(call, 1, "safe", 8000);
     for (int i = 0; i < 100 && r.answered.count(call) == 0; ++i) {
-      if (r.sends.size() > sent && r.sends.back().id == call) r.answer(r.sends.back(), Outcome::ok);
+      if (r.sends.size() > sent && r.sends.back().id == call)
+        r.answer(r.sends.back(), Outcome::ok);
       r.pass(20);
     }
     ASSERT_GT(r.sends.size(), sent);
@@ -379,7 +394,8 @@
   r.list({entry("w1")});
   for (int i = 0; i < 6; ++i) {
     r.request("a" + std::to_string(i), 99, "unsafe");
-    if (r.sends.size() == static_cast<std::size_t>(i + 1)) r.answer(r.sends.back(), Outcome::error);
+    if (r.sends.size() == static_cast<std::size_t>(i + 1))
+      r.answer(r.sends.back(), Outcome::error);
   }
   const auto before = r.sends.size();
   r.request("b", 1, "unsafe");
@@ -394,7 +410,8 @@
     r.list({entry("w1")});
     r.request("a");
     r.answer(r.sends.at(0), Outcome::ok);
-    for (const char* id : {"b", "c"}) r.request(id);
+    for (const char* id : {"b", "c"})
+      r.request(id);
     r.answer(r.sends.at(1), Outcome::reset);  // both were on one connection
     r.answer(r.sends.at(2), Outcome::reset);
     ASSERT_EQ(r.probes, std::vector<std::string>{"w1"});
@@ -406,10 +423,12 @@
     EXPECT_EQ(r.probes.size(), 3U);
     r.pass(50);
     EXPECT_EQ(r.sends.size(), runs ? 5U : 3U);
-    for (std::size_t i = 3; i < r.sends.size(); ++i) r.answer(r.sends[i], Outcome::ok);
+    for (std::size_t i = 3; i < r.sends.size(); ++i)
+      r.answer(r.sends[i], Outcome::ok);
     for (int i = 0; i < 20; ++i) {  // and it is as warm as before
       r.request("d" + std::to_string(i));
-      if (runs) r.answer(r.sends.back(), Outcome::ok);
+      if (runs)
+        r.answer(r.sends.back(), Outcome::ok);
       r.pass(20);
     }
     EXPECT_EQ(r.sends.size(), runs ? 25U : 3U);
@@ -458,9 +477,11 @@
                                Millis(function == 1 ? 1500.0 : took), 1});
           r.answer(r.sends.back(), Outcome::ok, 100, Warmth::untold);
         };
-    for (std::uint64_t f = 1; f < 20; ++f) serve(f);
+    for (std::uint64_t f = 1; f < 20; ++f)
+      serve(f);
     const auto loads = r.loads.size();
-    for (int i = 0; i < 5; ++i) r.request("q" + std::to_string(i), 19, "safe", 4000, 1);
+    for (int i = 0; i < 5; ++i)
+      r.request("q" + std::to_string(i), 19, "safe", 4000, 1);
     EXPECT_EQ(r.loads.size(), loads) << took;  // four wait for a lane: a load takes fifteen runs
   }
 }
@@ -472,7 +493,8 @@
   s.classes[2].worth = 9;  // unsafe
   Router r(s);
   r.list({entry("a"), entry("b"), entry("c"), entry("d")});
-  for (int i = 0; i < 20; ++i) r.request(id("x", i), static_cast<std::uint64_t>(100 + i));
+  for (int i = 0; i < 20; ++i)
+    r.request(id("x", i), static_cast<std::uint64_t>(100 + i));
   const auto out = r.loads.size();
   ASSERT_LT(out, 20U);  // all places are taken
   r.request("worth most", 7, "unsafe");
@@ -494,16 +516,19 @@
     Router r(s);
     r.list({entry("w")});
     r.request("first", 1, "safe", 4000, 8);
-    if (!r.loads.empty()) r.loaded("w", 1, 1);
+    if (!r.loads.empty())
+      r.loaded("w", 1, 1);
     r.answer(r.sends.back(), Outcome::ok, 20, Warmth::untold);
     for (int i = 0; i < 120; ++i) {
       const auto sends = r.sends.size();
       r.request(id("y", i), 1, "safe", 4000, 8);
-      if (r.sends.size() > sends) r.answer(r.sends.back(), Outcome::ok, i < 20 ? 20 : 80, Warmth::untold);
+      if (r.sends.size() > sends)
+        r.answer(r.sends.back(), Outcome::ok, i < 20 ? 20 : 80, Warmth::untold);
       r.pass(100);
     }
     const auto sends = r.sends.size();
-    for (int i = 0; i < 6; ++i) r.request(id("z", i), 1, "safe", 4000, 8);
+    for (int i = 0; i < 6; ++i)
+      r.request(id("z", i), 1, "safe", 4000, 8);
     EXPECT_EQ(r.sends.size() >= sends + 3, routers == 1) << routers << ' ' << r.sends.size() - sends;
   }
 }
@@ -517,7 +542,8 @@
   s.report_fields = {ReportField::inflight};
   Router r(s);
   std::vector<WorkerEntry> workers;
-  for (int i = 0; i < 12; ++i) workers.push_back(entry("w" + std::to_string(i)));
+  for (int i = 0; i < 12; ++i)
+    workers.push_back(entry("w" + std::to_string(i)));
   r.list(workers);
   std::size_t loads = 0, sends = 0;
   std::set<std::string> places;
@@ -569,7 +595,8 @@
   Router r = warm_router();
   r.request("l1");
   r.request("l2");
-  for (int i = 1; i <= 10; ++i) r.request(id("w", i));
+  for (int i = 1; i <= 10; ++i)
+    r.request(id("w", i));
   EXPECT_EQ(r.loads.size(), 1U);
   r.request("w11");
   ASSERT_EQ(r.loads.size(), 2U);
@@ -586,7 +613,8 @@
     r.answer(r.sends.back(), Outcome::ok);
   }
   r.list({entry("w2")}, ListKind::delta);
-  for (int i = 0; i < 20; ++i) r.request("other" + std::to_string(i), 2, "safe", 4000, 16);
+  for (int i = 0; i < 20; ++i)
+    r.request("other" + std::to_string(i), 2, "safe", 4000, 16);
   const auto loads = r.loads.size(), sends = r.sends.size();
   r.request("a", 1, "safe", 4000, 16);
   EXPECT_EQ(r.sends.size(), sends);  // its copy stands where there is no room for a further call
@@ -627,7 +655,8 @@
     r.answer(r.sends.back(), Outcome::ok, 900);
   }
   const auto before = r.sends.size();
-  for (int i = 0; i < 12; ++i) r.request(id("burst", i));
+  for (int i = 0; i < 12; ++i)
+    r.request(id("burst", i));
   EXPECT_LE(r.sends.size(), before + 4);
 }
 
@@ -653,8 +682,10 @@
     for (const bool fails : {true, false}) {
       const auto loads = r.loads.size(), sends = r.sends.size();
       r.request(id(fails ? "u" : "k", i), fails ? 3 : 2, fails ? "unsafe" : "keyed");
-      if (r.loads.size() > loads) r.loaded(r.loads.back().worker, r.loads.back().function, 1);
-      if (r.sends.size() > sends) r.answer(r.sends.back(), fails ? Outcome::error : Outcome::ok);
+      if (r.loads.size() > loads)
+        r.loaded(r.loads.back().worker, r.loads.back().function, 1);
+      if (r.sends.size() > sends)
+        r.answer(r.sends.back(), fails ? Outcome::error : Outcome::ok);
       served += !fails && r.sends.size() > sends ? 1 : 0;
       r.pass(50);
     }
@@ -691,7 +722,8 @@
 TEST(Rule1, EveryRequestIsAnsweredInTimeWithNoWorkers) {
   Router r(settings());
   r.list({});
-  for (int i = 0; i < 10; ++i) r.request(id("x", i), 1, i % 2 ? "unsafe" : "safe", 500);
+  for (int i = 0; i < 10; ++i)
+    r.request(id("x", i), 1, i % 2 ? "unsafe" : "safe", 500);
   r.pass(500);
   EXPECT_EQ(r.answered.size(), 10U);
   EXPECT_FALSE(r.broken);
@@ -749,7 +781,8 @@
   const auto first = r.sends.at(0).worker;
   r.answer(r.sends[0], Outcome::error);
   r.pass(4000);
-  for (const auto& send : r.sends) EXPECT_EQ(send.worker, first);
+  for (const auto& send : r.sends)
+    EXPECT_EQ(send.worker, first);
   EXPECT_TRUE(r.refused.empty());
   EXPECT_EQ(r.answered.size(), 1U);
 }
@@ -761,11 +794,14 @@
     r.list({entry(out, state)}, ListKind::delta);
     const auto loads = r.loads.size();
     const auto before = r.sends.size();
-    for (int i = 0; i < 5; ++i) r.request(id("x", i));
+    for (int i = 0; i < 5; ++i)
+      r.request(id("x", i));
     r.pass(3000);
-    for (auto i = before; i < r.sends.size(); ++i) EXPECT_NE(r.sends[i].worker, out);
+    for (auto i = before; i < r.sends.size(); ++i)
+      EXPECT_NE(r.sends[i].worker, out);
     ASSERT_GT(r.loads.size(), loads);
-    for (auto i = loads; i < r.loads.size(); ++i) EXPECT_NE(r.loads[i].worker, out);
+    for (auto i = loads; i < r.loads.size(); ++i)
+      EXPECT_NE(r.loads[i].worker, out);
   }
 }
 
@@ -778,7 +814,8 @@
   r.pass(3000);
   EXPECT_EQ(r.sends.size(), 1U);
   ASSERT_GT(r.loads.size(), loads);
-  for (auto i = loads; i < r.loads.size(); ++i) EXPECT_EQ(r.loads[i].worker, left);
+  for (auto i = loads; i < r.loads.size(); ++i)
+    EXPECT_EQ(r.loads[i].worker, left);
 }
 
 TEST(Rule4, AColdWorkerIsSentALittleOnly) {
@@ -805,7 +842,8 @@
   r.list({entry("a"), entry("b"), entry("c"), entry("d")});
   for (int i = 0; i < 25; ++i) {
     r.request(id("x", i), static_cast<std::uint64_t>(100 + i));
-    if (!r.loads.empty()) r.loaded(r.loads.back().worker, r.loads.back().function, 1);
+    if (!r.loads.empty())
+      r.loaded(r.loads.back().worker, r.loads.back().function, 1);
     EXPECT_LE(static_cast<double>(r.loads.size()), 2 + 0.1 * (i + 1));
   }
   EXPECT_GE(r.loads.size(), 3U);
@@ -823,7 +861,8 @@
 TEST(Store, LoadsOutAtOnceAreBounded) {
   Router r(settings());
   r.list({entry("a"), entry("b"), entry("c"), entry("d")});
-  for (int i = 0; i < 40; ++i) r.request(id("x", i), static_cast<std::uint64_t>(100 + i));
+  for (int i = 0; i < 40; ++i)
+    r.request(id("x", i), static_cast<std::uint64_t>(100 + i));
   r.pass(500);
   EXPECT_GE(r.loads.size(), 2U);
   EXPECT_LE(r.loads.size(), 12U);
@@ -833,7 +872,8 @@
 // are hashed and decide the place alone.
 std::vector<std::string> played(const std::string& tag) {
   Settings s = settings();
-  for (auto& c : s.classes) c.name = tag + c.name;
+  for (auto& c : s.classes)
+    c.name = tag + c.name;
   s.kind_memory_mb = {{tag + "k", 10000}};
   Router r(s);
   std::vector<WorkerEntry> workers;
@@ -848,7 +888,8 @@
     const auto loads = r.loads.size();
     const auto f = random() % 8;
     r.request(tag + std::to_string(i), f + 1, tag + "safe");
-    for (auto k = loads; k < r.loads.size(); ++k) r.loaded(r.loads[k].worker, r.loads[k].function, 1);
+    for (auto k = loads; k < r.loads.size(); ++k)
+      r.loaded(r.loads[k].worker, r.loads[k].function, 1);
     r.pass(static_cast<double>(random() % 30));
     if (r.sends.size() > told && r.answered.count(r.sends.back().id) == 0) {
       told = r.sends.size();  // an attempt has one outcome
@@ -883,7 +924,8 @@
     ASSERT_EQ(r.sends.size(), 2U);
     r.give(event::Answer{"second", "w", 0, Outcome::ok, Warmth::stood, 0, true, Millis(100),
                          std::vector<double>{util, 14, 0}});
-    for (int i = 0; i < 5; ++i) r.request(id("more", i), 1, "safe", 4000, 64);
+    for (int i = 0; i < 5; ++i)
+      r.request(id("more", i), 1, "safe", 4000, 64);
     EXPECT_EQ(r.sends.size() == 7, util < 0.5) << util;
     EXPECT_FALSE(r.broken);
   }
@@ -936,23 +978,33 @@
                      static_cast<Outcome>(any(9)), any(2) ? -50 : 1e12, static_cast<Warmth>(any(5)));
           }
           break;
-        case 5: r.loaded(id("w", any(9)), static_cast<std::uint64_t>(any(9)), any(40) - 5); break;
-        case 6: r.give(event::Peer{any(9) - 2, any(2) ? "1 w1\n2" : "\xff nonsense"}); break;
-        case 7: r.give(event::Timer{static_cast<std::uint64_t>(any(1000))}); break;
+        case 5:
+          r.loaded(id("w", any(9)), static_cast<std::uint64_t>(any(9)), any(40) - 5);
+          break;
+        case 6:
+          r.give(event::Peer{any(9) - 2, any(2) ? "1 w1\n2" : "\xff nonsense"});
+          break;
+        case 7:
+          r.give(event::Timer{static_cast<std::uint64_t>(any(1000))});
+          break;
         case 8: {  // settings change at any moment
           Settings next = settings();
           next.max_attempts = 1 + any(3);
           next.classes[0].semantics = any(2) ? Semantics::once : Semantics::repeatable;
           next.classes[0].aim = Millis(any(2) * 500);
-          if (any(2)) next.classes.erase(next.classes.begin() + any(3));
+          if (any(2))
+            next.classes.erase(next.classes.begin() + any(3));
           r.give(event::Retune{next});
           break;
         }
-        default: r.pass(any(60) == 0 ? 200000 : any(100)); break;
+        default:
+          r.pass(any(60) == 0 ? 200000 : any(100));
+          break;
       }
     }
     r.pass(10000);
-    for (const auto& [name, when] : due) EXPECT_EQ(r.answered.count(name), 1U) << name << " seed " << seed;
+    for (const auto& [name, when] : due)
+      EXPECT_EQ(r.answered.count(name), 1U) << name << " seed " << seed;
   }
 }
 
@@ -971,16 +1023,20 @@
       r.answer(r.sends.back(), Outcome::ok);
       r.pass(100);
     };
-    for (int i = 0; i < 10; ++i) call(i);
+    for (int i = 0; i < 10; ++i)
+      call(i);
     const std::string warm = r.sends.back().worker, other = warm == "w1" ? "w2" : "w1";
     const std::size_t before = r.sends.size();
-    if (back) r.list({entry(other, WorkerState::draining)}, ListKind::delta);
+    if (back)
+      r.list({entry(other, WorkerState::draining)}, ListKind::delta);
     auto again = entry(other, WorkerState::ready, r.now.count());
     again.put_back = true;
-    if (back) r.list({again}, ListKind::delta);
+    if (back)
+      r.list({again}, ListKind::delta);
     for (int i = 10; i < 60; ++i) {
       call(i);
-      if (!r.loads.empty()) r.loaded(r.loads.back().worker, 1, 1);
+      if (!r.loads.empty())
+        r.loaded(r.loads.back().worker, 1, 1);
     }
     EXPECT_EQ(r.loads.size(), back ? 1U : 0U);  // one order, in the ration, and no more
     const auto reached = [&](const action::Send& send) { return send.worker == other; };
@@ -1054,7 +1110,8 @@
     }
     Settings next = sent_at_once();
     next.classes[0].aim = Millis(950);
-    if (retune) r.give(event::Retune{next});
+    if (retune)
+      r.give(event::Retune{next});
     r.request("last", 1, "safe", 500);  // it cannot be served in what is left
     return r.refused.size() + r.sends.size();
   };
--- a/tests/rig.h
+++ b/tests/rig.h
@@ -67,8 +67,10 @@
         legs[send->id]++;
         broken = broken || answered.count(send->id) > 0;
       } else if (const auto* load = std::get_if<action::Load>(&a)) {
-        if (load->copies > 0) loads.push_back(*load);
-        if (load->copies == 0) asked.push_back(load->worker);
+        if (load->copies > 0)
+          loads.push_back(*load);
+        if (load->copies == 0)
+          asked.push_back(load->worker);
       } else if (const auto* refuse = std::get_if<action::Refuse>(&a)) {
         refused.push_back(refuse->id);
         advice.push_back(refuse->retry_after);
@@ -109,7 +111,8 @@
     a.outcome = outcome;
     a.warmth = warmth;
     a.over = outcome == Outcome::ok;
-    if (a.over) answered.insert(send.id);
+    if (a.over)
+      answered.insert(send.id);
     a.elapsed = Millis(elapsed);
     give(a);
   }
--- a/tests/scale/agreed_log.cpp
+++ b/tests/scale/agreed_log.cpp
@@ -12,7 +12,8 @@
   if (!change.empty()) {
     auto next = std::make_shared<control::Records>(*states_.rbegin()->second);
     control::apply(*next, change);
-    if (!keeps_states_) states_.clear();
+    if (!keeps_states_)
+      states_.clear();
     states_[index] = std::move(next);
     changes_.push_back(index);
   }
--- a/tests/scale/certificate_proposer.h
+++ b/tests/scale/certificate_proposer.h
@@ -12,14 +12,16 @@
  public:
   Proposer(ProcessFleet& fleet, const ProcessFleet::Member& at, double pace)
       : fleet_(fleet), at_(at), pace_(pace) {
-    if (pace_ <= 0) return;
+    if (pace_ <= 0)
+      return;
     const nlohmann::json regime = {{"t", "regime"}, {"id", "regime"}, {"regime", {{"name", "r"}}}};
     REQUIRE(fleet_.propose(at_, regime) == 202);
     next_ = fleet_.now() + 1 / pace_;
   }
   // Whether one was proposed.
   bool turn() {
-    if (pace_ <= 0 || fleet_.now() < next_) return false;
+    if (pace_ <= 0 || fleet_.now() < next_)
+      return false;
     next_ += 1 / pace_;
     const std::string name = "c" + std::to_string(++count_);
     const nlohmann::json certificate = {
--- a/tests/scale/figures.h
+++ b/tests/scale/figures.h
@@ -18,8 +18,10 @@
   }
   std::size_t size() const { return values_.size(); }
   double at(double share) {  // 0: the least, 1: the most
-    if (values_.empty()) return 0;
-    if (!std::exchange(sorted_, true)) std::sort(values_.begin(), values_.end());
+    if (values_.empty())
+      return 0;
+    if (!std::exchange(sorted_, true))
+      std::sort(values_.begin(), values_.end());
     return values_[static_cast<std::size_t>(share * static_cast<double>(values_.size() - 1))];
   }
 
@@ -53,7 +55,8 @@
                                 {"count", sample.size()},
                                 {"virtual_seconds", label.virtual_seconds},
                                 {"seed", label.seed}};
-  if (label.more.is_object()) out.update(label.more);
+  if (label.more.is_object())
+    out.update(label.more);
   std::cout << out.dump() << std::endl;
 }
 
--- a/tests/scale/flat_hollow.cpp
+++ b/tests/scale/flat_hollow.cpp
@@ -78,13 +78,15 @@
 
 TEST_CASE("the view, some members whole among stand-ins", "[.][scale][hollow-view]") {
   std::vector<HollowShape> shapes;
-  for (const std::size_t n : {300, 1000, 3000, 10000, 16000}) shapes.push_back({n, 16, 0, 0});
+  for (const std::size_t n : {300, 1000, 3000, 10000, 16000})
+    shapes.push_back({n, 16, 0, 0});
   measure_views("view_sampled", shapes, 60, 5);
 }
 
 TEST_CASE("the view with one member dead", "[.][scale][hollow-view]") {
   std::vector<HollowShape> shapes;
-  for (const std::size_t n : {300, 1000, 3000, 10000, 16000}) shapes.push_back({n, 16, 0, 1});
+  for (const std::size_t n : {300, 1000, 3000, 10000, 16000})
+    shapes.push_back({n, 16, 0, 1});
   measure_views("view_one_dead", shapes, 60, 3);
 }
 
@@ -93,7 +95,8 @@
   for (const std::size_t hosts : {12, 120}) {
     std::vector<HollowShape> shapes;
     for (const std::size_t n : {30, 100, 300, 1000}) {
-      if (n * hosts <= 40000) shapes.push_back({n, 16, hosts, 0});
+      if (n * hosts <= 40000)
+        shapes.push_back({n, 16, hosts, 0});
     }
     measure_views("view_facts", shapes, 60, 3);
   }
--- a/tests/scale/flat_hollow_log.cpp
+++ b/tests/scale/flat_hollow_log.cpp
@@ -24,7 +24,8 @@
     if (views) {
       beat.observations.emplace();
       beat.observations->listed_hosts = static_cast<int>(std::max<std::size_t>(hosts, 12));
-      for (std::size_t h = 0; h < hosts; ++h) beat.observations->serving_value[host_name(h)] = 1.25;
+      for (std::size_t h = 0; h < hosts; ++h)
+        beat.observations->serving_value[host_name(h)] = 1.25;
     }
     out.heartbeats.push_back(std::move(beat));
   }
@@ -67,7 +68,8 @@
 template <typename Body>
 std::vector<double> microseconds(int times, const Body& body) {
   auto out = timed(times, body);
-  for (double& value : out) value *= kMicroseconds;
+  for (double& value : out)
+    value *= kMicroseconds;
   return out;
 }
 
@@ -81,7 +83,8 @@
   std::optional<BoardEntry> read;
   const auto reading = microseconds(times, [&] { read = maintenance::parse_entry(wording); });
   costs.verdict("read_back", read.has_value());  // if not, the program stands aside for good
-  if (read) costs.point("read_us", reading);
+  if (read)
+    costs.point("read_us", reading);
 
   const double before = allocated_bytes();
   MaintenanceState board = board_of(members);
@@ -137,7 +140,8 @@
   for (const std::size_t members : {100, 300, 1000, 3000, 10000, 16000}) {
     costs.at = static_cast<double>(costs.members = members);
     quota::BeginEpoch part;
-    for (std::size_t i = 0; i < members; ++i) part.holders.emplace(member_name(i), kLife);
+    for (std::size_t i = 0; i < members; ++i)
+      part.holders.emplace(member_name(i), kLife);
     std::string wording;
     costs.point("word_us", microseconds(9, [&] { wording = quota::encode_entry(part); }));
     costs.point("entry_bytes", {static_cast<double>(wording.size())});
@@ -145,7 +149,8 @@
     Epochs epochs;
     const bool taken = epochs.apply(1, part);
     costs.verdict("taken", taken);  // more than 1,024 sharers are not
-    if (taken) costs.point("snapshot_bytes", {static_cast<double>(epochs.snapshot().dump().size())});
+    if (taken)
+      costs.point("snapshot_bytes", {static_cast<double>(epochs.snapshot().dump().size())});
   }
   costs.fits(kTargetMembers);
 }
@@ -169,7 +174,8 @@
     CertificateState book;
     REQUIRE(book.apply(1, {compliance::PutRegime{{"r", "", false}}}).done);
     REQUIRE(book.apply(2, {compliance::PutTenant{"t", {"r"}}}).done);
-    for (std::size_t i = 0; i < certificates; ++i) REQUIRE(book.apply(3 + i, certificate(i)).done);
+    for (std::size_t i = 0; i < certificates; ++i)
+      REQUIRE(book.apply(3 + i, certificate(i)).done);
     costs.point("state_bytes", {allocated_bytes() - before});
     const compliance::HostLocation last{host_name(certificates - 1), "", 0};
     costs.point("may_us", microseconds(9, [&] {
--- a/tests/scale/flat_hollow_sweep.cpp
+++ b/tests/scale/flat_hollow_sweep.cpp
@@ -59,7 +59,8 @@
     auto steps = module_.pick(now_, ++calls_, call);
     for (int turns = 0; turns < 8; ++turns) {
       const auto* sent = first_send(steps);
-      if (sent == nullptr) break;
+      if (sent == nullptr)
+        break;
       core::AttemptOutcome outcome;
       outcome.attempt = {sent->call, 0};
       outcome.host = sent->host;
@@ -89,7 +90,8 @@
 
   static const core::SendStep* first_send(const core::Steps& steps) {
     for (const auto& step : steps) {
-      if (const auto* send = std::get_if<core::SendStep>(&step)) return send;
+      if (const auto* send = std::get_if<core::SendStep>(&step))
+        return send;
     }
     return nullptr;
   }
@@ -109,7 +111,8 @@
   std::vector<double> out;
   for (int i = 0; i < seconds; ++i) {
     double used = 0;
-    for (int k = 0; k < kSweepsPerSecond; ++k) used += invoker.sweep();
+    for (int k = 0; k < kSweepsPerSecond; ++k)
+      used += invoker.sweep();
     out.push_back(used);
   }
   return out;
@@ -119,7 +122,8 @@
 double measure_known(const SweepCase& c) {
   const double before = allocated_bytes();
   Invoker invoker(c.hosts, Millis(0));
-  for (std::uint64_t f = 1; f <= c.functions; ++f) invoker.call(f);
+  for (std::uint64_t f = 1; f <= c.functions; ++f)
+    invoker.call(f);
   REQUIRE(invoker.answered() == c.functions);
   sweep_shares(invoker, 2);  // timers of the calls' deadlines ring
   print({c.test, 1, "member", "call_us", 0, given_of(c)},
@@ -155,7 +159,8 @@
 
 // The share of one invoker at the size to come, with the memory of each function's order of hosts.
 TEST_CASE("sweeps, at the size to come", "[.][scale][hollow-sweep]") {
-  for (const std::size_t hosts : {12, 120, 1000, 10000}) measure_known({"sweep_at_size", 38750, hosts});
+  for (const std::size_t hosts : {12, 120, 1000, 10000})
+    measure_known({"sweep_at_size", 38750, hosts});
 }
 
 // As configured: copies lapse after 9 s, functions are called at random, once in 90 s on average. What is
@@ -174,10 +179,12 @@
     for (int second = 0; second < 40; ++second) {
       double used = 0;
       for (int i = 0; i < kSweepsPerSecond; ++i) {
-        for (owed += calls_each; owed >= 1; --owed) invoker.call(1 + random() % functions);
+        for (owed += calls_each; owed >= 1; --owed)
+          invoker.call(1 + random() % functions);
         used += invoker.sweep();
       }
-      if (second >= 25) shares.push_back(used);  // more than a keep-alive and a deadline have passed
+      if (second >= 25)
+        shares.push_back(used);  // more than a keep-alive and a deadline have passed
     }
     series.add(static_cast<double>(functions),
                print({c.test, 1, "member", "sweep_core_share", 1, given_of(c)}, shares));
--- a/tests/scale/flat_processes.cpp
+++ b/tests/scale/flat_processes.cpp
@@ -76,7 +76,8 @@
                  const std::function<double(const RestCase&)>& grows) {
   std::map<std::pair<std::string, std::string>, Series> series;
   for (const auto& one : cases) {
-    for (const auto& [key, values] : measure(one)) series[key].add(grows(one), median(values));
+    for (const auto& [key, values] : measure(one))
+      series[key].add(grows(one), median(values));
   }
   for (const auto& [key, line] : series)
     print_fit({cases.front().test, 0, key.first, key.second, 0, {}}, against, line, target);
@@ -114,7 +115,8 @@
   const auto sum = [&](const std::string& metric) {
     double out = 0;
     for (const auto& [key, values] : figures) {
-      for (const double value : values) out += key.second == metric ? value : 0;
+      for (const double value : values)
+        out += key.second == metric ? value : 0;
     }
     return out;
   };
