--- a/tests/scale/hollow_fleet.cpp
+++ b/tests/scale/hollow_fleet.cpp
@@ -35,9 +35,12 @@
       arrived_at_invoker(link, std::move(packet));
     }
   });
-  for (std::size_t i = 0; i < options.nodes; ++i) add_node(i);
-  for (std::size_t i = 0; i < options.nodes; ++i) start_node(i);
-  for (std::size_t i = 0; i < options.invokers; ++i) add_invoker(i);
+  for (std::size_t i = 0; i < options.nodes; ++i)
+    add_node(i);
+  for (std::size_t i = 0; i < options.nodes; ++i)
+    start_node(i);
+  for (std::size_t i = 0; i < options.invokers; ++i)
+    add_invoker(i);
   for (std::size_t i = 0; i < options.invokers; ++i)
     at(uniform(0, options.start_over), [this, i] { start_invoker(i); });
   at(kLeadEvery, [this] { lead(); });
@@ -72,7 +75,8 @@
 const LogEntry& HollowFleet::agree(control::Change change, std::vector<NodeReport> reports) {
   const LogEntry& entry = log_.append(now(), std::move(change), std::move(reports));
   for (auto& node : nodes_) {
-    if (!network_.passes(log_site_, node->endpoint)) continue;
+    if (!network_.passes(log_site_, node->endpoint))
+      continue;
     const double delay = network_.latency(log_site_, node->endpoint) + node->endpoint.extra_delay;
     at(now() + delay, [this, target = node.get(), index = entry.index] { follow(*target, index); });
   }
@@ -87,7 +91,8 @@
     leader_.agreed(entry.reports, leader_clock_.local(now()));
   }
   const Proof proof = leader_.conclude(log_.last(), leader_clock_.local(now()));
-  for (FleetObserver* observer : observers_) observer->proved(proof, now());
+  for (FleetObserver* observer : observers_)
+    observer->proved(proof, now());
 }
 
 void HollowFleet::change() {
@@ -108,9 +113,11 @@
 }
 
 void HollowFleet::changes_each_second(double rate, double until) {
-  if (rate <= 0) return;
+  if (rate <= 0)
+    return;
   const double next = now() + std::exponential_distribution<double>(rate / 1000)(random_);
-  if (next >= until) return;
+  if (next >= until)
+    return;
   at(next, [this, rate, until] {
     change();
     changes_each_second(rate, until);
@@ -120,7 +127,8 @@
 void HollowFleet::heal(int name) {
   network_.heal(name);
   for (auto& node : nodes_) {
-    if (!network_.passes(log_site_, node->endpoint)) continue;
+    if (!network_.passes(log_site_, node->endpoint))
+      continue;
     const double delay = network_.latency(log_site_, node->endpoint);
     at(now() + delay, [this, target = node.get(), index = log_.last()] { follow(*target, index); });
   }
--- a/tests/scale/hollow_fleet_invokers.cpp
+++ b/tests/scale/hollow_fleet_invokers.cpp
@@ -26,54 +26,66 @@
   for (const auto& move : std::exchange(invoker.moves, {})) {
     const Index before = std::exchange(invoker.position, move.position);
     count_calls(invoker, before);
-    for (FleetObserver* observer : observers_) observer->moved(invoker, before, move, now());
+    for (FleetObserver* observer : observers_)
+      observer->moved(invoker, before, move, now());
   }
 }
 
 void HollowFleet::note_session(HollowInvoker& invoker) {
   const Millis before = std::exchange(invoker.lease_until, invoker.session->lease_until());
-  if (invoker.lease_until < before) leave_calls(invoker, invoker.clock.truth(before));
+  if (invoker.lease_until < before)
+    leave_calls(invoker, invoker.clock.truth(before));
   if (invoker.lease_until > before) {
-    for (FleetObserver* observer : observers_) observer->leased(invoker, before, now());
+    for (FleetObserver* observer : observers_)
+      observer->leased(invoker, before, now());
   }
   const bool was_open = std::exchange(invoker.was_open, invoker.session->open());
   if (!was_open && invoker.was_open) {
-    for (FleetObserver* observer : observers_) observer->opened(invoker, now());
+    for (FleetObserver* observer : observers_)
+      observer->opened(invoker, now());
   }
 }
 
 // What began before a move ends within the last call after it; only then is the new index settled.
 void HollowFleet::count_calls(HollowInvoker& invoker, Index before) {
-  while (!invoker.calls.empty() && invoker.calls.front().until <= now()) invoker.calls.pop_front();
+  while (!invoker.calls.empty() && invoker.calls.front().until <= now())
+    invoker.calls.pop_front();
   double settled_at = now();
   if (invoker.lease_until.count() > 0) {
     const double began = std::min(now(), invoker.lease_end());
     const double longest = invoker.clock.true_span(options_.terms.max_attempt_time);
     invoker.calls.push_back({before, began + uniform(0, longest)});
   }
-  for (const auto& calls : invoker.calls) settled_at = std::max(settled_at, calls.until);
+  for (const auto& calls : invoker.calls)
+    settled_at = std::max(settled_at, calls.until);
   const auto settle = [target = &invoker, life = invoker.life, position = invoker.position] {
-    if (target->up() && target->life == life) target->session->set_settled(position);
+    if (target->up() && target->life == life)
+      target->session->set_settled(position);
   };
-  if (settled_at <= now()) return settle();
+  if (settled_at <= now())
+    return settle();
   at(settled_at, settle);
 }
 
 void HollowFleet::schedule_tick(HollowInvoker& invoker) {
   const double wait = invoker.clock.truth(invoker.session->due()) - now();
   const double when = now() + std::clamp(wait, kLeastTickWait, kLongestTickWait);
-  if (when >= invoker.tick_at) return;
+  if (when >= invoker.tick_at)
+    return;
   invoker.tick_at = when;
   at(when, [this, target = &invoker, life = invoker.life, when] {
-    if (!target->up() || target->life != life || target->tick_at != when) return;
+    if (!target->up() || target->life != life || target->tick_at != when)
+      return;
     target->tick_at = never;
-    if (!target->stopped) tick(target->endpoint.number);
+    if (!target->stopped)
+      tick(target->endpoint.number);
   });
 }
 
 void HollowFleet::tick(std::size_t number) {
   HollowInvoker& invoker = *invokers_[number];
-  if (invoker.session->due() > invoker.clock.local(now())) return schedule_tick(invoker);
+  if (invoker.session->due() > invoker.clock.local(now()))
+    return schedule_tick(invoker);
   call_invoker(invoker, [](control::Session& session, Millis local) { session.tick(local); });
 }
 
@@ -83,7 +95,8 @@
     if (out.kind == HollowInvoker::Outgoing::Kind::connect) {
       connect(invoker, out.text);
     } else if (out.kind == HollowInvoker::Outgoing::Kind::disconnect) {
-      if (link != nullptr) network_.end(*link, Direction::to_node);
+      if (link != nullptr)
+        network_.end(*link, Direction::to_node);
       invoker.link = 0;
     } else if (link != nullptr) {
       ++invoker.traffic.messages_sent;
@@ -107,7 +120,8 @@
 
 void HollowFleet::start_invoker(std::size_t number) {
   HollowInvoker& invoker = *invokers_[number];
-  if (invoker.up()) return;
+  if (invoker.up())
+    return;
   ++invoker.life;
   invoker.stopped = invoker.was_open = false;
   invoker.link = invoker.position = 0;
@@ -121,7 +135,8 @@
   config.incarnation = random_();
   config.terms = options_.terms;
   config.pacing = options_.pacing;
-  for (std::size_t i = 0; i < kFirstNodes; ++i) config.nodes.push_back(nodes_[below(nodes_.size())]->address);
+  for (std::size_t i = 0; i < kFirstNodes; ++i)
+    config.nodes.push_back(nodes_[below(nodes_.size())]->address);
   invoker.replica = std::make_unique<control::Replica>();
   invoker.replica->when_moved([target = &invoker](const control::Change* change) {
     target->moves.push_back({target->replica->position(), change == nullptr});
@@ -133,17 +148,20 @@
 
 // Calls that began under a lease which is given up stay at their hosts for a while.
 void HollowFleet::leave_calls(HollowInvoker& invoker, double lease_end) {
-  if (lease_end <= 0) return;
+  if (lease_end <= 0)
+    return;
   const double longest = invoker.clock.true_span(options_.terms.max_attempt_time);
   invoker.calls.push_back({invoker.position, std::min(now(), lease_end) + longest});
 }
 
 void HollowFleet::kill_invoker(std::size_t number) {
   HollowInvoker& invoker = *invokers_[number];
-  if (!invoker.up()) return;
+  if (!invoker.up())
+    return;
   leave_calls(invoker, invoker.lease_end());
   Link* link = network_.find(invoker.link);
-  if (link != nullptr) network_.end(*link, Direction::to_node);
+  if (link != nullptr)
+    network_.end(*link, Direction::to_node);
   invoker.link = 0;
   invoker.session.reset();
   invoker.replica.reset();
@@ -154,22 +172,28 @@
 
 void HollowFleet::close_invoker(std::size_t number) {
   HollowInvoker& invoker = *invokers_[number];
-  if (!invoker.up() || invoker.stopped) return;
+  if (!invoker.up() || invoker.stopped)
+    return;
   call_invoker(invoker, [](control::Session& session, Millis local) { session.close(local); });
   kill_invoker(number);
 }
 
 void HollowFleet::stop_invoker(std::size_t number, double span) {
   HollowInvoker& invoker = *invokers_[number];
-  if (!invoker.up() || invoker.stopped) return;
+  if (!invoker.up() || invoker.stopped)
+    return;
   invoker.stopped = true;
   at(now() + span, [this, target = &invoker, number, life = invoker.life] {
-    if (target->life != life || !target->up()) return;
+    if (target->life != life || !target->up())
+      return;
     target->stopped = false;
     const bool ticks_first = below(2) == 0;
-    if (ticks_first) tick(number);
-    for (auto& late : std::exchange(target->while_stopped, {})) late();
-    if (target->up()) tick(number);
+    if (ticks_first)
+      tick(number);
+    for (auto& late : std::exchange(target->while_stopped, {}))
+      late();
+    if (target->up())
+      tick(number);
   });
 }
 
@@ -179,15 +203,18 @@
   if (link.unread < send_buffer && link.unread + size >= send_buffer) {
     at(now() + link.latency, [this, node = link.node->number, id = link.id] { became_writable(node, id); });
   }
-  if (!invoker.up() || invoker.link != link.id || packet.kind == Packet::Kind::lost) return;
-  if (!invoker.stopped) return take_at_invoker(invoker, link.id, packet);
+  if (!invoker.up() || invoker.link != link.id || packet.kind == Packet::Kind::lost)
+    return;
+  if (!invoker.stopped)
+    return take_at_invoker(invoker, link.id, packet);
   invoker.while_stopped.push_back([this, target = &invoker, id = link.id, late = std::move(packet)] {
     take_at_invoker(*target, id, late);
   });
 }
 
 void HollowFleet::take_at_invoker(HollowInvoker& invoker, std::uint64_t link, const Packet& packet) {
-  if (invoker.link != link) return;
+  if (invoker.link != link)
+    return;
   invoker.node_lease_end = packet.node_lease_end;
   if (packet.kind == Packet::Kind::accepted)
     return call_invoker(invoker, [](control::Session& session, Millis local) { session.connected(local); });
@@ -200,8 +227,10 @@
   invoker.traffic.bytes_received += packet.frame.size();
   call_invoker(invoker, [&](control::Session& session, Millis local) {
     std::vector<control::Message> messages;
-    if (!invoker.reader.take(packet.frame, messages)) return session.malformed(local);
-    for (auto& message : messages) session.received(std::move(message), local);
+    if (!invoker.reader.take(packet.frame, messages))
+      return session.malformed(local);
+    for (auto& message : messages)
+      session.received(std::move(message), local);
   });
 }
 
--- a/tests/scale/hollow_fleet_nodes.cpp
+++ b/tests/scale/hollow_fleet_nodes.cpp
@@ -22,7 +22,8 @@
 void HollowFleet::dispatch(HollowNode& node) {
   for (auto& out : std::exchange(node.outbox, {})) {
     Link* link = network_.find(out.link);
-    if (link == nullptr) continue;
+    if (link == nullptr)
+      continue;
     if (out.packet.kind == Packet::Kind::end) {
       node.readers.erase(out.link);
       network_.end(*link, Direction::to_invoker);
@@ -36,7 +37,8 @@
 
 void HollowFleet::start_node(std::size_t number) {
   HollowNode& node = *nodes_[number];
-  if (node.up()) return;
+  if (node.up())
+    return;
   control::ControlNode::Config config;
   config.cluster = "hollow";
   config.self = node.address;
@@ -50,7 +52,8 @@
   const Index age = node.life == 1 ? 0 : 1 + below(kSnapshotAge);
   node.followed = std::max<Index>(AgreedLog::first_index, node.followed > age ? node.followed - age : 0);
   std::vector<control::NodeAddress> all;
-  for (const auto& other : nodes_) all.push_back(other->address);
+  for (const auto& other : nodes_)
+    all.push_back(other->address);
   const auto state = log_.state(node.followed);
   call_node(node, [&](control::ControlNode& control, Millis) {
     control.set_nodes(all);
@@ -66,7 +69,8 @@
 
 void HollowFleet::kill_node(std::size_t number, bool resets) {
   HollowNode& node = *nodes_[number];
-  if (!node.up()) return;
+  if (!node.up())
+    return;
   node.control.reset();
   node.outbox.clear();
   node.while_stopped.clear();
@@ -84,24 +88,31 @@
 
 void HollowFleet::leave_node(std::size_t number) {
   HollowNode& node = *nodes_[number];
-  if (!node.up() || node.stopped) return;
+  if (!node.up() || node.stopped)
+    return;
   call_node(node, [](control::ControlNode& control, Millis) { control.leave(); });
   at(now() + kLeavingTakes, [this, number, life = node.life] {
-    if (nodes_[number]->life == life) kill_node(number);
+    if (nodes_[number]->life == life)
+      kill_node(number);
   });
 }
 
 void HollowFleet::stop_node(std::size_t number, double span) {
   HollowNode& node = *nodes_[number];
-  if (!node.up() || node.stopped) return;
+  if (!node.up() || node.stopped)
+    return;
   node.stopped = true;
   at(now() + span, [this, target = &node, life = node.life] {
-    if (target->life != life || !target->up()) return;
+    if (target->life != life || !target->up())
+      return;
     target->stopped = false;
     const bool reports_first = below(2) == 0;
-    if (reports_first) beat(*target);
-    for (auto& late : std::exchange(target->while_stopped, {})) late();
-    if (network_.passes(log_site_, target->endpoint)) follow(*target, log_.last());
+    if (reports_first)
+      beat(*target);
+    for (auto& late : std::exchange(target->while_stopped, {}))
+      late();
+    if (network_.passes(log_site_, target->endpoint))
+      follow(*target, log_.last());
   });
 }
 
@@ -112,29 +123,34 @@
   report.stamp = node.clock.local(now());
   call_node(node,
             [&](control::ControlNode& control, Millis local) { report.floors = control.floors(local); });
-  if (!network_.passes(node.endpoint, log_site_)) return;
+  if (!network_.passes(node.endpoint, log_site_))
+    return;
   const double delay = network_.latency(node.endpoint, log_site_) + node.endpoint.extra_delay;
   at(now() + delay, [this, report] { leader_.heard(report); });
 }
 
 void HollowFleet::beat_by_turns(std::size_t number, std::uint64_t life) {
   HollowNode& node = *nodes_[number];
-  if (node.life != life || !node.up()) return;
-  if (!node.stopped) beat(node);
+  if (node.life != life || !node.up())
+    return;
+  if (!node.stopped)
+    beat(node);
   at(now() + options_.terms.heartbeat_interval().count(),
      [this, number, life] { beat_by_turns(number, life); });
 }
 
 void HollowFleet::tick_by_turns(std::size_t number, std::uint64_t life) {
   HollowNode& node = *nodes_[number];
-  if (node.life != life || !node.up()) return;
+  if (node.life != life || !node.up())
+    return;
   if (!node.stopped)
     call_node(node, [](control::ControlNode& control, Millis local) { control.tick(local); });
   at(now() + kTickEvery, [this, number, life] { tick_by_turns(number, life); });
 }
 
 void HollowFleet::follow(HollowNode& node, Index until) {
-  if (!node.up() || node.stopped) return;
+  if (!node.up() || node.stopped)
+    return;
   while (node.followed < until) {
     ++node.followed;
     apply_entry(node, log_.entry(node.followed));
@@ -144,9 +160,11 @@
 void HollowFleet::apply_entry(HollowNode& node, const LogEntry& entry) {
   call_node(node, [&](control::ControlNode& control, Millis) { control.applied(entry.index, entry.change); });
   for (const NodeReport& report : entry.reports) {
-    if (report.node != node.endpoint.number || report.life != node.life) continue;
+    if (report.node != node.endpoint.number || report.life != node.life)
+      continue;
     const Millis until = report.stamp + options_.terms.lease;
-    if (node.clock.truth(until) <= node.lease_end) continue;
+    if (node.clock.truth(until) <= node.lease_end)
+      continue;
     node.lease_end = node.clock.truth(until);
     call_node(node, [&](control::ControlNode& control, Millis) { control.set_lease(until); });
   }
@@ -155,7 +173,8 @@
 void HollowFleet::arrived_at_node(Link& link, Packet&& packet) {
   HollowNode& node = *nodes_[link.node->number];
   if (!node.up()) {
-    if (!node.gone) network_.end(link, Direction::to_invoker);
+    if (!node.gone)
+      network_.end(link, Direction::to_invoker);
     return;
   }
   if (packet.kind == Packet::Kind::connect) {
@@ -164,8 +183,10 @@
     accepted.kind = Packet::Kind::accepted;
     network_.send(link, Direction::to_invoker, std::move(accepted));
   }
-  if (link.node_life != node.life) return network_.end(link, Direction::to_invoker);
-  if (!node.stopped) return take_at_node(node, link.id, packet);
+  if (link.node_life != node.life)
+    return network_.end(link, Direction::to_invoker);
+  if (!node.stopped)
+    return take_at_node(node, link.id, packet);
   node.while_stopped.push_back(
       [this, target = &node, id = link.id, late = std::move(packet)] { take_at_node(*target, id, late); });
 }
@@ -176,7 +197,8 @@
     return call_node(node, [&](control::ControlNode& control, Millis) { control.opened(link); });
   }
   const auto reader = node.readers.find(link);
-  if (reader == node.readers.end()) return;  // the node has ended it
+  if (reader == node.readers.end())
+    return;  // the node has ended it
   if (packet.kind == Packet::Kind::end) {
     node.readers.erase(reader);
     return call_node(node, [&](control::ControlNode& control, Millis) { control.ended(link); });
@@ -185,16 +207,20 @@
   node.traffic.bytes_received += packet.frame.size();
   call_node(node, [&](control::ControlNode& control, Millis local) {
     std::vector<control::Message> messages;
-    if (!reader->second.take(packet.frame, messages)) return control.malformed(link);
-    for (auto& message : messages) control.received(link, std::move(message), local);
+    if (!reader->second.take(packet.frame, messages))
+      return control.malformed(link);
+    for (auto& message : messages)
+      control.received(link, std::move(message), local);
   });
 }
 
 void HollowFleet::became_writable(std::size_t number, std::uint64_t link) {
   HollowNode& node = *nodes_[number];
-  if (!node.up() || node.readers.count(link) == 0) return;
+  if (!node.up() || node.readers.count(link) == 0)
+    return;
   const auto tell = [this, target = &node, link] {
-    if (target->readers.count(link) == 0) return;
+    if (target->readers.count(link) == 0)
+      return;
     call_node(*target, [&](control::ControlNode& control, Millis) { control.writable(link); });
   };
   if (node.stopped) {
--- a/tests/scale/hollow_processes.cpp
+++ b/tests/scale/hollow_processes.cpp
@@ -28,13 +28,15 @@
 }
 
 void HollowNode::send(LinkId link, const std::string& frame) {
-  if (!CpuMeter::enabled && !sent_deltas[link].follows_on(frame)) ++skipped_deltas;
+  if (!CpuMeter::enabled && !sent_deltas[link].follows_on(frame))
+    ++skipped_deltas;
   Packet packet;
   packet.frame = frame;
   packet.node_lease_end = lease_end;
   outbox.push_back({link, std::move(packet)});
   Link* found = network.find(link);
-  if (found != nullptr) found->unread += frame.size();
+  if (found != nullptr)
+    found->unread += frame.size();
 }
 
 bool HollowNode::has_room(LinkId link) const {
--- a/tests/scale/hollow_processes.h
+++ b/tests/scale/hollow_processes.h
@@ -28,10 +28,12 @@
  public:
   static bool enabled;
   void start() {
-    if (enabled) began_ = read();
+    if (enabled)
+      began_ = read();
   }
   void stop() {
-    if (!enabled) return;
+    if (!enabled)
+      return;
     seconds_ += read() - began_;
     ++spans_;
   }
--- a/tests/scale/hollow_view.h
+++ b/tests/scale/hollow_view.h
@@ -44,7 +44,8 @@
     asking.self = list_.members[std::min(shape.whole, observers - 1)];
     asked_ = worded_parcel(std::move(asking));
     before_members_ = allocated_bytes();
-    for (std::size_t i = 0; i < shape.whole; ++i) start(i);
+    for (std::size_t i = 0; i < shape.whole; ++i)
+      start(i);
   }
 
   // Until what was told at the start is no news any more, without the work of wording it.
@@ -74,7 +75,8 @@
     out.messages /= whole;
     out.sent /= whole;
     out.received /= whole;
-    for (const auto& node : nodes_) out.suspected += node.swim->counts().suspected;
+    for (const auto& node : nodes_)
+      out.suspected += node.swim->counts().suspected;
     return out;
   }
   // What one whole member holds, with its share of the messages under way.
@@ -141,20 +143,24 @@
     swim = std::make_unique<gossip::SwimProtocol>(self, std::vector<std::string>{list_.self.address}, pace_,
                                                   random_(), begins);
     swim->serve(begins);
-    for (std::size_t h = 0; h < shape_.hosts; ++h) swim->observe(host(h), 0, true);
+    for (std::size_t h = 0; h < shape_.hosts; ++h)
+      swim->observe(host(h), 0, true);
     swim->receive(begins, list_);
     swim->take_outgoing();
     swim->take_changes();
     plan({begins.count(), 0, What::tick, i, {}});
     nodes_.back().ticked_at = begins.count();
-    if (shape_.whole < shape_.members) plan({begins.count(), 0, What::stand_in, i, {}});
+    if (shape_.whole < shape_.members)
+      plan({begins.count(), 0, What::stand_in, i, {}});
   }
   void take(const Event& event) {
     Node& node = nodes_[event.to];
     const gossip::Millis now(now_);
-    if (event.what == What::stand_in) return stand_in_asks(event.to);
+    if (event.what == What::stand_in)
+      return stand_in_asks(event.to);
     if (event.what == What::tick) {
-      if (event.at != node.ticked_at) return;  // another was planned since
+      if (event.at != node.ticked_at)
+        return;  // another was planned since
       node.ticked_at = -1;
       node.swim->tick(now);
     } else {
@@ -164,7 +170,8 @@
   }
   void receive(Node& node, const Event& event) {
     const gossip::Millis now(now_);
-    if (!words_ || !event.parcel.body) return node.swim->receive(now, *event.parcel.message);
+    if (!words_ || !event.parcel.body)
+      return node.swim->receive(now, *event.parcel.message);
     const std::string& body = *event.parcel.body;
     totals_.received += static_cast<double>(body.size());
     if (const auto read = gossip::decode_message(body))
@@ -178,10 +185,12 @@
   }
   void carry_out(std::size_t from) {
     Node& node = nodes_[from];
-    for (auto& out : node.swim->take_outgoing()) deliver(from, std::move(out));
+    for (auto& out : node.swim->take_outgoing())
+      deliver(from, std::move(out));
     node.swim->take_changes();
     const double due = node.swim->next_deadline().count();
-    if (node.ticked_at >= 0 && node.ticked_at <= due) return;
+    if (node.ticked_at >= 0 && node.ticked_at <= due)
+      return;
     node.ticked_at = std::max(due, now_);
     plan({node.ticked_at, 0, What::tick, from, {}});
   }
@@ -196,9 +205,12 @@
       totals_.longest = std::max(totals_.longest, parcel.body->size());
     }
     const double at = now_ + kDelay * (0.5 + chance());
-    if (to >= shape_.members - shape_.dead) return;
-    if (to < shape_.whole) return plan({at, 0, What::message, to, parcel});
-    if (kind == gossip::Message::Kind::sync) return plan({at + kDelay, 0, What::message, from, reply_});
+    if (to >= shape_.members - shape_.dead)
+      return;
+    if (to < shape_.whole)
+      return plan({at, 0, What::message, to, parcel});
+    if (kind == gossip::Message::Kind::sync)
+      return plan({at + kDelay, 0, What::message, from, reply_});
     if (kind == gossip::Message::Kind::ping)
       plan_from_stand_in(at + kDelay, from, to, gossip::Message::Kind::ack, number);
   }
@@ -211,7 +223,8 @@
     message.kind = kind;
     message.number = number;
     message.self = list_.members[stand_in];
-    if (kind == gossip::Message::Kind::ack) message.subject = message.self.name;
+    if (kind == gossip::Message::Kind::ack)
+      message.subject = message.self.name;
     plan({at, 0, What::message, to, worded_parcel(std::move(message))});
   }
   // Each member is asked once in a period on average, and for a full exchange as often as it asks for one.
@@ -219,7 +232,8 @@
     const std::size_t alive = shape_.members - shape_.dead;
     const std::size_t stand_in = shape_.whole + random_() % (alive - shape_.whole);
     plan_from_stand_in(now_, to, stand_in, gossip::Message::Kind::ping, ++order_);
-    if (++nodes_[to].periods % pace_.full_sync_periods == 0) plan({now_, 0, What::message, to, asked_});
+    if (++nodes_[to].periods % pace_.full_sync_periods == 0)
+      plan({now_, 0, What::message, to, asked_});
     plan({now_ + pace_.period.count(), 0, What::stand_in, to, {}});
   }
 };
--- a/tests/scale/leader_stand_in.cpp
+++ b/tests/scale/leader_stand_in.cpp
@@ -8,14 +8,16 @@
     const bool old =
         known != nodes_.end() &&
         std::tie(report.life, report.stamp) < std::tie(known->second.latest.life, known->second.latest.stamp);
-    if (!old) nodes_[report.node] = {report, now};
+    if (!old)
+      nodes_[report.node] = {report, now};
   }
 }
 
 Proof LeaderStandIn::conclude(Index last, Millis now) {
   Proof found{last, last};
   for (const auto& [number, node] : nodes_) {
-    if (now - node.agreed_at >= terms_.presumed_dead_after()) continue;
+    if (now - node.agreed_at >= terms_.presumed_dead_after())
+      continue;
     found.applied = std::min(found.applied, node.latest.floors.applied);
     found.settled = std::min(found.settled, node.latest.floors.settled);
   }
--- a/tests/scale/point.h
+++ b/tests/scale/point.h
@@ -38,14 +38,16 @@
 
 // Prints the spread of `values` and returns their median.
 inline double print(const Point& point, std::vector<double> values) {
-  if (values.empty()) return 0;
+  if (values.empty())
+    return 0;
   std::sort(values.begin(), values.end());
   nlohmann::ordered_json line = {{"test", point.test},       {"n", point.n},
                                  {"role", point.role},       {"metric", point.metric},
                                  {"least", values.front()},  {"median", median(values)},
                                  {"most", values.back()},    {"values", values.size()},
                                  {"seconds", point.seconds}, {"seed", kSeed}};
-  for (const auto& [key, value] : point.given) line[key] = value;
+  for (const auto& [key, value] : point.given)
+    line[key] = value;
   std::cout << line.dump() << std::endl;
   return median(values);
 }
@@ -79,7 +81,8 @@
 inline Line fit_power(const std::vector<double>& x, const std::vector<double>& y) {
   std::vector<double> log_x, log_y;
   for (std::size_t i = 0; i < x.size(); ++i) {
-    if (x[i] <= 0 || y[i] <= 0) continue;
+    if (x[i] <= 0 || y[i] <= 0)
+      continue;
     log_x.push_back(std::log(x[i]));
     log_y.push_back(std::log(y[i]));
   }
@@ -97,10 +100,12 @@
 
 // Prints three fits of a series (linear, power, linear in squares) and what each says at `target`.
 inline void print_fit(const Point& point, const std::string& against, const Series& series, double target) {
-  if (series.x.size() < 2) return;
+  if (series.x.size() < 2)
+    return;
   const Line line = fit_line(series.x, series.y), power = fit_power(series.x, series.y);
   std::vector<double> squares;
-  for (const double x : series.x) squares.push_back(x * x);
+  for (const double x : series.x)
+    squares.push_back(x * x);
   const Line square = fit_line(squares, series.y);
   const double most = *std::max_element(series.x.begin(), series.x.end());
   nlohmann::ordered_json out = {{"fit", point.test},
@@ -122,7 +127,8 @@
                                 {"power_at_target", std::exp(power.at(std::log(target)))},
                                 {"square_at_target", square.at(target * target)},
                                 {"times_beyond_measured", target / most}};
-  for (const auto& [key, value] : point.given) out[key] = value;
+  for (const auto& [key, value] : point.given)
+    out[key] = value;
   std::cout << out.dump() << std::endl;
 }
 
@@ -154,10 +160,12 @@
 // Numbers of an environment variable, separated by commas; `otherwise` if it is not set.
 inline std::vector<double> numbers_of(const char* variable, std::vector<double> otherwise) {
   const char* given = std::getenv(variable);
-  if (given == nullptr) return otherwise;
+  if (given == nullptr)
+    return otherwise;
   std::vector<double> out;
   std::istringstream words(given);
-  for (std::string word; std::getline(words, word, ',');) out.push_back(std::stod(word));
+  for (std::string word; std::getline(words, word, ',');)
+    out.push_back(std::stod(word));
   return out;
 }
 
--- a/tests/scale/process_fleet.h
+++ b/tests/scale/process_fleet.h
@@ -22,7 +22,8 @@
   std::string next() {
     while (true) {
       const std::string address = "127.0.0.1:" + std::to_string(next_++);
-      if (net::listen_on(address)) return address;
+      if (net::listen_on(address))
+        return address;
     }
   }
 
@@ -61,22 +62,27 @@
       add("m" + std::to_string(i), is_control_node ? Kind::control_node : Kind::member);
       const Member& added = members_.back();
       peers_.push_back({{"name", added.name}, {"address", added.listen}, {"votes", i < shape.voters()}});
-      if (is_control_node) nodes_.push_back({{"name", added.name}, {"address", added.sessions}});
+      if (is_control_node)
+        nodes_.push_back({{"name", added.name}, {"address", added.sessions}});
     }
-    for (int i = 0; i < shape.invokers; ++i) add("i" + std::to_string(i), Kind::invoker);
-    for (auto& member : members_) start(member);
+    for (int i = 0; i < shape.invokers; ++i)
+      add("i" + std::to_string(i), Kind::invoker);
+    for (auto& member : members_)
+      start(member);
   }
 
   std::vector<Member>& members() { return members_; }
   std::set<int> member_ports() const {
     std::set<int> out;
-    for (const auto& m : members_) out.insert(port_of(m.listen));
+    for (const auto& m : members_)
+      out.insert(port_of(m.listen));
     return out;
   }
   std::set<int> session_ports() const {
     std::set<int> out;
     for (const auto& m : members_) {
-      if (m.kind == Kind::control_node) out.insert(port_of(m.sessions));
+      if (m.kind == Kind::control_node)
+        out.insert(port_of(m.sessions));
     }
     return out;
   }
@@ -112,7 +118,8 @@
         const std::string note = kLeadsNote;
         const bool leads =
             line.size() > note.size() && line.compare(line.size() - note.size(), note.size(), note) == 0;
-        if (!leads || term == std::string::npos || std::stol(line.substr(term + 5)) < latest) continue;
+        if (!leads || term == std::string::npos || std::stol(line.substr(term + 5)) < latest)
+          continue;
         latest = std::stol(line.substr(term + 5));
         out = &m;
       }
@@ -121,11 +128,13 @@
   }
   // The named counters, each with one value for every member, in their order; all read at one moment.
   std::map<std::string, std::vector<double>> counters(const std::vector<std::string>& names) {
-    for (const auto& m : members_) m.process->signal(SIGUSR1);
+    for (const auto& m : members_)
+      m.process->signal(SIGUSR1);
     run(kCountersPrinted);
     std::map<std::string, std::vector<double>> out;
     for (const auto& name : names) {
-      for (const auto& m : members_) out[name].push_back(static_cast<double>(m.process->counter(name)));
+      for (const auto& m : members_)
+        out[name].push_back(static_cast<double>(m.process->counter(name)));
     }
     return out;
   }
@@ -133,7 +142,8 @@
   // Bytes of connections to one of `ports` are told apart from the rest.
   std::vector<Usage> usage(const std::set<int>& ports) const {
     std::vector<Usage> out;
-    for (const auto& m : members_) out.push_back(usage_of(m.process->pid(), ports));
+    for (const auto& m : members_)
+      out.push_back(usage_of(m.process->pid(), ports));
     return out;
   }
   // The HTTP status with which a proposal for the agreed log was taken.
@@ -156,15 +166,18 @@
     const std::string path = service_.folder.path + "/" + name;
     members_.push_back(
         {name, ports_.next(), ports_.next(), ports_.next(), path + ".json", path + ".log", {}, kind, {}});
-    if (kind == Kind::control_node) members_.back().sessions = ports_.next();
+    if (kind == Kind::control_node)
+      members_.back().sessions = ports_.next();
   }
 
   // As the platform's log does: a log that is silent for longer is asked anew, and tells all hosts again.
   void keep_log_alive() {
-    if (now() - log_spoke_ < kLogPace) return;
+    if (now() - log_spoke_ < kLogPace)
+      return;
     log_spoke_ = now();
     const std::string line = std::to_string(service_.log.lines.size()) + "\n";
-    for (const auto& peer : service_.log.server.peers) peer->write(line);
+    for (const auto& peer : service_.log.server.peers)
+      peer->write(line);
   }
 
   nlohmann::json group_part(const Member& m) const {
@@ -181,8 +194,10 @@
     file["limits"] = {{"cores", 0.5}, {"memory_mb", 128}, {"sockets", 1024}};
     file["settings"]["Balancers"] = shape_.members + shape_.invokers;
     file["settings"]["Bounds"]["Probes"] = false;
-    if (m.kind != Kind::invoker) file["group"] = group_part(m);
-    if (m.kind == Kind::control_node) file["control"] = {{"listen", m.sessions}, {"nodes", nodes_}};
+    if (m.kind != Kind::invoker)
+      file["group"] = group_part(m);
+    if (m.kind == Kind::control_node)
+      file["control"] = {{"listen", m.sessions}, {"nodes", nodes_}};
     if (m.kind == Kind::invoker)
       file["control"] = {{"cluster", kCluster}, {"lease_ms", kLeaseMs}, {"nodes", nodes_}};
     return file;
--- a/tests/scale/process_usage.h
+++ b/tests/scale/process_usage.h
@@ -42,9 +42,11 @@
 inline std::vector<int> descriptors_of(pid_t pid) {
   std::vector<int> out;
   DIR* folder = opendir(("/proc/" + std::to_string(pid) + "/fd").c_str());
-  if (folder == nullptr) return out;
+  if (folder == nullptr)
+    return out;
   while (const dirent* entry = readdir(folder)) {
-    if (entry->d_name[0] != '.') out.push_back(std::stoi(entry->d_name));
+    if (entry->d_name[0] != '.')
+      out.push_back(std::stoi(entry->d_name));
   }
   closedir(folder);
   return out;
@@ -55,12 +57,15 @@
   const std::string tasks = "/proc/" + std::to_string(pid) + "/task";
   double out = 0;
   DIR* folder = opendir(tasks.c_str());
-  if (folder == nullptr) return 0;
+  if (folder == nullptr)
+    return 0;
   while (const dirent* entry = readdir(folder)) {
-    if (entry->d_name[0] == '.') continue;
+    if (entry->d_name[0] == '.')
+      continue;
     std::ifstream in(tasks + "/" + entry->d_name + "/schedstat");
     double nanoseconds = 0;
-    if (in >> nanoseconds) out += nanoseconds * 1e-9;
+    if (in >> nanoseconds)
+      out += nanoseconds * 1e-9;
   }
   closedir(folder);
   return out;
@@ -76,7 +81,8 @@
 inline int port_of(int fd, int (*name_of)(int, sockaddr*, socklen_t*)) {
   sockaddr_in address{};
   socklen_t size = sizeof address;
-  if (name_of(fd, reinterpret_cast<sockaddr*>(&address), &size) != 0) return 0;
+  if (name_of(fd, reinterpret_cast<sockaddr*>(&address), &size) != 0)
+    return 0;
   return address.sin_family == AF_INET ? ntohs(address.sin_port) : 0;
 }
 
@@ -84,12 +90,15 @@
 inline void read_socket(int fd, const std::set<int>& member_ports, Usage& out) {
   tcp_info info{};
   socklen_t size = sizeof info;
-  if (getsockopt(fd, IPPROTO_TCP, TCP_INFO, &info, &size) != 0) return;
+  if (getsockopt(fd, IPPROTO_TCP, TCP_INFO, &info, &size) != 0)
+    return;
   const int remote = port_of(fd, getpeername);
-  if (remote == 0) return;
+  if (remote == 0)
+    return;
   std::uint64_t cookie = 0;
   size = sizeof cookie;
-  if (getsockopt(fd, SOL_SOCKET, SO_COOKIE, &cookie, &size) != 0) return;
+  if (getsockopt(fd, SOL_SOCKET, SO_COOKIE, &cookie, &size) != 0)
+    return;
   const bool members = member_ports.count(remote) + member_ports.count(port_of(fd, getsockname)) > 0;
   out.sockets[cookie] = {members, info.tcpi_bytes_sent, info.tcpi_bytes_received, info.tcpi_segs_out};
 }
@@ -101,10 +110,12 @@
   out.resident_bytes = resident_bytes_of(pid);
   out.processor_seconds = processor_seconds_of(pid);
   const net::Socket process(static_cast<int>(syscall(SYS_pidfd_open, pid, 0)));
-  if (!process) return out;
+  if (!process)
+    return out;
   for (const int theirs : descriptors) {
     const net::Socket copy(static_cast<int>(syscall(SYS_pidfd_getfd, process.fd(), theirs, 0)));
-    if (copy) read_socket(copy.fd(), member_ports, out);
+    if (copy)
+      read_socket(copy.fd(), member_ports, out);
   }
   return out;
 }
--- a/tests/scale/random_faults.cpp
+++ b/tests/scale/random_faults.cpp
@@ -12,7 +12,8 @@
 
 void RandomFaults::begin(double until, double pause) {
   const double next = fleet_.now() + fleet_.uniform(0.5, 1.5) * pause;
-  if (next >= until) return;
+  if (next >= until)
+    return;
   fleet_.at(next, [this, until, pause] {
     strike();
     begin(until, pause);
@@ -21,27 +22,42 @@
 
 void RandomFaults::strike() {
   switch (fleet_.below(14)) {
-    case 0: return kill_node(true);
-    case 1: return kill_node(false);
-    case 2: return leave_node();
-    case 3: return stop_node();
-    case 4: return stop_invokers();
-    case 5: return kill_invokers();
-    case 6: return close_invokers();
-    case 7: return cut_zone();
-    case 8: return cut_region();
-    case 9: return cut_node_from_log();
-    case 10: return cut_invokers_from_nodes();
-    case 11: return delay_some();
-    case 12: return restart_all_nodes();
-    default: return burst();
+    case 0:
+      return kill_node(true);
+    case 1:
+      return kill_node(false);
+    case 2:
+      return leave_node();
+    case 3:
+      return stop_node();
+    case 4:
+      return stop_invokers();
+    case 5:
+      return kill_invokers();
+    case 6:
+      return close_invokers();
+    case 7:
+      return cut_zone();
+    case 8:
+      return cut_region();
+    case 9:
+      return cut_node_from_log();
+    case 10:
+      return cut_invokers_from_nodes();
+    case 11:
+      return delay_some();
+    case 12:
+      return restart_all_nodes();
+    default:
+      return burst();
   }
 }
 
 template <typename Fault>
 void RandomFaults::some_invokers(double share, const Fault& fault) {
   for (std::size_t i = 0; i < fleet_.invokers().size(); ++i) {
-    if (fleet_.uniform(0, 1) < share) fault(i);
+    if (fleet_.uniform(0, 1) < share)
+      fault(i);
   }
 }
 
@@ -153,7 +169,8 @@
 }
 
 void RandomFaults::burst() {
-  for (int i = 0; i < kBurst; ++i) fleet_.change();
+  for (int i = 0; i < kBurst; ++i)
+    fleet_.change();
 }
 
 }  // namespace lotusyard::test
--- a/tests/scale/sent_deltas.h
+++ b/tests/scale/sent_deltas.h
@@ -16,10 +16,13 @@
   bool follows_on(const std::string& frame) {
     std::vector<control::Message> messages;
     control::MessageReader reader(control::longest_to_invoker);
-    if (!reader.take(frame, messages) || messages.size() != 1) return false;
-    if (const auto* chunk = std::get_if<control::SnapshotChunk>(&messages[0])) reached_ = chunk->index;
+    if (!reader.take(frame, messages) || messages.size() != 1)
+      return false;
+    if (const auto* chunk = std::get_if<control::SnapshotChunk>(&messages[0]))
+      reached_ = chunk->index;
     const auto* delta = std::get_if<control::Delta>(&messages[0]);
-    if (delta == nullptr) return true;
+    if (delta == nullptr)
+      return true;
     // The first one follows the position that the invoker opened with.
     const bool follows = !reached_ || delta->after <= *reached_;
     reached_ = delta->index;
--- a/tests/scale/session_reader.h
+++ b/tests/scale/session_reader.h
@@ -20,13 +20,15 @@
   // One value for each of `members`, in their order.
   std::vector<ShownSession> read(const std::vector<const ProcessFleet::Member*>& members) {
     std::list<Request> requests;
-    for (const auto* member : members) requests.emplace_back(fleet_, member->door);
+    for (const auto* member : members)
+      requests.emplace_back(fleet_, member->door);
     const double began = fleet_.now();
     const auto open = [](const Request& request) { return request.ended_at == 0; };
     while (std::any_of(requests.begin(), requests.end(), open) && fleet_.now() - began < kAnswersWithin)
       fleet_.world().turn();
     std::vector<ShownSession> out;
-    for (const auto& request : requests) out.push_back(shown_in(request));
+    for (const auto& request : requests)
+      out.push_back(shown_in(request));
     return out;
   }
 
@@ -49,9 +51,11 @@
 
   static ShownSession shown_in(const Request& request) {
     const auto head = request.answer.find("\r\n\r\n");
-    if (head == std::string::npos) return {0, request.ended_at};
+    if (head == std::string::npos)
+      return {0, request.ended_at};
     const auto body = nlohmann::json::parse(request.answer.substr(head + 4), nullptr, false);
-    if (!body.is_object() || !body.contains("records")) return {0, request.ended_at};
+    if (!body.is_object() || !body.contains("records"))
+      return {0, request.ended_at};
     return {body["records"].get<std::size_t>(), request.ended_at};
   }
 
--- a/tests/scale/tier_checker.cpp
+++ b/tests/scale/tier_checker.cpp
@@ -11,18 +11,25 @@
 
 const char* name_of(TierChecker::Rule rule) {
   switch (rule) {
-    case TierChecker::Rule::lease_behind_proof: return "lease_behind_proof";
-    case TierChecker::Rule::settled_behind_proof: return "settled_behind_proof";
-    case TierChecker::Rule::lease_outlasts_node: return "lease_outlasts_node";
-    case TierChecker::Rule::records_differ: return "records_differ";
-    case TierChecker::Rule::delta_skipped: return "delta_skipped";
-    case TierChecker::Rule::left_behind: return "left_behind";
+    case TierChecker::Rule::lease_behind_proof:
+      return "lease_behind_proof";
+    case TierChecker::Rule::settled_behind_proof:
+      return "settled_behind_proof";
+    case TierChecker::Rule::lease_outlasts_node:
+      return "lease_outlasts_node";
+    case TierChecker::Rule::records_differ:
+      return "records_differ";
+    case TierChecker::Rule::delta_skipped:
+      return "delta_skipped";
+    case TierChecker::Rule::left_behind:
+      return "left_behind";
   }
   return "unknown";
 }
 
 void TierChecker::violate(Rule rule, double now, const HollowInvoker& invoker, const std::string& what) {
-  if (violations_.size() >= kMostViolations) return;
+  if (violations_.size() >= kMostViolations)
+    return;
   violations_.push_back({rule, now,
                          "invoker " + std::to_string(invoker.endpoint.number) + " life " +
                              std::to_string(invoker.life) + " at node " +
@@ -46,11 +53,14 @@
                         double now) {
   ++moves_;
   const std::string step = std::to_string(from) + " -> " + std::to_string(move.position);
-  if (move.position <= from) violate(Rule::records_differ, now, invoker, "not forward: " + step);
-  if (move.position > fleet_.log().last()) violate(Rule::records_differ, now, invoker, "ahead: " + step);
+  if (move.position <= from)
+    violate(Rule::records_differ, now, invoker, "not forward: " + step);
+  if (move.position > fleet_.log().last())
+    violate(Rule::records_differ, now, invoker, "ahead: " + step);
   if (!move.by_snapshot && fleet_.log().changes_between(from, move.position).size() != 1)
     violate(Rule::records_differ, now, invoker, "not one change: " + step);
-  if (moves_ % compare_every_ != 0) return;
+  if (moves_ % compare_every_ != 0)
+    return;
   const auto state = fleet_.log().state(move.position);
   if (state != nullptr && *state != invoker.replica->records())
     violate(Rule::records_differ, now, invoker, "other records after " + step);
@@ -62,7 +72,8 @@
   if (end > invoker.node_lease_end + kRounding)
     violate(Rule::lease_outlasts_node, now, invoker,
             "by " + std::to_string(end - invoker.node_lease_end) + " ms");
-  if (!invoker.holds(now)) return;
+  if (!invoker.holds(now))
+    return;
   const std::string where = "lease taken at " + std::to_string(invoker.position) + ", proved ";
   if (invoker.position < fleet_.log().last_change(proof_.applied))
     violate(Rule::lease_behind_proof, now, invoker, where + std::to_string(proof_.applied));
@@ -74,7 +85,8 @@
 bool TierChecker::busy_below(const HollowInvoker& invoker, Index needed, double now) const {
   const bool behind = invoker.up() && invoker.position < needed && invoker.lease_until.count() > 0;
   const double last_call = invoker.clock.true_span(fleet_.options().terms.max_attempt_time);
-  if (behind && invoker.lease_end() + last_call > now) return true;
+  if (behind && invoker.lease_end() + last_call > now)
+    return true;
   return std::any_of(invoker.calls.begin(), invoker.calls.end(), [&](const HollowInvoker::Calls& calls) {
     return calls.position < needed && calls.until > now;
   });
@@ -86,7 +98,8 @@
   const Index settled = fleet_.log().last_change(proof.settled);
   const bool applied_rose = applied > fleet_.log().last_change(before.applied);
   const bool settled_rose = settled > fleet_.log().last_change(before.settled);
-  if (!applied_rose && !settled_rose) return;
+  if (!applied_rose && !settled_rose)
+    return;
   for (const auto& invoker : fleet_.invokers()) {
     const std::string where = "at " + std::to_string(invoker->position) + ", proved ";
     if (applied_rose && invoker->position < applied && invoker->holds(now))
@@ -98,14 +111,17 @@
 
 void TierChecker::expect_all_served(Index agreed, double now) {
   for (const auto& node : fleet_.nodes()) {
-    if (node->skipped_deltas == 0) continue;
+    if (node->skipped_deltas == 0)
+      continue;
     const std::string skipped = "a node left out " + std::to_string(node->skipped_deltas) + " deltas";
     violations_.push_back({Rule::delta_skipped, now, skipped});
   }
   for (const auto& invoker : fleet_.invokers()) {
-    if (!invoker->up()) continue;
+    if (!invoker->up())
+      continue;
     const std::string where = "at " + std::to_string(invoker->position);
-    if (!invoker->holds(now)) violate(Rule::left_behind, now, *invoker, where + " without a lease");
+    if (!invoker->holds(now))
+      violate(Rule::left_behind, now, *invoker, where + " without a lease");
     if (invoker->position < fleet_.log().last_change(agreed))
       violate(Rule::left_behind, now, *invoker, where + " of " + std::to_string(agreed));
   }
--- a/tests/scale/tier_long.cpp
+++ b/tests/scale/tier_long.cpp
@@ -38,13 +38,17 @@
   std::vector<std::size_t> held(fleet.nodes().size(), 0);
   std::size_t open = 0, leased = 0;
   for (const auto& invoker : fleet.invokers()) {
-    if (!invoker->up()) continue;
-    if (invoker->session->open()) ++open, ++held[recorder.node_of(*invoker)];
-    if (invoker->holds(fleet.now())) ++leased;
+    if (!invoker->up())
+      continue;
+    if (invoker->session->open())
+      ++open, ++held[recorder.node_of(*invoker)];
+    if (invoker->holds(fleet.now()))
+      ++leased;
   }
   Sample sessions;
   for (std::size_t i = 0; i < held.size(); ++i) {
-    if (fleet.nodes()[i]->up()) sessions.add(static_cast<double>(held[i]));
+    if (fleet.nodes()[i]->up())
+      sessions.add(static_cast<double>(held[i]));
   }
   print_point(label, "node", "sessions", sessions);
   print_value(label, "fleet", "open_sessions", static_cast<double>(open));
@@ -53,7 +57,8 @@
 
 void print_lapses(const TierRecorder& recorder, const RunLabel& label) {
   Sample gaps;
-  for (const auto& lapse : recorder.lapses()) gaps.add(lapse.gap);
+  for (const auto& lapse : recorder.lapses())
+    gaps.add(lapse.gap);
   print_point(label, "invoker", "ms_without_lease", gaps);
 }
 
@@ -94,7 +99,8 @@
   kill_each_minute(fleet, recorder, label, kMinutes, watches);
   fleet.changes_each_second(0.43, fleet.now() + kMinutes * kMinute);
   fleet.at(fleet.now() + kMinutes * kMinute / 2, [&fleet] {
-    for (int i = 0; i < kBurst; ++i) fleet.change();
+    for (int i = 0; i < kBurst; ++i)
+      fleet.change();
   });
   fleet.run(kMinutes * kMinute + kWarmUp);
   checker.expect_all_served(fleet.log().last_change(fleet.log().last()), fleet.now());
@@ -124,12 +130,15 @@
   fleet.run(5 * kSecond);
   std::vector<std::size_t> nodes;
   for (const auto& node : fleet.nodes()) {
-    if (node->endpoint.zone == kZone) nodes.push_back(node->endpoint.number);
+    if (node->endpoint.zone == kZone)
+      nodes.push_back(node->endpoint.number);
   }
   DeathWatch watch(fleet, recorder, nodes);
-  for (const std::size_t node : nodes) fleet.kill_node(node, false);
+  for (const std::size_t node : nodes)
+    fleet.kill_node(node, false);
   for (std::size_t i = 0; with_invokers && i < fleet.invokers().size(); ++i) {
-    if (fleet.invokers()[i]->endpoint.zone == kZone) fleet.kill_invoker(i);
+    if (fleet.invokers()[i]->endpoint.zone == kZone)
+      fleet.kill_invoker(i);
   }
   fleet.run(kMinute);
   watch.finish(label);
--- a/tests/scale/tier_measure.cpp
+++ b/tests/scale/tier_measure.cpp
@@ -26,7 +26,8 @@
 template <typename Process>
 std::vector<Usage> usage_of(const std::vector<std::unique_ptr<Process>>& processes) {
   std::vector<Usage> out;
-  for (const auto& process : processes) out.push_back({process->traffic, process->cpu.seconds()});
+  for (const auto& process : processes)
+    out.push_back({process->traffic, process->cpu.seconds()});
   return out;
 }
 
@@ -76,7 +77,8 @@
 
 // At the same moments for all sizes, so that these can be compared.
 void agree_evenly(HollowFleet& fleet, double changes_per_second, double span) {
-  if (changes_per_second <= 0) return;
+  if (changes_per_second <= 0)
+    return;
   const double pause = kSecond / changes_per_second;
   for (double at = pause / 2; at < span - kSecond; at += pause)
     fleet.at(fleet.now() + at, [&fleet] { fleet.change(); });
@@ -107,7 +109,8 @@
 void print_slopes(const std::string& test, const std::vector<std::pair<double, Points>>& by_size) {
   for (const auto& [metric, first] : by_size.front().second) {
     std::vector<std::pair<double, double>> line;
-    for (const auto& [size, medians] : by_size) line.emplace_back(size, medians.at(metric));
+    for (const auto& [size, medians] : by_size)
+      line.emplace_back(size, medians.at(metric));
     const double each_thousand = slope(line) * 1000;
     const nlohmann::ordered_json out = {{"test", test},
                                         {"slope_of", metric},
@@ -132,11 +135,13 @@
 }
 
 TEST_CASE("costs by number of nodes", "[.][scale-measure]") {
-  for (const std::size_t nodes : {5, 14, 28}) measure({"by-nodes", 3000, nodes, 0.43, 100});
+  for (const std::size_t nodes : {5, 14, 28})
+    measure({"by-nodes", 3000, nodes, 0.43, 100});
 }
 
 TEST_CASE("costs by number of records", "[.][scale-measure]") {
-  for (const std::size_t records : {100, 1000, 4096}) measure({"by-records", 1000, 28, 4.3, records});
+  for (const std::size_t records : {100, 1000, 4096})
+    measure({"by-records", 1000, 28, 4.3, records});
 }
 
 }  // namespace lotusyard::test
--- a/tests/scale/tier_memory.cpp
+++ b/tests/scale/tier_memory.cpp
@@ -124,9 +124,11 @@
   std::vector<std::unique_ptr<MeasuredInvoker>> invokers;
   invokers.reserve(kInvokers);
   const double before = allocated();
-  for (std::size_t i = 0; i < kInvokers; ++i) invokers.push_back(invoker_with(snapshot));
+  for (std::size_t i = 0; i < kInvokers; ++i)
+    invokers.push_back(invoker_with(snapshot));
   const double after = allocated();
-  for (const auto& invoker : invokers) REQUIRE(invoker->replica.records().size() == records);
+  for (const auto& invoker : invokers)
+    REQUIRE(invoker->replica.records().size() == records);
   const RunLabel label = label_of(kInvokers, records);
   print_value(label, "invoker", "bytes_of_session_and_replica", (after - before) / kInvokers);
   print_value(label, "invoker", "bytes_of_encoded_records", static_cast<double>(snapshot.size()));
@@ -137,7 +139,8 @@
 TEST_CASE("memory by number of records", "[.][scale-measure]") {
   for (const std::size_t records : {0, 100, 1000, 4096}) {
     measure_node(records);
-    if (records > 0) measure_invokers(records);
+    if (records > 0)
+      measure_invokers(records);
   }
 }
 
--- a/tests/scale/tier_planted_test.cpp
+++ b/tests/scale/tier_planted_test.cpp
@@ -36,7 +36,8 @@
   const Breaks::Rule broken(planted.fault);
   for (std::uint64_t seed = 1; seed <= planted.within; ++seed) {
     const ScenarioResult result = run_scenario(planted_scenario(seed));
-    if (!finds(result, planted.found_by)) continue;
+    if (!finds(result, planted.found_by))
+      continue;
     std::cout << planted.fault << ": found with seed " << seed << "\n";
     SUCCEED(planted.fault);
     return;
@@ -72,11 +73,14 @@
     for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
       const ScenarioResult result = run_scenario(planted_scenario(seed));
       std::set<std::string> rules;
-      for (const auto& violation : result.violations) rules.insert(name_of(violation.rule));
-      for (const auto& rule : rules) ++found[rule];
+      for (const auto& violation : result.violations)
+        rules.insert(name_of(violation.rule));
+      for (const auto& rule : rules)
+        ++found[rule];
     }
     std::cout << planted.fault << ", of " << kSeeds << " seeds:";
-    for (const auto& [rule, seeds] : found) std::cout << ' ' << rule << ' ' << seeds;
+    for (const auto& [rule, seeds] : found)
+      std::cout << ' ' << rule << ' ' << seeds;
     std::cout << std::endl;
   }
 }
--- a/tests/scale/tier_processes.cpp
+++ b/tests/scale/tier_processes.cpp
@@ -34,8 +34,10 @@
 }
 
 std::string role_of(const ProcessFleet::Member& member, const std::string& leader) {
-  if (member.name == leader) return "leader";
-  if (member.kind == Kind::invoker) return "invoker";
+  if (member.name == leader)
+    return "leader";
+  if (member.kind == Kind::invoker)
+    return "invoker";
   return member.kind == Kind::control_node ? "control_node" : "voter";
 }
 
@@ -83,7 +85,8 @@
 std::vector<const ProcessFleet::Member*> members_of(ProcessFleet& fleet, Kind kind) {
   std::vector<const ProcessFleet::Member*> out;
   for (const auto& member : fleet.members()) {
-    if (member.kind == kind) out.push_back(&member);
+    if (member.kind == kind)
+      out.push_back(&member);
   }
   return out;
 }
@@ -116,7 +119,8 @@
 std::vector<std::size_t> records_of(ProcessFleet& fleet) {
   SessionReader reader(fleet);
   std::vector<std::size_t> out;
-  for (const auto& session : reader.read(members_of(fleet, Kind::invoker))) out.push_back(session.records);
+  for (const auto& session : reader.read(members_of(fleet, Kind::invoker)))
+    out.push_back(session.records);
   return out;
 }
 
@@ -157,7 +161,8 @@
     out.insert(out.end(), arrived.begin(), arrived.end());
   }
   CHECK(records == static_cast<std::size_t>(proposer.taken()) + 1);
-  for (const std::size_t shown : records_of(fleet)) CHECK(shown == records);
+  for (const std::size_t shown : records_of(fleet))
+    CHECK(shown == records);
   return out;
 }
 
@@ -170,7 +175,8 @@
     ProcessFleet fleet(shape_of(given));
     start(fleet, given);
     Proposer nothing(fleet, fleet.members().front(), 0);
-    for (const auto& [key, values] : measure(fleet, given, nothing)) series[key].add(n, median(values));
+    for (const auto& [key, values] : measure(fleet, given, nothing))
+      series[key].add(n, median(values));
   }
   for (const auto& [key, line] : series)
     print_fit({"tier_processes", 0, key.first, key.second, 0, {}}, "invokers", line, kTargetMembers);
--- a/tests/scale/tier_region.cpp
+++ b/tests/scale/tier_region.cpp
@@ -16,13 +16,17 @@
  public:
   explicit CatchUp(HollowFleet& fleet)
       : fleet_(fleet), target_(fleet.log().last_change(fleet.log().last())), healed_at_(fleet.now()) {
-    for (const auto& invoker : fleet.invokers()) before_.push_back(invoker->traffic.bytes_received);
+    for (const auto& invoker : fleet.invokers())
+      before_.push_back(invoker->traffic.bytes_received);
     fleet.observe(*this);
   }
   void moved(const HollowInvoker& invoker, Index from, const HollowInvoker::Move& move, double now) override {
-    if (invoker.endpoint.region != kRegion || from >= target_) return;
-    if (move.by_snapshot) ++snapshots;
-    if (move.position < target_) return;
+    if (invoker.endpoint.region != kRegion || from >= target_)
+      return;
+    if (move.by_snapshot)
+      ++snapshots;
+    if (move.position < target_)
+      return;
     times.add(now - healed_at_);
     bytes.add(static_cast<double>(invoker.traffic.bytes_received - before_[invoker.endpoint.number]));
   }
@@ -48,14 +52,16 @@
       return invoker->endpoint.region == kRegion && invoker->holds(fleet.now());
     });
   };
-  while (any_holds() && fleet.now() < began + kMinute) fleet.run(20);
+  while (any_holds() && fleet.now() < began + kMinute)
+    fleet.run(20);
   return fleet.now() - began;
 }
 
 std::size_t leases_outside(const HollowFleet& fleet) {
   std::size_t out = 0;
   for (const auto& invoker : fleet.invokers()) {
-    if (invoker->endpoint.region != kRegion && invoker->holds(fleet.now())) ++out;
+    if (invoker->endpoint.region != kRegion && invoker->holds(fleet.now()))
+      ++out;
   }
   return out;
 }
--- a/tests/scale/tier_scenario.cpp
+++ b/tests/scale/tier_scenario.cpp
@@ -8,11 +8,14 @@
 
 // Everything that a fault has taken away is given back.
 void calm_down(HollowFleet& fleet) {
-  for (int name = 1; name < kAllCuts; ++name) fleet.network().forget_cut(name);
+  for (int name = 1; name < kAllCuts; ++name)
+    fleet.network().forget_cut(name);
   fleet.heal(0);
   fleet.network().delta_loss = fleet.network().delta_repeat = 0;
-  for (std::size_t i = 0; i < fleet.nodes().size(); ++i) fleet.start_node(i);
-  for (std::size_t i = 0; i < fleet.invokers().size(); ++i) fleet.start_invoker(i);
+  for (std::size_t i = 0; i < fleet.nodes().size(); ++i)
+    fleet.start_node(i);
+  for (std::size_t i = 0; i < fleet.invokers().size(); ++i)
+    fleet.start_invoker(i);
   // A lost delta shows only when the next one comes.
   fleet.at(fleet.now() + kOneMoreChange, [&fleet] { fleet.change(); });
 }
@@ -28,7 +31,8 @@
   out.calm = 25000;
   out.span = 50000;
   out.changes_per_second = 4;
-  if (seed % 2 == 1) out.fleet.capacity = {20, 512};  // slow, so that it takes a while to catch up
+  if (seed % 2 == 1)
+    out.fleet.capacity = {20, 512};  // slow, so that it takes a while to catch up
   out.delta_loss = out.delta_repeat = 0.05;
   return out;
 }
@@ -45,7 +49,8 @@
   fleet.run(scenario.span);
   calm_down(fleet);
   fleet.run(scenario.calm);
-  if (scenario.calm > 0) checker.expect_all_served(fleet.log().last(), fleet.now());
+  if (scenario.calm > 0)
+    checker.expect_all_served(fleet.log().last(), fleet.now());
   ScenarioResult out;
   out.violations = checker.violations();
   out.sound = out.violations.empty();
--- a/tests/scale/tier_soak.cpp
+++ b/tests/scale/tier_soak.cpp
@@ -20,7 +20,8 @@
     const ScenarioResult result = run_scenario(scenario_of(seed));
     moves += result.moves;
     leases += result.leases;
-    if (result.sound) continue;
+    if (result.sound)
+      continue;
     ++unsound;
     std::cout << name << " seed " << seed << ": " << result.text << std::endl;
   }
--- a/tests/slow_start_day.h
+++ b/tests/slow_start_day.h
@@ -19,10 +19,12 @@
         multiple_(multiple),
         random_(seed),
         hosts_(kHosts) {
-    if (disturbance == Disturbance::small_host) hosts_[0].cores = 1;
+    if (disturbance == Disturbance::small_host)
+      hosts_[0].cores = 1;
     starting_ = starts_many(disturbance) ? 5 : 1;
     for (int h = 0; h < kHosts; ++h) {
-      for (std::uint64_t f = 1; f <= kFunctions; ++f) copies_[name_of(h)].insert(f);
+      for (std::uint64_t f = 1; f <= kFunctions; ++f)
+        copies_[name_of(h)].insert(f);
     }
   }
 
@@ -33,10 +35,13 @@
     for (int i = 0; i < processes_; ++i) {
       all_.push_back(new_process(i, live_));
       notified_.push_back(false);
-      if (i < live_) all_.back().list(entries(0));
+      if (i < live_)
+        all_.back().list(entries(0));
     }
-    for (now_ = 0; now_ < kEnd; now_ += kStep) step();
-    for (int h = 0; h < starting_; ++h) judge(hosts_[static_cast<std::size_t>(h)]);
+    for (now_ = 0; now_ < kEnd; now_ += kStep)
+      step();
+    for (int h = 0; h < starting_; ++h)
+      judge(hosts_[static_cast<std::size_t>(h)]);
     return worst_;
   }
 
@@ -102,7 +107,8 @@
   void start_hosts() {
     for (int h = 0; h < starting_; ++h) {
       StartingHost& host = hosts_[static_cast<std::size_t>(h)];
-      if (now_ > kStart + kStep) judge(host);  // the second start: a new window
+      if (now_ > kStart + kStep)
+        judge(host);  // the second start: a new window
       host.started = now_;
       host.sent.clear();
       copies_[name_of(h)].clear();
@@ -123,37 +129,48 @@
       s.rank = static_cast<int>(i);
       s.routers = count;
       all_[i].give(event::Retune{s});
-      if (static_cast<int>(i) >= live_) all_[i].list(entries(now_));
+      if (static_cast<int>(i) >= live_)
+        all_[i].list(entries(now_));
     }
     live_ = std::max(live_, count);
   }
   void disturb() {
-    if (at(kStart) || (disturbance_ == Disturbance::second_start && at(kStart + window_ / 2))) start_hosts();
+    if (at(kStart) || (disturbance_ == Disturbance::second_start && at(kStart + window_ / 2)))
+      start_hosts();
     const int third = std::max(1, processes_ / 3);
     switch (disturbance_) {
       case Disturbance::process_restart:
-        if (at(kStart + 600)) restart_processes(now_);
+        if (at(kStart + 600))
+          restart_processes(now_);
         break;
       case Disturbance::late_notice:
-        if (at(kStart + 600)) restart_processes(0);
-        if (at(kStart + 900)) notify(ListKind::delta);
+        if (at(kStart + 600))
+          restart_processes(0);
+        if (at(kStart + 900))
+          notify(ListKind::delta);
         break;
       case Disturbance::more_processes:
-        if (at(kStart + 400)) change_processes(processes_);
+        if (at(kStart + 400))
+          change_processes(processes_);
         break;
       case Disturbance::fewer_processes:
-        if (at(kStart + 400)) change_processes(third);
-        if (at(kStart + 700)) live_ = third;
+        if (at(kStart + 400))
+          change_processes(third);
+        if (at(kStart + 700))
+          live_ = third;
         break;
       case Disturbance::full_lists:
-        if (now_ >= kStart && std::fmod(now_, 250) < kStep) notify(ListKind::full);
+        if (now_ >= kStart && std::fmod(now_, 250) < kStep)
+          notify(ListKind::full);
         break;
       case Disturbance::stale_list:
         for (std::size_t i = 0; at(kStart + 500) && i < all_.size(); ++i)
           all_[i].list(entries(0), ListKind::cached);
-        if (at(kStart + 800)) notify(ListKind::full);
+        if (at(kStart + 800))
+          notify(ListKind::full);
+        break;
+      default:
         break;
-      default: break;
     }
   }
   void request_calls() {
@@ -161,7 +178,8 @@
     const double load = disturbance_ == Disturbance::overload && now_ >= kStart ? 6.4 : 1.6;
     const double pace = load * 5 * 4 / kMeanWork;  // of all processes, for each millisecond
     for (; next_ <= now_; next_ += -std::log(1 - uniform()) / pace) {
-      if (quiet) continue;
+      if (quiet)
+        continue;
       Router& process = all_[random_() % static_cast<std::size_t>(live_)];
       const std::uint64_t f = 1 + static_cast<std::uint64_t>(kFunctions * uniform() * uniform());
       const std::string id = std::to_string(++ids_);
@@ -181,14 +199,16 @@
       const PendingLoad l = loads_.begin()->second;
       loads_.erase(loads_.begin());
       copies_[l.order.worker].insert(l.order.function);
-      if (l.incarnation == incarnation_) all_[l.process].loaded(l.order.worker, l.order.function, 1);
+      if (l.incarnation == incarnation_)
+        all_[l.process].loaded(l.order.worker, l.order.function, 1);
     }
   }
   void take_sends() {
     for (std::size_t i = 0; i < all_.size(); ++i) {
       for (const auto& send : std::exchange(all_[i].sends, {})) {
         StartingHost& to = host(send.worker);
-        if (now_ >= kStart && notified_[i]) to.sent.push_back(now_);
+        if (now_ >= kStart && notified_[i])
+          to.sent.push_back(now_);
         const bool stands = copies_[send.worker].count(functions_[send.id]) != 0;
         const int beside = ++held_[send.worker];
         const double took = stands ? kMeanWork * std::max(1.0, beside / to.cores) * (0.5 + uniform()) : 1;
@@ -200,7 +220,8 @@
     }
   }
   void step() {
-    for (auto& process : all_) process.pass(now_ - process.now.count());
+    for (auto& process : all_)
+      process.pass(now_ - process.now.count());
     disturb();
     request_calls();
     answer_calls();
@@ -210,14 +231,16 @@
     const auto& sent = host.sent;
     worst_.total += static_cast<int>(sent.size());
     for (std::size_t i = 0, first = 0; i < sent.size(); ++i) {
-      while (sent[first] <= sent[i] - window_) ++first;
+      while (sent[first] <= sent[i] - window_)
+        ++first;
       // By what it may get when the window begins: the least of it.
       const double age = std::max(0.0, sent[i] - window_ - host.started) / kColdFor;
       const double share = kColdFrom + (1 - kColdFrom) * std::min(1.0, age);
       const double n = multiple_ * share * host.cores * window_ / kMeanWork;
       const double allowed = n < 30 ? n + 3 * std::sqrt(n) + 3 : n + 2 * std::sqrt(n) + 2;
       const int calls = static_cast<int>(i - first + 1);
-      if (calls / allowed <= worst_.part()) continue;
+      if (calls / allowed <= worst_.part())
+        continue;
       worst_.calls = calls;
       worst_.allowed = allowed;
     }
--- a/tests/slow_start_test.cpp
+++ b/tests/slow_start_test.cpp
@@ -22,7 +22,8 @@
       for (std::uint64_t seed = 1; seed <= (processes < 300 ? 3 : 1); ++seed) {
         SlowStartDay day(GetParam().disturbance, processes, rule.window, rule.multiple, seed);
         const Worst other = day.play();
-        if (seed == 1 || other.part() > worst.part()) worst = other;
+        if (seed == 1 || other.part() > worst.part())
+          worst = other;
       }
       std::printf("| %s | %.0f ms | %d | %d | %.1f | %d |\n", GetParam().name, rule.window, processes,
                   worst.calls, worst.allowed, worst.total);
@@ -51,11 +52,13 @@
   }
   static std::vector<WorkerEntry> hosts(double started) {
     std::vector<WorkerEntry> list{entry("h0", WorkerState::ready, started), entry("h1")};
-    for (auto& host : list) host.weight = 4;
+    for (auto& host : list)
+      host.weight = 4;
     return list;
   }
   void request(const std::string& id) {
-    for (auto& process : processes) process.request(id, 1, "safe", 2000, 4);
+    for (auto& process : processes)
+      process.request(id, 1, "safe", 2000, 4);
   }
   // Answers all that is out, by host; counts what h0 got.
   int answer(Outcome at_h0, Outcome at_h1, double elapsed) {
@@ -82,7 +85,8 @@
       crowd.request("warm" + std::to_string(i));
       crowd.answer(Outcome::ok, Outcome::ok, 100);
     }
-    for (auto& process : crowd.processes) process.list(Crowd::hosts(process.now.count()), ListKind::full);
+    for (auto& process : crowd.processes)
+      process.list(Crowd::hosts(process.now.count()), ListKind::full);
     crowd.request("first");
     const int calls = crowd.answer(Outcome::miss, Outcome::ok, 1);
     std::printf("| calls at the start | 500 ms | %d | %d | %.1f |\n", count, calls, kCrowdAllowed);
@@ -97,8 +101,10 @@
       crowd.request("warm" + std::to_string(i));
       crowd.answer(Outcome::ok, Outcome::ok, 100);
     }
-    for (auto& process : crowd.processes) process.list(Crowd::hosts(process.now.count()), ListKind::full);
-    for (auto& process : crowd.processes) process.pass(50);  // beliefs from before the start have lapsed
+    for (auto& process : crowd.processes)
+      process.list(Crowd::hosts(process.now.count()), ListKind::full);
+    for (auto& process : crowd.processes)
+      process.pass(50);  // beliefs from before the start have lapsed
     int calls = 0;
     for (int i = 0; i < 3; ++i) {
       crowd.request("missed" + std::to_string(i));
--- a/tests/wall_clock/fleet_test.cpp
+++ b/tests/wall_clock/fleet_test.cpp
@@ -68,7 +68,8 @@
   Certified issued(Millis(0), now - 30 * kMinute, now + 24 * kHour);
   Certified standing(Millis(0), now - 24 * kHour, now + 24 * kHour);
   CHECK((expiring.may() && !expired.may() && issued.may() && standing.may()));
-  for (auto* c : {&expiring, &expired, &issued, &standing}) c->clock.step = step;
+  for (auto* c : {&expiring, &expired, &issued, &standing})
+    c->clock.step = step;
   CHECK(expiring.may() == (step < Millis(0)));
   CHECK_FALSE(expired.may());
   CHECK(issued.may() == (step > Millis(0)));
--- a/tests/wall_clock/membership_test.cpp
+++ b/tests/wall_clock/membership_test.cpp
@@ -17,7 +17,8 @@
   net::EventLoop loop{clock.clocks()};
   std::map<std::string, Millis> started;  // as the core believes
   EndpointStates membership{[this](const core::HostListUpdate& list, core::ListKind) {
-                              for (const auto& m : list.hosts) started[m.entry.worker] = m.entry.started;
+                              for (const auto& m : list.hosts)
+                                started[m.entry.worker] = m.entry.started;
                             },
                             [this] {
                               return EndpointStates::Sight{loop.now(), loop.wall_has_stepped()};
--- a/tests/wall_clock/stepped_clock.h
+++ b/tests/wall_clock/stepped_clock.h
@@ -44,7 +44,8 @@
   }
   ~ScratchFile() { remove(); }
   void remove() const {
-    for (const char* end : {"", "-wal", "-shm"}) std::remove((path + end).c_str());
+    for (const char* end : {"", "-wal", "-shm"})
+      std::remove((path + end).c_str());
   }
   std::string path;
 };
