--- a/src/admin/admin_endpoint.cpp
+++ b/src/admin/admin_endpoint.cpp
@@ -2,6 +2,8 @@
 
 #include <algorithm>
 
+#include "metrics/client_counters.h"
+
 namespace lotusyard::admin {
 namespace {
 
@@ -60,7 +62,7 @@
   void turn_away(int status, const std::string& why) {
     if (answered_)
       return close_later();
-    admin_endpoint_.counters_.add("console.faulty." + std::to_string(status));
+    admin_endpoint_.counters_.add(metrics::kConsoleFaulty, std::to_string(status));
     answer(status, why);
   }
   void answer(int status, const std::string& text, const std::string& more_headers = {}) {
@@ -83,7 +85,7 @@
   void on_received(std::string_view bytes) override {
     if (answered_)
       return;  // one call to a connection: what comes behind it is read and left
-    const auto state = parser_.take(bytes);
+    const auto state = parser_.parse(bytes);
     if (state == Parser::State::whole)
       return admin_endpoint_.serve(*this, parser_.request());
     if (state == Parser::State::faulty)
@@ -99,7 +101,7 @@
   }
 };
 
-AdminEndpoint::AdminEndpoint(net::EventLoop& loop, core::Counters& counters, AdminOperations& operations,
+AdminEndpoint::AdminEndpoint(net::EventLoop& loop, metrics::Counters& counters, AdminOperations& operations,
                              std::size_t callers)
     : loop_(loop), counters_(counters), operations_(operations), most_(callers), pool_(callers + 1) {}
 
@@ -126,13 +128,13 @@
     net::count_accept_errors(loop_, accepted);
     if (accepted.status == net::AcceptStatus::out_of_resources) {
       // A listener that stays readable would spin the loop.
-      counters_.add("console.no_descriptor");
+      counters_.add(metrics::kConsoleNoDescriptor);
       loop_.unregister(listener_.fd(), *this);
       again_ = loop_.schedule_at(loop_.now() + kNoDescriptor, [this] { watch(); });
     }
     if (!accepted.socket)
       return;
-    counters_.add("console.connections");
+    counters_.add(metrics::kConsoleConnections);
     callers_.push_back(std::make_shared<AdminConnection>(*this, std::move(accepted.socket)));
     const std::shared_ptr<AdminConnection> fresh = callers_.back();
     fresh->place = std::prev(callers_.end());
@@ -151,12 +153,12 @@
 }
 
 void AdminEndpoint::serve(AdminConnection& caller, const Request& request) {
-  counters_.add("console.calls");
+  counters_.add(metrics::kConsoleCalls);
   const std::string& path = request.path;
   const auto other_method = [&](const char* allowed) {
     if (request.method == allowed)
       return false;
-    counters_.add("console.faulty.405");
+    counters_.add(metrics::kConsoleFaulty, "405");
     caller.answer(405, "the method here is " + std::string(allowed),
                   "Allow: " + std::string(allowed) + "\r\n");
     return true;
@@ -175,14 +177,15 @@
       return caller.answer(said->status, said->text);
   }
   if (!of_host || (verb != "disable" && verb != "enable")) {
-    counters_.add("console.faulty.404");
+    counters_.add(metrics::kConsoleFaulty, "404");
     return caller.answer(404, "no such call");
   }
   if (other_method("POST"))
     return;
   const std::string host = path.substr(kHosts.size(), last - kHosts.size());
   const OperationResult done = verb == "disable" ? operations_.disable(host) : operations_.enable(host);
-  counters_.add("console." + verb + (done == OperationResult::done ? ".yes" : ".no"));
+  const std::string_view result = done == OperationResult::done ? "yes" : "no";
+  counters_.add(verb == "disable" ? metrics::kConsoleDisable : metrics::kConsoleEnable, result);
   if (done == OperationResult::done)
     return caller.answer(200, verb + "d");
   if (done == OperationResult::unknown_host)
--- a/src/admin/admin_endpoint.h
+++ b/src/admin/admin_endpoint.h
@@ -8,7 +8,7 @@
 #include <string>
 
 #include "admin/parser.h"
-#include "core/counters.h"
+#include "metrics/counters.h"
 #include "net/buffered_connection.h"
 #include "net/event_loop.h"
 
@@ -34,7 +34,7 @@
 
 class AdminEndpoint final : private net::EventHandler {
  public:
-  AdminEndpoint(net::EventLoop& loop, core::Counters& counters, AdminOperations& operations,
+  AdminEndpoint(net::EventLoop& loop, metrics::Counters& counters, AdminOperations& operations,
                 std::size_t callers);
   ~AdminEndpoint() override;
   bool listen(const std::string& address);
@@ -44,7 +44,7 @@
  private:
   class AdminConnection;
   net::EventLoop& loop_;
-  core::Counters& counters_;
+  metrics::Counters& counters_;
   AdminOperations& operations_;
   std::size_t most_;
   net::BufferPool pool_;  // its own: what clients leave unread takes nothing from here
--- a/src/admin/parser.cpp
+++ b/src/admin/parser.cpp
@@ -186,7 +186,7 @@
   return now;
 }
 
-Parser::State Parser::take(std::string_view bytes) {
+Parser::State Parser::parse(std::string_view bytes) {
   while (!bytes.empty() && state_ == State::more) {
     if (part_ == Part::body || part_ == Part::chunk) {
       const auto part = std::min<std::uint64_t>(left_, bytes.size());
--- a/src/admin/parser.h
+++ b/src/admin/parser.h
@@ -17,7 +17,7 @@
 
   enum class State { more, whole, faulty };
   // Takes bytes up to the request's end; what comes behind it is not looked at.
-  State take(std::string_view bytes);
+  State parse(std::string_view bytes);
   State state() const { return state_; }
   int fault() const { return fault_; }  // the status that a faulty request is owed
   const Request& request() const { return request_; }
--- a/src/amqp/channel.cpp
+++ b/src/amqp/channel.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 
 #include "amqp/methods.h"
+#include "metrics/amqp_counters.h"
 
 namespace lotusyard::amqp {
 namespace {
@@ -18,13 +19,13 @@
 
 }  // namespace
 
-Channel::Channel(net::EventLoop& loop, net::BufferPool& pool, core::Counters& counters, const Broker& broker,
-                 Consumer& consumer, net::Socket socket)
+Channel::Channel(net::EventLoop& loop, net::BufferPool& pool, metrics::Counters& counters,
+                 const Broker& broker, Consumer& consumer, net::Socket socket)
     : BufferedConnection(loop, pool, std::move(socket), true),
       counters_(counters),
       broker_(broker),
       consumer_(consumer) {
-  setup_ = loop.schedule_at(loop.now() + kSetupMost, [this] { lost("amqp.setup_late"); });
+  setup_ = loop.schedule_at(loop.now() + kSetupMost, [this] { lost(metrics::kAmqpSetupLate); });
 }
 
 Channel::~Channel() {
@@ -32,7 +33,7 @@
     loop().cancel(timer);
 }
 
-bool Channel::lost(const char* why) {
+bool Channel::lost(const metrics::Counter& why) {
   counters_.add(why);
   close_later();
   return false;
@@ -46,13 +47,13 @@
   ending_.came_up = up_since_.count() > 0;
   ending_.up_for = ending_.came_up ? loop().now() - up_since_ : Millis(0);
   ending_.at_login = state_ == State::tune;
-  consumer_.channel_down(ending_);
+  consumer_.on_channel_closed(ending_);
 }
 
 // The broker's word for it, kept for whoever decides when to come back.
-bool Channel::closed_by(Reader& in, const char* why) {
+bool Channel::closed_by(Reader& in, const metrics::Counter& why) {
   ending_.code = in.u16();
-  counters_.add(std::string("amqp.closed.") + name_of(ending_.code));
+  counters_.add(metrics::kAmqpClosed, name_of(ending_.code));
   if (state_ == State::declare)
     ending_.about = broker_.topology[declared_].key;
   flush_now();
@@ -68,13 +69,13 @@
 void Channel::on_received(std::string_view bytes) {
   watch_quiet();
   std::vector<Frame> frames;
-  const bool sound = parser_.take(bytes, frames);
+  const bool sound = parser_.parse(bytes, frames);
   for (auto& one : frames) {
     if (!take(std::move(one)))
       return;
   }
   if (!sound)
-    lost("amqp.malformed");
+    lost(metrics::kAmqpMalformed);
 }
 
 // False if the connection ends: what follows in the same bytes is not looked at any more.
@@ -82,23 +83,23 @@
   if (one.type == FrameType::heartbeat)
     return true;
   if (one.channel != 0 && one.channel != kChannel)
-    return lost("amqp.unknown_channel");
+    return lost(metrics::kAmqpUnknownChannel);
   if (one.type != FrameType::method)
     return content(std::move(one));
   if (content_ != Content::none)
-    return lost("amqp.content_broken_off");
+    return lost(metrics::kAmqpContentBrokenOff);
   Reader in(one.payload);
-  const std::uint32_t cls = in.u16();
-  const std::uint32_t id = method::id(cls, in.u16());
+  const std::uint32_t call_class = in.u16();
+  const std::uint32_t id = method::id(call_class, in.u16());
   if (!method(in, id))
     return false;
-  return in.ok() ? true : lost("amqp.malformed");
+  return in.ok() ? true : lost(metrics::kAmqpMalformed);
 }
 
 bool Channel::method(Reader& in, std::uint32_t id) {
   const auto step = [&](State from, State to) {
     if (state_ != from)
-      return lost("amqp.out_of_order");
+      return lost(metrics::kAmqpOutOfOrder);
     state_ = to;
     return true;
   };
@@ -110,7 +111,7 @@
       in.table();
       const std::string mechanisms = in.long_text();
       if (mechanisms.find("PLAIN") == std::string::npos)
-        return lost("amqp.no_plain_login");
+        return lost(metrics::kAmqpNoPlainLogin);
       using namespace std::string_literals;
       // A table within a table: without these words a broker says neither `blocked` nor why a login is
       // refused.
@@ -137,7 +138,7 @@
       const std::uint16_t theirs = in.u16();
       frame_most_ = most == 0 ? kFrameMost : std::min(most, kFrameMost);
       if (frame_most_ < 4096)
-        return lost("amqp.frames_too_small");  // the specification's least
+        return lost(metrics::kAmqpFramesTooSmall);  // the specification's least
       parser_.limit(frame_most_ - FrameParser::overhead);
       const std::uint16_t mine = broker_.heartbeat_s;
       const std::uint16_t seconds =
@@ -175,7 +176,7 @@
       if (state_ == State::up)
         return true;  // of a queue made again
       if (state_ != State::declare || id != declare(broker_.topology[declared_]).ok)
-        return lost("amqp.out_of_order");
+        return lost(metrics::kAmqpOutOfOrder);
       ++declared_;
       declare_next();
       return true;
@@ -184,7 +185,7 @@
         state_ = State::up;
         up_since_ = loop().now();
         loop().cancel(setup_);
-        consumer_.channel_up();
+        consumer_.on_channel_open();
       }
       return true;
     case method::basic_cancel_ok:
@@ -201,7 +202,8 @@
       header_seen_ = false;
       return true;
     case method::basic_return:
-      counters_.add("amqp.answers_returned");  // nobody holds the reply queue any more; a confirm follows
+      counters_.add(
+          metrics::kAmqpAnswersReturned);  // nobody holds the reply queue any more; a confirm follows
       delivery_ = Delivery();
       content_ = Content::returned;
       header_seen_ = false;
@@ -217,28 +219,28 @@
       flowing_ = (in.u8() & 1) != 0;
       say(method::channel_flow_ok, kChannel, Writer().u8(flowing_ ? 1 : 0));
       if (flowing_ && state_ == State::up)
-        consumer_.channel_up();
+        consumer_.on_channel_open();
       return true;
     }
     case method::connection_blocked:
-      counters_.add("amqp.blocked");
+      counters_.add(metrics::kAmqpBlocked);
       blocked_ = true;
       return true;
     case method::connection_unblocked:
       if (std::exchange(blocked_, false) && state_ == State::up)
-        consumer_.channel_up();
+        consumer_.on_channel_open();
       return true;
     case method::channel_close:
       say(method::channel_close_ok, kChannel, Writer());
-      return closed_by(in, "amqp.channel_closed");
+      return closed_by(in, metrics::kAmqpChannelClosed);
     case method::connection_close:
       say(method::connection_close_ok, 0, Writer());
-      return closed_by(in, "amqp.connection_closed");
+      return closed_by(in, metrics::kAmqpConnectionClosed);
     case method::connection_close_ok:
       close_later();
       return false;
     default:
-      return lost("amqp.unknown_method");
+      return lost(metrics::kAmqpUnknownMethod);
   }
 }
 
@@ -264,7 +266,7 @@
 // The broker ends one consumer as its queue is deleted or moves. If it cannot be consumed again the broker
 // closes the channel, and Recovery decides when to come back; the other queues are served until then.
 void Channel::consume_again(const std::string& tag) {
-  counters_.add("amqp.consumer_cancelled");
+  counters_.add(metrics::kAmqpConsumerCancelled);
   for (std::size_t i = 0; i < broker_.queues.size(); ++i) {
     if (consumer_tag(i) != tag)
       continue;
@@ -278,18 +280,18 @@
 
 bool Channel::content(Frame&& one) {
   if (content_ == Content::none)
-    return lost("amqp.stray_content");
+    return lost(metrics::kAmqpStrayContent);
   if (one.type == FrameType::header) {
     auto read = header_seen_ ? std::nullopt : read_content_header(one.payload);
     if (!read)
-      return lost("amqp.malformed");
+      return lost(metrics::kAmqpMalformed);
     header_seen_ = true;
     body_left_ = read->first;
     delivery_.properties = std::move(read->second);
     delivery_.oversized = body_left_ > broker_.longest_body;
   } else {
     if (!header_seen_ || one.payload.size() > body_left_)
-      return lost("amqp.malformed");
+      return lost(metrics::kAmqpMalformed);
     body_left_ -= one.payload.size();
     if (!delivery_.oversized)
       delivery_.body += one.payload;
@@ -303,7 +305,7 @@
   const Content kind = std::exchange(content_, Content::none);
   if (kind != Content::delivery)
     return;
-  counters_.add("amqp.deliveries");
+  counters_.add(metrics::kAmqpDeliveries);
   consumer_.delivered(std::move(delivery_));
 }
 
@@ -316,17 +318,17 @@
   for (std::size_t at = 0; at < body.size(); at += part) {
     write(frame(FrameType::body, kChannel, body.substr(at, part)));
   }
-  counters_.add("amqp.published");
+  counters_.add(metrics::kAmqpPublished);
   return ++published_;
 }
 
 void Channel::ack(std::uint64_t tag) {
-  counters_.add("amqp.acked");
+  counters_.add(metrics::kAmqpAcked);
   say(method::basic_ack, kChannel, Writer().u64(tag).u8(0));
 }
 
 void Channel::reject(std::uint64_t tag) {
-  counters_.add("amqp.rejected");
+  counters_.add(metrics::kAmqpRejected);
   say(method::basic_reject, kChannel, Writer().u64(tag).u8(0));
 }
 
@@ -354,7 +356,7 @@
   loop().cancel(quiet_);
   if (interval_.count() <= 0)
     return;
-  quiet_ = loop().schedule_at(loop().now() + interval_ * 2, [this] { lost("amqp.quiet"); });
+  quiet_ = loop().schedule_at(loop().now() + interval_ * 2, [this] { lost(metrics::kAmqpQuiet); });
 }
 
 }  // namespace lotusyard::amqp
--- a/src/amqp/channel.h
+++ b/src/amqp/channel.h
@@ -8,7 +8,7 @@
 #include "amqp/recovery.h"
 #include "amqp/topology.h"
 #include "amqp/wire.h"
-#include "core/counters.h"
+#include "metrics/counters.h"
 #include "net/buffered_connection.h"
 
 namespace lotusyard::amqp {
@@ -33,15 +33,15 @@
 class Consumer {
  public:
   virtual ~Consumer() = default;
-  virtual void channel_up() = 0;
+  virtual void on_channel_open() = 0;
   virtual void delivered(Delivery&& delivery) = 0;
   virtual void confirmed(std::uint64_t number, bool multiple, bool taken) = 0;  // of publishings
-  virtual void channel_down(const Ending& ending) = 0;                          // once
+  virtual void on_channel_closed(const Ending& ending) = 0;                     // once
 };
 
 class Channel final : public net::BufferedConnection {
  public:
-  Channel(net::EventLoop& loop, net::BufferPool& pool, core::Counters& counters, const Broker& broker,
+  Channel(net::EventLoop& loop, net::BufferPool& pool, metrics::Counters& counters, const Broker& broker,
           Consumer& consumer, net::Socket socket);
   ~Channel() override;
 
@@ -55,7 +55,7 @@
 
  private:
   enum class State { start, tune, open, channel, confirm, qos, declare, consume, up, closing };
-  core::Counters& counters_;
+  metrics::Counters& counters_;
   const Broker& broker_;
   Consumer& consumer_;
   State state_ = State::start;
@@ -88,8 +88,8 @@
   void consume_again(const std::string& tag);
   void beat();
   void watch_quiet();
-  bool lost(const char* why);
-  bool closed_by(Reader& in, const char* why);
+  bool lost(const metrics::Counter& why);
+  bool closed_by(Reader& in, const metrics::Counter& why);
 };
 
 }  // namespace lotusyard::amqp
--- a/src/amqp/front.cpp
+++ b/src/amqp/front_end.cpp
@@ -1,17 +1,18 @@
-#include "amqp/front.h"
+#include "amqp/front_end.h"
 
 #include <algorithm>
 #include <cmath>
 #include <iostream>
 
 #include "amqp/message_times.h"
+#include "metrics/amqp_counters.h"
 #include "net/fields.h"
 
 namespace lotusyard::amqp {
 namespace {
 
+using core::CallStatus;
 using core::Millis;
-using core::Verdict;
 
 constexpr Millis kResendAfter{200};
 constexpr Millis kPrunePace{10000};
@@ -38,9 +39,9 @@
 
 }  // namespace
 
-Front::Front(net::EventLoop& loop, net::BufferPool& pool, core::Dispatcher& dispatcher,
-             core::Counters& counters, const core::Settings& settings, Broker broker, Limits limits,
-             idempotency::ResultStore* store)
+FrontEnd::FrontEnd(net::EventLoop& loop, net::BufferPool& pool, core::Dispatcher& dispatcher,
+                   metrics::Counters& counters, const core::Settings& settings, Broker broker, Limits limits,
+                   idempotency::ResultStore* store)
     : loop_(loop),
       pool_(pool),
       dispatcher_(dispatcher),
@@ -56,36 +57,36 @@
     prune_later();
 }
 
-Front::~Front() {
+FrontEnd::~FrontEnd() {
   loop_.cancel(reconnect_);
   loop_.cancel(resend_);
   loop_.cancel(prune_);
 }
 
-void Front::prune_later() {
+void FrontEnd::prune_later() {
   store_->prune(loop_.now());
   prune_ = loop_.schedule_at(loop_.now() + kPrunePace, [this] { prune_later(); });
 }
 
-void Front::connect() {
+void FrontEnd::connect() {
   net::ConnectResult connection = net::connect_to(recovery_.address());
   net::count_connect_error(loop_, connection);
   if (!connection)
-    return channel_down(Ending());
+    return on_channel_closed(Ending());
   Consumer& consumer = *this;
   channel_ =
       std::make_shared<Channel>(loop_, pool_, counters_, broker_, consumer, std::move(connection.socket));
 }
 
-void Front::channel_up() {
-  counters_.add("amqp.up");
+void FrontEnd::on_channel_open() {
+  counters_.add(metrics::kAmqpUp);
   resend();
 }
 
 // Deliveries that are not acknowledged come again, here or elsewhere; the tags of this channel mean nothing
 // now.
-void Front::channel_down(const Ending& ending) {
-  counters_.add("amqp.down");
+void FrontEnd::on_channel_closed(const Ending& ending) {
+  counters_.add(metrics::kAmqpDown);
   unconfirmed_.clear();
   unsent_.clear();
   memory_.forget_waiters();
@@ -97,33 +98,34 @@
     return;
   const Plan plan = recovery_.after(ending);
   if (!plan.say.empty()) {
-    counters_.add("amqp.refused");
+    counters_.add(metrics::kAmqpRefused);
     std::cerr << "lotusyard: amqp: " << plan.say << std::endl;
   }
   reconnect_ = loop_.schedule_at(loop_.now() + plan.wait, [this] { connect(); });
 }
 
-void Front::drain() {
+void FrontEnd::drain() {
   draining_ = true;
   loop_.cancel(reconnect_);
   if (channel_)
     channel_->stop_consuming();
 }
 
-bool Front::done() const {
+bool FrontEnd::done() const {
   return running_.empty() && (!channel_ || !channel_->up() || (unconfirmed_.empty() && unsent_.empty()));
 }
 
-void Front::close() {
+void FrontEnd::close() {
   if (channel_)
     channel_->close();
 }
 
-bool Front::read_call(const Delivery& delivery, core::Call& out) const {
+bool FrontEnd::read_call(const Delivery& delivery, core::Call& out) const {
   const Table& headers = delivery.properties.headers;
-  const auto* cls = core::class_named(settings_, text_of(headers, "class"));  // its limit is the `allow`
+  const auto* call_class =
+      core::class_named(settings_, text_of(headers, "class"));  // its limit is the `allow`
   const auto function = net::parse_hex16(text_of(headers, "lookup"));
-  if (delivery.oversized || delivery.properties.message_id.empty() || cls == nullptr || !function)
+  if (delivery.oversized || delivery.properties.message_id.empty() || call_class == nullptr || !function)
     return false;
   const std::string allow = text_of(headers, "allow"), memory = text_of(headers, "memory_mb");
   const std::string lanes = text_of(headers, "lanes");
@@ -132,56 +134,56 @@
   const auto at_once = net::parse_whole(lanes, INT32_MAX);
   if ((!allow.empty() && !allowed) || (!memory.empty() && !megabytes) || (!lanes.empty() && !at_once))
     return false;
-  out.class_name = cls->name;
+  out.class_name = call_class->name;
   out.tenant = text_of(headers, "project");
   out.function = *function;
   out.function_name = text_of(headers, "lookup");
-  out.effort = net::parse_number(text_of(headers, "effort"));
+  out.cost_hint = net::parse_number(text_of(headers, "effort"));
   out.memory_mb = megabytes.value_or(0);
   out.lanes = static_cast<int>(at_once.value_or(1));
   // The id stands for the same call however often it comes, as a key does.
   const std::string key = text_of(headers, "key");
-  if (cls->semantics == policy::Semantics::keyed)
+  if (call_class->semantics == policy::Semantics::idempotent_with_key)
     out.key = key.empty() ? delivery.properties.message_id : key;
-  out.arrived = loop_.came_since();
-  out.allow = allowed ? Millis(static_cast<double>(*allowed)) : cls->deadline;
+  out.arrived = loop_.earliest_arrival();
+  out.timeout = allowed ? Millis(static_cast<double>(*allowed)) : call_class->deadline;
   return true;
 }
 
-void Front::delivered(Delivery&& delivery) {
+void FrontEnd::delivered(Delivery&& delivery) {
   const Properties& p = delivery.properties;
   const std::uint64_t tag = delivery.tag;
   if (p.reply_to.empty() || (p.correlation_id.empty() && p.message_id.empty())) {
-    counters_.add("amqp.unanswerable");
+    counters_.add(metrics::kAmqpUnanswerable);
     return channel_->reject(tag);
   }
   const Address address{p.reply_to, p.correlation_id.empty() ? p.message_id : p.correlation_id};
   const std::string id = id_of(p);
   if (Remembered* known = memory_.find(id)) {
     if (!known->answer) {
-      counters_.add("amqp.joined");
+      counters_.add(metrics::kAmqpJoined);
       known->waiters.push_back({tag, address});
       return;
     }
     // One sent anew after a refusal, or a failure that does no harm, is a further try.
-    const bool harmless = known->answer->verdict == Verdict::refused ||
-                          (known->answer->verdict == Verdict::failed && !known->once);
+    const bool harmless = known->answer->status == CallStatus::rejected ||
+                          (known->answer->status == CallStatus::failed && !known->once);
     if (delivery.redelivered || !harmless) {
-      counters_.add("amqp.remembered");
+      counters_.add(metrics::kAmqpRemembered);
       return answer_delivery(id, tag, address, delivery.redelivered);
     }
   }
   core::Call call;
   if (!read_call(delivery, call)) {
-    refuse_call(id, false, Verdict::failed, "amqp.bad_call");
+    refuse_call(id, false, CallStatus::failed, metrics::kAmqpBadCall);
     return answer_delivery(id, tag, address, delivery.redelivered);
   }
-  const auto* cls = core::class_named(settings_, call.class_name);
-  const bool once = cls->semantics == policy::Semantics::once;
-  const bool keyed = cls->semantics == policy::Semantics::keyed;
-  const auto age = age_at_most(p, loop_.wall(cls->key_window));
+  const auto* call_class = core::class_named(settings_, call.class_name);
+  const bool once = call_class->semantics == policy::Semantics::non_idempotent;
+  const bool keyed = call_class->semantics == policy::Semantics::idempotent_with_key;
+  const auto age = age_at_most(p, loop_.wall_time(call_class->key_window));
   if (out_of_time(p, call)) {
-    refuse_call(id, once, Verdict::refused, "amqp.expired");
+    refuse_call(id, once, CallStatus::rejected, metrics::kAmqpExpired);
     return answer_delivery(id, tag, address, delivery.redelivered);
   }
   if (once && store_ != nullptr) {
@@ -190,13 +192,13 @@
   } else if (delivery.redelivered && (once || (keyed && !age))) {
     // Another process, or this one before a restart or in a time now forgotten, may have run it; of a
     // keyed one only when it was published can show that its window is open.
-    refuse_call(id, once, Verdict::failed, "amqp.may_have_run");
+    refuse_call(id, once, CallStatus::failed, metrics::kAmqpMayHaveRun);
     return answer_delivery(id, tag, address, delivery.redelivered);
   }
   if (keyed && delivery.redelivered)
-    call.ran_since = call.arrived - *age;
+    call.may_have_run_since = call.arrived - *age;
   if (running_.size() >= limits_.open_calls) {
-    refuse_call(id, once, Verdict::refused, "amqp.too_many_open");
+    refuse_call(id, once, CallStatus::rejected, metrics::kAmqpTooManyOpen);
     return answer_delivery(id, tag, address, delivery.redelivered);
   }
   // The hosts want 16 hex digits that no open call has; ids of messages may be anything.
@@ -205,25 +207,25 @@
   memory_.begin(id, once).waiters.push_back({tag, address});
   const core::CallId number = dispatcher_.allocate_call_id();
   running_[number] = {id, once, false};
-  if (dispatcher_.admit(number, std::move(call), *this))
-    return;
-  answer(number, core::Answer());
+  const auto rejection = dispatcher_.admit(number, std::move(call), *this);
+  if (rejection)
+    answer(number, core::Answer());
 }
 
 // A call whose time ran out while it stood in the queue would run for nobody. Judged by the clock as
 // it is set now: by its setting at the start, every call would be out of time for good once it has been set
 // back.
-bool Front::out_of_time(const Properties& p, core::Call& call) {
-  const auto left = time_left(p, loop_.wall());
+bool FrontEnd::out_of_time(const Properties& p, core::Call& call) {
+  const auto left = time_left(p, loop_.wall_time());
   if (!left)
     return false;
   const Millis since_arrival = loop_.now() - call.arrived;
-  call.allow = std::min(call.allow, *left + since_arrival);
-  return call.allow.count() <= 0;
+  call.timeout = std::min(call.timeout, *left + since_arrival);
+  return call.timeout.count() <= 0;
 }
 
 // True if what the store tells ends this delivery, answered.
-bool Front::settled_by_store(const std::string& id, const Delivery& delivery, const Address& address) {
+bool FrontEnd::settled_by_store(const std::string& id, const Delivery& delivery, const Address& address) {
   std::optional<idempotency::ResultRecord> known;
   idempotency::StoreTrust trust;
   trust.healthy = store_->find(id, known);
@@ -238,13 +240,13 @@
     case idempotency::Decision::run:
       return false;
     case idempotency::Decision::fail_may_have_run:
-      refuse_call(id, true, Verdict::failed, "amqp.may_have_run");
+      refuse_call(id, true, CallStatus::failed, metrics::kAmqpMayHaveRun);
       break;
     case idempotency::Decision::refuse_unrecorded:
-      refuse_call(id, true, Verdict::refused, "amqp.unrecorded");
+      refuse_call(id, true, CallStatus::rejected, metrics::kAmqpUnrecorded);
       break;
     case idempotency::Decision::answer:
-      counters_.add("amqp.answered_from_store");
+      counters_.add(metrics::kAmqpAnsweredFromStore);
       Remembered& remembered = memory_.begin(id, true);
       if (known->stage == idempotency::ResultStage::confirmed && known->address == address.text())
         remembered.confirmed.push_back(address);
@@ -254,7 +256,7 @@
   return true;
 }
 
-bool Front::record(const std::string& id, idempotency::ResultStage stage, const core::Answer& answer) {
+bool FrontEnd::record(const std::string& id, idempotency::ResultStage stage, const core::Answer& answer) {
   idempotency::ResultRecord entry;
   entry.stage = stage;
   entry.answer = answer;
@@ -262,7 +264,7 @@
   return store_->put(id, entry);
 }
 
-bool Front::before_attempt(core::CallId call) {
+bool FrontEnd::before_attempt(core::CallId call) {
   const auto found = running_.find(call);
   if (store_ == nullptr || found == running_.end() || !found->second.once)
     return true;
@@ -271,7 +273,7 @@
   return found->second.recorded = true;
 }
 
-void Front::proved_not_run(core::CallId call) {
+void FrontEnd::proved_not_run(core::CallId call) {
   const auto found = running_.find(call);
   if (store_ == nullptr || found == running_.end() || !found->second.recorded)
     return;
@@ -281,7 +283,7 @@
 
 // With its connection a delivery goes back to its queue: nothing begins for a call until it is delivered here
 // again. To another consumer it may have been meanwhile.
-core::Front::ClientState Front::client_state(core::CallId call, core::Millis) {
+core::FrontEnd::ClientState FrontEnd::client_state(core::CallId call, core::Millis) {
   const auto found = running_.find(call);
   if (found == running_.end())
     return ClientState::disconnected;
@@ -291,13 +293,13 @@
                                                                   : ClientState::has_unread_input;
 }
 
-void Front::refuse_call(const std::string& id, bool once, Verdict verdict, const char* why) {
+void FrontEnd::refuse_call(const std::string& id, bool once, CallStatus status, const metrics::Counter& why) {
   counters_.add(why);
   memory_.begin(id, once);
-  memory_.end(id, {verdict, Millis(0), {}});
+  memory_.end(id, {status, Millis(0), {}});
 }
 
-void Front::answer(core::CallId call, core::Answer&& answer) {
+void FrontEnd::answer(core::CallId call, core::Answer&& answer) {
   const auto found = running_.find(call);
   if (found == running_.end())
     return;
@@ -314,14 +316,14 @@
   known->waiters.clear();
   memory_.end(id, std::move(answer));
   if (waiters.empty())
-    counters_.add("amqp.answers_kept");  // until its delivery comes again
+    counters_.add(metrics::kAmqpAnswersKept);  // until its delivery comes again
   for (const auto& waiter : waiters)
     answer_delivery(id, waiter.tag, waiter.address, true);
 }
 
 // One answer for each address: a further delivery of the same call waits for the same confirm, or needs none.
-void Front::answer_delivery(const std::string& id, std::uint64_t tag, const Address& address,
-                            bool redelivered) {
+void FrontEnd::answer_delivery(const std::string& id, std::uint64_t tag, const Address& address,
+                               bool redelivered) {
   const auto same = [&](const Publishing& p) { return p.id == id && p.address == address; };
   for (auto& [number, publishing] : unconfirmed_) {
     if (same(publishing))
@@ -339,7 +341,7 @@
   publish({id, address, known.answer, {tag}});
 }
 
-void Front::publish(Publishing&& publishing) {
+void FrontEnd::publish(Publishing&& publishing) {
   if (!channel_->may_publish()) {
     unsent_.push_back(std::move(publishing));
     return;
@@ -352,15 +354,15 @@
   if (publishing.id.front() != '\n')
     p.message_id = publishing.id;
   p.delivery_mode = 2;
-  p.headers["word"] = std::string(words[static_cast<std::size_t>(answer.verdict)]);
-  if (answer.cooldown.count() > 0) {
-    p.headers["cooldown"] = static_cast<std::int64_t>(std::ceil(answer.cooldown.count()));
+  p.headers["word"] = std::string(words[static_cast<std::size_t>(answer.status)]);
+  if (answer.retry_after.count() > 0) {
+    p.headers["cooldown"] = static_cast<std::int64_t>(std::ceil(answer.retry_after.count()));
   }
   const std::uint64_t number = channel_->publish(publishing.address.reply_to, p, answer.body);
   unconfirmed_.emplace(number, std::move(publishing));
 }
 
-void Front::confirmed(std::uint64_t number, bool multiple, bool taken) {
+void FrontEnd::confirmed(std::uint64_t number, bool multiple, bool taken) {
   if (multiple && number == 0)
     number = UINT64_MAX;  // the specification's "all so far"
   const auto first = multiple ? unconfirmed_.begin() : unconfirmed_.find(number);
@@ -373,7 +375,7 @@
   unconfirmed_.erase(first, last);
   for (auto& publishing : ended) {
     if (!taken) {
-      counters_.add("amqp.nacked");
+      counters_.add(metrics::kAmqpNacked);
       unsent_.push_back(std::move(publishing));
       loop_.cancel(resend_);
       resend_ = loop_.schedule_at(loop_.now() + kResendAfter, [this] { resend(); });
@@ -397,7 +399,7 @@
   }
 }
 
-void Front::resend() {
+void FrontEnd::resend() {
   for (std::size_t left = unsent_.size(); left > 0 && channel_ && channel_->may_publish(); --left) {
     Publishing next = std::move(unsent_.front());
     unsent_.pop_front();
--- a/src/amqp/front.h
+++ b/src/amqp/front_end.h
@@ -9,23 +9,23 @@
 
 #include "amqp/channel.h"
 #include "amqp/memory.h"
-#include "core/counters.h"
 #include "core/dispatcher.h"
 #include "idempotency/result_store.h"
+#include "metrics/counters.h"
 #include "net/event_loop.h"
 
 namespace lotusyard::amqp {
 
-class Front final : public core::Front, private Consumer {
+class FrontEnd final : public core::FrontEnd, private Consumer {
  public:
   struct Limits {
     std::size_t open_calls = 256, remembered = 10000, remembered_bytes = 16U << 20;
     bool sole_consumer = false;  // nobody else consumes these queues
   };
-  Front(net::EventLoop& loop, net::BufferPool& pool, core::Dispatcher& dispatcher, core::Counters& counters,
-        const core::Settings& settings, Broker broker, Limits limits,
-        idempotency::ResultStore* store = nullptr);
-  ~Front() override;
+  FrontEnd(net::EventLoop& loop, net::BufferPool& pool, core::Dispatcher& dispatcher,
+           metrics::Counters& counters, const core::Settings& settings, Broker broker, Limits limits,
+           idempotency::ResultStore* store = nullptr);
+  ~FrontEnd() override;
 
   void start() { connect(); }
   void apply_settings(const core::Settings& settings) { settings_ = settings; }
@@ -52,7 +52,7 @@
   net::EventLoop& loop_;
   net::BufferPool& pool_;
   core::Dispatcher& dispatcher_;
-  core::Counters& counters_;
+  metrics::Counters& counters_;
   core::Settings settings_;  // for what is read from now on
   Broker broker_;
   Limits limits_;
@@ -69,8 +69,8 @@
   bool draining_ = false;
 
   void connect();
-  void channel_up() override;
-  void channel_down(const Ending& ending) override;
+  void on_channel_open() override;
+  void on_channel_closed(const Ending& ending) override;
   void delivered(Delivery&& delivery) override;
   void confirmed(std::uint64_t number, bool multiple, bool taken) override;
   bool read_call(const Delivery& delivery, core::Call& out) const;
@@ -78,7 +78,7 @@
   bool out_of_time(const Properties& properties, core::Call& call);
   void prune_later();
   bool record(const std::string& id, idempotency::ResultStage stage, const core::Answer& answer);
-  void refuse_call(const std::string& id, bool once, core::Verdict verdict, const char* why);
+  void refuse_call(const std::string& id, bool once, core::CallStatus status, const metrics::Counter& why);
   void answer_delivery(const std::string& id, std::uint64_t tag, const Address& address, bool redelivered);
   void publish(Publishing&& publishing);
   void resend();
--- a/src/amqp/methods.h
+++ b/src/amqp/methods.h
@@ -5,7 +5,9 @@
 
 namespace lotusyard::amqp::method {
 
-constexpr std::uint32_t id(std::uint32_t cls, std::uint32_t number) { return cls << 16 | number; }
+constexpr std::uint32_t id(std::uint32_t call_class, std::uint32_t number) {
+  return call_class << 16 | number;
+}
 
 constexpr std::uint32_t connection_start = id(10, 10), connection_start_ok = id(10, 11);
 constexpr std::uint32_t connection_tune = id(10, 30), connection_tune_ok = id(10, 31);
--- a/src/amqp/wire.cpp
+++ b/src/amqp/wire.cpp
@@ -33,7 +33,7 @@
 
 }  // namespace
 
-bool FrameParser::take(std::string_view bytes, std::vector<Frame>& out) {
+bool FrameParser::parse(std::string_view bytes, std::vector<Frame>& out) {
   while (!bytes.empty() && !spoilt_) {
     if (!in_payload_) {
       const std::size_t part = std::min(kHeadSize - head_.size(), bytes.size());
--- a/src/amqp/wire.h
+++ b/src/amqp/wire.h
@@ -23,7 +23,7 @@
  public:
   static constexpr std::size_t overhead = 8;  // header and end mark
   // Takes all bytes; whole frames are added to `out`. False once the stream cannot be understood any more.
-  bool take(std::string_view bytes, std::vector<Frame>& out);
+  bool parse(std::string_view bytes, std::vector<Frame>& out);
   void limit(std::size_t most_payload) { most_ = most_payload; }
 
  private:
--- a/src/app/app.cpp
+++ b/src/app/app.cpp
@@ -17,8 +17,8 @@
 }
 
 int run(const std::string& file, const ResultStoreFactory& make_store,
-        const ExtensionFactory& make_companion) {
-  Invoker(file, make_store, make_companion).run();
+        const ExtensionFactory& make_extension) {
+  Invoker(file, make_store, make_extension).run();
   return 0;
 }
 
--- a/src/app/app.h
+++ b/src/app/app.h
@@ -7,23 +7,23 @@
 
 #include "admin/admin_endpoint.h"
 #include "config/config.h"
-#include "core/counters.h"
 #include "core/dispatcher.h"
 #include "endpoints/endpoint_states.h"
 #include "hosts/connection_pool.h"
 #include "idempotency/result_store.h"
+#include "metrics/counters.h"
 #include "net/event_loop.h"
 
 namespace lotusyard {
 
 // How the durable answers are opened, where a program keeps any.
 using ResultStoreFactory = std::function<std::unique_ptr<idempotency::ResultStore>(
-    const config::AmqpConfig&, core::Millis now, core::Counters&)>;
+    const config::AmqpConfig&, core::Millis now, metrics::Counters&)>;
 
 // The parts of an invoker that something more in the process may work with. All outlive it.
 struct InvokerServices {
   net::EventLoop& loop;
-  core::Counters& counters;
+  metrics::Counters& counters;
   endpoints::EndpointStates& endpoint_states;
   hosts::HostConnectionPool& host_connections;
   std::function<const core::Settings&()> settings;  // those in force
@@ -53,6 +53,6 @@
 std::string environment(const char* name);  // empty if it is not set
 config::Environment read_environment();
 int run(const std::string& file, const ResultStoreFactory& make_store,
-        const ExtensionFactory& make_companion = {});
+        const ExtensionFactory& make_extension = {});
 
 }  // namespace lotusyard
--- a/src/app/bounds.cpp
+++ b/src/app/bounds.cpp
@@ -16,9 +16,9 @@
 
 hosts::Limits host_limits(const config::Config& config, const hot_restart::ResourceShares& shares) {
   hosts::Limits out;
-  out.connect_timeout = config.settings.connect_timeout;
+  out.connect_timeout = config.settings.host_protocol.connect_timeout;
   out.idle = config.connection_idle;
-  out.order_timeout = config.settings.order_timeout;
+  out.order_timeout = config.settings.load_orders.timeout;
   out.attempts_a_link = config.attempts_a_link;
   out.links = shares.links;
   out.incoming = shares.incoming;
@@ -27,17 +27,18 @@
   out.longest_answer = std::max({shares.incoming / 4, std::size_t{256} << 10, longest_call});
   out.report_fields = config.report_fields;
   const auto& settings = config.settings;
-  out.liveness = settings.probes   ? hosts::LivenessProbe::health
-                 : settings.orders ? hosts::LivenessProbe::order
-                                   : hosts::LivenessProbe::none;
-  Millis aim{0};
+  out.liveness = settings.host_protocol.accepts_probes ? hosts::LivenessProbe::health
+                 : settings.load_orders.allowed        ? hosts::LivenessProbe::order
+                                                       : hosts::LivenessProbe::none;
+  Millis latency_objective{0};
   for (const auto& c : settings.classes) {
-    if (c.aim.count() > 0)
-      aim = aim.count() > 0 ? std::min(aim, c.aim) : c.aim;
+    if (c.latency_objective.count() > 0)
+      latency_objective = latency_objective.count() > 0 ? std::min(latency_objective, c.latency_objective)
+                                                        : c.latency_objective;
   }
   out.past_kept = std::max(out.past_kept, core::longest_deadline(settings));
-  if (aim.count() > 0)
-    out.quiet = aim * kQuietAim;
+  if (latency_objective.count() > 0)
+    out.quiet = latency_objective * kQuietAim;
   return out;
 }
 
--- a/src/app/bounds.h
+++ b/src/app/bounds.h
@@ -1,7 +1,7 @@
 // What the configuration allows each part, in that part's own terms.
 #pragma once
 
-#include "amqp/front.h"
+#include "amqp/front_end.h"
 #include "config/config.h"
 #include "hosts/connection_pool.h"
 #include "hot_restart/shares.h"
--- a/src/app/invoker.cpp
+++ b/src/app/invoker.cpp
@@ -5,6 +5,7 @@
 
 #include "app/bounds.h"
 #include "config/replacement.h"
+#include "metrics/call_counters.h"
 
 namespace lotusyard {
 namespace {
@@ -24,7 +25,7 @@
 }
 
 // What a running program cannot change stays as it was at the start; the names of what differs.
-std::string keep_what_needs_a_start(const config::Config& now, config::Config& next) {
+std::string retain_startup_settings(const config::Config& now, config::Config& next) {
   std::string differs;
   const auto keep = [&differs](const char* name, const auto& from, auto& to) {
     if (from == to)
@@ -54,11 +55,11 @@
 }  // namespace
 
 Invoker::Invoker(std::string file, const ResultStoreFactory& make_store,
-                 const ExtensionFactory& make_companion)
+                 const ExtensionFactory& make_extension)
     : file_(std::move(file)),
       signals_(loop_),  // first: no signal may end the program while it starts
-      outline_(read_file(file_)),
-      config_(read(outline_)),
+      replaceable_keys_(read_file(file_)),
+      config_(read(replaceable_keys_)),
       state_folder_(folder_of(*config_)),
       presence_(replaces() ? state_folder_ : std::string()),
       role_(presence_.other_lives() ? ProcessRole::concurrent : ProcessRole::sole),
@@ -77,18 +78,18 @@
             dispatcher_.update_endpoints(std::move(entries));
           },
           [this] {
-            return endpoints::EndpointStates::Sight{loop_.now(), loop_.wall_has_stepped()};
+            return endpoints::EndpointStates::ClockReading{loop_.now(), loop_.wall_has_stepped()};
           }),
       front_(loop_, pool_, dispatcher_, counters_, front_limits()) {
-  loop_.count_errors([this](const char* name) { counters_.add(name); });
+  loop_.count_errors([this](const metrics::Counter& counter) { counters_.add(counter); });
   host_connections_.attach(dispatcher_);
-  outline_ = config::outline(std::move(outline_));
+  replaceable_keys_ = config::outline(std::move(replaceable_keys_));
   if (!state_folder_.empty())
     poll_shared_state();             // before any host is named: none may be used that is out
-  attach_extension(make_companion);  // before any host is named, too
-  follow_list();
+  attach_extension(make_extension);  // before any host is named, too
+  watch_endpoint_list();
   listen();
-  take_triggers(make_store);
+  start_amqp_consumer(make_store);
   open_admin_endpoint();
 }
 
@@ -104,17 +105,17 @@
   return hot_restart::shares_of(config_->memory_mb, config_->sockets, role_);
 }
 
-resp::Front::Limits Invoker::front_limits() const {
+resp::FrontEnd::Limits Invoker::front_limits() const {
   const auto mine = resource_shares();
-  resp::Front::Limits out;
+  resp::FrontEnd::Limits out;
   out.clients = mine.clients;
-  out.newcomers = mine.newcomers;
+  out.new_connections = mine.new_connections;
   out.body_bytes = mine.bodies;
   out.unread_bytes = mine.unwritten / 2;
   return out;
 }
 
-void Invoker::follow_list() {
+void Invoker::watch_endpoint_list() {
   discovery::Log log;
   for (const auto& event : config_->known_events) {
     core::HostListUpdate list;
@@ -123,17 +124,17 @@
     endpoint_states_.apply_list(list, list.complete ? core::ListKind::cached : core::ListKind::delta);
   }
   log.skip_to(config_->known_seq);
-  const auto told_later = [this](const core::HostListUpdate& list) {
+  const auto on_update = [this](const core::HostListUpdate& list) {
     endpoint_states_.apply_list(list, list.complete ? core::ListKind::full : core::ListKind::delta);
   };
   if (config_->xds) {
     const auto& xds = *config_->xds;
-    host_file_.emplace(loop_, counters_, xds.file, xds.cluster, xds.reread, told_later);
+    host_file_.emplace(loop_, counters_, xds.file, xds.cluster, xds.reread, on_update);
     std::string fault;
     if (!host_file_->start(fault))
       throw config::ConfigError("configuration: xds.file: " + fault);
   } else {
-    discovery_.emplace(loop_, pool_, counters_, config_->changelog, log, told_later);
+    discovery_.emplace(loop_, pool_, counters_, config_->changelog, log, on_update);
     discovery_->start();
   }
 }
@@ -153,21 +154,21 @@
   std::cout << "lotusyard " << config_->name << " listens on " << config_->listen << std::endl;
 }
 
-void Invoker::attach_extension(const ExtensionFactory& make_companion) {
-  if (!make_companion)
+void Invoker::attach_extension(const ExtensionFactory& make_extension) {
+  if (!make_extension)
     return;
   const auto settings = [this]() -> const core::Settings& { return dispatcher_.settings(); };
   const auto share = [this](double part) {
     core::Settings next = dispatcher_.settings();
-    next.share = part;
+    next.slow_start.quota = part;
     dispatcher_.apply_settings(next);
   };
   extension_ =
-      make_companion({loop_, counters_, endpoint_states_, host_connections_, settings, share, config_->name},
+      make_extension({loop_, counters_, endpoint_states_, host_connections_, settings, share, config_->name},
                      read_file(file_));
   if (!extension_)
     return;
-  dispatcher_.set_host_filter(host_connections_.gate(extension_->host_filter()));
+  dispatcher_.set_host_filter(host_connections_.host_filter(extension_->host_filter()));
   dispatcher_.observe_rejections([this](const core::Call& call) { extension_->on_rejected(call); });
   host_connections_.set_send_filter(
       [this](const std::string& host, const core::Call* call, std::uint64_t function) {
@@ -179,7 +180,7 @@
       });
 }
 
-void Invoker::take_triggers(const ResultStoreFactory& make_store) {
+void Invoker::start_amqp_consumer(const ResultStoreFactory& make_store) {
   if (!config_->amqp)
     return;
   const auto& amqp = *config_->amqp;
@@ -190,7 +191,7 @@
   }
   triggers_.emplace(
       loop_, pool_, dispatcher_, counters_, config_->settings, broker_of(amqp),
-      amqp::Front::Limits{amqp.open_calls, amqp.remembered, amqp.remembered_mb << 20, amqp.sole_consumer},
+      amqp::FrontEnd::Limits{amqp.open_calls, amqp.remembered, amqp.remembered_mb << 20, amqp.sole_consumer},
       store_.get());
   triggers_->start();
   std::cout << "lotusyard " << config_->name << " takes triggers from " << amqp.brokers.front() << std::endl;
@@ -200,7 +201,7 @@
   if (const auto out = disabled_host_files_.read()) {
     endpoint_states_.set_disabled(*out, loop_.now());
   } else {
-    counters_.add("membership.not_read");  // what was known holds
+    counters_.add(metrics::kMembershipNotRead);  // what was known holds
   }
   const ProcessRole other = is_shutting_down() ? ProcessRole::draining : ProcessRole::concurrent;
   if (presence_.known())
@@ -216,14 +217,14 @@
   pool_.set_max_blocks(mine.unwritten / net::BufferPool::block_size);
   host_connections_.set_limits(host_limits(*config_, mine));
   front_.set_limits(front_limits());
-  counters_.add("takeover.changes");
+  counters_.add(metrics::kTakeoverChanges);
 }
 
 // The file is read whole and checked, and only then taken, whole. A fault leaves everything as it is.
 void Invoker::reload_configuration() {
   try {
     const auto file = read_file(file_);
-    config::check_replacement(outline_, file);
+    config::check_replacement(replaceable_keys_, file);
     const auto next = read(file);
     if (next->xds.has_value() != config_->xds.has_value())
       throw config::ConfigError("configuration: xds: can be added or removed at a start only");
@@ -232,19 +233,19 @@
       throw config::ConfigError("configuration: xds.file: " + fault);
     if (discovery_)
       discovery_->move(next->changelog);
-    const std::string differs = keep_what_needs_a_start(*config_, *next);
+    const std::string differs = retain_startup_settings(*config_, *next);
     if (!differs.empty())
       std::cerr << "lotusyard: hold from the next start: " << differs << std::endl;
     config_ = next;
-    outline_ = config::outline(file);
+    replaceable_keys_ = config::outline(file);
     host_connections_.set_limits(host_limits(*config_, resource_shares()));
-    next->settings.share = dispatcher_.settings().share;
+    next->settings.slow_start.quota = dispatcher_.settings().slow_start.quota;
     dispatcher_.apply_settings(next->settings);
     if (triggers_)
       triggers_->apply_settings(next->settings);
-    counters_.add("config.reread");
+    counters_.add(metrics::kConfigReread);
   } catch (const std::exception& fault) {
-    counters_.add("config.faulty");  // the old one goes on
+    counters_.add(metrics::kConfigFaulty);  // the old one goes on
     std::cerr << "lotusyard: " << fault.what() << std::endl;
   }
 }
--- a/src/app/invoker.h
+++ b/src/app/invoker.h
@@ -6,7 +6,7 @@
 #include <string>
 
 #include "admin/admin_endpoint.h"
-#include "amqp/front.h"
+#include "amqp/front_end.h"
 #include "app/app.h"
 #include "app/signals.h"
 #include "config/config.h"
@@ -18,14 +18,14 @@
 #include "hot_restart/presence.h"
 #include "hot_restart/shares.h"
 #include "net/event_loop.h"
-#include "resp/front.h"
+#include "resp/front_end.h"
 #include "xds/hosts.h"
 
 namespace lotusyard {
 
 class Invoker final : private admin::AdminOperations {
  public:
-  Invoker(std::string file, const ResultStoreFactory& make_store, const ExtensionFactory& make_companion);
+  Invoker(std::string file, const ResultStoreFactory& make_store, const ExtensionFactory& make_extension);
   ~Invoker() override;
   void run();  // until it has been told to end, and has
 
@@ -33,10 +33,10 @@
   const std::string file_;
   net::EventLoop loop_;
   Signals signals_;
-  nlohmann::json outline_;  // of the file that is followed
+  nlohmann::json replaceable_keys_;  // of the file that is followed
   std::shared_ptr<const config::Config> config_;
   const std::string state_folder_;  // what outlives this process; empty: nothing does
-  core::Counters counters_;
+  metrics::Counters counters_;
   hot_restart::Presence presence_;
   hot_restart::ProcessRole role_;
   net::BufferPool pool_;
@@ -46,9 +46,9 @@
   endpoints::EndpointStates endpoint_states_;
   std::optional<discovery::Discovery> discovery_;
   std::optional<xds::HostFile> host_file_;
-  resp::Front front_;
+  resp::FrontEnd front_;
   std::unique_ptr<idempotency::ResultStore> store_;
-  std::optional<amqp::Front> triggers_;
+  std::optional<amqp::FrontEnd> triggers_;
   std::unique_ptr<InvokerExtension> extension_;
   std::optional<admin::AdminEndpoint> admin_endpoint_;
   net::EventLoop::TimerId poll_timer_{};
@@ -57,12 +57,12 @@
   bool replaces() const { return config_->listen_fd >= 0; }  // processes take turns at one listener
   bool is_shutting_down() const { return shutdown_started_at_.count() > 0; }
   hot_restart::ResourceShares resource_shares() const;
-  resp::Front::Limits front_limits() const;
-  void follow_list();
+  resp::FrontEnd::Limits front_limits() const;
+  void watch_endpoint_list();
   void listen();
-  void attach_extension(const ExtensionFactory& make_companion);
+  void attach_extension(const ExtensionFactory& make_extension);
   void open_admin_endpoint();
-  void take_triggers(const ResultStoreFactory& make_store);
+  void start_amqp_consumer(const ResultStoreFactory& make_store);
   void poll_shared_state();  // at what another process of this invoker has done
   void set_role(hot_restart::ProcessRole standing);
   void reload_configuration();
--- a/src/app/invoker_shutdown.cpp
+++ b/src/app/invoker_shutdown.cpp
@@ -44,13 +44,13 @@
   // Calls that come just before their connection stops may still be out: ended with the process they
   // would be lost.
   if (since > latest)
-    front_.answer_all();
+    front_.answer_open_calls();
   bool quiet = front_.open_calls() == 0 && front_.written();
   if (replaces()) {
     // A connection that always has something open would still have at the end, and lose it.
     if (since > kTakeFor)
-      front_.take_no_more();
-    quiet = front_.hand_over() && quiet;
+      front_.stop_admitting();
+    quiet = front_.hand_off_connections() && quiet;
   } else {
     if (since > kListenFor)
       front_.stop_listening();
@@ -61,8 +61,8 @@
   if (!quiet || (triggers_ && !triggers_->done()) || (admin_endpoint_ && !admin_endpoint_->quiet()))
     return false;
   // What clients have sent by now is read and answered before the end; to be refused is harmless.
-  front_.answer_all();
-  return !front_.read_what_came() && front_.written();
+  front_.answer_open_calls();
+  return !front_.drain_sockets() && front_.written();
 }
 
 void Invoker::run() {
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -22,7 +22,7 @@
 }
 
 std::unique_ptr<idempotency::SqliteResultStore> open_store(const config::AmqpConfig& from, core::Millis now,
-                                                           core::Counters& counters) {
+                                                           metrics::Counters& counters) {
   const auto log = [](const std::string& line) { std::cerr << "lotusyard: " << line << std::endl; };
   return std::make_unique<idempotency::SqliteResultStore>(from.store, bounds_of(from), now, counters, log);
 }
@@ -59,14 +59,14 @@
   const auto config = read(file);
   if (!config.amqp || config.amqp->store.empty())
     throw config::ConfigError("configuration: amqp.store: not set");
-  core::Counters counters;
+  metrics::Counters counters;
   const auto store = open_store(*config.amqp, core::Millis(0), counters);
   static const char* const stages[] = {"", "may_have_run", "not_run", "answered", "confirmed"};
   static const char* const words[] = {"OK", "BUSY", "FAILED"};
   store->for_each([&](const std::string& id, const idempotency::ResultRecord& record) {
     const bool answered = record.stage >= idempotency::ResultStage::answered;
     std::cout << static_cast<std::int64_t>(record.at.count()) << ' ' << stages[static_cast<int>(record.stage)]
-              << ' ' << (answered ? words[static_cast<std::size_t>(record.answer.verdict)] : "-") << ' '
+              << ' ' << (answered ? words[static_cast<std::size_t>(record.answer.status)] : "-") << ' '
               << record.answer.body.size() << ' ' << id << '\n';
   });
   std::cout << store->size() << " calls" << std::endl;
--- a/src/compliance/compliance_filter.cpp
+++ b/src/compliance/compliance_filter.cpp
@@ -2,6 +2,8 @@
 
 #include <utility>
 
+#include "metrics/cluster_counters.h"
+
 namespace lotusyard::compliance {
 namespace {
 
@@ -40,7 +42,7 @@
 
 FilterResult ComplianceFilter::check(const std::string& tenant, const std::string& host) const {
   // After a step of the wall clock a certificate is used only if it is valid by the time before and after it.
-  const auto wall = services_.loop.wall();
+  const auto wall = services_.loop.wall_time();
   const Millis midpoint = (wall.earliest + wall.latest) / 2;
   const Millis uncertainty = (wall.latest - wall.earliest) / 2;
   return state_.check(tenant, locate(host), is_leased_(), midpoint, kClockError + uncertainty);
@@ -63,7 +65,7 @@
   if (result.allowed) {
     return true;
   }
-  services_.counters.add(std::string("compliance.stopped.") + result.reason);
+  services_.counters.add(metrics::kComplianceStopped, result.reason);
   log_("stopped tenant=" + tenant + " regime=" + result.regime + " host=" + host +
        " reason=" + result.reason);
   return false;
@@ -101,7 +103,7 @@
   if (last_result.allowed) {
     return;  // no host is listed
   }
-  services_.counters.add(std::string("compliance.refused.") + last_result.reason);
+  services_.counters.add(metrics::kComplianceRefused, last_result.reason);
   log_("refused tenant=" + call.tenant + " regime=" + last_result.regime + " reason=" + last_result.reason);
 }
 
--- a/src/compliance/compliance_replica.cpp
+++ b/src/compliance/compliance_replica.cpp
@@ -1,6 +1,7 @@
 #include "compliance/compliance_replica.h"
 
 #include "compliance/log_entry_codec.h"
+#include "metrics/cluster_counters.h"
 
 namespace lotusyard::compliance {
 namespace {
@@ -41,7 +42,7 @@
   try {
     entry = parse_entry(json::parse(text));
   } catch (const std::exception& error) {
-    services_.counters.add("compliance.unreadable");
+    services_.counters.add(metrics::kComplianceUnreadable);
     return maintenance_.on_store_failure("entry " + std::to_string(index) +
                                          " of the log cannot be read: " + error.what());
   }
@@ -60,7 +61,7 @@
 }
 
 void ComplianceReplica::on_revoked(const std::string& certificate) {
-  services_.counters.add("compliance.revoked");
+  services_.counters.add(metrics::kComplianceRevoked);
   unused_since_[certificate] = services_.loop.now();
   services_.host_connections.abort_unsent(state_.certificates().at(certificate).host);
 }
@@ -158,7 +159,7 @@
       replica_->propose(*this, encode_entry(entry));
     }
   } catch (const std::exception&) {
-    services_.counters.add("compliance.malformed");
+    services_.counters.add(metrics::kComplianceMalformed);
   }
 }
 
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -291,10 +291,10 @@
   out.attempts_a_link = static_cast<std::size_t>(
       number_within(bounds, "StreamsPerConn", "settings.Bounds.StreamsPerConn", 32, 1, 1e6));
   out.settings = read_settings(env, out.seed);
-  if (!(out.settings.connect_timeout.count() > 0))
-    out.settings.connect_timeout = Millis(250);
-  if (!(out.settings.order_timeout.count() > 0))
-    out.settings.order_timeout = Millis(10000);
+  if (!(out.settings.host_protocol.connect_timeout.count() > 0))
+    out.settings.host_protocol.connect_timeout = Millis(250);
+  if (!(out.settings.load_orders.timeout.count() > 0))
+    out.settings.load_orders.timeout = Millis(10000);
   for (const auto& field : key(key(env, "LoadInfo"), "Fields"))
     out.report_fields.push_back(text(field));
   check_settings(env, out);
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -22,30 +22,31 @@
   read.name = text(key(row, "Name"));
   read.semantics =
       word<Semantics>(text(key(row, "Semantics")),
-                      {{"repeatable", Semantics::repeatable}, {"by_key", Semantics::keyed}}, Semantics::once);
+                      {{"repeatable", Semantics::idempotent}, {"by_key", Semantics::idempotent_with_key}},
+                      Semantics::non_idempotent);
   read.scope = word<KeyScope>(text(key(row, "KeyScope")),
                               {{"zone", KeyScope::zone}, {"cell", KeyScope::cell}}, KeyScope::all);
   read.key_window = millis(key(row, "KeyTtl"));
-  read.aim = millis(key(row, "Aim"));
+  read.latency_objective = millis(key(row, "Aim"));
   read.deadline = millis(key(row, "HardLimit"));
-  read.aim_stretch = number(key(row, "AimStretch"));
-  read.worth = number(key(row, "Gain"), 1);
-  read.late_worth = number(key(row, "LateValue"));
+  read.objective_stretch = number(key(row, "AimStretch"));
+  read.priority_weight = number(key(row, "Gain"), 1);
+  read.late_weight = number(key(row, "LateValue"));
   read.stream = flag(key(row, "Stream"));
   return read;
 }
 
 void read_family(const json& family, const json& kinds, Settings& out) {
-  out.keep_alive = millis(key(family, "LingerIdle"));
-  out.load_floor = number(key(family, "LoadFloor"));
-  out.load_ratio = number(key(family, "LoadRatio"));
-  out.load_window = millis(key(family, "LoadWindow"));
-  out.order_timeout = millis(key(family, "OrderTimeout"));
-  out.miss_is_answered = text(key(family, "OnMiss")) == "miss";
-  out.orders = flag(key(family, "Orders"));
-  out.tells_warm = flag(key(family, "TellsWarm"));
-  out.tells_crowd = flag(key(family, "NotesPeersInHand"));
-  out.idle_price = number(key(family, "PriceOfIdle"));
+  out.host_protocol.instance_idle_timeout = millis(key(family, "LingerIdle"));
+  out.load_orders.floor = number(key(family, "LoadFloor"));
+  out.load_orders.ratio = number(key(family, "LoadRatio"));
+  out.load_orders.window = millis(key(family, "LoadWindow"));
+  out.load_orders.timeout = millis(key(family, "OrderTimeout"));
+  out.host_protocol.answers_misses = text(key(family, "OnMiss")) == "miss";
+  out.load_orders.allowed = flag(key(family, "Orders"));
+  out.host_protocol.reports_warm_start = flag(key(family, "TellsWarm"));
+  out.host_protocol.reports_concurrency = flag(key(family, "NotesPeersInHand"));
+  out.costs.idle = number(key(family, "PriceOfIdle"));
   const json& memory = key(family, "MemoryMbByKind");
   for (std::size_t i = 0; kinds.is_array() && i < kinds.size(); ++i) {
     out.kind_memory_mb[text(kinds[i])] = number(at(memory, i));
@@ -53,24 +54,24 @@
 }
 
 void read_bounds(const json& bounds, Settings& out) {
-  out.cancel = flag(key(bounds, "Cancel"));
-  out.second_copies = flag(key(bounds, "SecondCopies"));
-  out.probes = flag(key(bounds, "Probes"));
-  out.peers = flag(key(bounds, "PeerMessages"));
-  out.retry_after = flag(key(bounds, "RetryAfter"));
-  out.max_retry_after = millis(key(bounds, "MaxRetryAfter"));
-  out.connect_timeout = millis(key(bounds, "ConnectTimeout"));
-  out.max_attempts = whole(key(bounds, "SendCap"), 1);
+  out.host_protocol.cancels = flag(key(bounds, "Cancel"));
+  out.retries.hedged_requests = flag(key(bounds, "SecondCopies"));
+  out.host_protocol.accepts_probes = flag(key(bounds, "Probes"));
+  out.peer_messages = flag(key(bounds, "PeerMessages"));
+  out.rejections.sends_retry_after = flag(key(bounds, "RetryAfter"));
+  out.rejections.max_retry_after = millis(key(bounds, "MaxRetryAfter"));
+  out.host_protocol.connect_timeout = millis(key(bounds, "ConnectTimeout"));
+  out.retries.max_attempts = whole(key(bounds, "SendCap"), 1);
 }
 
 void read_rules(const json& rules, Settings& out) {
-  out.answer_grace = millis(key(rules, "GraceToAnswer"));
-  out.drain_grace = millis(key(rules, "DrainGrace"));
-  out.ask_within = millis(key(rules, "MustAskIn"));
-  out.cold_for = millis(key(rules, "Cold"));
-  out.cold_from = number(key(rules, "ColdFrom"));
-  out.cold_multiple = number(key(rules, "FallMultiple"));
-  out.cold_window = millis(key(rules, "TipAfter"));
+  out.response_grace = millis(key(rules, "GraceToAnswer"));
+  out.endpoint_list.drain_grace = millis(key(rules, "DrainGrace"));
+  out.endpoint_list.poll_interval = millis(key(rules, "MustAskIn"));
+  out.slow_start.duration = millis(key(rules, "Cold"));
+  out.slow_start.initial = number(key(rules, "ColdFrom"));
+  out.slow_start.factor = number(key(rules, "FallMultiple"));
+  out.slow_start.window = millis(key(rules, "TipAfter"));
 }
 
 }  // namespace
@@ -90,19 +91,19 @@
   read_family(key(env, "FamilyInfo"), key(env, "Kinds"), out);
   read_bounds(key(env, "Bounds"), out);
   read_rules(key(env, "Rules"), out);
-  out.ask_list = text(key(env, "RegistryMode")) == "ask";
-  out.worth_by_work = text(key(env, "WorthBy")) == "work";
-  out.over_share_worth = number(key(env, "OverShareWorth"), 1);
+  out.endpoint_list.polled = text(key(env, "RegistryMode")) == "ask";
+  out.costs.weight_by_work = text(key(env, "WorthBy")) == "work";
+  out.costs.over_quota_weight = number(key(env, "OverShareWorth"), 1);
   const json& prices = key(env, "Prices");
-  out.cross_zone_price = number(key(prices, "CrossZone"));
-  out.origin_price = number(key(prices, "Origin"));
-  out.probe_price = number(key(prices, "Probe"));
+  out.costs.cross_zone = number(key(prices, "CrossZone"));
+  out.costs.origin = number(key(prices, "Origin"));
+  out.costs.probe = number(key(prices, "Probe"));
   const json& load = key(env, "LoadInfo");
-  out.reports =
+  out.load_reports.mode =
       word<ReportMode>(text(key(load, "How")),
                        {{"piggyback", ReportMode::answers}, {"pull", ReportMode::probe}}, ReportMode::none);
   for (const auto& name : key(load, "Fields"))
-    out.report_fields.push_back(field(name));
+    out.load_reports.fields.push_back(field(name));
   return out;
 }
 
--- a/src/control/control_node.cpp
+++ b/src/control/control_node.cpp
@@ -4,6 +4,7 @@
 #include <cmath>
 
 #include "core/fault_injection.h"
+#include "metrics/control_counters.h"
 
 namespace lotusyard::control {
 namespace {
@@ -26,7 +27,7 @@
 
 }  // namespace
 
-ControlNode::ControlNode(Config config, Transport& transport, core::Counters& counters, Millis started)
+ControlNode::ControlNode(Config config, Transport& transport, metrics::Counters& counters, Millis started)
     : config_(std::move(config)),
       transport_(transport),
       counters_(counters),
@@ -64,7 +65,7 @@
   const bool is_open = link.session != 0;
   const auto* open = std::get_if<Open>(&message);
   if (is_open == (open != nullptr))
-    return fault(id, "control.malformed");
+    return fault(id, metrics::kControlMalformed);
   if (open != nullptr)
     return on_open(id, link, *open, now);
   if (const auto* renew = std::get_if<Renew>(&message))
@@ -75,12 +76,12 @@
     return on_forward(link, *forward, now);
   if (std::holds_alternative<Close>(message))
     return on_close(id, link, now);
-  fault(id, "control.malformed");  // only nodes send the others
+  fault(id, metrics::kControlMalformed);  // only nodes send the others
 }
 
 void ControlNode::malformed(LinkId id) {
   if (links_.count(id) != 0)
-    fault(id, "control.malformed");
+    fault(id, metrics::kControlMalformed);
 }
 
 void ControlNode::writable(LinkId id) {
@@ -117,7 +118,7 @@
     return refuse(id, RefusalReason::leaving, Millis(0));
   const auto admission = sessions_.open(open.invoker, open.incarnation, open.position, now);
   if (admission.malformed)
-    return fault(id, "control.malformed");
+    return fault(id, metrics::kControlMalformed);
   if (admission.session == 0)
     return refuse(id, admission.refusal, admission.retry_after);
 
@@ -125,7 +126,7 @@
   link.session = admission.session;
   link.cursor = link.sent = open.position;
   link.forwards_at = now;
-  counters_.add("control.opened");
+  counters_.add(metrics::kControlOpened);
   transport_.send(id, encode(Welcome{config_.self.name, config_.life, nodes_}));
   pump(id, link);
 }
@@ -134,7 +135,7 @@
 void ControlNode::supersede(SessionTable::SessionId session, LinkId newer) {
   const auto older = link_of_.find(session);
   if (older != link_of_.end()) {
-    counters_.add("control.superseded");
+    counters_.add(metrics::kControlSuperseded);
     links_.erase(older->second);
     transport_.end(older->second);
   }
@@ -143,14 +144,14 @@
 
 void ControlNode::on_renew(LinkId id, Link& link, const Renew& renew, Millis now) {
   if (renew.sequence != link.renewed + 1)
-    return fault(id, "control.malformed");
+    return fault(id, metrics::kControlMalformed);
   if (renew.applied > link.sent)
-    return fault(id, "control.future_position");
+    return fault(id, metrics::kControlFuturePosition);
   if (!sessions_.report(link.session, renew.applied, renew.settled))
-    return fault(id, "control.malformed");
+    return fault(id, metrics::kControlMalformed);
   link.renewed = renew.sequence;
   const Millis duration = sessions_.grant(link.session, lease_until_, now);
-  counters_.add(duration.count() > 0 ? "control.granted" : "control.not_granted");
+  counters_.add(duration.count() > 0 ? metrics::kControlGranted : metrics::kControlNotGranted);
   Grant grant{renew.sequence, duration};
   if (divide_ && duration.count() > 0)
     grant.share = divide_(link.session, sessions_.lease_until(link.session));
@@ -159,8 +160,8 @@
 
 void ControlNode::on_resume(LinkId id, Link& link, const Resume& resume) {
   if (resume.position > link.sent)
-    return fault(id, "control.future_position");
-  counters_.add("control.resumed");
+    return fault(id, metrics::kControlFuturePosition);
+  counters_.add(metrics::kControlResumed);
   link.cursor = resume.position;
   link.snapshot.reset();
   pump(id, link);
@@ -171,26 +172,26 @@
   link.forwards = std::min(kForwardsAtOnce, link.forwards + gained);
   link.forwards_at = now;
   if (link.forwards < 1)
-    return counters_.add("control.forwards_dropped");
+    return counters_.add(metrics::kControlForwardsDropped);
   --link.forwards;
-  counters_.add("control.forwarded");
+  counters_.add(metrics::kControlForwarded);
   if (forwarded_)
     forwarded_(link.session, forward);
 }
 
 void ControlNode::on_close(LinkId id, const Link& link, Millis now) {
-  counters_.add("control.closed");
+  counters_.add(metrics::kControlClosed);
   sessions_.closed(link.session, now);
   drop(id);
 }
 
 void ControlNode::refuse(LinkId id, RefusalReason reason, Millis retry_after) {
-  counters_.add(std::string("control.refused.") + name_of(reason));
+  counters_.add(metrics::kControlRefused, name_of(reason));
   transport_.send(id, encode(Refusal{reason, retry_after, nodes_}));
   drop(id);
 }
 
-void ControlNode::fault(LinkId id, const char* counter) {
+void ControlNode::fault(LinkId id, const metrics::Counter& counter) {
   counters_.add(counter);
   drop(id);
 }
@@ -210,7 +211,7 @@
     return;
   while (transport_.has_room(id)) {
     if (link.snapshot == nullptr && needs_snapshot(link)) {
-      counters_.add("control.snapshots");
+      counters_.add(metrics::kControlSnapshots);
       link.snapshot = changes_.snapshot();
       link.snapshot_sent = 0;
     }
--- a/src/control/control_node.h
+++ b/src/control/control_node.h
@@ -13,7 +13,7 @@
 
 #include "control/change_log.h"
 #include "control/session_table.h"
-#include "core/counters.h"
+#include "metrics/counters.h"
 
 namespace lotusyard::control {
 
@@ -42,7 +42,7 @@
   // The share of a session for a lease that ends then by the node's clock; nothing: the node divides nothing.
   using Divide = std::function<std::optional<double>(SessionTable::SessionId session, Millis lease_until)>;
 
-  ControlNode(Config config, Transport& transport, core::Counters& counters, Millis started);
+  ControlNode(Config config, Transport& transport, metrics::Counters& counters, Millis started);
 
   // From the agreed log.
   void reset(Index index, Records records);
@@ -81,7 +81,7 @@
   };
   Config config_;
   Transport& transport_;
-  core::Counters& counters_;
+  metrics::Counters& counters_;
   ChangeLog changes_;
   SessionTable sessions_;
   std::vector<NodeAddress> nodes_;
@@ -98,8 +98,8 @@
   void on_forward(Link& link, const Forward& forward, Millis now);
   void on_close(LinkId id, const Link& link, Millis now);
   void refuse(LinkId id, RefusalReason reason, Millis retry_after);
-  void fault(LinkId id, const char* counter);  // counted, and the link ends
-  void drop(LinkId id);                        // forgets the link, and ends it
+  void fault(LinkId id, const metrics::Counter& counter);  // counted, and the link ends
+  void drop(LinkId id);                                    // forgets the link, and ends it
   void supersede(SessionTable::SessionId session, LinkId newer);
   void pump(LinkId id, Link& link);  // sends what is next for as long as there is room
   void pump_all();
--- a/src/control/message.h
+++ b/src/control/message.h
@@ -122,7 +122,7 @@
  public:
   explicit MessageReader(std::size_t longest_frame) : longest_frame_(longest_frame) {}
   // Appends whole messages to `out`; false: the stream is malformed.
-  bool take(std::string_view bytes, std::vector<Message>& out);
+  bool parse(std::string_view bytes, std::vector<Message>& out);
 
  private:
   std::size_t longest_frame_;
--- a/src/control/message_reader.cpp
+++ b/src/control/message_reader.cpp
@@ -182,7 +182,7 @@
 
 }  // namespace
 
-bool MessageReader::take(std::string_view bytes, std::vector<Message>& out) {
+bool MessageReader::parse(std::string_view bytes, std::vector<Message>& out) {
   if (!sound_)
     return false;
   held_ += bytes;
--- a/src/control/node_server.cpp
+++ b/src/control/node_server.cpp
@@ -2,6 +2,7 @@
 
 #include <algorithm>
 
+#include "metrics/control_counters.h"
 #include "net/buffered_connection.h"
 
 namespace lotusyard::control {
@@ -29,7 +30,7 @@
   void send(const std::string& frame) {
     if (unsent() + frame.size() > server_.limits_.unsent + kLargestFrame + kAnswers) {
       if (!is_closing())
-        give_up("control.overflowed_links");
+        give_up(metrics::kControlOverflowedLinks);
       return;
     }
     write(frame);
@@ -50,13 +51,13 @@
   }
   void check(Millis now) {
     if (stalled(now))
-      return give_up("control.stalled_links");
+      return give_up(metrics::kControlStalledLinks);
     if (is_closing())
       return;
     if (!open_ && now - accepted_ > server_.limits_.open_within)
-      return give_up("control.no_open");
+      return give_up(metrics::kControlNoOpen);
     if (open_ && now - heard_ > server_.silent_after_)
-      return give_up("control.silent_links");
+      return give_up(metrics::kControlSilentLinks);
   }
 
  private:
@@ -81,7 +82,7 @@
     }
     return now - progressed_ > server_.limits_.stalled_after;
   }
-  void give_up(const char* counter) {
+  void give_up(const metrics::Counter& counter) {
     server_.counters_.add(counter);
     close_later();
   }
@@ -89,7 +90,7 @@
     if (is_closing())
       return;
     std::vector<Message> messages;
-    const bool sound = reader_.take(bytes, messages);
+    const bool sound = reader_.parse(bytes, messages);
     for (auto& message : messages) {
       heard_ = loop().now();
       if (std::holds_alternative<Open>(message))
@@ -114,7 +115,7 @@
   }
 };
 
-NodeServer::NodeServer(net::EventLoop& loop, core::Counters& counters, ControlNode::Config config,
+NodeServer::NodeServer(net::EventLoop& loop, metrics::Counters& counters, ControlNode::Config config,
                        Limits limits)
     : loop_(loop),
       counters_(counters),
@@ -158,7 +159,7 @@
 
 void NodeServer::accept(net::Socket socket) {
   if (links_.size() >= most_links_) {
-    counters_.add("control.too_many_links");
+    counters_.add(metrics::kControlTooManyLinks);
     return;
   }
   const LinkId id = ++last_id_;
@@ -168,7 +169,7 @@
 
 // The listener stays readable while its connections cannot be taken: watched on, the loop would never rest.
 void NodeServer::pause_accepting() {
-  counters_.add("control.no_descriptor");
+  counters_.add(metrics::kControlNoDescriptor);
   loop_.unregister(listener_.fd(), *this);
   accept_timer_ = loop_.schedule_at(loop_.now() + kAcceptPause, [this] { watch_listener(); });
 }
--- a/src/control/node_server.h
+++ b/src/control/node_server.h
@@ -26,9 +26,9 @@
     double silent_leases = 2;         // without any message
   };
 
-  NodeServer(net::EventLoop& loop, core::Counters& counters, ControlNode::Config config)
+  NodeServer(net::EventLoop& loop, metrics::Counters& counters, ControlNode::Config config)
       : NodeServer(loop, counters, std::move(config), Limits()) {}
-  NodeServer(net::EventLoop& loop, core::Counters& counters, ControlNode::Config config, Limits limits);
+  NodeServer(net::EventLoop& loop, metrics::Counters& counters, ControlNode::Config config, Limits limits);
   ~NodeServer() override;  // never from inside a call of the node
   NodeServer(const NodeServer&) = delete;
   NodeServer& operator=(const NodeServer&) = delete;
@@ -50,7 +50,7 @@
  private:
   class Link;
   net::EventLoop& loop_;
-  core::Counters& counters_;
+  metrics::Counters& counters_;
   Limits limits_;
   std::size_t most_links_;
   Millis silent_after_;
--- a/src/control/session.cpp
+++ b/src/control/session.cpp
@@ -4,6 +4,8 @@
 #include <cmath>
 #include <limits>
 
+#include "metrics/control_counters.h"
+
 namespace lotusyard::control {
 namespace {
 
@@ -15,7 +17,7 @@
 
 }  // namespace
 
-Session::Session(Config config, Transport& transport, Replica& replica, core::Counters& counters,
+Session::Session(Config config, Transport& transport, Replica& replica, metrics::Counters& counters,
                  std::uint64_t seed, Millis now)
     : config_(std::move(config)),
       transport_(transport),
@@ -35,11 +37,11 @@
     case State::connecting:
     case State::opening:
       if (now >= state_since_ + config_.pacing.connect_timeout)
-        leave(now, "control.session.timed_out");
+        leave(now, metrics::kControlSessionTimedOut);
       break;
     case State::open:
       if (now >= silent_at()) {
-        leave(now, "control.session.silent");
+        leave(now, metrics::kControlSessionSilent);
       } else if (now >= next_renewal_) {
         renew(now);
       }
@@ -73,7 +75,7 @@
   node_ = *chosen;
   state_ = State::connecting;
   state_since_ = now;
-  counters_.add("control.session.attempts");
+  counters_.add(metrics::kControlSessionAttempts);
   transport_.connect(node_);
 }
 
@@ -95,17 +97,17 @@
 void Session::disconnected(Millis now) {
   if (state_ == State::waiting || state_ == State::closed)
     return;
-  counters_.add("control.session.disconnected");
+  counters_.add(metrics::kControlSessionDisconnected);
   move_on(now);
 }
 
 void Session::malformed(Millis now) {
   if (state_ == State::waiting || state_ == State::closed)
     return;
-  leave(now, "control.session.malformed");
+  leave(now, metrics::kControlSessionMalformed);
 }
 
-void Session::leave(Millis now, const char* counter) {
+void Session::leave(Millis now, const metrics::Counter& counter) {
   counters_.add(counter);
   move_on(now);
   transport_.disconnect();
@@ -165,7 +167,7 @@
   renewal.sequence = sequence_;
   renewal.applied = replica_.position();
   renewal.settled = std::min(settled_, renewal.applied);
-  counters_.add("control.session.renewals");
+  counters_.add(metrics::kControlSessionRenewals);
   transport_.send(encode(renewal));
 }
 
--- a/src/control/session.h
+++ b/src/control/session.h
@@ -10,7 +10,7 @@
 
 #include "control/known_nodes.h"
 #include "control/replica.h"
-#include "core/counters.h"
+#include "metrics/counters.h"
 
 namespace lotusyard::control {
 
@@ -38,8 +38,8 @@
     Pacing pacing;
   };
 
-  Session(Config config, Transport& transport, Replica& replica, core::Counters& counters, std::uint64_t seed,
-          Millis now);
+  Session(Config config, Transport& transport, Replica& replica, metrics::Counters& counters,
+          std::uint64_t seed, Millis now);
 
   void tick(Millis now);
   Millis due() const;  // when `tick` wants to be called, at the latest; infinite once closed
@@ -71,7 +71,7 @@
   Config config_;
   Transport& transport_;
   Replica& replica_;
-  core::Counters& counters_;
+  metrics::Counters& counters_;
   std::mt19937_64 random_;
   State state_ = State::waiting;
   KnownNodes nodes_;
@@ -86,8 +86,8 @@
   bool resuming_ = false;                // a gap was reported, and nothing was applied since
 
   void attempt(Millis now);
-  void leave(Millis now, const char* counter);  // ends the connection and moves
-  void move_on(Millis now);                     // the connection has ended
+  void leave(Millis now, const metrics::Counter& counter);  // ends the connection and moves
+  void move_on(Millis now);                                 // the connection has ended
   Millis next_wait();
   double chance(double low, double high);
   Millis silent_at() const;  // when an answer will have been outstanding for too long
--- a/src/control/session_client.cpp
+++ b/src/control/session_client.cpp
@@ -44,7 +44,7 @@
     if (!current())
       return;
     std::vector<Message> messages;
-    const bool sound = reader_.take(bytes, messages);
+    const bool sound = reader_.parse(bytes, messages);
     for (auto& message : messages) {
       client_.session_.received(std::move(message), loop().now());
       if (!current())
@@ -57,7 +57,7 @@
   void on_closed() override { client_.connection_ended(*this); }
 };
 
-SessionClient::SessionClient(net::EventLoop& loop, core::Counters& counters, Session::Config config,
+SessionClient::SessionClient(net::EventLoop& loop, metrics::Counters& counters, Session::Config config,
                              std::uint64_t seed)
     : loop_(loop), pool_(kBlocks), session_(std::move(config), *this, replica_, counters, seed, loop.now()) {
   arm_timer();
--- a/src/control/session_client.h
+++ b/src/control/session_client.h
@@ -14,7 +14,8 @@
 
 class SessionClient final : public Session::Transport {
  public:
-  SessionClient(net::EventLoop& loop, core::Counters& counters, Session::Config config, std::uint64_t seed);
+  SessionClient(net::EventLoop& loop, metrics::Counters& counters, Session::Config config,
+                std::uint64_t seed);
   ~SessionClient() override;  // never from inside a call of the session or the replica
   SessionClient(const SessionClient&) = delete;
   SessionClient& operator=(const SessionClient&) = delete;
--- a/src/control/session_receive.cpp
+++ b/src/control/session_receive.cpp
@@ -3,6 +3,7 @@
 
 #include "control/session.h"
 #include "core/fault_injection.h"
+#include "metrics/control_counters.h"
 
 namespace lotusyard::control {
 namespace {
@@ -23,20 +24,20 @@
   state_ = State::open;
   state_since_ = now;
   sequence_ = 0;
-  counters_.add("control.session.opened");
+  counters_.add(metrics::kControlSessionOpened);
   nodes_.learn(welcome.nodes);
   renew(now);
 }
 
 void Session::take(const Refusal& refusal, Millis now) {
-  counters_.add(std::string("control.session.refused.") + name_of(refusal.reason));
+  counters_.add(metrics::kControlSessionRefusedBy, name_of(refusal.reason));
   nodes_.learn(refusal.nodes);
   if (refusal.retry_after.count() > 0) {
     // The node said when to come again, and others may admit at once: no growing waits beside that.
     failures_ = std::min(failures_, kMostDoublingsWhenTold);
     nodes_.hold_back(node_.address, now + refusal.retry_after * chance(1, 2));
   }
-  leave(now, "control.session.refused");
+  leave(now, metrics::kControlSessionRefused);
 }
 
 void Session::take(const Grant& grant, Millis now) {
@@ -46,7 +47,7 @@
   const auto found = std::find_if(outstanding_.begin(), outstanding_.end(),
                                   [&](const Renewal& one) { return one.sequence == grant.sequence; });
   if (found == outstanding_.end())
-    return counters_.add("control.session.grants_unknown");
+    return counters_.add(metrics::kControlSessionGrantsUnknown);
   const Renewal renewal = *found;
   outstanding_.erase(outstanding_.begin(), found + 1);  // earlier ones are not answered any more
   granted(renewal, grant, now);
@@ -54,7 +55,7 @@
 
 void Session::granted(const Renewal& renewal, const Grant& grant, Millis now) {
   if (grant.duration.count() > 0) {
-    counters_.add("control.session.grants");
+    counters_.add(metrics::kControlSessionGrants);
     const Millis from = fault_injected("grant-from-receipt") ? now : renewal.sent;
     lease_until_ = std::max(lease_until_, from + grant.duration);
     share_ = grant.share;
@@ -63,11 +64,11 @@
     nodes_.forget_failures();
     return;
   }
-  counters_.add("control.session.grants_of_nothing");
+  counters_.add(metrics::kControlSessionGrantsOfNothing);
   if (!refused_since_)
     refused_since_ = renewal.sent;
   if (now - *refused_since_ > config_.terms.lease)
-    leave(now, "control.session.leaseless");
+    leave(now, metrics::kControlSessionLeaseless);
 }
 
 void Session::take(const SnapshotChunk& chunk, Millis now) {
@@ -97,7 +98,7 @@
     case Replica::Outcome::incomplete:
       break;
     case Replica::Outcome::duplicate:
-      counters_.add("control.session.duplicates");
+      counters_.add(metrics::kControlSessionDuplicates);
       break;
     case Replica::Outcome::gap:
       on_gap(now);
@@ -109,9 +110,9 @@
 }
 
 void Session::on_gap(Millis now) {
-  counters_.add("control.session.gaps");
+  counters_.add(metrics::kControlSessionGaps);
   if (resuming_)
-    return leave(now, "control.session.gap_again");
+    return leave(now, metrics::kControlSessionGapAgain);
   resuming_ = true;
   transport_.send(encode(Resume{replica_.position()}));
 }
--- a/src/core/dispatcher.h
+++ b/src/core/dispatcher.h
@@ -10,22 +10,24 @@
 #include <unordered_map>
 #include <unordered_set>
 
-#include "core/counters.h"
 #include "core/idempotency_keys.h"
 #include "core/policy_driver.h"
+#include "core/rejection_reason.h"
 #include "core/types.h"
+#include "metrics/counters.h"
 
 namespace lotusyard::core {
 
 class Dispatcher {
  public:
   using Clock = std::function<Millis()>;
-  Dispatcher(const Settings& settings, Clock clock, HostTransport& hosts, Counters& counters);
+  Dispatcher(const Settings& settings, Clock clock, HostTransport& hosts, metrics::Counters& counters);
 
   // The id is made beforehand, so that a front can file the call before an answer comes.
   CallId allocate_call_id() { return ++last_id_; }
-  // False if it is not taken: no host could use it, or its ref is not its own. It is owed a failure.
-  bool admit(CallId id, Call&& call, Front& front);
+  // Admits the call, or says why not; the front end then owes its client a failure. An admitted call gets
+  // exactly one answer, which may be given before this returns.
+  std::optional<RejectionReason> admit(CallId id, Call&& call, FrontEnd& front_end);
   void client_disconnected(CallId id);  // the client is gone: no answer is owed
 
   // The caller's side of the last look, right before an attempt's first byte goes to the kernel.
@@ -33,7 +35,7 @@
   enum class WriteCheck { allowed, after_client_read, call_over };
   WriteCheck check_before_write(const Attempt& attempt, Millis decided);
   // Reads what the caller has sent, so that the next look finds it read.
-  void read_caller(const Attempt& attempt);
+  void read_client_input(const Attempt& attempt);
   const Call* find_call(CallId id) const;
 
   void attempt_ended(const Attempt& attempt, AttemptEnd&& end);
@@ -52,8 +54,8 @@
   // Told of each call that is refused and never went out, where set.
   using RejectionObserver = std::function<void(const Call& call)>;
   void observe_rejections(RejectionObserver refused) { rejection_observer_ = std::move(refused); }
-  void set_host_filter(policy::HostFilter* gate) {
-    module_.set_host_filter(gate);
+  void set_host_filter(policy::HostFilter* host_filter) {
+    policy_driver_.set_host_filter(host_filter);
   }  // which hosts a call may go to at all
   const Settings& settings() const { return *settings_; }
 
@@ -69,13 +71,13 @@
   };
   struct OpenCall {
     Call call;
-    Front* front = nullptr;
+    FrontEnd* front = nullptr;
     std::shared_ptr<const Settings> rules;
-    const policy::ClassSettings* cls = nullptr;  // in `rules`
-    bool may_have_run = false;                   // one of those that have ended
+    const policy::ClassSettings* call_class = nullptr;  // in `rules`
+    bool may_have_run = false;                          // one of those that have ended
     int attempts = 0;
     std::vector<InFlightAttempt> in_flight;
-    bool keyed() const { return cls->semantics == policy::Semantics::keyed; }
+    bool keyed() const { return call_class->semantics == policy::Semantics::idempotent_with_key; }
   };
   struct Deadline {
     Millis at{0};
@@ -89,23 +91,23 @@
   std::shared_ptr<const Settings> settings_;
   Clock clock_;
   HostTransport& hosts_;
-  Counters& counters_;
-  PolicyDriver module_;
+  metrics::Counters& counters_;
+  PolicyDriver policy_driver_;
   CallId last_id_ = 0;
   std::unordered_map<CallId, OpenCall> calls_;
   std::unordered_set<std::string> refs_;  // of open calls, and of those that ended a short while ago
   std::deque<std::pair<Millis, std::string>> ended_refs_;
   IdempotencyKeys keys_;
-  std::unordered_map<std::string, HostLocation> places_;  // of the hosts on the list
+  std::unordered_map<std::string, HostLocation> host_locations_;  // of the hosts on the list
   std::priority_queue<Deadline, std::vector<Deadline>, std::greater<>> deadlines_;
   std::deque<Step> steps_;
-  bool running_ = false;
+  bool executing_steps_ = false;
   AttemptObserver attempt_observer_;
   RejectionObserver rejection_observer_;
 
   void run(Steps&& steps);
   void execute(const SendStep& step);
-  void execute(const RefuseStep& step);
+  void execute(const RejectStep& step);
   void execute(const FailStep& step);
   void execute(const CancelStep& step);
   void execute(const ProbeStep& step) { hosts_.probe(step.host); }
@@ -113,12 +115,12 @@
   void execute(const UnloadStep& step) { hosts_.unload(step.host, step.function); }
   // Takes the attempt from those that are out and books how it ended; none if it is not out.
   std::optional<InFlightAttempt> remove_attempt(CallId id, OpenCall& open, int number, Outcome outcome);
-  void notify_attempt_ended(InFlightAttempt&& out, Outcome outcome, bool over);
+  void notify_attempt_ended(InFlightAttempt&& out, Outcome outcome, bool call_ended);
   void cancel_attempts(CallId id, OpenCall& open);
   bool may_send_to(const OpenCall& open, const std::string& host) const;
   void end_key_use(const OpenCall& open);
   void finish_call(CallId id, Answer&& answer);
-  const char* rejection_reason(const Call& call) const;
+  std::optional<RejectionReason> rejection_reason(const Call& call) const;
   void remember_ref(const std::string& ref);
   void expire_refs();
   OpenCall* find_open_call(CallId id);
--- a/src/core/dispatcher_admission.cpp
+++ b/src/core/dispatcher_admission.cpp
@@ -3,6 +3,7 @@
 #include <utility>
 
 #include "core/dispatcher.h"
+#include "metrics/call_counters.h"
 
 namespace lotusyard::core {
 namespace {
@@ -14,37 +15,51 @@
 constexpr int kMostLanes = 1024;
 constexpr double kMostMemoryMb = 1e6;
 
+std::optional<RejectionReason> rejection_of(IdempotencyKeys::KeyDecision decision) {
+  switch (decision) {
+    case IdempotencyKeys::KeyDecision::accepted:
+      return std::nullopt;
+    case IdempotencyKeys::KeyDecision::other_request:
+      return RejectionReason::key_of_other_request;
+    case IdempotencyKeys::KeyDecision::window_over:
+      return RejectionReason::key_window_over;
+    case IdempotencyKeys::KeyDecision::full:
+      break;
+  }
+  return RejectionReason::too_many_keys;
+}
+
 }  // namespace
 
 // What no host can use costs hosts and the ration of loads all the same, and may close a connection on which
 // others wait: it ends here, whichever front it came through. Nothing if all is well.
-const char* Dispatcher::rejection_reason(const Call& call) const {
+std::optional<RejectionReason> Dispatcher::rejection_reason(const Call& call) const {
   const auto named = [](const std::string& name) {
     return [&name](const auto& entry) { return entry.name == name; };
   };
-  const auto* cls = class_named(*settings_, call.class_name);
-  if (cls == nullptr)
-    return "calls.unknown_class";
-  if (cls->semantics == policy::Semantics::keyed && call.key.empty())
-    return "calls.no_key";
+  const auto* call_class = class_named(*settings_, call.class_name);
+  if (call_class == nullptr)
+    return RejectionReason::unknown_class;
+  if (call_class->semantics == policy::Semantics::idempotent_with_key && call.key.empty())
+    return RejectionReason::missing_key;
   if (!call.key.empty() && !IdempotencyKeys::is_valid(call.key))
-    return "calls.bad_key";
+    return RejectionReason::invalid_key;
   const auto& tenants = settings_->tenants;
   if (!call.tenant.empty() && !tenants.empty() &&
       std::none_of(tenants.begin(), tenants.end(), named(call.tenant))) {
-    return "calls.unknown_tenant";
+    return RejectionReason::unknown_tenant;
   }
   double most_mb = settings_->kind_memory_mb.empty() ? kMostMemoryMb : 0;
   for (const auto& [kind, megabytes] : settings_->kind_memory_mb)
     most_mb = std::max(most_mb, megabytes);
   if (!(call.memory_mb >= 0 && call.memory_mb <= most_mb))
-    return "calls.bad_figures";
+    return RejectionReason::out_of_range;
   if (call.lanes < 1 || call.lanes > kMostLanes)
-    return "calls.bad_figures";
+    return RejectionReason::out_of_range;
   // A client's patience is at most its class's; a millisecond for rounding.
-  if (!(call.allow.count() > 0 && call.allow <= cls->deadline + Millis(1)))
-    return "calls.bad_figures";
-  return nullptr;
+  if (!(call.timeout.count() > 0 && call.timeout <= call_class->deadline + Millis(1)))
+    return RejectionReason::out_of_range;
+  return std::nullopt;
 }
 
 void Dispatcher::remember_ref(const std::string& ref) {
@@ -62,36 +77,32 @@
   }
 }
 
-bool Dispatcher::admit(CallId id, Call&& call, Front& front) {
-  if (const char* fault = rejection_reason(call)) {
-    counters_.add(fault);
-    return false;
-  }
+std::optional<RejectionReason> Dispatcher::admit(CallId id, Call&& call, FrontEnd& front_end) {
+  const auto rejected = [this](RejectionReason reason) {
+    counters_.add(counter_of(reason));
+    return reason;
+  };
+  if (const auto reason = rejection_reason(call))
+    return rejected(*reason);
   expire_refs();
   // Hosts know a call by its ref; two under one would get each other's answers.
-  if (refs_.count(call.ref) != 0) {
-    counters_.add("calls.ref_repeated");
-    return false;
-  }
-  const auto* cls = class_named(*settings_, call.class_name);
-  if (cls->semantics == policy::Semantics::keyed) {
-    static const char* const faults[] = {nullptr, "calls.key_of_another", "calls.key_window_over",
-                                         "calls.keys_full"};
-    if (const char* fault = faults[static_cast<int>(keys_.begin(call, key_rule(*cls), clock_()))]) {
-      counters_.add(fault);
-      return false;
-    }
+  if (refs_.count(call.ref) != 0)
+    return rejected(RejectionReason::repeated_ref);
+  const auto* call_class = class_named(*settings_, call.class_name);
+  if (call_class->semantics == policy::Semantics::idempotent_with_key) {
+    if (const auto reason = rejection_of(keys_.begin(call, key_rule(*call_class), clock_())))
+      return rejected(*reason);
   }
   refs_.insert(call.ref);
-  counters_.add("calls.taken");
+  counters_.add(metrics::kCallsTaken);
   OpenCall& open = calls_[id];
   open.call = std::move(call);
-  open.front = &front;
+  open.front = &front_end;
   open.rules = settings_;
-  open.cls = cls;
-  deadlines_.push({open.call.arrived + open.call.allow + kOverdue, id, -1});
-  run(module_.pick(clock_(), id, open.call));
-  return true;
+  open.call_class = call_class;
+  deadlines_.push({open.call.arrived + open.call.timeout + kOverdue, id, -1});
+  run(policy_driver_.pick(clock_(), id, open.call));
+  return std::nullopt;
 }
 
 }  // namespace lotusyard::core
--- a/src/core/idempotency_keys.cpp
+++ b/src/core/idempotency_keys.cpp
@@ -38,9 +38,9 @@
       return KeyDecision::full;
     // After a restart, or with another invoker, the first try is not known here. A client waits for
     // all of its tries together no longer than the class's limit, and this one ends it.
-    std::optional<Millis> before = call.ran_since;
+    std::optional<Millis> before = call.may_have_run_since;
     if (!before && call.retry)
-      before = now + std::min(call.allow - rule.hard_limit, Millis(0));
+      before = now + std::min(call.timeout - rule.hard_limit, Millis(0));
     if (before && now - *before >= rule.window)
       return KeyDecision::window_over;
     Record& fresh = records_[name];
--- a/src/core/listed_host.h
+++ b/src/core/listed_host.h
@@ -9,7 +9,7 @@
 namespace lotusyard::core {
 
 struct ListedHost {
-  WorkerEntry entry;
+  HostEntry entry;
   std::string address;
 };
 
--- a/src/core/policy_driver.cpp
+++ b/src/core/policy_driver.cpp
@@ -9,13 +9,13 @@
 namespace action = policy::action;
 
 policy::Event event_of(const AttemptOutcome& o) {
-  event::Answer e;
+  event::AttemptEnded e;
   e.id = std::to_string(o.attempt.call);
-  e.worker = o.host;
+  e.host = o.host;
   e.attempt = o.attempt.number;
   e.outcome = o.outcome;
-  e.crowd = o.crowd;
-  e.over = o.over;
+  e.host_concurrency = o.host_concurrency;
+  e.call_ended = o.call_ended;
   e.elapsed = o.elapsed;
   e.report = o.report;
   return e;
@@ -26,9 +26,11 @@
 policy::Event event_of(const ProbeOutcome& o) {
   return event::Probed{o.host, o.outcome, o.elapsed, o.report};
 }
-policy::Event event_of(const ClientDisconnected& o) { return event::Left{std::to_string(o.call)}; }
-policy::Event event_of(const NewSettings& o) { return event::Retune{o.settings}; }
-policy::Event event_of(const HostList& o) { return event::List{o.kind, o.entries}; }
+policy::Event event_of(const ClientDisconnected& o) {
+  return event::ClientDisconnected{std::to_string(o.call)};
+}
+policy::Event event_of(const NewSettings& o) { return event::SettingsChanged{o.settings}; }
+policy::Event event_of(const HostList& o) { return event::EndpointListUpdate{o.kind, o.entries}; }
 
 CallId call_of(const std::string& id) { return std::stoull(id); }  // ids are ours: see pick
 
@@ -41,12 +43,12 @@
   e.id = std::to_string(id);
   e.class_name = call.class_name;
   e.tenant = call.tenant;
-  e.cost_hint = call.effort;
+  e.cost_hint = call.cost_hint;
   e.retry = call.retry;
   e.function = call.function;
   e.memory_mb = call.memory_mb;
   e.lanes = call.lanes;
-  e.expires_in = call.arrived + call.allow - now;
+  e.expires_in = call.arrived + call.timeout - now;
   return handle(now, e);
 }
 
@@ -77,19 +79,19 @@
   Steps steps;
   for (const auto& any : actions) {
     if (const auto* send = std::get_if<action::Send>(&any)) {
-      steps.push_back(SendStep{call_of(send->id), send->worker, send->time_out});
-    } else if (const auto* refuse = std::get_if<action::Refuse>(&any)) {
-      steps.push_back(RefuseStep{call_of(refuse->id), refuse->retry_after});
+      steps.push_back(SendStep{call_of(send->id), send->host, send->time_out});
+    } else if (const auto* refuse = std::get_if<action::Reject>(&any)) {
+      steps.push_back(RejectStep{call_of(refuse->id), refuse->retry_after});
     } else if (const auto* fail = std::get_if<action::Fail>(&any)) {
       steps.push_back(FailStep{call_of(fail->id)});
     } else if (const auto* cancel = std::get_if<action::Cancel>(&any)) {
       steps.push_back(CancelStep{{call_of(cancel->id), cancel->attempt}});
     } else if (const auto* probe = std::get_if<action::Probe>(&any)) {
-      steps.push_back(ProbeStep{probe->worker});
+      steps.push_back(ProbeStep{probe->host});
     } else if (const auto* load = std::get_if<action::Load>(&any)) {
-      steps.push_back(LoadStep{load->worker, load->function, load->copies});
+      steps.push_back(LoadStep{load->host, load->function, load->copies});
     } else if (const auto* unload = std::get_if<action::Unload>(&any)) {
-      steps.push_back(UnloadStep{unload->worker, unload->function});
+      steps.push_back(UnloadStep{unload->host, unload->function});
     } else if (const auto* timer = std::get_if<action::SetTimer>(&any)) {
       due_.push({now + timer->after, timers_set_++, timer->token});
     }
--- a/src/core/policy_driver.h
+++ b/src/core/policy_driver.h
@@ -14,11 +14,11 @@
 struct SendStep {
   CallId call = 0;
   std::string host;
-  Millis patience{0};
+  Millis attempt_timeout{0};
 };
-struct RefuseStep {
+struct RejectStep {
   CallId call = 0;
-  Millis cooldown{0};
+  Millis retry_after{0};
 };
 struct FailStep {
   CallId call = 0;
@@ -38,7 +38,7 @@
   std::string host;
   std::uint64_t function = 0;
 };
-using Step = std::variant<SendStep, RefuseStep, FailStep, CancelStep, ProbeStep, LoadStep, UnloadStep>;
+using Step = std::variant<SendStep, RejectStep, FailStep, CancelStep, ProbeStep, LoadStep, UnloadStep>;
 using Steps = std::vector<Step>;
 
 // What can be reported.
@@ -46,8 +46,8 @@
   Attempt attempt;
   std::string host;
   Outcome outcome = Outcome::error;
-  bool over = false;  // the call has its final answer
-  int crowd = 0;
+  bool call_ended = false;  // the call has its final answer
+  int host_concurrency = 0;
   Millis elapsed{0};
   Report report;
 };
@@ -69,7 +69,7 @@
 };
 struct HostList {
   ListKind kind = ListKind::full;
-  std::vector<WorkerEntry> entries;
+  std::vector<HostEntry> entries;
 };
 struct NewSettings {  // calls that are open keep their rules
   Settings settings;
@@ -85,7 +85,7 @@
   Steps report(Millis now, const PolicyInput& what);
   Steps tick(Millis now);  // everything that is due
   Millis next_tick() const;
-  void set_host_filter(policy::HostFilter* gate) { policy_.set_host_filter(gate); }
+  void set_host_filter(policy::HostFilter* host_filter) { policy_.set_host_filter(host_filter); }
 
  private:
   struct TimerDeadline {
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -13,13 +13,13 @@
 
 namespace lotusyard::core {
 
+using policy::HostEntry;
+using policy::HostState;
 using policy::ListKind;
 using policy::Millis;
 using policy::Outcome;
 using policy::Report;
 using policy::Settings;
-using policy::WorkerEntry;
-using policy::WorkerState;
 
 using CallId = std::uint64_t;
 
@@ -43,21 +43,22 @@
   std::string class_name, tenant;
   std::string function_name;   // as the client wrote it
   std::uint64_t function = 0;  // the same as a number, for the module
-  std::optional<double> effort;
-  bool retry = false;               // a client's further try
-  std::string key;                  // the client's idempotency key; passed on unchanged
-  std::optional<Millis> ran_since;  // something under the key may have run elsewhere, no sooner than this
+  std::optional<double> cost_hint;
+  bool retry = false;  // a client's further try
+  std::string key;     // the client's idempotency key; passed on unchanged
+  std::optional<Millis>
+      may_have_run_since;  // something under the key may have run elsewhere, no sooner than this
   double memory_mb = 0;
   int lanes = 1;
-  Millis arrived{0}, allow{0};
+  Millis arrived{0}, timeout{0};
   std::string body;
 };
 
-enum class Verdict { served, refused, failed };
+enum class CallStatus { succeeded, rejected, failed };
 
 struct Answer {
-  Verdict verdict = Verdict::failed;
-  Millis cooldown{0};  // when to come back; 0: not said
+  CallStatus status = CallStatus::failed;
+  Millis retry_after{0};  // when to come back; 0: not said
   std::string body;
 };
 
@@ -71,15 +72,15 @@
 
 struct AttemptEnd {
   Outcome outcome = Outcome::error;
-  int crowd = 0;  // calls of the same function that the host held
+  int host_concurrency = 0;  // calls of the same function that the host held
   Report report;
   std::string body;
 };
 
 // Where calls come from. An answer may be given while Dispatcher::take still runs.
-class Front {
+class FrontEnd {
  public:
-  virtual ~Front() = default;
+  virtual ~FrontEnd() = default;
   virtual void answer(CallId call, Answer&& answer) = 0;
   // Before an attempt goes out. False: it must not; the call then ends as one that this attempt did not run.
   virtual bool before_attempt(CallId) { return true; }
@@ -89,7 +90,7 @@
   enum class ClientState { waiting, has_unread_input, disconnected };
   virtual ClientState client_state(CallId, Millis /*heard_since*/) { return ClientState::waiting; }
   // Reads what they have sent by now. Not to be called while a step of the dispatcher is carried out.
-  virtual void read_caller(CallId) {}
+  virtual void read_client_input(CallId) {}
   // The last attempt is shown not to have run, and none before it may have.
   virtual void proved_not_run(CallId) {}
 };
@@ -99,7 +100,7 @@
  public:
   virtual ~HostTransport() = default;
   virtual void send_attempt(const Attempt& attempt, const std::string& host, const Call& call,
-                            Millis patience) = 0;
+                            Millis attempt_timeout) = 0;
   // Ends the attempt; true if it may have run. No end is told for it afterwards.
   virtual bool cancel_attempt(const Attempt& attempt) = 0;
   virtual void probe(const std::string& host) = 0;
--- a/src/discovery/discovery.cpp
+++ b/src/discovery/discovery.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 
 #include "config/json_read.h"
+#include "metrics/host_counters.h"
 
 namespace lotusyard::discovery {
 namespace {
@@ -10,8 +11,8 @@
 using config::key;
 using config::number;
 using config::text;
+using core::HostState;
 using core::Millis;
-using core::WorkerState;
 
 constexpr Millis kConnectMost{500};
 constexpr Millis kQuietMost{1600};  // a line comes every second: a log quiet for longer has stopped
@@ -19,7 +20,7 @@
 
 core::ListedHost read_member(const nlohmann::json& row) {
   core::ListedHost read;
-  read.entry.worker = text(key(row, "id"));
+  read.entry.host = text(key(row, "id"));
   read.address = text(key(row, "host_port"));
   read.entry.zone = text(key(row, "locality"));
   read.entry.kind = text(key(row, "flavor"));
@@ -28,15 +29,15 @@
   read.entry.started = Millis(number(key(row, "up_since_ms")));
   const std::string state = text(key(row, "phase"));
   // An unknown state is taken as one in which nothing new may go there.
-  read.entry.state = state == "ready"  ? WorkerState::ready
-                     : state == "gone" ? WorkerState::gone
-                                       : WorkerState::draining;
+  read.entry.state = state == "ready"  ? HostState::ready
+                     : state == "gone" ? HostState::gone
+                                       : HostState::draining;
   return read;
 }
 
 }  // namespace
 
-bool LineCutter::take(std::string_view bytes, std::vector<std::string>& out) {
+bool LineCutter::parse(std::string_view bytes, std::vector<std::string>& out) {
   while (!bytes.empty()) {
     const auto end = bytes.find('\n');
     line_.append(bytes.substr(0, end));
@@ -77,7 +78,7 @@
   out.hosts.clear();
   for (const auto& row : key(list, "members")) {
     auto member = read_member(row);
-    if (!member.entry.worker.empty())
+    if (!member.entry.host.empty())
       out.hosts.push_back(std::move(member));
   }
   return Read::news;
@@ -99,12 +100,12 @@
   void expect(Millis within) {
     discovery_.loop_.cancel(quiet_);
     quiet_ = discovery_.loop_.schedule_at(discovery_.loop_.now() + within, [this] {
-      discovery_.counters_.add("feed.quiet");
+      discovery_.counters_.add(metrics::kFeedQuiet);
       close_later();
     });
   }
   void on_connected() override {
-    discovery_.counters_.add("feed.connections");
+    discovery_.counters_.add(metrics::kFeedConnections);
     write("since " + std::to_string(discovery_.log_.last()) + "\n");
     expect(kQuietMost);
   }
@@ -112,7 +113,7 @@
     if (!current())
       return;
     std::vector<std::string> lines;
-    bool sound = cutter_.take(bytes, lines);
+    bool sound = cutter_.parse(bytes, lines);
     // A log that stops half-way through an event, or trickles, is as silent as one that says nothing.
     if (!lines.empty())
       expect(kQuietMost);
@@ -122,7 +123,7 @@
       if (read == Log::Read::news || read == Log::Read::nothing)
         discovery_.pause_ = Millis(0);
       if (read == Log::Read::news) {
-        discovery_.counters_.add("feed.events");
+        discovery_.counters_.add(metrics::kFeedEvents);
         discovery_.told_(list);
       } else if (read != Log::Read::nothing) {
         sound = false;  // ask again from the last event that was understood
@@ -131,7 +132,7 @@
     }
     if (sound)
       return;
-    discovery_.counters_.add("feed.malformed_or_gap");
+    discovery_.counters_.add(metrics::kFeedMalformedOrGap);
     close_later();
   }
   void on_closed() override {
@@ -142,7 +143,7 @@
   bool current() const { return discovery_.connection_.get() == this; }  // false: the log has moved on
 };
 
-Discovery::Discovery(net::EventLoop& loop, net::BufferPool& pool, core::Counters& counters,
+Discovery::Discovery(net::EventLoop& loop, net::BufferPool& pool, metrics::Counters& counters,
                      std::string address, Log log, Told told)
     : loop_(loop),
       pool_(pool),
@@ -166,7 +167,7 @@
 void Discovery::move(const std::string& address) {
   if (address == address_)
     return;
-  counters_.add("feed.moves");
+  counters_.add(metrics::kFeedMoves);
   address_ = address;
   const std::shared_ptr<Connection> old = std::move(connection_);
   connection_.reset();
--- a/src/discovery/discovery.h
+++ b/src/discovery/discovery.h
@@ -8,8 +8,8 @@
 #include <string>
 #include <vector>
 
-#include "core/counters.h"
 #include "core/listed_host.h"
+#include "metrics/counters.h"
 #include "net/buffered_connection.h"
 #include "net/event_loop.h"
 
@@ -19,7 +19,7 @@
 class LineCutter {
  public:
   static constexpr std::size_t longest = 1U << 20;
-  bool take(std::string_view bytes, std::vector<std::string>& out);
+  bool parse(std::string_view bytes, std::vector<std::string>& out);
 
  private:
   std::string line_;
@@ -42,7 +42,7 @@
 class Discovery {
  public:
   using Told = std::function<void(const core::HostListUpdate&)>;
-  Discovery(net::EventLoop& loop, net::BufferPool& pool, core::Counters& counters, std::string address,
+  Discovery(net::EventLoop& loop, net::BufferPool& pool, metrics::Counters& counters, std::string address,
             Log log, Told told);
   ~Discovery();
   void start() { connect(); }
@@ -53,7 +53,7 @@
   class Connection;
   net::EventLoop& loop_;
   net::BufferPool& pool_;
-  core::Counters& counters_;
+  metrics::Counters& counters_;
   std::string address_;
   Log log_;
   Told told_;
--- a/src/endpoints/endpoint_states.cpp
+++ b/src/endpoints/endpoint_states.cpp
@@ -6,24 +6,25 @@
 
 namespace lotusyard::endpoints {
 
-using core::WorkerState;
+using core::HostState;
 
 core::ListedHost EndpointStates::state_of(const std::string& id, const Host& host) const {
   core::ListedHost state = host.listed;
   state.entry.started = host.started;
   const bool left_alone = suspended_ || disabled(id) || in_maintenance_.count(id) != 0;
-  if (left_alone && state.entry.state == WorkerState::ready)
-    state.entry.state = WorkerState::draining;
+  if (left_alone && state.entry.state == HostState::ready)
+    state.entry.state = HostState::draining;
   // A host that was out may have started anew, and the list, seconds late, does not say so yet.
-  state.entry.put_back = host.enabled_at > state.entry.started;
-  if (state.entry.put_back)
+  state.entry.enabled_by_operator = host.enabled_at > state.entry.started;
+  if (state.entry.enabled_by_operator)
     state.entry.started = host.enabled_at;
   return state;
 }
 
 // A host that has just started, stamped by a clock that is behind, would be taken for a warm one, and
 // one stamped in the future for cold until then. What cannot be believed counts from when it was first seen.
-core::Millis EndpointStates::start_of(const Host* before, core::Millis stamped, const Sight& sight) const {
+core::Millis EndpointStates::start_of(const Host* before, core::Millis stamped,
+                                      const ClockReading& sight) const {
   if (!see_)
     return stamped;
   if (before != nullptr && before->listed.entry.started == stamped)
@@ -39,10 +40,10 @@
 
 void EndpointStates::apply_list(const core::HostListUpdate& list, core::ListKind kind) {
   core::HostListUpdate states{list.complete, {}};
-  const Sight sight = see_ ? see_() : Sight();
+  const ClockReading sight = see_ ? see_() : ClockReading();
   std::set<std::string> named;
   for (const auto& member : list.hosts) {
-    const std::string& id = member.entry.worker;
+    const std::string& id = member.entry.host;
     const auto before = hosts_.find(id);
     const core::Millis started =
         start_of(before == hosts_.end() ? nullptr : &before->second, member.entry.started, sight);
@@ -51,14 +52,14 @@
     host.listed = member;
     named.insert(id);
     states.hosts.push_back(state_of(id, host));
-    if (member.entry.state == WorkerState::gone)
+    if (member.entry.state == HostState::gone)
       forget_removed(id);
   }
   std::vector<std::string> left;
   for (auto& [id, host] : hosts_) {
-    if (!list.complete || named.count(id) != 0 || host.listed.entry.state == WorkerState::gone)
+    if (!list.complete || named.count(id) != 0 || host.listed.entry.state == HostState::gone)
       continue;
-    host.listed.entry.state = WorkerState::gone;
+    host.listed.entry.state = HostState::gone;
     left.push_back(id);
   }
   for (const auto& id : left)
@@ -73,7 +74,7 @@
   removed_.push_back(id);
   while (removed_.size() > max_removed_hosts) {
     const auto oldest = hosts_.find(removed_.front());
-    const bool gone = oldest != hosts_.end() && oldest->second.listed.entry.state == WorkerState::gone;
+    const bool gone = oldest != hosts_.end() && oldest->second.listed.entry.state == HostState::gone;
     const bool again = std::count(removed_.begin(), removed_.end(), removed_.front()) > 1;
     if (gone && !again)
       hosts_.erase(oldest);
@@ -83,7 +84,7 @@
 
 void EndpointStates::notify(const std::string& id) {
   const auto found = hosts_.find(id);
-  if (found == hosts_.end() || found->second.listed.entry.state == WorkerState::gone)
+  if (found == hosts_.end() || found->second.listed.entry.state == HostState::gone)
     return;
   update_handler_({false, {state_of(id, found->second)}}, core::ListKind::delta);
 }
@@ -129,7 +130,7 @@
 
 std::optional<core::ListedHost> EndpointStates::find_listed(const std::string& host) const {
   const auto found = hosts_.find(host);
-  if (found == hosts_.end() || found->second.listed.entry.state == WorkerState::gone)
+  if (found == hosts_.end() || found->second.listed.entry.state == HostState::gone)
     return std::nullopt;
   return found->second.listed;
 }
@@ -137,7 +138,7 @@
 std::map<std::string, core::ListedHost> EndpointStates::listed_hosts() const {
   std::map<std::string, core::ListedHost> out;
   for (const auto& [id, host] : hosts_) {
-    if (host.listed.entry.state != WorkerState::gone)
+    if (host.listed.entry.state != HostState::gone)
       out.emplace(id, host.listed);
   }
   return out;
--- a/src/endpoints/endpoint_states.h
+++ b/src/endpoints/endpoint_states.h
@@ -18,11 +18,11 @@
   // What is told holds for calls and load orders from then on.
   using UpdateHandler = std::function<void(const core::HostListUpdate&, core::ListKind)>;
   // What the process's clock says, and whether the wall clock has been set since the process started.
-  struct Sight {
+  struct ClockReading {
     core::Millis now{0};
     bool wall_has_stepped = false;
   };
-  using See = std::function<Sight()>;
+  using See = std::function<ClockReading()>;
   // Without `see`, hosts' starts are taken as the list stamps them.
   explicit EndpointStates(UpdateHandler told, See see = nullptr)
       : update_handler_(std::move(told)), see_(std::move(see)) {}
@@ -67,7 +67,7 @@
   bool suspended_ = false;
   std::deque<std::string> removed_;
 
-  core::Millis start_of(const Host* before, core::Millis stamped, const Sight& sight) const;
+  core::Millis start_of(const Host* before, core::Millis stamped, const ClockReading& sight) const;
   core::ListedHost state_of(const std::string& id, const Host& host) const;
   void notify(const std::string& id);
   void forget_removed(const std::string& id);
--- a/src/gossip/gossip_service.cpp
+++ b/src/gossip/gossip_service.cpp
@@ -5,6 +5,8 @@
 #include <set>
 #include <utility>
 
+#include "metrics/cluster_counters.h"
+
 namespace lotusyard::gossip {
 namespace {
 
@@ -110,10 +112,10 @@
     return;
   const auto message = body.size() > kMaxMessageBytes ? std::nullopt : decode_message(body);
   if (!message || message->self.name != sender) {
-    services_.counters.add("view.malformed");
+    services_.counters.add(metrics::kViewMalformed);
     return;
   }
-  services_.counters.add("view.heard");
+  services_.counters.add(metrics::kViewHeard);
   protocol_->receive(now(), *message);
   send_outgoing();
 }
@@ -121,11 +123,11 @@
 void GossipService::send_outgoing() {
   for (const auto& outgoing : protocol_->take_outgoing()) {
     const bool sent = replica_.send_gossip(outgoing.address, encode_message(outgoing.message));
-    services_.counters.add(sent ? "view.sent" : "view.not_sent");
+    services_.counters.add(sent ? metrics::kViewSent : metrics::kViewNotSent);
   }
   const auto changes = protocol_->take_changes();
   for (const auto& record : changes) {
-    services_.counters.add(std::string("view.") + name_of(record.status));
+    services_.counters.add(metrics::kViewStatus, name_of(record.status));
     log_change(record);
   }
   if (!changes.empty() && on_change_)
--- a/src/gossip/swim_protocol.h
+++ b/src/gossip/swim_protocol.h
@@ -1,4 +1,4 @@
-// SWIM failure detection with Lifeguard's extensions, for one member; docs/fleet-view.md says which parts
+// SWIM failure detection with Lifeguard's extensions, for one member; docs/gossip.md says which parts
 // were adopted. In each period one other member is probed: directly, then indirectly through others. One that
 // does not answer is suspected; it is declared dead unless it refutes the suspicion in time. Needs no leader
 // and no quorum. No I/O: messages, the time and a random seed come in, messages and changes go out.
--- a/src/hosts/connection_pool.cpp
+++ b/src/hosts/connection_pool.cpp
@@ -5,13 +5,15 @@
 #include <utility>
 
 #include "hosts/host_connection.h"
+#include "metrics/call_counters.h"
+#include "metrics/host_counters.h"
 #include "net/fields.h"
 
 namespace lotusyard::hosts {
 namespace {
 
+using core::HostState;
 using core::Outcome;
-using core::WorkerState;
 using net::field;
 
 constexpr Millis kQuietLeast{
@@ -35,21 +37,21 @@
   if (probes_left_ < 1)
     return false;
   probes_left_ -= 1;
-  counters_.add("hosts.liveness_probes");
+  counters_.add(metrics::kHostsLivenessProbes);
   return true;
 }
 
-HostConnectionPool::HostConnectionPool(net::EventLoop& loop, net::BufferPool& pool, core::Counters& counters,
-                                       Limits limits)
+HostConnectionPool::HostConnectionPool(net::EventLoop& loop, net::BufferPool& pool,
+                                       metrics::Counters& counters, Limits limits)
     : loop_(loop), pool_(pool), counters_(counters), limits_(std::move(limits)), probes_left_(kProbesMost) {}
 HostConnectionPool::~HostConnectionPool() { loop_.cancel(waiting_timer_); }
 
 void HostConnectionPool::attach(core::Dispatcher& dispatcher) {
   dispatcher_ = &dispatcher;
-  dispatcher.set_host_filter(gate(nullptr));
+  dispatcher.set_host_filter(host_filter(nullptr));
 }
 
-policy::HostFilter* HostConnectionPool::gate(policy::HostFilter* next) {
+policy::HostFilter* HostConnectionPool::host_filter(policy::HostFilter* next) {
   reachable_hosts_.ask_too(next);
   return &reachable_hosts_;
 }
@@ -58,26 +60,25 @@
   std::set<std::string> named;
   const auto retire = [this](Host& host, bool unsent_too) {
     if (unsent_too)
-      withdraw_waiting(host.member.entry.worker);
+      withdraw_waiting(host.member.entry.host);
     for (const auto& link : std::vector<std::shared_ptr<HostConnection>>(host.connections))
       link->retire(unsent_too);
   };
   for (const auto& member : list.hosts) {
-    const std::string& id = member.entry.worker;
+    const std::string& id = member.entry.host;
     named.insert(id);
     Host& host = hosts_[id];
-    const bool reborn =
-        !host.member.entry.worker.empty() &&
-        (member.address != host.member.address || member.entry.started > host.member.entry.started);
+    const bool reborn = !host.member.entry.host.empty() && (member.address != host.member.address ||
+                                                            member.entry.started > host.member.entry.started);
     if (reborn)
       retire(host, true);
     host.member = member;
-    if (member.entry.state != WorkerState::ready)
+    if (member.entry.state != HostState::ready)
       retire(host, true);
     // A new host may stand at the address of one that is gone, and be taken for it.
     for (auto& [other_id, other] : hosts_) {
       const bool taken_over =
-          member.entry.state == WorkerState::ready && other.member.address == member.address;
+          member.entry.state == HostState::ready && other.member.address == member.address;
       if (taken_over && other_id != id)
         retire(other, true);
     }
@@ -85,11 +86,11 @@
   for (auto i = hosts_.begin(); i != hosts_.end();) {
     Host& host = i->second;
     if (list.complete && named.count(i->first) == 0) {
-      host.member.entry.state = WorkerState::gone;
+      host.member.entry.state = HostState::gone;
       retire(host, true);
     }
     // Hosts that are gone are forgotten with their last connection, or every deploy would leave some behind.
-    const bool forgotten = host.member.entry.state == WorkerState::gone && host.connections.empty() &&
+    const bool forgotten = host.member.entry.state == HostState::gone && host.connections.empty() &&
                            !host.may_run_cancelled_calls(loop_.now());
     i = forgotten ? hosts_.erase(i) : std::next(i);
   }
@@ -111,14 +112,14 @@
       least = other->buffered_bytes();
     }
   }
-  counters_.add("hosts.no_memory");
+  counters_.add(metrics::kHostsNoMemory);
   most->close_later();
 }
 
 // The host's side of the last look: it may have this now, whatever was decided before.
 bool HostConnectionPool::allows(const std::string& id, const core::Call* call, std::uint64_t function) const {
   const auto found = hosts_.find(id);
-  const bool ready = found != hosts_.end() && found->second.member.entry.state == WorkerState::ready;
+  const bool ready = found != hosts_.end() && found->second.member.entry.state == HostState::ready;
   return ready && (!send_filter_ || send_filter_(id, call, function));
 }
 
@@ -126,7 +127,7 @@
                                                          std::uint64_t function) {
   if (allows(id, call, function))
     return &hosts_.at(id);
-  counters_.add("guard.host_not_ready");
+  counters_.add(metrics::kGuardHostNotReady);
   return nullptr;
 }
 
@@ -139,7 +140,7 @@
     link->abort_pending_writes();
     if (!link->is_connecting() && link->send_queue().empty())
       continue;
-    counters_.add("hosts.cut_links");
+    counters_.add(metrics::kHostsCutLinks);
     link->close_later();
   }
 }
@@ -176,26 +177,26 @@
 }
 
 void HostConnectionPool::send_attempt(const core::Attempt& attempt, const std::string& id,
-                                      const core::Call& call, Millis patience) {
+                                      const core::Call& call, Millis attempt_timeout) {
   Host* host = ready_host(id, &call, call.function);
   const LinkChoice choice = host == nullptr ? LinkChoice() : connection_for(*host, call.ref);
   if (choice.local_trouble)
-    return wait_for_connection(attempt, id, call, loop_.now() + patience);
+    return wait_for_connection(attempt, id, call, loop_.now() + attempt_timeout);
   if (choice.link == nullptr)
     return attempt_not_sent(attempt);
-  send_attempt(*choice.link, attempt, call, patience);
+  send_attempt(*choice.link, attempt, call, attempt_timeout);
 }
 
 void HostConnectionPool::send_attempt(HostConnection& link, const core::Attempt& attempt,
-                                      const core::Call& call, Millis patience) {
+                                      const core::Call& call, Millis attempt_timeout) {
   attempts_[attempt] = &link;
   Host& host = hosts_.at(link.host());
   const Millis now = loop_.now();
   if (host.calls_expire_at <= now)
     host.has_cancelled_calls = false;
-  host.calls_expire_at = std::max(host.calls_expire_at, now + patience);
+  host.calls_expire_at = std::max(host.calls_expire_at, now + attempt_timeout);
   probes_left_ = std::min(probes_left_ + kProbeShare, kProbesMost);
-  link.send_attempt(attempt, call, patience);
+  link.send_attempt(attempt, call, attempt_timeout);
 }
 
 bool HostConnectionPool::cancel_attempt(const core::Attempt& attempt) {
@@ -254,7 +255,7 @@
 
 void HostConnectionPool::connection_closed(HostConnection& link) {
   --connections_;
-  counters_.add("hosts.links_ended");
+  counters_.add(metrics::kHostsLinksEnded);
   auto& links = hosts_.at(link.host()).connections;
   const auto found =
       std::find_if(links.begin(), links.end(), [&](const auto& l) { return l.get() == &link; });
--- a/src/hosts/connection_pool.h
+++ b/src/hosts/connection_pool.h
@@ -8,10 +8,10 @@
 #include <string>
 #include <vector>
 
-#include "core/counters.h"
 #include "core/dispatcher.h"
 #include "core/listed_host.h"
 #include "hosts/connection_wait.h"
+#include "metrics/counters.h"
 #include "net/buffered_connection.h"
 #include "net/event_loop.h"
 
@@ -35,11 +35,11 @@
 
 class HostConnectionPool final : public core::HostTransport {
  public:
-  HostConnectionPool(net::EventLoop& loop, net::BufferPool& pool, core::Counters& counters, Limits limits);
+  HostConnectionPool(net::EventLoop& loop, net::BufferPool& pool, metrics::Counters& counters, Limits limits);
   ~HostConnectionPool() override;
   void attach(core::Dispatcher& dispatcher);
   // Which hosts a call may go to, as far as connections tell, and as `next` says beside that, where set.
-  policy::HostFilter* gate(policy::HostFilter* next);
+  policy::HostFilter* host_filter(policy::HostFilter* next);
 
   void update_endpoints(const core::HostListUpdate& list);
   // Nothing that was decided for this host and is not with the kernel yet goes out any more.
@@ -54,7 +54,7 @@
   void set_limits(const Limits& limits) { limits_ = limits; }  // open connections keep to them from now on
 
   void send_attempt(const core::Attempt& attempt, const std::string& host, const core::Call& call,
-                    Millis patience) override;
+                    Millis attempt_timeout) override;
   bool cancel_attempt(const core::Attempt& attempt) override;
   void probe(const std::string& host) override;
   void load_copies(const std::string& host, std::uint64_t function, int copies) override;
@@ -71,7 +71,7 @@
   };
   net::EventLoop& loop_;
   net::BufferPool& pool_;
-  core::Counters& counters_;
+  metrics::Counters& counters_;
   Limits limits_;
   core::Dispatcher* dispatcher_ = nullptr;
   std::map<std::string, Host> hosts_;
@@ -109,7 +109,7 @@
   bool has_open_link(const Host& host) const;
   bool is_reachable(const Host& host) const;
   void send_attempt(HostConnection& link, const core::Attempt& attempt, const core::Call& call,
-                    Millis patience);
+                    Millis attempt_timeout);
   void wait(WaitingSend&& send);
   void wait_for_connection(const core::Attempt& attempt, const std::string& host, const core::Call& call,
                            Millis until);
--- a/src/hosts/connection_pool_connects.cpp
+++ b/src/hosts/connection_pool_connects.cpp
@@ -3,12 +3,13 @@
 
 #include "hosts/connection_pool.h"
 #include "hosts/host_connection.h"
+#include "metrics/host_counters.h"
 
 namespace lotusyard::hosts {
 namespace {
 
+using core::HostState;
 using core::Outcome;
-using core::WorkerState;
 
 constexpr Millis kMoveOn{10};    // where an open connection to another host could carry the attempt
 constexpr Millis kLeastLeft{3};  // of a call's time: what waits is ended before its deadline ends it
@@ -32,7 +33,7 @@
   if (best != nullptr)
     return {best, false};
   if (usable >= limits_.links_a_host || connections_ >= limits_.links) {
-    counters_.add("hosts.no_link");
+    counters_.add(metrics::kHostsNoLink);
     return {nullptr, false};
   }
   const LinkChoice fresh = open_link(host);
@@ -50,13 +51,13 @@
     return {nullptr, true};
   }
   if (!connection) {
-    counters_.add("hosts.connect_failed");
+    counters_.add(metrics::kHostsConnectFailed);
     return {nullptr, false};
   }
-  counters_.add("hosts.links_opened");
+  counters_.add(metrics::kHostsLinksOpened);
   ++connections_;
   host.connections.push_back(
-      std::make_shared<HostConnection>(*this, host.member.entry.worker, std::move(connection.socket)));
+      std::make_shared<HostConnection>(*this, host.member.entry.host, std::move(connection.socket)));
   return {host.connections.back().get(), false};
 }
 
@@ -89,11 +90,11 @@
 }
 
 bool HostConnectionPool::is_reachable(const Host& host) const {
-  return host.member.entry.state == WorkerState::ready && has_open_link(host);
+  return host.member.entry.state == HostState::ready && has_open_link(host);
 }
 
 void HostConnectionPool::wait(WaitingSend&& send) {
-  counters_.add("hosts.waits_for_connection");
+  counters_.add(metrics::kHostsWaitsForConnection);
   waiting_.add(std::move(send));
   arm_waiting();
 }
@@ -110,7 +111,7 @@
 void HostConnectionPool::wait_for_connection(const core::Attempt& attempt, const std::string& host,
                                              const core::Call& call, Millis until) {
   const Millis now = loop_.now();
-  const int attempts_left = std::max(1, dispatcher_->settings().max_attempts - attempt.number);
+  const int attempts_left = std::max(1, dispatcher_->settings().retries.max_attempts - attempt.number);
   WaitingSend send;
   send.host = host;
   send.attempt = attempt;
@@ -161,7 +162,7 @@
 }
 
 bool HostConnectionPool::may_move_on(const WaitingSend& send, Millis now) const {
-  if (send.attempt.number + 1 >= dispatcher_->settings().max_attempts)
+  if (send.attempt.number + 1 >= dispatcher_->settings().retries.max_attempts)
     return false;
   if (now >= send.move_on_at)
     return true;
@@ -184,11 +185,11 @@
 
 // Nothing of it went out, and nothing is known of the host.
 void HostConnectionPool::end_waiting(const WaitingSend& send) {
-  counters_.add("hosts.waits_ended");
+  counters_.add(metrics::kHostsWaitsEnded);
   notify_later([this, kind = send.kind, host = send.host, attempt = send.attempt, function = send.function] {
     switch (kind) {
       case WaitingSend::Kind::attempt:
-        return dispatcher_->attempt_ended(attempt, {Outcome::moot, 0, std::nullopt, {}});
+        return dispatcher_->attempt_ended(attempt, {Outcome::never_ran, 0, std::nullopt, {}});
       case WaitingSend::Kind::probe:
         return dispatcher_->probe_ended({host, Outcome::timeout, Millis(0), std::nullopt});
       case WaitingSend::Kind::load_order:
--- a/src/hosts/host_connection.cpp
+++ b/src/hosts/host_connection.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
+#include "metrics/host_counters.h"
 #include "net/fields.h"
 
 namespace lotusyard::hosts {
@@ -54,11 +55,11 @@
 }
 
 void HostConnectionPool::HostConnection::send_attempt(const core::Attempt& attempt, const core::Call& call,
-                                                      Millis patience) {
+                                                      Millis attempt_timeout) {
   const Millis now = fleet_.loop_.now();
   attempts_.emplace(call.ref, SentAttempt{attempt, now, 0, false, call.function});
-  enqueue_write(
-      {PendingWrite::Kind::attempt, call.ref, fields_of(call), call.body, now + patience, call.function});
+  enqueue_write({PendingWrite::Kind::attempt, call.ref, fields_of(call), call.body, now + attempt_timeout,
+                 call.function});
   arm_idle_timer();
   arm_silence_timer();
 }
@@ -205,7 +206,7 @@
       waiting.push_back(attempts_.at(one.name).attempt);
   }
   for (const auto& attempt : waiting)
-    fleet_.dispatcher_->read_caller(attempt);  // may take some back
+    fleet_.dispatcher_->read_client_input(attempt);  // may take some back
 }
 
 void HostConnectionPool::HostConnection::limit_stuck_exec() {
@@ -214,7 +215,7 @@
       fleet_.loop_.schedule_at(fleet_.loop_.now() + kStuckExecMost, [this, end = send_queue().appended()] {
         if (is_closing() || send_queue().written() >= end)
           return;
-        fleet_.counters_.add("hosts.stuck_calls");
+        fleet_.counters_.add(metrics::kHostsStuckCalls);
         close_later();
       });
 }
@@ -227,7 +228,7 @@
 }
 
 void HostConnectionPool::HostConnection::discard_write(const PendingWrite& pending) {
-  fleet_.counters_.add("hosts.withdrawn");
+  fleet_.counters_.add(metrics::kHostsWithdrawn);
   if (pending.kind == PendingWrite::Kind::attempt) {
     const auto found = attempts_.find(pending.name);
     const core::Attempt attempt = found->second.attempt;
@@ -257,9 +258,10 @@
     found->second.end_offset = send_queue().appended();
     return;
   }
-  const auto patience = static_cast<std::int64_t>(std::floor((pending.until - fleet_.loop_.now()).count()));
+  const auto attempt_timeout =
+      static_cast<std::int64_t>(std::floor((pending.until - fleet_.loop_.now()).count()));
   std::string message = "exec " + pending.name + ' ' + pending.text +
-                        ",patience=" + std::to_string(std::max<std::int64_t>(1, patience)) + ' ' +
+                        ",patience=" + std::to_string(std::max<std::int64_t>(1, attempt_timeout)) + ' ' +
                         std::to_string(pending.body.size()) + "\r\n";
   message += pending.body;
   message += "\r\n";
--- a/src/hosts/host_connection.h
+++ b/src/hosts/host_connection.h
@@ -30,7 +30,7 @@
   std::size_t buffered_bytes() const { return held_; }  // bytes of an answer that is not whole yet
   // suspect_too: also where the connection may be cut off
   bool has_capacity(const std::string& ref, bool suspect_too) const;
-  void send_attempt(const core::Attempt& attempt, const core::Call& call, Millis patience);
+  void send_attempt(const core::Attempt& attempt, const core::Call& call, Millis attempt_timeout);
   bool cancel_attempt(const core::Attempt& attempt);
   void load_copies(const std::string& tag, std::uint64_t function, int copies);
   void probe(const std::string& tag);
--- a/src/hosts/host_connection_liveness.cpp
+++ b/src/hosts/host_connection_liveness.cpp
@@ -2,6 +2,7 @@
 #include <algorithm>
 
 #include "hosts/host_connection.h"
+#include "metrics/host_counters.h"
 
 namespace lotusyard::hosts {
 namespace {
@@ -50,7 +51,7 @@
   const bool torn = begun_.count() > 0 && (now - heard_ > kPieceMost || now - begun_ > kWholeMost);
   const bool unanswered = probed_ > heard_ && now - probed_ > kProbeMost;
   if (is_open() && (torn || unanswered)) {
-    fleet_.counters_.add(torn ? "hosts.cut_answers" : "hosts.silent_links");
+    fleet_.counters_.add(torn ? metrics::kHostsCutAnswers : metrics::kHostsSilentLinks);
     return close_later();
   }
   const Millis quiet = fleet_.max_silence() * (1 << std::min(probes_unanswered_, kProbeDoublings));
@@ -63,7 +64,7 @@
 }
 
 void HostConnectionPool::HostConnection::connect_timed_out() {
-  fleet_.counters_.add("hosts.connect_timeouts");
+  fleet_.counters_.add(metrics::kHostsConnectTimeouts);
   close_later();
 }
 
--- a/src/hosts/host_connection_read.cpp
+++ b/src/hosts/host_connection_read.cpp
@@ -3,6 +3,7 @@
 #include <vector>
 
 #include "hosts/host_connection.h"
+#include "metrics/host_counters.h"
 #include "net/fields.h"
 
 namespace lotusyard::hosts {
@@ -15,10 +16,10 @@
 
 const std::map<std::string, Outcome>& outcomes() {
   static const std::map<std::string, Outcome> words = {{"data", Outcome::ok},
-                                                       {"absent", Outcome::miss},
-                                                       {"full", Outcome::full},
+                                                       {"absent", Outcome::no_instance},
+                                                       {"full", Outcome::at_capacity},
                                                        {"failed", Outcome::error},
-                                                       {"moot", Outcome::moot}};
+                                                       {"moot", Outcome::never_ran}};
   return words;
 }
 bool known_word(const std::string& word) { return outcomes().count(word) != 0; }
@@ -39,7 +40,7 @@
 
 void HostConnectionPool::HostConnection::on_connected() {
   heard_ = fleet_.loop_.now();
-  fleet_.counters_.add("hosts.links_up");
+  fleet_.counters_.add(metrics::kHostsLinksUp);
   fleet_.backoff_.succeeded();
   fleet_.loop_.flush_later(*this);
   arm_idle_timer();
@@ -59,7 +60,7 @@
   heard_ = fleet_.loop_.now();
   suspect_ = false;
   std::vector<Reply> replies;
-  bool sound = parser_.take(bytes, replies);
+  bool sound = parser_.parse(bytes, replies);
   for (auto& reply : replies) {
     if (handle_reply(std::move(reply)))
       continue;     // also when the connection ends meanwhile: it came whole
@@ -74,7 +75,7 @@
   fleet_.account_incoming(*this, held_, parser_.held());
   held_ = parser_.held();
   if (!sound) {
-    fleet_.counters_.add("hosts.malformed");
+    fleet_.counters_.add(metrics::kHostsMalformed);
     close_later();
   }
   arm_idle_timer();
@@ -99,11 +100,12 @@
     fleet_.attempts_.erase(attempt);
     remember_ended(reply.id, true);
     const Outcome outcome = outcomes().at(reply.word);
-    fleet_.counters_.add("hosts.answers." + reply.word);
-    const int crowd = static_cast<int>(net::parse_whole(field(read, "crowd"), 1000000).value_or(0));
+    fleet_.counters_.add(metrics::kHostsAnswers, reply.word);
+    const int host_concurrency =
+        static_cast<int>(net::parse_whole(field(read, "crowd"), 1000000).value_or(0));
     fleet_.dispatcher_->attempt_ended(
-        attempt,
-        {outcome, std::min(crowd, 30), fleet_.parse_report(field(read, "l")), std::move(reply.body)});
+        attempt, {outcome, std::min(host_concurrency, 30), fleet_.parse_report(field(read, "l")),
+                  std::move(reply.body)});
   } else if (const auto answered = queries_.find(reply.id);
              answered != queries_.end() && answered->second.written) {
     const Query asked = answered->second;
@@ -116,10 +118,10 @@
     finish_query(asked, outcome, copies, fleet_.parse_report(field(read, "l")));
   } else if (const auto ended = past_.find(reply.id); ended != past_.end() && !ended->second) {
     ended->second = true;
-    fleet_.counters_.add("hosts.late_answers");  // to an attempt dropped meanwhile
+    fleet_.counters_.add(metrics::kHostsLateAnswers);  // to an attempt dropped meanwhile
   } else {
     // More than belongs to it: what is out here keeps its own answers, nothing new is sent.
-    fleet_.counters_.add("hosts.surplus_answers");
+    fleet_.counters_.add(metrics::kHostsSurplusAnswers);
     retire(false);
   }
   return true;
--- a/src/hosts/line_parser.cpp
+++ b/src/hosts/line_parser.cpp
@@ -34,7 +34,7 @@
   return true;
 }
 
-bool LineParser::take(std::string_view bytes, std::vector<Reply>& out) {
+bool LineParser::parse(std::string_view bytes, std::vector<Reply>& out) {
   while (!bytes.empty() && state_ != State::spoilt) {
     if (state_ == State::body && body_left_ > 0) {
       const std::size_t part = std::min(body_left_, bytes.size());
--- a/src/hosts/line_parser.h
+++ b/src/hosts/line_parser.h
@@ -18,7 +18,7 @@
   explicit LineParser(std::size_t longest_body = 1U << 20) : longest_body_(longest_body) {}
 
   // Takes all bytes; whole replies are added to `out`. False once the stream cannot be understood any more.
-  bool take(std::string_view bytes, std::vector<Reply>& out);
+  bool parse(std::string_view bytes, std::vector<Reply>& out);
   std::size_t held() const { return line_.size() + reply_.body.size(); }
   bool begun() const { return state_ == State::body || !line_.empty(); }  // a reply, and its rest has to come
 
--- a/src/hot_restart/shares.cpp
+++ b/src/hot_restart/shares.cpp
@@ -14,7 +14,7 @@
 }  // namespace
 
 std::size_t ResourceShares::descriptors() const {
-  return kOwnDescriptors + clients + newcomers + links + callers;
+  return kOwnDescriptors + clients + new_connections + links + callers;
 }
 
 ResourceShares shares_of(std::size_t memory_mb, std::size_t sockets, ProcessRole standing) {
@@ -32,7 +32,7 @@
   // and connections that have not asked yet.
   out.clients = std::min(sockets / 3, free / 2);
   out.links = std::max<std::size_t>((free - out.clients) / 2, 1);
-  out.newcomers = std::max<std::size_t>(free - out.clients - out.links, 1);
+  out.new_connections = std::max<std::size_t>(free - out.clients - out.links, 1);
   return out;
 }
 
--- a/src/hot_restart/shares.h
+++ b/src/hot_restart/shares.h
@@ -13,13 +13,13 @@
 };
 
 struct ResourceShares {
-  std::size_t clients = 0, newcomers = 0;  // connections that have asked something, and not yet
-  std::size_t links = 0;                   // connections to hosts
-  std::size_t callers = 0;                 // of the admin endpoint
-  std::size_t unwritten = 0;               // bytes that wait to be written
-  std::size_t bodies = 0;                  // bytes of open calls
-  std::size_t incoming = 0;                // bytes of answers that are not whole yet
-  std::size_t descriptors() const;         // all of a process, its own included
+  std::size_t clients = 0, new_connections = 0;  // connections that have asked something, and not yet
+  std::size_t links = 0;                         // connections to hosts
+  std::size_t callers = 0;                       // of the admin endpoint
+  std::size_t unwritten = 0;                     // bytes that wait to be written
+  std::size_t bodies = 0;                        // bytes of open calls
+  std::size_t incoming = 0;                      // bytes of answers that are not whole yet
+  std::size_t descriptors() const;               // all of a process, its own included
   std::size_t bytes() const { return unwritten + bodies + incoming; }
 };
 
--- a/src/idempotency/result_ledger.cpp
+++ b/src/idempotency/result_ledger.cpp
@@ -7,7 +7,7 @@
 bool proves_not_run(const ResultRecord& record) {
   if (record.stage == ResultStage::cleared)
     return true;
-  return record.stage != ResultStage::sent && record.answer.verdict == core::Verdict::refused;
+  return record.stage != ResultStage::sent && record.answer.status == core::CallStatus::rejected;
 }
 
 Decision decide(const std::optional<ResultRecord>& known, const DeliveryFacts& arrival,
--- a/src/idempotency/sqlite_result_store.cpp
+++ b/src/idempotency/sqlite_result_store.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 #include <utility>
 
+#include "metrics/amqp_counters.h"
 #include "sqlite/query.h"
 
 namespace lotusyard::idempotency {
@@ -15,11 +16,11 @@
 // Of columns stage, verdict, cooldown, body, at, address. False: no record of ours, so the file is damaged.
 bool read(Query& row, int first, ResultRecord& out) {
   const int stage = static_cast<int>(row.column_double(first)),
-            verdict = static_cast<int>(row.column_double(first + 1));
-  if (stage < 1 || stage > 4 || verdict < 0 || verdict > 2)
+            status = static_cast<int>(row.column_double(first + 1));
+  if (stage < 1 || stage > 4 || status < 0 || status > 2)
     return false;
   out.stage = static_cast<ResultStage>(stage);
-  out.answer = {static_cast<core::Verdict>(verdict), Millis(row.column_double(first + 2)),
+  out.answer = {static_cast<core::CallStatus>(status), Millis(row.column_double(first + 2)),
                 row.column_blob(first + 3)};
   out.at = Millis(row.column_double(first + 4));
   out.address = row.column_blob(first + 5);
@@ -29,7 +30,7 @@
 }  // namespace
 
 SqliteResultStore::SqliteResultStore(const std::string& path, const Bounds& bounds, Millis now,
-                                     core::Counters& counters, Log log, Clock clock)
+                                     metrics::Counters& counters, Log log, Clock clock)
     : path_(path),
       created_at_(now),
       clock_(std::move(clock)),
@@ -130,7 +131,7 @@
 }
 
 bool SqliteResultStore::report(sqlite::ResultKind kind, const std::string& text) {
-  counters_.add(std::string("answers.store_") + sqlite::name_of(kind));
+  counters_.add(metrics::kAnswersStore, sqlite::name_of(kind));
   if (kind == sqlite::ResultKind::corrupt)
     damaged_ = true;
   if (kind != std::exchange(last_failure_, kind))
@@ -188,21 +189,21 @@
     return false;
   const auto from = before ? std::optional<ResultStage>(before->stage) : std::nullopt;
   if (!may_follow(from, record.stage)) {
-    counters_.add("answers.guard_stage");
+    counters_.add(metrics::kAnswersGuardStage);
     return false;
   }
   if (!before && idempotency::prune(size_, answered_, bounds_, record.at).full) {
-    counters_.add("answers.store_bound");
+    counters_.add(metrics::kAnswersStoreBound);
     return false;
   }
   Query query(db_, "INSERT OR REPLACE INTO calls VALUES (?1, ?2, ?3, ?4, ?5, ?6, ?7)");
   query.bind_blob(1, id).bind_double(2, static_cast<int>(record.stage));
-  query.bind_double(3, static_cast<int>(record.answer.verdict))
-      .bind_double(4, record.answer.cooldown.count());
+  query.bind_double(3, static_cast<int>(record.answer.status))
+      .bind_double(4, record.answer.retry_after.count());
   query.bind_blob(5, record.answer.body).bind_double(6, record.at.count()).bind_blob(7, record.address);
   if (!check_status(query.step(), "put"))
     return false;
-  counters_.add("answers.written");
+  counters_.add(metrics::kAnswersWritten);
   last_failure_ = sqlite::ResultKind::ok;
   if (!before) {
     ++size_.records;
@@ -235,7 +236,7 @@
     return;
   Query query(db_, ("DELETE FROM calls WHERE " + which).c_str());
   if (check_status(query.bind_double(1, due.older_than.count()).step(), "prune"))
-    counters_.add("answers.pruned");
+    counters_.add(metrics::kAnswersPruned);
   measure();
 }
 
--- a/src/idempotency/sqlite_result_store.h
+++ b/src/idempotency/sqlite_result_store.h
@@ -5,8 +5,8 @@
 #include <functional>
 #include <memory>
 
-#include "core/counters.h"
 #include "idempotency/result_store.h"
+#include "metrics/counters.h"
 #include "sqlite/result.h"
 
 struct sqlite3;
@@ -21,7 +21,7 @@
   // The log says of a file that cannot be opened or is damaged; the store takes nothing then. Opening is
   // tried again, with backoff by `clock` (steady, any origin), at the operations that follow, unless it is
   // damaged.
-  SqliteResultStore(const std::string& path, const Bounds& bounds, Millis now, core::Counters& counters,
+  SqliteResultStore(const std::string& path, const Bounds& bounds, Millis now, metrics::Counters& counters,
                     Log log, Clock clock = steady_now);
   ~SqliteResultStore() override;
   SqliteResultStore(const SqliteResultStore&) = delete;
@@ -53,7 +53,7 @@
   Size size_;
   std::size_t answered_ = 0;
   Millis complete_from_{0};
-  core::Counters& counters_;
+  metrics::Counters& counters_;
   Log log_;
 
   static Millis steady_now();
--- a/src/maintenance/drain_tracker.cpp
+++ b/src/maintenance/drain_tracker.cpp
@@ -5,7 +5,7 @@
 namespace lotusyard::maintenance {
 namespace {
 
-bool is_ready(const core::ListedHost& host) { return host.entry.state == policy::WorkerState::ready; }
+bool is_ready(const core::ListedHost& host) { return host.entry.state == policy::HostState::ready; }
 
 const core::ListedHost* find(const DrainTracker::Listed& listed, const std::string& host) {
   const auto found = listed.find(host);
--- a/src/maintenance/host_access.cpp
+++ b/src/maintenance/host_access.cpp
@@ -3,6 +3,9 @@
 #include <algorithm>
 #include <cmath>
 
+#include "metrics/call_counters.h"
+#include "metrics/cluster_counters.h"
+
 namespace lotusyard::maintenance {
 namespace {
 
@@ -14,7 +17,7 @@
   if (leased == leased_)
     return;
   log_(leased ? "lease held" : "lease over: hosts that may be next are left alone");
-  services_.counters.add(leased ? "works.leases" : "works.leases_over");
+  services_.counters.add(leased ? metrics::kWorksLeases : metrics::kWorksLeasesOver);
 }
 
 void HostAccess::update(const MaintenanceState& state, const StateFreshness& freshness) {
@@ -38,8 +41,8 @@
   using core::Outcome;
   if (outcome == Outcome::ok) {
     const auto* call_class = core::class_named(services_.settings(), call.class_name);
-    host_observer_.record_success(host, call.function, call_class == nullptr ? 1 : call_class->worth,
-                                  services_.loop.now());
+    host_observer_.record_success(
+        host, call.function, call_class == nullptr ? 1 : call_class->priority_weight, services_.loop.now());
   } else if (outcome == Outcome::connect_failed || outcome == Outcome::reset) {
     host_observer_.record_failure(host, services_.loop.now());
   }
@@ -51,9 +54,9 @@
       drain_tracker_.observe(state, host_observer_, services_.endpoint_states.listed_hosts(),
                              services_.endpoint_states.disabled(), now);
   const auto& counters = services_.counters;
-  const double calls = static_cast<double>(counters.value("calls.taken"));
+  const double calls = static_cast<double>(counters.value(metrics::kCallsTaken));
   const double failures =
-      static_cast<double>(counters.value("calls.refused") + counters.value("calls.failed"));
+      static_cast<double>(counters.value(metrics::kCallsRefused) + counters.value(metrics::kCallsFailed));
   const double seconds = std::max(kMinIntervalSeconds, (now - counted_at_).count() / 1000);
   out.calls_per_second = std::round((calls - counted_calls_) / seconds);
   out.failed_per_second = std::round((failures - counted_failures_) / seconds);
--- a/src/maintenance/host_observer.cpp
+++ b/src/maintenance/host_observer.cpp
@@ -19,16 +19,18 @@
 
 }  // namespace
 
-void HostObserver::record_success(const std::string& host, std::uint64_t function, double worth, Millis now) {
+void HostObserver::record_success(const std::string& host, std::uint64_t function, double priority_weight,
+                                  Millis now) {
   HostRecord& record = hosts_[host];
-  record.rate = decayed(record.rate, now - record.rate_updated_at) + worth;
+  record.rate = decayed(record.rate, now - record.rate_updated_at) + priority_weight;
   record.rate_updated_at = now;
   record.last_served_at = now;
   record.consecutive_failures = 0;
   if (functions_.count(function) == 0 && functions_.size() >= kMaxFunctions)
     evict_oldest_function();
   FunctionRecord& function_record = functions_[function];
-  function_record.rate = decayed(function_record.rate, now - function_record.rate_updated_at) + worth;
+  function_record.rate =
+      decayed(function_record.rate, now - function_record.rate_updated_at) + priority_weight;
   function_record.rate_updated_at = now;
   function_record.hosts[host] = now;
   for (auto i = function_record.hosts.begin(); i != function_record.hosts.end();)
--- a/src/maintenance/host_observer.h
+++ b/src/maintenance/host_observer.h
@@ -19,7 +19,7 @@
   static constexpr std::size_t kMaxFunctions = 4096;
 
   // Records a successful call of a function; `worth` is the value of a call of its class.
-  void record_success(const std::string& host, std::uint64_t function, double worth, Millis now);
+  void record_success(const std::string& host, std::uint64_t function, double priority_weight, Millis now);
   // Records a refused connection or a connection reset.
   void record_failure(const std::string& host, Millis now);
 
--- a/src/maintenance/maintenance_replica.cpp
+++ b/src/maintenance/maintenance_replica.cpp
@@ -9,6 +9,7 @@
 #include "maintenance/admin_endpoint.h"
 #include "maintenance/log_entry_codec.h"
 #include "maintenance/log_line.h"
+#include "metrics/cluster_counters.h"
 
 namespace lotusyard::maintenance {
 namespace {
@@ -72,7 +73,7 @@
 
 void MaintenanceReplica::send_to_leader(const json& message) {
   if (!replica_->send_to_leader(*this, message.dump(-1, ' ', false, json::error_handler_t::replace)))
-    services_.counters.add("works.no_leader");
+    services_.counters.add(metrics::kWorksNoLeader);
 }
 
 void MaintenanceReplica::send_heartbeat() {
@@ -124,7 +125,7 @@
     return;
   try {
     const std::uint64_t incarnation = replica_->begin_new_incarnation(last);
-    services_.counters.add("works.lives_passed");
+    services_.counters.add(metrics::kWorksLivesPassed);
     log_("life=" + std::to_string(incarnation) + " starts: an earlier one is in the log as " +
          std::to_string(last));
   } catch (const std::exception& error) {
@@ -150,12 +151,12 @@
 void MaintenanceReplica::apply(std::uint64_t index, const std::string& text) {
   const auto entry = parse_entry(text);
   if (!entry) {
-    services_.counters.add("works.unreadable");
+    services_.counters.add(metrics::kWorksUnreadable);
     return on_store_failure("entry " + std::to_string(index) +
                             " of the log is of another version of the program");
   }
   const auto outcome = state_.apply(index, *entry, now());
-  services_.counters.add("works.entries");
+  services_.counters.add(metrics::kWorksEntries);
   if (const auto* command = std::get_if<RecordHeartbeats>(&entry->command)) {
     for (const auto& heartbeat : command->heartbeats)
       renew_lease(heartbeat);
@@ -188,7 +189,7 @@
     return;
   const bool this_incarnation = replica_ != nullptr && heartbeat.incarnation == replica_->incarnation();
   if (!this_incarnation)
-    return services_.loop.remember_wall(Millis(heartbeat.sent_at));
+    return services_.loop.record_wall_time(Millis(heartbeat.sent_at));
   // The heartbeat may have been in flight when the member was removed or began a new incarnation.
   const auto self = state_.members().find(heartbeat.member);
   const bool is_current = self != state_.members().end() && self->second.incarnation == heartbeat.incarnation;
--- a/src/maintenance/maintenance_replica_leader.cpp
+++ b/src/maintenance/maintenance_replica_leader.cpp
@@ -3,6 +3,7 @@
 #include "maintenance/heartbeat_aggregator.h"
 #include "maintenance/log_entry_codec.h"
 #include "maintenance/maintenance_replica.h"
+#include "metrics/cluster_counters.h"
 
 namespace lotusyard::maintenance {
 namespace {
@@ -16,21 +17,22 @@
 void MaintenanceReplica::handle_message(const std::string& text) {
   const json message = json::parse(text, nullptr, false);
   if (!message.is_object())
-    return services_.counters.add("works.malformed");
+    return services_.counters.add(metrics::kWorksMalformed);
   if (const auto& encoded = config::key(message, "b"); !encoded.is_null()) {
     auto heartbeat = parse_heartbeat(encoded);
-    return heartbeat ? handle_heartbeat(std::move(*heartbeat)) : services_.counters.add("works.malformed");
+    return heartbeat ? handle_heartbeat(std::move(*heartbeat))
+                     : services_.counters.add(metrics::kWorksMalformed);
   }
   const auto entry = parse_entry(config::text(config::key(message, "e")));
   if (!entry)
-    return services_.counters.add("works.malformed");
+    return services_.counters.add(metrics::kWorksMalformed);
   if (!entry->proposal.empty() && state_.find_outcome(entry->proposal) != nullptr)
     return;
   const auto* join = std::get_if<Join>(&entry->command);
   if (join != nullptr && join->incarnation <= state_.last_incarnation(join->member))
     return;
   if (!replica_->propose(*this, encode_entry(*entry)))
-    services_.counters.add("works.not_proposed");
+    services_.counters.add(metrics::kWorksNotProposed);
 }
 
 void MaintenanceReplica::handle_heartbeat(Heartbeat&& heartbeat) {
@@ -86,7 +88,7 @@
     const AggregatedHeartbeats aggregated =
         aggregate_heartbeats(std::exchange(pending_heartbeats_, {}), waiting_reasons);
     proposed_waiting_reasons_ = waiting_reasons;
-    services_.counters.add("works.too_long", aggregated.dropped);
+    services_.counters.add(metrics::kWorksTooLong, aggregated.dropped);
     for (const LogEntry& entry : aggregated.entries)
       replica_->propose(*this, encode_entry(entry));
   }
--- a/src/net/buffered_connection.cpp
+++ b/src/net/buffered_connection.cpp
@@ -4,6 +4,7 @@
 
 #include <cerrno>
 
+#include "metrics/system_call_counters.h"
 #include "net/errors.h"
 #include "net/system_calls.h"
 
@@ -18,8 +19,12 @@
 }  // namespace
 
 BufferedConnection::BufferedConnection(EventLoop& loop, BufferPool& pool, Socket socket, bool is_connecting,
-                                       EventLoop::Priority rank)
-    : loop_(loop), socket_(std::move(socket)), send_queue_(pool), rank_(rank), connecting_(is_connecting) {
+                                       EventLoop::Priority priority)
+    : loop_(loop),
+      socket_(std::move(socket)),
+      send_queue_(pool),
+      priority_(priority),
+      connecting_(is_connecting) {
   if (socket_)
     update_registration();
 }
@@ -32,10 +37,10 @@
 
 void BufferedConnection::update_registration() {
   if (paused_)
-    return loop_.register_handler(socket_.fd(), *this, 0, rank_);
+    return loop_.register_handler(socket_.fd(), *this, 0, priority_);
   const bool writes = connecting_ || !send_queue_.empty();
   loop_.register_handler(socket_.fd(), *this,
-                         static_cast<short>((connecting_ ? 0 : POLLIN) | (writes ? POLLOUT : 0)), rank_);
+                         static_cast<short>((connecting_ ? 0 : POLLIN) | (writes ? POLLOUT : 0)), priority_);
 }
 
 void BufferedConnection::write(std::string_view bytes) {
@@ -58,11 +63,11 @@
   if (send_queue_.written() > before)
     short_since_.reset();
   if (written == SendQueue::WriteStatus::short_of_memory) {
-    pause_for_memory("net.send.local_resource");
+    pause_for_memory(metrics::kNetSendLocalResource);
     return false;
   }
   if (written == SendQueue::WriteStatus::broken) {
-    loop_.count_error("net.send.connection_lost");
+    loop_.count_error(metrics::kNetSendConnectionLost);
     broken_ = true;
     close_later();
     return false;
@@ -87,7 +92,7 @@
 }
 
 // What is lacking is this machine's, and the peer may well be sound: the call is made again.
-void BufferedConnection::pause_for_memory(const char* counter) {
+void BufferedConnection::pause_for_memory(const metrics::Counter& counter) {
   loop_.count_error(counter);
   const Millis now = loop_.now();
   if (!short_since_)
@@ -149,7 +154,7 @@
     error_number = ECONNREFUSED;
   if (error_number != 0) {
     connect_error_ = net::connect_error(error_number);
-    loop_.count_error(counter_name(connect_error_->kind));
+    loop_.count_error(counter_of(connect_error_->kind));
     return close_now();
   }
   if ((events & POLLOUT) == 0)
@@ -172,8 +177,8 @@
   if (error_number == EAGAIN || error_number == EWOULDBLOCK)
     return;
   if (is_transient_shortage(error_number))
-    return pause_for_memory("net.receive.local_resource");
-  loop_.count_error("net.receive.connection_lost");
+    return pause_for_memory(metrics::kNetReceiveLocalResource);
+  loop_.count_error(metrics::kNetReceiveConnectionLost);
   close_now();
 }
 
--- a/src/net/buffered_connection.h
+++ b/src/net/buffered_connection.h
@@ -13,7 +13,7 @@
 class BufferedConnection : public EventHandler {
  public:
   BufferedConnection(EventLoop& loop, BufferPool& pool, Socket socket, bool is_connecting,
-                     EventLoop::Priority rank = EventLoop::Priority::normal);
+                     EventLoop::Priority priority = EventLoop::Priority::normal);
   ~BufferedConnection() override;
   BufferedConnection(const BufferedConnection&) = delete;
   BufferedConnection& operator=(const BufferedConnection&) = delete;
@@ -55,7 +55,7 @@
   EventLoop& loop_;
   Socket socket_;
   SendQueue send_queue_;
-  EventLoop::Priority rank_;
+  EventLoop::Priority priority_;
   bool connecting_ = false, closing_ = false, finishing_ = false, told_ = false, broken_ = false;
   std::optional<ConnectError> connect_error_;
   bool paused_ = false;  // for a moment nothing is read or written: the last try found no memory
@@ -64,7 +64,7 @@
 
   void update_registration();
   void connect_decided(short events);
-  void pause_for_memory(const char* counter);
+  void pause_for_memory(const metrics::Counter& counter);
   void resume();
   void read_failed(int error_number);
   void shutdown_write();
--- a/src/net/errors.cpp
+++ b/src/net/errors.cpp
@@ -2,6 +2,8 @@
 
 #include <cerrno>
 
+#include "metrics/system_call_counters.h"
+
 namespace lotusyard::net {
 namespace {
 
@@ -31,18 +33,18 @@
 
 ConnectError connect_error(int error_number) { return {connect_error_kind(error_number), error_number}; }
 
-const char* counter_name(ConnectErrorKind kind) {
+const metrics::Counter& counter_of(ConnectErrorKind kind) {
   switch (kind) {
     case ConnectErrorKind::local_resource:
-      return "net.connect.local_resource";
+      return metrics::kNetConnectLocalResource;
     case ConnectErrorKind::refused:
-      return "net.connect.refused";
+      return metrics::kNetConnectRefused;
     case ConnectErrorKind::timed_out:
-      return "net.connect.timed_out";
+      return metrics::kNetConnectTimedOut;
     case ConnectErrorKind::unreachable:
       break;
   }
-  return "net.connect.unreachable";
+  return metrics::kNetConnectUnreachable;
 }
 
 bool is_transient_shortage(int error_number) { return error_number == ENOBUFS || error_number == ENOMEM; }
--- a/src/net/errors.h
+++ b/src/net/errors.h
@@ -1,6 +1,8 @@
 // Errors of system calls on sockets, by what they mean to whoever made the call.
 #pragma once
 
+#include "metrics/counter.h"
+
 namespace lotusyard::net {
 
 // Why a connection could not be made. A local resource is short on this machine and says nothing of the peer.
@@ -12,8 +14,8 @@
 };
 
 ConnectError connect_error(int error_number);
-// The counter under which such an error is booked, such as `net.connect.refused`.
-const char* counter_name(ConnectErrorKind kind);
+// The counter of such errors.
+const metrics::Counter& counter_of(ConnectErrorKind kind);
 
 // This machine lacks memory for the call right now; the connection is sound, and the call may be made again.
 bool is_transient_shortage(int error_number);
--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -5,6 +5,7 @@
 #include <cmath>
 #include <thread>
 
+#include "metrics/system_call_counters.h"
 #include "net/system_calls.h"
 
 namespace lotusyard::net {
@@ -28,12 +29,12 @@
     : clocks_(std::move(clocks)),
       wall_(clocks_.steady(), clocks_.wall()),
       iteration_started_(now()),
-      came_since_(iteration_started_) {}
+      earliest_arrival_(iteration_started_) {}
 EventLoop::~EventLoop() = default;
 
 Millis EventLoop::now() const { return clocks_.steady() + wall_.start_offset(); }
 
-WallTime EventLoop::wall(Millis memory) {
+WallTime EventLoop::wall_time(Millis memory) {
   observe_wall();
   return wall_.read(clocks_.steady(), memory);
 }
@@ -43,7 +44,7 @@
   return wall_.has_stepped();
 }
 
-void EventLoop::register_handler(int fd, EventHandler& handler, short events, Priority rank) {
+void EventLoop::register_handler(int fd, EventHandler& handler, short events, Priority priority) {
   const auto place = static_cast<std::size_t>(fd);
   if (place >= by_fd_.size())
     by_fd_.resize(place + 1);
@@ -52,7 +53,7 @@
     entry.serial = ++serial_;
   entry.handler = &handler;
   entry.events = events;
-  entry.priority = rank;
+  entry.priority = priority;
 }
 
 void EventLoop::unregister(int fd, EventHandler& handler) {
@@ -68,9 +69,9 @@
   }
 }
 
-EventLoop::TimerId EventLoop::schedule_at(Millis when, std::function<void()> ring) {
+EventLoop::TimerId EventLoop::schedule_at(Millis when, std::function<void()> callback) {
   const TimerId id{when.count(), ++serial_};
-  timers_.emplace(id, std::move(ring));
+  timers_.emplace(id, std::move(callback));
   return id;
 }
 
@@ -91,7 +92,7 @@
     failed_polls_ = 0;
     return found;
   }
-  count_error(errno == EINTR ? "net.poll.interrupted" : "net.poll.failed");
+  count_error(errno == EINTR ? metrics::kNetPollInterrupted : metrics::kNetPollFailed);
   if (++failed_polls_ <= kFreePollFailures)
     return 0;
   const double pause =
@@ -142,7 +143,7 @@
   const Millis woke = now();
   const bool did_not_wait = longest.count() <= 0 || woke - asked < kNoWait;
   const bool woke_late = woke - asked > longest + kWokeLate;
-  came_since_ = did_not_wait || woke_late ? iteration_started_ : woke;
+  earliest_arrival_ = did_not_wait || woke_late ? iteration_started_ : woke;
   iteration_started_ = woke;
   observe_wall();
   serve_urgent(true);
@@ -158,9 +159,9 @@
   }
   const double turn_at = now().count();
   while (!timers_.empty() && timers_.begin()->first.first <= turn_at) {
-    const auto ring = std::move(timers_.begin()->second);
+    const auto callback = std::move(timers_.begin()->second);
     timers_.erase(timers_.begin());
-    ring();
+    callback();
     serve_urgent(false);
   }
   decide();
@@ -171,14 +172,14 @@
 
 void count_connect_error(const EventLoop& loop, const ConnectResult& result) {
   if (result.error)
-    loop.count_error(counter_name(result.error->kind));
+    loop.count_error(counter_of(result.error->kind));
 }
 
 void count_accept_errors(const EventLoop& loop, const AcceptResult& result) {
   for (int i = 0; i < result.connections_lost; ++i)
-    loop.count_error("net.accept.connection_lost");
+    loop.count_error(metrics::kNetAcceptConnectionLost);
   if (result.status == AcceptStatus::out_of_resources)
-    loop.count_error("net.accept.local_resource");
+    loop.count_error(metrics::kNetAcceptLocalResource);
 }
 
 }  // namespace lotusyard::net
--- a/src/net/event_loop.h
+++ b/src/net/event_loop.h
@@ -11,6 +11,7 @@
 #include <vector>
 
 #include "lotusyard/policy/policy.h"
+#include "metrics/counter.h"
 #include "net/buffer.h"
 #include "net/socket.h"
 #include "net/wall_clock.h"
@@ -38,15 +39,15 @@
   Millis now() const;
   // What times from outside are compared with: what the system's clock reads now, and what it read by
   // settings that were in force not longer ago than the size of their step and `memory`.
-  WallTime wall(Millis memory = Millis(0));
+  WallTime wall_time(Millis memory = Millis(0));
   bool wall_has_stepped();
   // An earlier process of this machine has read that.
-  void remember_wall(Millis read) { wall_.remember(clocks_.steady(), read); }
+  void record_wall_time(Millis read) { wall_.remember(clocks_.steady(), read); }
   // When this turn's poll(2) returned: what is read in the turn had come by then.
   Millis iteration_started() const { return iteration_started_; }
   // No later than what is read in this turn came, if all that had come was read in the turn before: it may
   // have stood there through that turn, or while the process was stopped.
-  Millis came_since() const { return came_since_; }
+  Millis earliest_arrival() const { return earliest_arrival_; }
   // The one buffer that is read into; what was read is used up before the next read.
   BufferPool::Block& read_buffer() { return read_buffer_; }
 
@@ -54,22 +55,22 @@
   // in between as often as the rest of the turn takes long.
   enum class Priority { normal, urgent };
   // Again: changes the events. With no events the descriptor is not polled at all until it is watched again.
-  void register_handler(int fd, EventHandler& handler, short events, Priority rank = Priority::normal);
+  void register_handler(int fd, EventHandler& handler, short events, Priority priority = Priority::normal);
   void unregister(int fd, EventHandler& handler);  // before the descriptor is closed
   void flush_later(EventHandler& handler);         // at the end of this turn
 
-  TimerId schedule_at(Millis when, std::function<void()> ring);
+  TimerId schedule_at(Millis when, std::function<void()> callback);
   void cancel(const TimerId& id) { timers_.erase(id); }
 
   // Keeps an ended object until no call on the stack can still be inside it.
   void delete_later(std::shared_ptr<void> ended) { deferred_deletions_.push_back(std::move(ended)); }
 
-  // Told the counter's name of each error of a system call, where set.
-  using ErrorCounter = std::function<void(const char* name)>;
+  // Called with the counter of each error of a system call, where set.
+  using ErrorCounter = std::function<void(const metrics::Counter& counter)>;
   void count_errors(ErrorCounter counter) { error_counter_ = std::move(counter); }
-  void count_error(const char* name) const {
+  void count_error(const metrics::Counter& counter) const {
     if (error_counter_)
-      error_counter_(name);
+      error_counter_(counter);
   }
 
   // One turn; waits for at most as long as `due` and the timers allow. `decide` runs between reads and
@@ -92,7 +93,7 @@
   std::uint64_t serial_ = 0;
   Clocks clocks_;
   WallClock wall_;
-  Millis iteration_started_{0}, came_since_{0}, urgent_served_{0};
+  Millis iteration_started_{0}, earliest_arrival_{0}, urgent_served_{0};
   BufferPool::Block read_buffer_;
   ErrorCounter error_counter_;
   int failed_polls_ = 0;  // on end
--- a/src/node/control_role.cpp
+++ b/src/node/control_role.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 
 #include "config/config.h"
+#include "metrics/control_counters.h"
 #include "node/state_records.h"
 
 namespace lotusyard::node {
@@ -107,7 +108,7 @@
   const bool is_known_component = forward.part == kObservationsComponent;
   const bool accepted = is_known_component && observations_.update(session, forward.word);
   if (!accepted)
-    services_.counters.add("control.malformed_words");
+    services_.counters.add(metrics::kControlMalformedWords);
 }
 
 json ControlRole::status_to_json() const {
--- a/src/node/session_invoker.cpp
+++ b/src/node/session_invoker.cpp
@@ -6,6 +6,7 @@
 #include <random>
 
 #include "core/fault_injection.h"
+#include "metrics/control_counters.h"
 #include "node/event_log.h"
 #include "node/session_observations.h"
 #include "node/state_records.h"
@@ -75,7 +76,7 @@
   }
   maintenance_ = std::move(*maintenance);
   certificates_ = std::move(*certificates);
-  services_.counters.add("control.replicated");
+  services_.counters.add(metrics::kControlReplicated);
   update_host_access();
 }
 
@@ -83,7 +84,7 @@
 void SessionInvoker::fail(const std::string& reason) {
   if (std::exchange(failed_, true))
     return;
-  services_.counters.add("control.unreadable");
+  services_.counters.add(metrics::kControlUnreadable);
   std::cerr << "lotusyard: " << reason << std::endl;
   update_host_access();
 }
--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -14,7 +14,7 @@
   if (can_meet_objective(request))
     return true;
   const ClassSettings* settings = classes_.settings(request.class_index);
-  return settings != nullptr && settings->late_worth >= kKeptLateWorth;
+  return settings != nullptr && settings->late_weight >= kKeptLateWorth;
 }
 
 bool Admission::is_worth_sending(const Request& request, const Host& host) const {
@@ -28,7 +28,7 @@
   const Millis until = can_meet_objective(request) ? request.objective_at : request.deadline;
   if (wait + run_time > (until - context_.now()).count())
     return false;
-  return wait <= classes_.longest_wait() * std::sqrt(classes_.worth(request.class_index) / best);
+  return wait <= classes_.longest_wait() * std::sqrt(classes_.priority_weight(request.class_index) / best);
 }
 
 bool Admission::is_excluded_everywhere(const Request& request) const {
@@ -62,7 +62,7 @@
 
 void Admission::reject(Request& request) {
   if (retry_rules_.may_repeat_anywhere(request)) {
-    context_.emit(action::Refuse{request.id, retry_after(request)});
+    context_.emit(action::Reject{request.id, retry_after(request)});
   } else {
     context_.emit(action::Fail{request.id});
   }
@@ -79,12 +79,12 @@
 // In time for the objective, at random lest rejected clients return together.
 Millis Admission::retry_after(const Request& request) {
   const Settings& settings = context_.settings();
-  if (!settings.retry_after)
+  if (!settings.rejections.sends_retry_after)
     return Millis(0);
   const Millis left = (request.objective_at - context_.now()) / 2;
   if (left.count() <= 0)
-    return settings.max_retry_after;
-  return std::min(left * (kMinJitter + context_.random_fraction()), settings.max_retry_after);
+    return settings.rejections.max_retry_after;
+  return std::min(left * (kMinJitter + context_.random_fraction()), settings.rejections.max_retry_after);
 }
 
 }  // namespace lotusyard::policy
--- a/src/policy/answer_recorder.cpp
+++ b/src/policy/answer_recorder.cpp
@@ -6,14 +6,14 @@
 namespace {
 
 bool proves_alive(Outcome outcome) {
-  return outcome == Outcome::ok || outcome == Outcome::full || outcome == Outcome::miss;
+  return outcome == Outcome::ok || outcome == Outcome::at_capacity || outcome == Outcome::no_instance;
 }
 
-double elapsed_ms(const event::Answer& answer) { return std::max(answer.elapsed.count(), 0.0); }
+double elapsed_ms(const event::AttemptEnded& answer) { return std::max(answer.elapsed.count(), 0.0); }
 
 }  // namespace
 
-void AnswerRecorder::record(const event::Answer& answer, const Request& request, Host& host,
+void AnswerRecorder::record(const event::AttemptEnded& answer, const Request& request, Host& host,
                             InstanceSet& instances) {
   const bool heard = answer.outcome != Outcome::timeout && answer.outcome != Outcome::cancelled;
   if (heard)
@@ -24,9 +24,9 @@
   switch (answer.outcome) {
     case Outcome::ok:
       return record_ok(answer, request, host, instances);
-    case Outcome::miss:
+    case Outcome::no_instance:
       return record_miss(*request.function, instances);
-    case Outcome::full:
+    case Outcome::at_capacity:
       return record_full(host);
     case Outcome::connect_failed:
     case Outcome::reset:
@@ -39,17 +39,17 @@
   }
 }
 
-void AnswerRecorder::record_ok(const event::Answer& answer, const Request& request, Host& host,
+void AnswerRecorder::record_ok(const event::AttemptEnded& answer, const Request& request, Host& host,
                                InstanceSet& instances) {
   Function& function = *request.function;
-  const bool met_warm = answer.warmth == Warmth::stood || answer.warmth == Warmth::untold;
+  const bool met_warm = answer.warmth == Warmth::warm || answer.warmth == Warmth::unknown;
   if (met_warm)
     record_run(answer, request, host);
-  if (answer.warmth == Warmth::began) {
+  if (answer.warmth == Warmth::cold_start) {
     functions_.record_load(function, std::max(elapsed_ms(answer) - functions_.run_time(function), 1.0));
   }
   outliers_.record_success(host, request.class_index);
-  function.crowd += kSparseGain * (answer.crowd - function.crowd);
+  function.host_concurrency += kSparseGain * (answer.host_concurrency - function.host_concurrency);
   function.last_missed = false;
   instances.warm = std::max(instances.warm, 1);
   instances.proven = true;
@@ -57,7 +57,7 @@
   slow_start_.record_served(request, host);
 }
 
-void AnswerRecorder::record_run(const event::Answer& answer, const Request& request, Host& host) {
+void AnswerRecorder::record_run(const event::AttemptEnded& answer, const Request& request, Host& host) {
   Function& function = *request.function;
   const double elapsed = elapsed_ms(answer);
   functions_.record_run(function, request.class_index, elapsed);
@@ -78,7 +78,7 @@
   host_load_.record_full(host, kFullBackoff * routers * (kMinJitter + context_.random_fraction()));
 }
 
-void AnswerRecorder::record_failure(const event::Answer& answer, const Request& request, Host& host) {
+void AnswerRecorder::record_failure(const event::AttemptEnded& answer, const Request& request, Host& host) {
   Function& function = *request.function;
   // Calls of functions that no host knows fail wherever they go: that tells nothing about the host.
   const bool is_known = function.run_time.known() || context_.many_routers();
--- a/src/policy/answer_recorder.h
+++ b/src/policy/answer_recorder.h
@@ -24,16 +24,17 @@
         slow_start_(slow_start) {}
 
   // Notes the answer to an attempt. `instances` are those of the request's function on the host.
-  void record(const event::Answer& answer, const Request& request, Host& host, InstanceSet& instances);
+  void record(const event::AttemptEnded& answer, const Request& request, Host& host, InstanceSet& instances);
   // Notes the answer to a load order.
   void record(const event::Loaded& answer, Function& function, Host& host, InstanceSet& instances);
 
  private:
-  void record_ok(const event::Answer& answer, const Request& request, Host& host, InstanceSet& instances);
-  void record_run(const event::Answer& answer, const Request& request, Host& host);
+  void record_ok(const event::AttemptEnded& answer, const Request& request, Host& host,
+                 InstanceSet& instances);
+  void record_run(const event::AttemptEnded& answer, const Request& request, Host& host);
   void record_miss(Function& function, InstanceSet& instances) const;
   void record_full(Host& host);
-  void record_failure(const event::Answer& answer, const Request& request, Host& host);
+  void record_failure(const event::AttemptEnded& answer, const Request& request, Host& host);
   void record_order_end(const event::Loaded& answer, Function& function, InstanceSet& instances);
 
   Context& context_;
--- a/src/policy/call_router.cpp
+++ b/src/policy/call_router.cpp
@@ -29,7 +29,7 @@
     if (function->queue.empty())
       continue;
     const double weight = parts_.load_estimator.load_weight(*function);
-    waiting.emplace(weight / parts_.classes.worth(function->class_index), function.get());
+    waiting.emplace(weight / parts_.classes.priority_weight(function->class_index), function.get());
   }
   for (auto& [weight, function] : waiting) {
     serve(*function);
@@ -45,9 +45,10 @@
     return;
   Request& request = *parts_.admission.next_to_serve(function);
   const Settings& settings = parts_.context.settings();
-  const bool no_order = !settings.orders || !parts_.load_orders.is_allowed();
-  const bool by_call = settings.miss_is_answered ? request.attempts.empty() && !function.last_missed
-                                                 : parts_.context.many_routers() || no_order;
+  const bool no_order = !settings.load_orders.allowed || !parts_.load_orders.is_allowed();
+  const bool by_call = settings.host_protocol.answers_misses
+                           ? request.attempts.empty() && !function.last_missed
+                           : parts_.context.many_routers() || no_order;
   if (by_call) {
     if (!parts_.selector.may_send(request, host))
       return;
@@ -83,7 +84,7 @@
   Host& host = parts_.hosts.host_of(instances);
   const Millis now = parts_.context.now();
   RequestTable::dequeue(request);
-  parts_.context.emit(action::Send{request.id, host.entry.worker, request.deadline - now});
+  parts_.context.emit(action::Send{request.id, host.entry.host, request.deadline - now});
   request.attempts.push_back({instances.host, now, AttemptState::in_flight});
   if (host.in_flight++ == 0)
     host.heard_at = now;
@@ -130,11 +131,11 @@
 void CallRouter::hedge_or_cancel(Request& request, std::size_t attempt) {
   const Settings& settings = parts_.context.settings();
   InstanceSet* second = nullptr;
-  if (settings.second_copies)
+  if (settings.retries.hedged_requests)
     second = parts_.selector.select_warm(*request.function, request);
   if (second != nullptr) {
     send(request, *second);
-  } else if (settings.cancel) {
+  } else if (settings.host_protocol.cancels) {
     parts_.context.emit(action::Cancel{request.id, static_cast<int>(attempt)});
   }
 }
--- a/src/policy/class_table.cpp
+++ b/src/policy/class_table.cpp
@@ -27,8 +27,8 @@
   std::vector<int> changed;
   for (std::size_t i = 0; i < places.size(); ++i) {
     const ClassSettings& next = wanted[i];
-    if (next.aim.count() > 0)
-      longest_wait_ = std::min(longest_wait_, next.aim.count());
+    if (next.latency_objective.count() > 0)
+      longest_wait_ = std::min(longest_wait_, next.latency_objective.count());
     index_[next.name] = places[i];
     const auto same = before.find(next.name);
     if (same != before.end() && same->second == places[i])
@@ -44,9 +44,9 @@
   next = ClassRecord(before);
   // A router of many would take its first answers, slow because they wait for a load, for the usual run time,
   // and every objective for missed.
-  if (!context_.many_routers() || next.run_time.known() || settings.aim.count() <= 0)
+  if (!context_.many_routers() || next.run_time.known() || settings.latency_objective.count() <= 0)
     return;
-  next.baseline = settings.aim.count() / kObjectiveRuns;
+  next.baseline = settings.latency_objective.count() / kObjectiveRuns;
   next.run_time = {next.baseline, kObjectiveSamples};
 }
 
@@ -71,21 +71,22 @@
 
 double ClassTable::objective(int index) const {
   const ClassSettings* found = settings(index);
-  return found == nullptr ? 0 : found->aim.count();
+  return found == nullptr ? 0 : found->latency_objective.count();
 }
 
-double ClassTable::worth(int index) const {
+double ClassTable::priority_weight(int index) const {
   if (index < 0)
     return 1;
-  const double worth = settings(index)->worth;
+  const double priority_weight = settings(index)->priority_weight;
   const double run_time = record(index).baseline;
-  return context_.settings().worth_by_work || run_time <= 0 ? worth : worth / run_time;
+  return context_.settings().costs.weight_by_work || run_time <= 0 ? priority_weight
+                                                                   : priority_weight / run_time;
 }
 
 double ClassTable::best_worth() const {
   double best = kMinWorth;
   for (int i = 0; slot(i) <= settings_.size(); ++i) {
-    best = std::max(best, worth(i));
+    best = std::max(best, priority_weight(i));
   }
   return best;
 }
--- a/src/policy/class_table.h
+++ b/src/policy/class_table.h
@@ -48,7 +48,7 @@
   // The latency objective in milliseconds, or 0.
   double objective(int index) const;
   // Priority weight for each millisecond of work.
-  double worth(int index) const;
+  double priority_weight(int index) const;
   // The highest worth of all classes.
   double best_worth() const;
   // The shortest latency objective of all classes in milliseconds: the longest wait that any call accepts.
--- a/src/policy/context.h
+++ b/src/policy/context.h
@@ -35,11 +35,13 @@
   // True where so many routers share the fleet that each sees a sliver of a function's calls.
   bool many_routers() const { return settings_.routers >= kManyRouters; }
   // This router's part of what all routers may do together.
-  double own_share() const { return settings_.share > 0 ? settings_.share : 1.0 / settings_.routers; }
+  double own_share() const {
+    return settings_.slow_start.quota > 0 ? settings_.slow_start.quota : 1.0 / settings_.routers;
+  }
 
   // True if the host_filter lets calls of the tenant for the function go to the host.
   bool is_eligible(const std::string& tenant, const Function& function, const Host& host) const {
-    return host_filter_ == nullptr || host_filter_->allows(tenant, function.id, host.entry.worker);
+    return host_filter_ == nullptr || host_filter_->allows(tenant, function.id, host.entry.host);
   }
   bool has_gate() const { return host_filter_ != nullptr; }
 
--- a/src/policy/host_load.cpp
+++ b/src/policy/host_load.cpp
@@ -5,7 +5,7 @@
 namespace lotusyard::policy {
 
 void HostLoad::apply_settings() {
-  const auto& fields = context_.settings().report_fields;
+  const auto& fields = context_.settings().load_reports.fields;
   reports_queue_ = std::count(fields.begin(), fields.end(), ReportField::queue) > 0;
 }
 
@@ -63,7 +63,7 @@
 }
 
 void HostLoad::learn_concurrency(const Host& host, const std::vector<double>& report) {
-  const auto& fields = context_.settings().report_fields;
+  const auto& fields = context_.settings().load_reports.fields;
   const auto reported = [&](ReportField field) {
     const auto found = std::find(fields.begin(), fields.end(), field);
     const auto place = static_cast<std::size_t>(found - fields.begin());
@@ -89,7 +89,7 @@
   if (!report)
     return;
   learn_concurrency(host, *report);
-  const auto& fields = context_.settings().report_fields;
+  const auto& fields = context_.settings().load_reports.fields;
   for (std::size_t i = 0; i < report->size() && i < fields.size(); ++i) {
     const bool is_queue = fields[i] == ReportField::queue;
     const bool is_load = !reports_queue_ && fields[i] == ReportField::inflight;
--- a/src/policy/host_selector.cpp
+++ b/src/policy/host_selector.cpp
@@ -26,7 +26,7 @@
 }
 
 InstanceSet* HostSelector::select(Function& function, const Request& request) {
-  const bool by_reports = context_.many_routers() && context_.settings().miss_is_answered;
+  const bool by_reports = context_.many_routers() && context_.settings().host_protocol.answers_misses;
   return by_reports ? select_least_loaded(function, request) : select_warm(function, request);
 }
 
@@ -119,7 +119,7 @@
   // Calls that spill past the agreed hosts load instances there, which push out others, so that all load.
   // The price is that a call waits though a further host has capacity. Hosts that are lost or in slow start
   // do not count, nor does a load in time.
-  const bool is_bounded = !context_.settings().miss_is_answered && !in_time;
+  const bool is_bounded = !context_.settings().host_protocol.answers_misses && !in_time;
   int passed = 0;
   for (const int index : function.hosts) {
     Host& host = hosts_.at(index);
@@ -146,7 +146,8 @@
     return false;
   const Settings& settings = context_.settings();
   // An order weighs nothing in slow start.
-  const bool by_order = context_.many_routers() && settings.miss_is_answered && settings.orders;
+  const bool by_order =
+      context_.many_routers() && settings.host_protocol.answers_misses && settings.load_orders.allowed;
   return (by_order || slow_start_.admits(request, host)) && admission_.is_worth_sending(request, host);
 }
 
--- a/src/policy/host_table.cpp
+++ b/src/policy/host_table.cpp
@@ -9,15 +9,15 @@
   return found == index_.end() ? nullptr : &at(found->second);
 }
 
-void HostTable::apply(const event::List& list) {
+void HostTable::apply(const event::EndpointListUpdate& list) {
   ++list_version_;
   for (const auto& entry : list.entries) {
-    apply_entry(index_for(entry.worker), entry);
+    apply_entry(index_for(entry.host), entry);
   }
   for (auto& host : hosts_) {
     const bool dropped = list.kind != ListKind::delta && host.list_version != list_version_;
     if (dropped)
-      host.entry.state = WorkerState::gone;
+      host.entry.state = HostState::gone;
     if (!host.is_gone())
       host.listed_at = context_.now();
   }
@@ -34,9 +34,9 @@
   return place->second;
 }
 
-void HostTable::apply_entry(int index, const WorkerEntry& entry) {
+void HostTable::apply_entry(int index, const HostEntry& entry) {
   Host& host = at(index);
-  const bool is_new = host.entry.worker.empty();
+  const bool is_new = host.entry.host.empty();
   const bool restarted = !is_new && entry.started > host.entry.started;  // same id, but no warm instance
   if (restarted || is_new) {
     host.health = Health();
@@ -44,13 +44,13 @@
     host.class_health.assign(classes_.slots(), Health());
     host.tokens_at = kNever;
   }
-  if (restarted || entry.state != WorkerState::ready)
+  if (restarted || entry.state != HostState::ready)
     functions_.forget_instances(index);
   const Millis started = std::max(host.entry.started, entry.started);  // this list may be an older one
   host.entry = entry;
   host.entry.started = started;
   host.list_version = list_version_;
-  host.hash = hash_of(entry.worker);
+  host.hash = hash_of(entry.host);
   if (!(host.entry.weight > 0))
     host.entry.weight = 1;
 }
@@ -68,14 +68,14 @@
   for (auto& host : hosts_) {
     const bool used = !host.is_gone() || host.in_flight > 0;
     const bool recent = context_.now() - host.listed_at <= kRecordLifetime;
-    if (used || recent || host.entry.worker.empty())
+    if (used || recent || host.entry.host.empty())
       continue;
     const int index = index_of(host);
     functions_.forget_instances(index);
-    index_.erase(host.entry.worker);
+    index_.erase(host.entry.host);
     free_.push_back(index);
     host = Host();
-    host.entry.state = WorkerState::gone;
+    host.entry.state = HostState::gone;
   }
 }
 
--- a/src/policy/host_table.h
+++ b/src/policy/host_table.h
@@ -36,7 +36,7 @@
   bool empty() const { return hosts_.empty(); }
 
   // Applies a list, or a change of one, that did not fail.
-  void apply(const event::List& list);
+  void apply(const event::EndpointListUpdate& list);
   // Follows a change of ClassTable: the health of the `changed` classes starts anew.
   void apply_classes(const std::vector<int>& changed);
   // Drops hosts that are gone for long. Their ids never come back: kept for good, each deployment of the
@@ -45,7 +45,7 @@
 
  private:
   int index_for(const std::string& id);
-  void apply_entry(int index, const WorkerEntry& entry);
+  void apply_entry(int index, const HostEntry& entry);
 
   const Context& context_;
   const ClassTable& classes_;
--- a/src/policy/liveness.cpp
+++ b/src/policy/liveness.cpp
@@ -6,7 +6,8 @@
 
 void Liveness::record_broken_connection(Host& host, bool reset) {
   const Settings& settings = context_.settings();
-  const bool can_probe = settings.probes || (settings.orders && !functions_.all().empty());
+  const bool can_probe =
+      settings.host_protocol.accepts_probes || (settings.load_orders.allowed && !functions_.all().empty());
   if (!can_probe || !host.is_ready())
     return record_unreachable(host, reset);
   const bool probe_in_flight = context_.now() - host.doubted_at <= kSilence;
@@ -20,12 +21,12 @@
 // Where health checks are not allowed, a load order for no instance tells as much.
 void Liveness::send_probe(Host& host) {
   host.doubted_at = context_.now();
-  if (context_.settings().probes)
-    return context_.emit(action::Probe{host.entry.worker});
+  if (context_.settings().host_protocol.accepts_probes)
+    return context_.emit(action::Probe{host.entry.host});
   if (functions_.all().empty())
     return;  // new settings forbid health checks; the doubt lapses by time
   host.probe_function = functions_.all().back()->id;
-  context_.emit(action::Load{host.entry.worker, host.probe_function, 0});
+  context_.emit(action::Load{host.entry.host, host.probe_function, 0});
 }
 
 void Liveness::record_probe(Host& host, Outcome outcome) {
--- a/src/policy/load_budget.cpp
+++ b/src/policy/load_budget.cpp
@@ -17,17 +17,17 @@
   if (!is_limited())
     return true;
   const Settings& settings = context_.settings();
-  while (!orders_.empty() && context_.now() - orders_.front() > settings.load_window) {
+  while (!orders_.empty() && context_.now() - orders_.front() > settings.load_orders.window) {
     orders_.pop_front();
   }
   drop_old_requests();
   const double requests = static_cast<double>(requests_.size());
   const double orders = static_cast<double>(orders_.size());
-  return orders + 1 <= settings.load_floor + settings.load_ratio * requests;
+  return orders + 1 <= settings.load_orders.floor + settings.load_orders.ratio * requests;
 }
 
 void LoadBudget::drop_old_requests() {
-  const Millis window = context_.settings().load_window;
+  const Millis window = context_.settings().load_orders.window;
   while (!requests_.empty() && context_.now() - requests_.front() >= window) {
     requests_.pop_front();
   }
--- a/src/policy/load_budget.h
+++ b/src/policy/load_budget.h
@@ -18,7 +18,7 @@
   bool admits_order();
 
  private:
-  bool is_limited() const { return context_.settings().load_window.count() > 0; }
+  bool is_limited() const { return context_.settings().load_orders.window.count() > 0; }
   void drop_old_requests();
 
   const Context& context_;
--- a/src/policy/load_orders.cpp
+++ b/src/policy/load_orders.cpp
@@ -6,7 +6,7 @@
 
 void LoadOrders::send(const Function& function, const Host& host, InstanceSet& instances) {
   const int wanted = placement_.is_warm(instances) ? std::min(instances.warm + 1, kMaxInstances) : 1;
-  context_.emit(action::Load{host.entry.worker, function.id, wanted});
+  context_.emit(action::Load{host.entry.host, function.id, wanted});
   budget_.record_order();
   functions_.begin_load(instances);
 }
@@ -15,7 +15,7 @@
   for (auto& host : hosts_) {
     const Millis quiet = context_.now() - std::max(host.entry.started, host.heard_at);
     const bool is_idle = function.queue.empty() && host.is_newly_returned() && quiet >= kAliveFor;
-    const bool may_order = context_.settings().orders && !context_.many_routers() &&
+    const bool may_order = context_.settings().load_orders.allowed && !context_.many_routers() &&
                            context_.is_eligible(function.tenant, function, host);
     if (!is_idle || !may_order || !selector_.may_load(host) || !is_allowed())
       continue;
@@ -27,7 +27,7 @@
 void LoadOrders::spread(Function& function, const Host& host, InstanceSet& instances) {
   const bool is_first = function.hosts.empty() || function.hosts[0] == instances.host;
   const bool is_excluded = is_first || !context_.is_eligible(function.tenant, function, host);
-  if (!context_.many_routers() || function.crowd < kCrowdedCalls || is_excluded)
+  if (!context_.many_routers() || function.host_concurrency < kCrowdedCalls || is_excluded)
     return;
   const Host& first = hosts_.at(function.hosts[0]);
   const double crowded_calls = kCrowdedStretch * first.entry.weight;
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -15,10 +15,10 @@
 }
 
 bool OutlierDetector::is_silent(const Host& host) const {
-  return host.in_flight > 0 && context_.now() - host.heard_at > patience(functions_.any_run_time());
+  return host.in_flight > 0 && context_.now() - host.heard_at > answer_timeout(functions_.any_run_time());
 }
 
-Millis OutlierDetector::patience(double run_time) {
+Millis OutlierDetector::answer_timeout(double run_time) {
   return std::max(kSilence, Millis(run_time * kSilentRuns));
 }
 
--- a/src/policy/outlier_detector.h
+++ b/src/policy/outlier_detector.h
@@ -22,7 +22,7 @@
   // True if the host has calls of ours and has answered nothing for too long. Such a host keeps looking idle.
   bool is_silent(const Host& host) const;
   // How long to wait for an answer of a call that usually takes `run_time` milliseconds.
-  static Millis patience(double run_time);
+  static Millis answer_timeout(double run_time);
 
   // Notes how a call of a class ended. `immediate`: it failed well before its usual run time.
   void record_success(Host& host, int class_index);
--- a/src/policy/placement.cpp
+++ b/src/policy/placement.cpp
@@ -10,9 +10,9 @@
 bool Placement::is_warm(const InstanceSet& instances) const {
   if (instances.warm <= 0)
     return false;
-  const Millis keep_alive = context_.settings().keep_alive;
-  return instances.in_flight > 0 || context_.now() - instances.used_at <= keep_alive ||
-         keep_alive.count() <= 0;
+  const Millis idle_timeout = context_.settings().host_protocol.instance_idle_timeout;
+  return instances.in_flight > 0 || context_.now() - instances.used_at <= idle_timeout ||
+         idle_timeout.count() <= 0;
 }
 
 void Placement::assign_hosts(Function& function) const {
--- a/src/policy/records.h
+++ b/src/policy/records.h
@@ -37,7 +37,7 @@
   double baseline = 0;              // run time on an idle host, in milliseconds
   double load_hint = 0;             // load time that requests state, in milliseconds; 0: none
   double arrivals = 0;              // own calls, decaying with kDemandTimeConstant
-  double crowd = 0;                 // moving average of own calls met on a host
+  double host_concurrency = 0;      // moving average of own calls met on a host
   std::deque<std::uint64_t> queue;  // serials of requests that wait for a host
   std::vector<InstanceSet> instances;
   Millis seen_at{kNever};
@@ -82,7 +82,7 @@
 
 // A host (a worker, in the words of the interface). Owner: HostTable.
 struct Host {
-  WorkerEntry entry;  // as the endpoint list tells
+  HostEntry entry;  // as the endpoint list tells
   Health health;
   std::vector<Health> class_health;  // by ClassTable::slot
   std::uint64_t hash = 0;            // of its id, for rendezvous hashing
@@ -116,10 +116,10 @@
   Millis tokens_at{kNever};     // when the bucket was filled last
   bool received_calls = false;  // a call went there since it started
 
-  bool is_ready() const { return entry.state == WorkerState::ready; }
-  bool is_gone() const { return entry.state == WorkerState::gone; }
+  bool is_ready() const { return entry.state == HostState::ready; }
+  bool is_gone() const { return entry.state == HostState::gone; }
   // Operators returned it to service and nothing has been heard from it since.
-  bool is_newly_returned() const { return entry.put_back && answered_at < entry.started; }
+  bool is_newly_returned() const { return entry.enabled_by_operator && answered_at < entry.started; }
 };
 
 enum class AttemptState { in_flight, never_ran, may_have_run };
--- a/src/policy/retry_rules.cpp
+++ b/src/policy/retry_rules.cpp
@@ -15,9 +15,9 @@
 bool RetryRules::may_follow(const Attempt& attempt, const ClassSettings* settings, const Host* to) const {
   if (attempt.state == AttemptState::never_ran)
     return true;
-  if (settings == nullptr || settings->semantics == Semantics::once)
+  if (settings == nullptr || settings->semantics == Semantics::non_idempotent)
     return false;
-  if (settings->semantics == Semantics::repeatable)
+  if (settings->semantics == Semantics::idempotent)
     return true;
   if (context_.now() - attempt.sent_at + context_.settings().tick > settings->key_window)
     return false;
@@ -25,7 +25,7 @@
     return true;
   if (to == nullptr)
     return false;
-  const WorkerEntry& first = hosts_.at(attempt.host).entry;
+  const HostEntry& first = hosts_.at(attempt.host).entry;
   return settings->scope == KeyScope::zone ? to->entry.zone == first.zone : to->entry.cell == first.cell;
 }
 
@@ -39,7 +39,7 @@
 }
 
 bool RetryRules::may_attempt(const Request& request) const {
-  const int others = context_.settings().second_copies ? 1 : 0;
+  const int others = context_.settings().retries.hedged_requests ? 1 : 0;
   return request.has_attempts_left() && request.in_flight() <= others;
 }
 
@@ -50,8 +50,8 @@
   const bool is_proven = instances != nullptr && instances->proven;
   const double load = is_proven ? 0 : functions_.load_time(function) * kLoadPatience;
   const double stretch = std::max(1.0, host_load_.stretch(hosts_.at(attempt.host)));
-  const Millis patience = OutlierDetector::patience(functions_.baseline(function) * stretch);
-  return context_.now() - attempt.sent_at > patience + Millis(load);
+  const Millis answer_timeout = OutlierDetector::answer_timeout(functions_.baseline(function) * stretch);
+  return context_.now() - attempt.sent_at > answer_timeout + Millis(load);
 }
 
 }  // namespace lotusyard::policy
