--- a/src/policy/scheduler.cpp
+++ b/src/policy/scheduler.cpp
@@ -13,14 +13,14 @@
 
 void Scheduler::on(const event::Start& start) {
   context_.seed(start.settings.seed);
-  on(event::Retune{start.settings});
-  if (start.settings.ask_list)
+  on(event::SettingsChanged{start.settings});
+  if (start.settings.endpoint_list.polled)
     context_.emit(action::Watch{true});
   context_.emit(action::SetTimer{kSweepInterval, 0});
 }
 
 // Open requests keep the rules under which they came: a class that changes gets a new index.
-void Scheduler::on(const event::Retune& change) {
+void Scheduler::on(const event::SettingsChanged& change) {
   std::vector<bool> in_use(std::max<std::size_t>(classes_.slots(), 1));
   for (const auto& [serial, request] : requests_) {
     in_use[ClassTable::slot(request.class_index)] = true;
@@ -30,7 +30,7 @@
   host_load_.apply_settings();
 }
 
-void Scheduler::on(const event::List& list) {
+void Scheduler::on(const event::EndpointListUpdate& list) {
   if (list.kind == ListKind::failed) {
     watch_again_at_ = context_.now() + kListRetryPause;
     return;
@@ -58,7 +58,7 @@
 Request& Scheduler::add_request(const event::Request& event) {
   Request& request = requests_.add(event.id);
   request.class_index = classes_.find(event.class_name);
-  request.max_attempts = context_.settings().max_attempts;
+  request.max_attempts = context_.settings().retries.max_attempts;
   request.function = &functions_.record_arrival(event, request.class_index);
   request.tenant = event.tenant;
   request.deadline = context_.now() + event.expires_in;
@@ -71,13 +71,13 @@
 void Scheduler::set_objective(Request& request, Millis time_left) {
   const ClassSettings* settings = classes_.settings(request.class_index);
   request.objective_at = request.deadline;
-  if (settings != nullptr && settings->aim.count() > 0) {
-    request.objective_at = std::min(request.deadline, context_.now() + settings->aim);
+  if (settings != nullptr && settings->latency_objective.count() > 0) {
+    request.objective_at = std::min(request.deadline, context_.now() + settings->latency_objective);
   }
   const bool is_client_retry = classes_.record_time_left(request.class_index, time_left);
   if (settings == nullptr || !is_client_retry)
     return;
-  const Millis of_first_try = request.deadline - settings->deadline + settings->aim;
+  const Millis of_first_try = request.deadline - settings->deadline + settings->latency_objective;
   request.objective_at = std::min(request.objective_at, of_first_try);
 }
 
@@ -86,7 +86,7 @@
     request->streaming = true;
 }
 
-void Scheduler::on(const event::Answer& answer) {
+void Scheduler::on(const event::AttemptEnded& answer) {
   Attempt* attempt = find_attempt(answer);
   if (attempt == nullptr)
     return;
@@ -99,9 +99,9 @@
   host.in_flight = std::max(0, host.in_flight - 1);
   instances.in_flight = std::max(0, instances.in_flight - 1);
   answer_recorder_.record(answer, request, host, instances);
-  if (answer.outcome == Outcome::miss)
+  if (answer.outcome == Outcome::no_instance)
     load_orders_.spread(function, host, instances);
-  if (answer.over || request.done) {
+  if (answer.call_ended || request.done) {
     admission_.finish(request);
   } else if (request.in_flight() == 0 && !request.streaming) {
     router_.retry_or_reject(request);
@@ -109,7 +109,7 @@
   router_.on_lane_free(function, index);
 }
 
-Attempt* Scheduler::find_attempt(const event::Answer& answer) {
+Attempt* Scheduler::find_attempt(const event::AttemptEnded& answer) {
   Request* request = requests_.find(answer.id);
   if (request == nullptr || answer.attempt < 0)
     return nullptr;
@@ -120,11 +120,11 @@
 }
 
 // Impatient clients leave and come back while a host still serves what nobody waits for.
-void Scheduler::on(const event::Left& left) {
+void Scheduler::on(const event::ClientDisconnected& left) {
   Request* request = requests_.find(left.id);
   if (request == nullptr)
     return;
-  const bool cancels = context_.settings().cancel && !request->streaming;
+  const bool cancels = context_.settings().host_protocol.cancels && !request->streaming;
   for (std::size_t i = 0; cancels && i < request->attempts.size(); ++i) {
     if (!is_in_flight(request->attempts[i]))
       continue;
@@ -145,7 +145,7 @@
 }
 
 void Scheduler::on(const event::Probed& probed) {
-  Host* host = hosts_.find(probed.worker);
+  Host* host = hosts_.find(probed.host);
   if (host == nullptr)
     return;
   if (probed.outcome == Outcome::ok)
@@ -155,14 +155,14 @@
 
 void Scheduler::on(const event::Loaded& loaded) {
   Function* function = functions_.find(loaded.function);
-  Host* host = hosts_.find(loaded.worker);
+  Host* host = hosts_.find(loaded.host);
   if (function == nullptr || host == nullptr)
     return;
   InstanceSet& instances = function->instances_on(hosts_.index_of(*host));
   if (Liveness::awaits_order_probe(*host, loaded.function) && instances.loading == 0) {
     if (loaded.outcome == Outcome::ok)
       instances.warm = std::min(std::max(loaded.copies, 0), kMaxInstances);
-    const bool runs = loaded.outcome == Outcome::full || loaded.outcome == Outcome::error;
+    const bool runs = loaded.outcome == Outcome::at_capacity || loaded.outcome == Outcome::error;
     return liveness_.record_probe(*host, runs ? Outcome::ok : loaded.outcome);
   }
   answer_recorder_.record(loaded, *function, *host, instances);
@@ -172,7 +172,7 @@
 void Scheduler::sweep() {
   context_.emit(action::SetTimer{kSweepInterval, 0});
   const bool failed_before = watch_again_at_ > kNever && context_.now() >= watch_again_at_;
-  if (context_.settings().ask_list && failed_before) {
+  if (context_.settings().endpoint_list.polled && failed_before) {
     watch_again_at_ = kNever;
     context_.emit(action::Watch{true});
   }
--- a/src/policy/scheduler.h
+++ b/src/policy/scheduler.h
@@ -41,20 +41,20 @@
  private:
   void on(const event::Start& start);
   void on(const event::Stop&) {}  // Policy drops the scheduler
-  void on(const event::Retune& change);
-  void on(const event::List& list);
+  void on(const event::SettingsChanged& change);
+  void on(const event::EndpointListUpdate& list);
   void on(const event::Request& request);
   void on(const event::StreamBegan& began);
-  void on(const event::Answer& answer);
-  void on(const event::Left& left);
+  void on(const event::AttemptEnded& answer);
+  void on(const event::ClientDisconnected& left);
   void on(const event::Timer& timer);
   void on(const event::Probed& probed);
   void on(const event::Loaded& loaded);
-  void on(const event::Peer&) {}  // routers do not talk to each other
+  void on(const event::PeerMessage&) {}  // routers do not talk to each other
 
   Request& add_request(const event::Request& request);
   void set_objective(Request& request, Millis time_left);
-  Attempt* find_attempt(const event::Answer& answer);
+  Attempt* find_attempt(const event::AttemptEnded& answer);
   void sweep();
 
   Context context_;
--- a/src/policy/slow_start_budget.cpp
+++ b/src/policy/slow_start_budget.cpp
@@ -6,7 +6,7 @@
 
 bool SlowStartBudget::is_cold(const Host& host) const {
   const Millis since = std::max(host.entry.started, host.died_at);
-  return host.lost || (since.count() > 0 && context_.now() - since < context_.settings().cold_for);
+  return host.lost || (since.count() > 0 && context_.now() - since < context_.settings().slow_start.duration);
 }
 
 bool SlowStartBudget::admits(const Request& request, Host& host) {
@@ -14,12 +14,12 @@
     return true;
   const Settings& settings = context_.settings();
   const Millis since = std::max(host.entry.started, host.died_at);
-  const double age = host.lost ? 0 : std::max(0.0, (context_.now() - since) / settings.cold_for);
-  const double share = settings.cold_from + (1 - settings.cold_from) * std::min(1.0, age);
+  const double age = host.lost ? 0 : std::max(0.0, (context_.now() - since) / settings.slow_start.duration);
+  const double share = settings.slow_start.initial + (1 - settings.slow_start.initial) * std::min(1.0, age);
   const double work = charged_work(request);
   // What one of many routers gets from a warm host is part of what that host can do; many share its cores.
   const double rate = host.entry.weight * (context_.many_routers() ? context_.own_share() : served_rate());
-  const double pace = kSlowStartSafety * settings.cold_multiple * share * rate;
+  const double pace = kSlowStartSafety * settings.slow_start.factor * share * rate;
   fill(host, work, pace);
   // Where a miss has used up the tokens, a host in slow start would stay empty: an instance that is known
   // there is used ahead of the tokens. Not before this router's first call there, as loads that end together
@@ -37,7 +37,7 @@
   if (host.tokens_at > kNever)
     host.tokens += pace * (context_.now() - host.tokens_at).count();
   host.tokens_at = context_.now();
-  const double most = pace * context_.settings().cold_window.count() / kSlowStartSavedParts;
+  const double most = pace * context_.settings().slow_start.window.count() / kSlowStartSavedParts;
   host.tokens = std::min(host.tokens, std::max(work, most));
 }
 
--- a/src/quota/quota_replica.cpp
+++ b/src/quota/quota_replica.cpp
@@ -4,6 +4,7 @@
 #include <map>
 #include <utility>
 
+#include "metrics/cluster_counters.h"
 #include "quota/epoch_planner.h"
 #include "quota/log_entry_codec.h"
 
@@ -57,7 +58,7 @@
 void QuotaReplica::apply(std::uint64_t index, const std::string& text) {
   const auto entry = parse_entry(text);
   if (!entry) {
-    services_.counters.add("shares.unreadable");
+    services_.counters.add(metrics::kSharesUnreadable);
     return maintenance_.on_store_failure("entry " + std::to_string(index) +
                                          " of the log is of another version of the program");
   }
@@ -66,7 +67,7 @@
     return;
   }
   const bool has_begun = std::holds_alternative<BeginEpoch>(*entry);
-  services_.counters.add(has_begun ? "shares.parted" : "shares.opened");
+  services_.counters.add(has_begun ? metrics::kSharesParted : metrics::kSharesOpened);
   if (has_begun) {
     epoch_began_at_ = services_.loop.now();
   }
--- a/src/quota/quota_replica.h
+++ b/src/quota/quota_replica.h
@@ -7,6 +7,7 @@
 
 #include "app/app.h"
 #include "maintenance/maintenance_replica.h"
+#include "metrics/cluster_counters.h"
 #include "quota/quota_epochs.h"
 #include "raft/raft_replica.h"
 
@@ -38,7 +39,7 @@
   std::string snapshot() override { return epochs_.snapshot().dump(); }
   bool restore(const std::string& snapshot) override;
   // Members send each other no messages about quotas.
-  void handle_message(const std::string&) override { services_.counters.add("shares.malformed"); }
+  void handle_message(const std::string&) override { services_.counters.add(metrics::kSharesMalformed); }
   void on_store_failure(const std::string&) override { update(members_seen_); }
 
  private:
--- a/src/raft/admission.cpp
+++ b/src/raft/admission.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 #include <random>
 
+#include "metrics/cluster_counters.h"
 #include "raft/replica_message.h"
 
 namespace lotusyard::raft {
@@ -54,7 +55,7 @@
   if (server.id == own_id) {
     return;
   }
-  counters_.add("group.ids_ended");
+  counters_.add(metrics::kGroupIdsEnded);
   log_("member " + name + " has lost its store: id " + std::to_string(server.id) + " ends");
   change_active_ = core.remove(server.id, [this](bool) { change_active_ = false; });
 }
--- a/src/raft/admission.h
+++ b/src/raft/admission.h
@@ -5,7 +5,7 @@
 #include <cstdint>
 #include <string>
 
-#include "core/counters.h"
+#include "metrics/counters.h"
 #include "raft/config.h"
 #include "raft/peer_transport.h"
 #include "raft/raft_core.h"
@@ -38,7 +38,7 @@
 // The side of the leader. All references must outlive it.
 class AdmissionServer {
  public:
-  AdmissionServer(PeerTransport& transport, core::Counters& counters, const Config& config,
+  AdmissionServer(PeerTransport& transport, metrics::Counters& counters, const Config& config,
                   PeerTransport::LogSink log)
       : transport_(transport), counters_(counters), config_(config), log_(std::move(log)) {}
 
@@ -50,7 +50,7 @@
 
  private:
   PeerTransport& transport_;
-  core::Counters& counters_;
+  metrics::Counters& counters_;
   const Config& config_;
   PeerTransport::LogSink log_;
   bool change_active_ = false;  // only one change of the configuration may be in progress
--- a/src/raft/peer_connections.cpp
+++ b/src/raft/peer_connections.cpp
@@ -4,6 +4,8 @@
 #include <utility>
 #include <vector>
 
+#include "metrics/cluster_counters.h"
+
 namespace lotusyard::raft {
 namespace {
 
@@ -36,7 +38,7 @@
   const bool valid = parser_.parse(bytes, frames);
   for (const auto& frame : frames) {
     if (frame.kind == Frame::Kind::refusal) {
-      transport_.counters_.add("group.turned_away");
+      transport_.counters_.add(metrics::kGroupTurnedAway);
       transport_.log_once("turned away by " + key_ + ": " + frame.body.substr(0, kMaxLoggedReasonBytes));
       close_later();
       return;
@@ -53,7 +55,7 @@
     : BufferedConnection(transport.loop_, transport.pool_, std::move(socket), false), transport_(transport) {
   hello_timer_ = loop().schedule_at(loop().now() + kHelloTimeout, [this] {
     if (!hello_) {
-      transport_.counters_.add("group.no_hello");
+      transport_.counters_.add(metrics::kGroupNoHello);
       close_later();
     }
   });
@@ -107,7 +109,7 @@
     return false;
   }
   if (const char* reason = transport_.rejection_reason(*hello)) {
-    transport_.counters_.add("group.refused");
+    transport_.counters_.add(metrics::kGroupRefused);
     transport_.log_once("member " + hello->member + " is turned away: " + reason);
     write(encode_frame(Frame::Kind::refusal, reason));
     shutdown_after_flush();
@@ -133,7 +135,7 @@
 }
 
 void PeerTransport::IncomingConnection::close_malformed() {
-  transport_.counters_.add("group.malformed");
+  transport_.counters_.add(metrics::kGroupMalformed);
   close_later();
 }
 
--- a/src/raft/peer_transport.cpp
+++ b/src/raft/peer_transport.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 #include <vector>
 
+#include "metrics/cluster_counters.h"
 #include "raft/peer_connections.h"
 
 namespace lotusyard::raft {
@@ -22,8 +23,8 @@
 
 }  // namespace
 
-PeerTransport::PeerTransport(net::EventLoop& loop, core::Counters& counters, Hello own_hello, Receive receive,
-                             LogSink log)
+PeerTransport::PeerTransport(net::EventLoop& loop, metrics::Counters& counters, Hello own_hello,
+                             Receive receive, LogSink log)
     : loop_(loop),
       counters_(counters),
       own_hello_(std::move(own_hello)),
@@ -58,7 +59,7 @@
 // The listener stays readable while its connections cannot be accepted; the loop would spin if it kept
 // watching it.
 void PeerTransport::pause_accepting() {
-  counters_.add("group.no_descriptor");
+  counters_.add(metrics::kGroupNoDescriptor);
   loop_.unregister(listener_.fd(), *this);
   accept_timer_ = loop_.schedule_at(loop_.now() + kAcceptRetryDelay, [this] { watch_listener(); });
 }
@@ -75,7 +76,7 @@
       return;
     }
     if (incoming_.size() >= kMaxIncoming) {
-      counters_.add("group.too_many_links");
+      counters_.add(metrics::kGroupTooManyLinks);
       continue;
     }
     incoming_.push_back(std::make_shared<IncomingConnection>(*this, std::move(accepted.socket)));
@@ -112,7 +113,7 @@
 }
 
 void PeerTransport::on_outgoing_closed(const OutgoingConnection& connection) {
-  counters_.add("group.links_ended");
+  counters_.add(metrics::kGroupLinksEnded);
   reconnect_not_before_[connection.key()] = loop_.now() + kReconnectDelay;
   const auto found = outgoing_.find(connection.key());
   if (found == outgoing_.end() || found->second.get() != &connection) {
@@ -153,7 +154,7 @@
   if (!result) {
     return nullptr;
   }
-  counters_.add("group.links_opened");
+  counters_.add(metrics::kGroupLinksOpened);
   reconnect_not_before_.erase(key);
   const auto connection = std::make_shared<OutgoingConnection>(*this, key, std::move(result.socket));
   outgoing_.emplace(key, connection);
@@ -166,7 +167,7 @@
 bool PeerTransport::send(std::uint64_t to, const std::string& address, Frame::Kind kind,
                          const std::string& body) {
   if (body.size() > kMaxFrameBytes) {
-    counters_.add("group.too_long");
+    counters_.add(metrics::kGroupTooLong);
     return false;
   }
   OutgoingConnection* connection = find_or_connect(to, address);
@@ -174,17 +175,17 @@
     return false;
   }
   if (connection->is_unacknowledged()) {
-    counters_.add("group.unheard_links");
+    counters_.add(metrics::kGroupUnheardLinks);
     connection->close_later();
     return false;
   }
   const auto& queue = connection->send_queue();
   if (queue.appended() - queue.written() > kMaxUnsentBytes) {
-    counters_.add("group.left_out");
+    counters_.add(metrics::kGroupLeftOut);
     return false;
   }
   connection->write(encode_frame(kind, body));
-  counters_.add("group.sent");
+  counters_.add(metrics::kGroupSent);
   return !connection->is_closing();
 }
 
--- a/src/raft/peer_transport.h
+++ b/src/raft/peer_transport.h
@@ -11,7 +11,7 @@
 #include <set>
 #include <string>
 
-#include "core/counters.h"
+#include "metrics/counters.h"
 #include "net/buffered_connection.h"
 #include "net/event_loop.h"
 #include "raft/frame.h"
@@ -25,7 +25,7 @@
   using Receive = std::function<void(const Hello& from, Frame&& frame)>;
   using LogSink = std::function<void(const std::string& line)>;
   // `own_hello` identifies this member; its field `to` is ignored.
-  PeerTransport(net::EventLoop& loop, core::Counters& counters, Hello own_hello, Receive receive,
+  PeerTransport(net::EventLoop& loop, metrics::Counters& counters, Hello own_hello, Receive receive,
                 LogSink log);
   ~PeerTransport() override;
 
@@ -46,7 +46,7 @@
   static constexpr std::size_t kMaxIncoming = 512;
   static constexpr std::size_t kMaxUnsentBytes = 2U << 20;  // on one connection
   net::EventLoop& loop_;
-  core::Counters& counters_;
+  metrics::Counters& counters_;
   Hello own_hello_;
   Receive receive_;
   LogSink log_;
--- a/src/raft/raft_replica.cpp
+++ b/src/raft/raft_replica.cpp
@@ -1,6 +1,7 @@
 #include "raft/raft_replica.h"
 
 #include "config/config.h"
+#include "metrics/cluster_counters.h"
 #include "raft/message_codec.h"
 #include "raft/replica_identity.h"
 
@@ -11,7 +12,7 @@
 
 }  // namespace
 
-RaftReplica::RaftReplica(net::EventLoop& loop, core::Counters& counters, const Config& config,
+RaftReplica::RaftReplica(net::EventLoop& loop, metrics::Counters& counters, const Config& config,
                          std::vector<ReplicatedStateMachine*> state_machines, LogSink log)
     : loop_(loop),
       counters_(counters),
@@ -59,7 +60,7 @@
   try {
     return store_.size_bytes();
   } catch (const LogStoreError&) {
-    counters_.add("group.store_unread");
+    counters_.add(metrics::kGroupStoreUnread);
     return 0;
   }
 }
@@ -101,7 +102,7 @@
     }
     return;
   }
-  counters_.add("group.unknown_entries");
+  counters_.add(metrics::kGroupUnknownEntries);
   on_store_failure(
       "entry " + std::to_string(index) +
       " of the log is of a kind that this program does not know: " + name.substr(0, kMaxLoggedNameBytes));
@@ -132,12 +133,12 @@
 void RaftReplica::receive_consensus(const Hello& from, const std::string& body) {
   auto message = decode_message(body);
   if (!message) {
-    counters_.add("group.malformed");
+    counters_.add(metrics::kGroupMalformed);
     return;
   }
   const std::string address = find_address(from);
   if (address.empty() || from.to != identity_.id) {
-    counters_.add("group.strangers");
+    counters_.add(metrics::kGroupStrangers);
     free_message(*message);
     return;
   }
@@ -175,7 +176,7 @@
   if (ReplicatedStateMachine* state_machine = state_machines_.find(message.state_machine)) {
     state_machine->handle_message(message.text);
   } else {
-    counters_.add("group.malformed");
+    counters_.add(metrics::kGroupMalformed);
   }
 }
 
@@ -207,7 +208,7 @@
 
 void RaftReplica::handle(const Hello& /*from*/, MessageError error) {
   if (error == MessageError::malformed) {
-    counters_.add("group.malformed");
+    counters_.add(metrics::kGroupMalformed);
   }
 }
 
@@ -228,7 +229,7 @@
 }
 
 void RaftReplica::on_store_failure(const std::string& reason) {
-  counters_.add("group.failed");
+  counters_.add(metrics::kGroupFailed);
   log_(reason + ": takes no part any more");
   state_machines_.on_store_failure(reason);
 }
@@ -236,12 +237,12 @@
 // The state machines are not notified: nothing is applied while the replica is unavailable, and leases
 // expire.
 void RaftReplica::on_store_unavailable(sqlite::ResultKind kind, const std::string& reason) {
-  counters_.add(std::string("group.store_") + sqlite::name_of(kind));
+  counters_.add(metrics::kGroupStore, sqlite::name_of(kind));
   log_(reason + ": takes no part until the store takes writes again");
 }
 
 void RaftReplica::on_store_available() {
-  counters_.add("group.store_recovered");
+  counters_.add(metrics::kGroupStoreRecovered);
   log_("the store takes writes again: takes part");
 }
 
--- a/src/raft/raft_replica.h
+++ b/src/raft/raft_replica.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "core/counters.h"
+#include "metrics/counters.h"
 #include "raft/admission.h"
 #include "raft/config.h"
 #include "raft/peer_transport.h"
@@ -37,7 +37,7 @@
 
   // Opens the store and starts the raft instance, or asks for admission if the store is empty. All references
   // and state machines must outlive it. Throws config::ConfigError or LogStoreError.
-  RaftReplica(net::EventLoop& loop, core::Counters& counters, const Config& config,
+  RaftReplica(net::EventLoop& loop, metrics::Counters& counters, const Config& config,
               std::vector<ReplicatedStateMachine*> state_machines, LogSink log);
   ~RaftReplica() override;
   // See bootstrap_store().
@@ -75,7 +75,7 @@
 
  private:
   net::EventLoop& loop_;
-  core::Counters& counters_;
+  metrics::Counters& counters_;
   const Config config_;
   StateMachineSet state_machines_;
   GossipHandler gossip_handler_;
--- a/src/resp/arrival_clock.h
+++ b/src/resp/arrival_clock.h
@@ -9,18 +9,18 @@
 // turn, behind more than a turn reads, or while the process was stopped. What is not known counts as waited.
 class ArrivalClock {
  public:
-  ArrivalClock(net::Millis opened_since, net::Millis now) : came_since_(opened_since), read_at_(now) {}
+  ArrivalClock(net::Millis opened_since, net::Millis now) : earliest_arrival_(opened_since), read_at_(now) {}
 
   // To be asked at each read: what is read now has come no sooner than this.
-  net::Millis came_since(const net::EventLoop& loop) {
-    if (!unwatched_ && loop.came_since() > read_at_) {
-      came_since_ = loop.came_since();  // a poll(2) after the last read found nothing
+  net::Millis earliest_arrival(const net::EventLoop& loop) {
+    if (!unwatched_ && loop.earliest_arrival() > read_at_) {
+      earliest_arrival_ = loop.earliest_arrival();  // a poll(2) after the last read found nothing
     } else if (all_read_) {
-      came_since_ = read_at_;
+      earliest_arrival_ = read_at_;
     }
     all_read_ = false;
     read_at_ = loop.now();
-    return came_since_;
+    return earliest_arrival_;
   }
   // The last read has left nothing.
   void all_read() {
@@ -31,7 +31,7 @@
   void unwatched() { unwatched_ = true; }
 
  private:
-  net::Millis came_since_, read_at_;
+  net::Millis earliest_arrival_, read_at_;
   bool all_read_ = false, unwatched_ = false;
 };
 
--- a/src/resp/client.h
+++ b/src/resp/client_connection.h
@@ -7,8 +7,9 @@
 #include <unordered_set>
 #include <vector>
 
+#include "metrics/client_counters.h"
 #include "resp/arrival_clock.h"
-#include "resp/front.h"
+#include "resp/front_end.h"
 
 namespace lotusyard::resp {
 
@@ -19,9 +20,9 @@
 // sends none is owed an end within 3 s.
 inline constexpr core::Millis kWholeMost{2800};
 
-class Front::ClientConnection final : public net::BufferedConnection {
+class FrontEnd::ClientConnection final : public net::BufferedConnection {
  public:
-  ClientConnection(Front& front, net::Socket socket, core::Millis connected_since)
+  ClientConnection(FrontEnd& front, net::Socket socket, core::Millis connected_since)
       : BufferedConnection(front.loop_, front.pool_, std::move(socket), false),
         front_(front),
         arrivals_(connected_since, front.loop_.now()) {
@@ -30,9 +31,9 @@
   ~ClientConnection() override { loop().cancel(whole_by_); }
   std::unordered_map<std::string, core::CallId> open_calls;
   Clients::iterator place;
-  bool asked = false;    // stands among the clients, else among the newcomers
-  bool spoilt = false;   // nothing more that it sends can be understood
-  bool refuses = false;  // each further call is refused, and it ends once it owes no answer
+  bool asked = false;      // stands among the clients, else among the newcomers
+  bool malformed = false;  // nothing more that it sends can be understood
+  bool refuses = false;    // each further call is refused, and it ends once it owes no answer
   bool no_place = false, parting = false;
   std::size_t faults = 0, pieces = 0;  // pieces: that came before its first request was whole
 
@@ -40,11 +41,11 @@
   bool idle() const { return open_calls.empty() && send_queue().empty(); }
   bool at_rest() const { return asked && idle() && !parser_.begun() && !is_closing(); }
   // The time no later than which what was read last can have come.
-  core::Millis came_since() const { return came_since_; }
+  core::Millis earliest_arrival() const { return earliest_arrival_; }
   // All that had been sent by then has been read.
   core::Millis heard_at() const { return heard_at_; }
   // To the last byte that has come, within bounds.
-  void read_what_came() {
+  void drain_socket() {
     for (int i = 0; i < kReadsAtOnce && !is_closing(); ++i) {
       const core::Millis now = loop().now();
       if (peer_state() == net::PeerState::idle) {
@@ -56,46 +57,46 @@
   }
 
  private:
-  Front& front_;
+  FrontEnd& front_;
   Parser parser_;
   ArrivalClock arrivals_;
-  core::Millis came_since_{0}, heard_at_{0};
+  core::Millis earliest_arrival_{0}, heard_at_{0};
   net::EventLoop::TimerId whole_by_{};
-  bool begun_ = true;  // a newcomer owes its first request from the start
+  bool request_begun_ = true;  // a newcomer owes its first request from the start
 
   // Half a request, or none, would hold a descriptor for good.
   void expect_whole() {
     whole_by_ = loop().schedule_at(loop().now() + kWholeMost, [this] {
-      front_.spoil(*this, asked ? "resp.half_request" : "resp.no_request");
+      front_.close_malformed(*this, asked ? metrics::kRespHalfRequest : metrics::kRespNoRequest);
     });
   }
   void on_received(std::string_view bytes) override {
-    came_since_ = arrivals_.came_since(loop());
+    earliest_arrival_ = arrivals_.earliest_arrival(loop());
     if (bytes.size() < net::BufferPool::block_size)
       arrivals_.all_read();
-    if (spoilt)
+    if (malformed)
       return;
     std::vector<Words> commands;
-    const bool sound = parser_.take(bytes, commands);
+    const bool sound = parser_.parse(bytes, commands);
     if (!commands.empty() && !no_place && !front_.promote(*this))
       refuses = no_place = true;
     if (!asked)
       front_.heard(*this);
     // A timer a begun request: the next one's time starts with its own first byte.
-    if (begun_ && (!commands.empty() || !parser_.begun()))
+    if (request_begun_ && (!commands.empty() || !parser_.begun()))
       loop().cancel(whole_by_);
-    if (parser_.begun() && (!begun_ || !commands.empty()))
+    if (parser_.begun() && (!request_begun_ || !commands.empty()))
       expect_whole();
-    begun_ = parser_.begun() || !asked;
+    request_begun_ = parser_.begun() || !asked;
     leave_out_taken_back(commands);
     for (auto& words : commands) {
       if (is_closing())
         return;
-      front_.take(*this, std::move(words));
+      front_.handle_command(*this, std::move(words));
     }
     if (!sound)
-      return front_.spoil(*this, "resp.malformed");
-    front_.end_if_spent(*this);
+      return front_.close_malformed(*this, metrics::kRespMalformed);
+    front_.close_if_drained(*this);
   }
   // Hundreds of calls that are taken back in the bytes they came in would each cost a host something.
   void leave_out_taken_back(std::vector<Words>& commands) {
@@ -110,12 +111,12 @@
     const auto kept = std::remove_if(commands.rbegin(), commands.rend(), taken_back);
     if (kept == commands.rend())
       return;
-    front_.counters_.add("resp.taken_back", static_cast<std::uint64_t>(commands.rend() - kept));
+    front_.counters_.add(metrics::kRespTakenBack, static_cast<std::uint64_t>(commands.rend() - kept));
     commands.erase(commands.begin(), kept.base());
   }
   void on_closed() override {
     loop().cancel(whole_by_);
-    front_.gone(*this);
+    front_.on_disconnected(*this);
   }
 };
 
--- a/src/resp/connection_limits.cpp
+++ b/src/resp/connection_limits.cpp
@@ -1,7 +1,8 @@
 // Who may connect and stay: places, newcomers, and what happens when there are too many.
 #include <algorithm>
 
-#include "resp/client.h"
+#include "metrics/client_counters.h"
+#include "resp/client_connection.h"
 
 namespace lotusyard::resp {
 namespace {
@@ -11,7 +12,7 @@
 
 }  // namespace
 
-void Front::shed(const std::shared_ptr<ClientConnection>& client, const char* why) {
+void FrontEnd::evict(const std::shared_ptr<ClientConnection>& client, const metrics::Counter& why) {
   const std::shared_ptr<ClientConnection> kept = client;
   counters_.add(why);
   kept->close_later();
@@ -20,7 +21,7 @@
 
 // A whole request has come: the connection takes a place among the clients, of the one longest unheard with
 // no call open if need be. False if there is none: then it ends, with nothing sent on for it.
-bool Front::promote(ClientConnection& client) {
+bool FrontEnd::promote(ClientConnection& client) {
   clients_.splice(clients_.end(), list_of(client), client.place);
   const bool had_place = std::exchange(client.asked, true);
   if (clients_.size() <= limits_.clients)
@@ -33,51 +34,54 @@
   if (spared == self)
     spared = std::find_if(clients_.begin(), self, idle);
   if (spared != self) {
-    shed(*spared, "resp.idle_closed");
+    evict(*spared, metrics::kRespIdleClosed);
     return true;
   }
   // Limits shrink while another process stands beside this one. Calls that are open on a connection
   // which had its place are owed their answers.
   if (had_place)
     return true;
-  counters_.add("resp.no_place");
+  counters_.add(metrics::kRespNoPlace);
   return false;
 }
 
-Front::Clients& Front::list_of(const ClientConnection& client) {
-  return client.asked ? clients_ : client.pieces > 0 ? begun_ : silent_;
+FrontEnd::Clients& FrontEnd::list_of(const ClientConnection& client) {
+  return client.asked ? clients_ : client.pieces > 0 ? partial_request_ : idle_without_request_;
 }
 
-void Front::heard(ClientConnection& client) {
-  begun_.splice(begun_.end(), list_of(client), client.place);
+void FrontEnd::heard(ClientConnection& client) {
+  partial_request_.splice(partial_request_.end(), list_of(client), client.place);
   ++client.pieces;
 }
 
 // Connections by thousands that say nothing, or stop half-way through a request. Of the larger crowd
 // the one longest unheard goes, unless its request has come by now; those that send a request piece by piece
 // go last.
-void Front::bound_newcomers() {
-  if (silent_.size() + begun_.size() <= limits_.newcomers)
+void FrontEnd::bound_new_connections() {
+  if (idle_without_request_.size() + partial_request_.size() <= limits_.new_connections)
     return;
-  Clients& crowd = silent_.size() >= begun_.size() ? silent_ : begun_;
-  const auto stopped = std::find_if(crowd.begin(), crowd.end(), [](const auto& c) { return c->pieces < 2; });
-  const std::shared_ptr<ClientConnection> oldest = stopped != crowd.end() ? *stopped : crowd.front();
+  Clients& candidates =
+      idle_without_request_.size() >= partial_request_.size() ? idle_without_request_ : partial_request_;
+  const auto stopped =
+      std::find_if(candidates.begin(), candidates.end(), [](const auto& c) { return c->pieces < 2; });
+  const std::shared_ptr<ClientConnection> oldest =
+      stopped != candidates.end() ? *stopped : candidates.front();
   oldest->ready(POLLIN);
   if (!oldest->asked && !oldest->is_closing())
-    shed(oldest, "resp.silent_closed");
+    evict(oldest, metrics::kRespSilentClosed);
 }
 
-void Front::ready(short) { accept_some(); }
+void FrontEnd::ready(short) { accept_some(); }
 
 // False if nobody waits any more.
-bool Front::accept_some() {
+bool FrontEnd::accept_some() {
   for (std::size_t i = 0; i < kAcceptsATurn; ++i) {
     net::AcceptResult accepted = net::accept_from(listener_);
     net::count_accept_errors(loop_, accepted);
     // Also where none can be taken: what waits in the queue has waited since then, not for ever.
-    const core::Millis came_since = connects_.came_since(loop_);
+    const core::Millis earliest_arrival = connects_.earliest_arrival(loop_);
     if (accepted.status == net::AcceptStatus::out_of_resources) {
-      counters_.add("resp.no_descriptor");
+      counters_.add(metrics::kRespNoDescriptor);
       pause_listening();
       return false;
     }
@@ -85,17 +89,18 @@
       connects_.all_read();
       return false;
     }
-    counters_.add("resp.connections");
-    silent_.push_back(std::make_shared<ClientConnection>(*this, std::move(accepted.socket), came_since));
-    silent_.back()->place = std::prev(silent_.end());
-    bound_newcomers();
+    counters_.add(metrics::kRespConnections);
+    idle_without_request_.push_back(
+        std::make_shared<ClientConnection>(*this, std::move(accepted.socket), earliest_arrival));
+    idle_without_request_.back()->place = std::prev(idle_without_request_.end());
+    bound_new_connections();
   }
   return true;
 }
 
 // A listener that stays readable would spin the loop. It is looked at again once a client has gone,
 // and before long in any case: it may be others that held the descriptors.
-void Front::pause_listening() {
+void FrontEnd::pause_listening() {
   paused_ = true;
   connects_.unwatched();
   loop_.unregister(listener_.fd(), *this);
@@ -103,7 +108,7 @@
   resume_ = loop_.schedule_at(loop_.now() + kPause, [this] { resume_listening(); });
 }
 
-void Front::resume_listening() {
+void FrontEnd::resume_listening() {
   loop_.cancel(resume_);
   if (std::exchange(paused_, false) && listener_)
     loop_.register_handler(listener_.fd(), *this, POLLIN);
--- a/src/resp/front.cpp
+++ b/src/resp/front_end.cpp
@@ -1,8 +1,9 @@
 #include <algorithm>
 #include <cmath>
 
+#include "metrics/client_counters.h"
 #include "net/fields.h"
-#include "resp/client.h"
+#include "resp/client_connection.h"
 
 namespace lotusyard::resp {
 namespace {
@@ -11,46 +12,46 @@
 
 }  // namespace
 
-Front::Front(net::EventLoop& loop, net::BufferPool& pool, core::Dispatcher& dispatcher,
-             core::Counters& counters, Limits limits)
+FrontEnd::FrontEnd(net::EventLoop& loop, net::BufferPool& pool, core::Dispatcher& dispatcher,
+                   metrics::Counters& counters, Limits limits)
     : loop_(loop), pool_(pool), dispatcher_(dispatcher), counters_(counters), limits_(limits) {}
 
-Front::~Front() {
+FrontEnd::~FrontEnd() {
   loop_.cancel(resume_);
   close_listener();
 }
 
-bool Front::listen(const std::string& address) {
+bool FrontEnd::listen(const std::string& address) {
   listen(net::listen_on(address));
   inherited_ = false;
   return listening();
 }
 
-void Front::listen(net::Socket listener) {
+void FrontEnd::listen(net::Socket listener) {
   listener_ = std::move(listener);
   inherited_ = true;
   if (listener_)
     loop_.register_handler(listener_.fd(), *this, POLLIN);
 }
 
-void Front::take_no_more() {
+void FrontEnd::stop_admitting() {
   // Calls that are held for long keep their connection from its end; what comes meanwhile is refused.
-  if (std::exchange(takes_, false))
-    give_up(core::Dispatcher::CallSelection::never_sent);
+  if (std::exchange(admitting_, false))
+    abort_calls(core::Dispatcher::CallSelection::never_sent);
 }
 
-void Front::answer_all() {
-  takes_ = false;
-  give_up(core::Dispatcher::CallSelection::all);
+void FrontEnd::answer_open_calls() {
+  admitting_ = false;
+  abort_calls(core::Dispatcher::CallSelection::all);
 }
 
-void Front::give_up(core::Dispatcher::CallSelection which) {
+void FrontEnd::abort_calls(core::Dispatcher::CallSelection which) {
   dispatcher_.abort_calls(which, [this](core::CallId id) { return by_call_.count(id) != 0; });
 }
 
-bool Front::read_what_came() {
+bool FrontEnd::drain_sockets() {
   bool came = false;
-  for (const auto* list : {&clients_, &silent_, &begun_}) {
+  for (const auto* list : {&clients_, &idle_without_request_, &partial_request_}) {
     for (const auto& client : std::vector<std::shared_ptr<ClientConnection>>(list->begin(), list->end())) {
       if (client->is_closing() || client->peer_state() == net::PeerState::idle)
         continue;
@@ -61,7 +62,7 @@
   return came;
 }
 
-bool Front::hand_over() {
+bool FrontEnd::hand_off_connections() {
   stop_listening();
   for (const auto& client :
        std::vector<std::shared_ptr<ClientConnection>>(clients_.begin(), clients_.end())) {
@@ -71,10 +72,10 @@
     if (client->at_rest())
       client->shutdown_after_flush();
   }
-  return clients_.empty() && silent_.empty() && begun_.empty();
+  return clients_.empty() && idle_without_request_.empty() && partial_request_.empty();
 }
 
-void Front::stop_listening() {
+void FrontEnd::stop_listening() {
   if (!listener_)
     return;
   // Whoever has connected and not been accepted, and what they have sent, would be reset by the
@@ -84,76 +85,77 @@
   close_listener();
 }
 
-void Front::close_listener() {
+void FrontEnd::close_listener() {
   if (!listener_)
     return;
   loop_.unregister(listener_.fd(), *this);
   listener_.close();
 }
 
-bool Front::written() const {
+bool FrontEnd::written() const {
   return std::all_of(clients_.begin(), clients_.end(), [](const auto& c) { return c->send_queue().empty(); });
 }
 
 // What comes over it cannot be understood from here on. Calls that came before are owed their
 // answers: it ends when they have them.
-void Front::spoil(ClientConnection& client, const char* why) {
+void FrontEnd::close_malformed(ClientConnection& client, const metrics::Counter& why) {
   counters_.add(why);
-  client.spoilt = client.refuses = true;
+  client.malformed = client.refuses = true;
   if (!client.asked)
     return client.close_later();
-  end_if_spent(client);
+  close_if_drained(client);
 }
 
-void Front::take(ClientConnection& client, Words&& words) {
+void FrontEnd::handle_command(ClientConnection& client, Words&& words) {
   const auto tag = words.size() < 2 ? std::nullopt : net::parse_whole(words[1], UINT64_MAX);
   if (!tag || *tag == 0) {
-    counters_.add("resp.no_tag");  // there is nothing to answer under
+    counters_.add(metrics::kRespNoTag);  // there is nothing to answer under
     client.refuses = true;
     return;
   }
   if (words[0] == "CALL")
     return call(client, std::move(words));
   if (words[0] == "CANCEL") {
-    counters_.add("resp.cancels");
+    counters_.add(metrics::kRespCancels);
     const auto found = client.open_calls.find(words[1]);
     if (found == client.open_calls.end())
       return;  // its answer has crossed
     const core::CallId id = found->second;
-    unfile(id);
+    forget_call(id);
     return dispatcher_.client_disconnected(id);
   }
   std::string out;
   if (words[0] == "CHECK") {
     write_array(out, {words[1], draining_ ? "DOWN" : "UP"});
   } else {
-    counters_.add("resp.unknown_verb");
+    counters_.add(metrics::kRespUnknownVerb);
     write_array(out, {words[1], "FAILED"});
   }
   client.write(out);
 }
 
 // A client that sends the same again as soon as it is turned away would do so for ever.
-void Front::reject(ClientConnection& client, const std::string& tag, const char* why, core::Verdict verdict) {
+void FrontEnd::reject(ClientConnection& client, const std::string& tag, const metrics::Counter& why,
+                      core::CallStatus status) {
   counters_.add(why);
-  say(client, tag, verdict, core::Millis(0), {});
+  write_response(client, tag, status, core::Millis(0), {});
   if (++client.faults > kFaultsMost)
     client.refuses = true;
 }
 
 // Not before its sound calls have their answers: they are owed them whatever else came. A call that
 // has come by then, read or not, would be lost with its connection: it is refused.
-void Front::end_if_spent(ClientConnection& client) {
+void FrontEnd::close_if_drained(ClientConnection& client) {
   if (!client.refuses || !client.open_calls.empty() || client.is_closing())
     return;
   if (std::exchange(client.parting, true))
     return;  // further up the stack
   const std::shared_ptr<ClientConnection> kept = *client.place;
-  kept->read_what_came();
+  kept->drain_socket();
   if (kept->is_closing())
     return;
   if (!kept->no_place) {
-    counters_.add("resp.faults_closed");
+    counters_.add(metrics::kRespFaultsClosed);
     return kept->shutdown_after_flush();
   }
   // Closed at the turn's end, as many as are accepted in a turn would stand beside those that have a
@@ -163,51 +165,51 @@
   kept->flush();
 }
 
-void Front::say(ClientConnection& client, const std::string& tag, core::Verdict verdict,
-                core::Millis cooldown, std::string_view body) {
+void FrontEnd::write_response(ClientConnection& client, const std::string& tag, core::CallStatus status,
+                              core::Millis retry_after, std::string_view body) {
   std::string out;
-  if (verdict == core::Verdict::served) {
+  if (status == core::CallStatus::succeeded) {
     write_array(out, {tag, "OK", "", body});
   } else {
-    const char* const name = verdict == core::Verdict::refused ? "BUSY" : "FAILED";
-    const auto wait = static_cast<std::int64_t>(std::ceil(std::max(cooldown.count(), 0.0)));
+    const char* const name = status == core::CallStatus::rejected ? "BUSY" : "FAILED";
+    const auto wait = static_cast<std::int64_t>(std::ceil(std::max(retry_after.count(), 0.0)));
     if (wait > 0) {
       write_array(out, {tag, name, "cooldown=" + std::to_string(wait)});
     } else {
       write_array(out, {tag, name});
     }
   }
-  make_room(out.size());
+  evict_until_free(out.size());
   client.write(out);
   // Guards the pool against a client that does not read.
   if (client.unread() <= limits_.unread_bytes)
     return;
-  counters_.add("resp.unread_closed");
+  counters_.add(metrics::kRespUnreadClosed);
   client.close_later();
 }
 
 // With no buffer left whoever is written to next would be cut off, and not whoever does not read.
-void Front::make_room(std::size_t bytes) {
+void FrontEnd::evict_until_free(std::size_t bytes) {
   while (pool_.bytes_available() < bytes + net::BufferPool::block_size) {
     const auto less = [](const auto& a, const auto& b) { return a->unread() < b->unread(); };
     const auto most = std::max_element(clients_.begin(), clients_.end(), less);
     if (most == clients_.end() || (*most)->unread() < net::BufferPool::block_size)
       return;
-    shed(*most, "resp.unread_closed");
+    evict(*most, metrics::kRespUnreadClosed);
   }
 }
 
-void Front::answer(core::CallId call, core::Answer&& answer) {
+void FrontEnd::answer(core::CallId call, core::Answer&& answer) {
   const auto found = by_call_.find(call);
   if (found == by_call_.end())
     return;  // cancelled, or its client has gone
   const OpenTag filed = found->second;
-  unfile(call);
-  say(*filed.client, filed.tag, answer.verdict, answer.cooldown, answer.body);
-  end_if_spent(*filed.client);
+  forget_call(call);
+  write_response(*filed.client, filed.tag, answer.status, answer.retry_after, answer.body);
+  close_if_drained(*filed.client);
 }
 
-core::Front::ClientState Front::client_state(core::CallId call, core::Millis heard_since) {
+core::FrontEnd::ClientState FrontEnd::client_state(core::CallId call, core::Millis heard_since) {
   const auto found = by_call_.find(call);
   if (found == by_call_.end())
     return ClientState::disconnected;
@@ -224,15 +226,15 @@
   return ClientState::disconnected;
 }
 
-void Front::read_caller(core::CallId call) {
+void FrontEnd::read_client_input(core::CallId call) {
   const auto found = by_call_.find(call);
   if (found == by_call_.end())
     return;
   const std::shared_ptr<ClientConnection> kept = *found->second.client->place;
-  kept->read_what_came();
+  kept->drain_socket();
 }
 
-void Front::unfile(core::CallId call) {
+void FrontEnd::forget_call(core::CallId call) {
   const auto found = by_call_.find(call);
   if (found == by_call_.end())
     return;
@@ -241,7 +243,7 @@
   by_call_.erase(found);
 }
 
-void Front::gone(ClientConnection& client) {
+void FrontEnd::on_disconnected(ClientConnection& client) {
   const std::shared_ptr<ClientConnection> kept = *client.place;
   list_of(client).erase(client.place);
   std::vector<core::CallId> left;
@@ -249,7 +251,7 @@
     left.push_back(id);
   std::sort(left.begin(), left.end());
   for (const auto id : left)
-    unfile(id);
+    forget_call(id);
   for (const auto id : left)
     dispatcher_.client_disconnected(id);
   loop_.delete_later(kept);
--- a/src/resp/parser.cpp
+++ b/src/resp/parser.cpp
@@ -50,8 +50,8 @@
   return true;
 }
 
-bool Parser::take(std::string_view bytes, std::vector<Words>& out) {
-  while (!bytes.empty() && state_ != State::spoilt) {
+bool Parser::parse(std::string_view bytes, std::vector<Words>& out) {
+  while (!bytes.empty() && state_ != State::malformed) {
     if (state_ == State::data) {
       const std::size_t part = std::min(bytes_left_, bytes.size());
       words_.back().append(bytes.substr(0, part));
@@ -66,19 +66,19 @@
     if (return_seen_) {
       return_seen_ = false;
       if (c != '\n' || !header_line(out))
-        state_ = State::spoilt;
+        state_ = State::malformed;
       line_.clear();
       if (state_ == State::data && bytes_left_ == 0)
         state_ = State::data_end;
     } else if (c == '\r') {
       return_seen_ = true;
     } else if (state_ == State::data_end || line_.size() >= kLongestHeader) {
-      state_ = State::spoilt;  // a word past its length, or a header that would grow without end
+      state_ = State::malformed;  // a word past its length, or a header that would grow without end
     } else {
       line_.push_back(c);
     }
   }
-  return state_ != State::spoilt;
+  return state_ != State::malformed;
 }
 
 void write_array(std::string& out, const std::vector<std::string_view>& words) {
--- a/src/resp/parser.h
+++ b/src/resp/parser.h
@@ -16,11 +16,11 @@
   static constexpr std::size_t longest_message = longest_word + 2048;
 
   // Takes all bytes; whole arrays are added to `out`. False once the stream cannot be understood any more.
-  bool take(std::string_view bytes, std::vector<Words>& out);
+  bool parse(std::string_view bytes, std::vector<Words>& out);
   bool begun() const { return state_ != State::array || !line_.empty() || return_seen_; }
 
  private:
-  enum class State { array, bulk, data, data_end, spoilt };
+  enum class State { array, bulk, data, data_end, malformed };
   State state_ = State::array;
   std::string line_;  // of a header, without its end
   bool return_seen_ = false;
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -20,15 +20,15 @@
 
 Outcome outcome(const json& value) {
   static const std::map<std::string, Outcome> words = {
-      {"GOOD", Outcome::ok},      {"BAD", Outcome::error}, {"FULL", Outcome::full},
-      {"LATE", Outcome::timeout}, {"RST", Outcome::reset}, {"NOCONN", Outcome::connect_failed},
-      {"NOP", Outcome::moot},     {"MISS", Outcome::miss}, {"CXL", Outcome::cancelled}};
+      {"GOOD", Outcome::ok},       {"BAD", Outcome::error},        {"FULL", Outcome::at_capacity},
+      {"LATE", Outcome::timeout},  {"RST", Outcome::reset},        {"NOCONN", Outcome::connect_failed},
+      {"NOP", Outcome::never_ran}, {"MISS", Outcome::no_instance}, {"CXL", Outcome::cancelled}};
   return word(text(value), words, Outcome::error);
 }
 
 Warmth warmth(int remark) {
   const int low = remark & 7;
-  return low >= 1 && low <= 4 ? static_cast<Warmth>(low) : Warmth::untold;
+  return low >= 1 && low <= 4 ? static_cast<Warmth>(low) : Warmth::unknown;
 }
 
 Report report(const json& row) {
@@ -40,16 +40,16 @@
   return values;
 }
 
-WorkerEntry entry(const json& row) {
+HostEntry entry(const json& row) {
   if (!row.is_array())
     throw WireError("a list entry is no array");
-  WorkerEntry read;
-  read.worker = needed_text(at(row, 0), "worker");
+  HostEntry read;
+  read.host = needed_text(at(row, 0), "worker");
   read.cell = whole(at(row, 1));
   read.weight = number(at(row, 2), 1);
   read.kind = text(at(row, 3));
   const int state = whole(at(row, 4), 2);
-  read.state = state == 0 ? WorkerState::gone : state == 1 ? WorkerState::draining : WorkerState::ready;
+  read.state = state == 0 ? HostState::gone : state == 1 ? HostState::draining : HostState::ready;
   read.started = millis(at(row, 5));
   read.zone = text(at(row, 6));
   return read;
@@ -87,17 +87,17 @@
   return read;
 }
 
-event::Answer read_answer(const json& m) {
-  event::Answer read;
+event::AttemptEnded read_answer(const json& m) {
+  event::AttemptEnded read;
   read.id = needed_text(at(m, 1), "request id");
   const int remark = whole(at(m, 2));
   read.warmth = warmth(remark);
-  read.crowd = remark >> 3;
+  read.host_concurrency = remark >> 3;
   read.outcome = outcome(at(m, 3));
-  read.over = flag(at(m, 4));
+  read.call_ended = flag(at(m, 4));
   read.elapsed = millis(at(m, 5));
   read.attempt = whole(at(m, 6));
-  read.worker = text(at(m, 7));
+  read.host = text(at(m, 7));
   read.report = report(at(m, 8));
   return read;
 }
@@ -110,18 +110,16 @@
 }
 
 struct Writer {
-  json operator()(const action::Send& a) const {
-    return with("Assign", {a.id, a.worker, a.time_out.count()});
-  }
-  json operator()(const action::Load& a) const { return with("Load", {a.worker, a.function, a.copies}); }
-  json operator()(const action::Unload& a) const { return with("Unmount", {a.worker, a.function}); }
-  json operator()(const action::Refuse& a) const {
+  json operator()(const action::Send& a) const { return with("Assign", {a.id, a.host, a.time_out.count()}); }
+  json operator()(const action::Load& a) const { return with("Load", {a.host, a.function, a.copies}); }
+  json operator()(const action::Unload& a) const { return with("Unmount", {a.host, a.function}); }
+  json operator()(const action::Reject& a) const {
     return with("OverloadReply", {a.id, a.retry_after.count()});
   }
   json operator()(const action::Fail& a) const { return with("EndFailed", {a.id}); }
   json operator()(const action::Cancel& a) const { return with("Recall", {a.id, a.attempt}); }
-  json operator()(const action::Probe& a) const { return with("Touch", {a.worker}); }
-  json operator()(const action::Tell& a) const {
+  json operator()(const action::Probe& a) const { return with("Touch", {a.host}); }
+  json operator()(const action::SendToPeers& a) const {
     return with("Publish", {a.to ? json(*a.to) : json("*"), a.text});
   }
   json operator()(const action::SetTimer& a) const { return with("Timer", {a.after.count(), a.token}); }
@@ -141,7 +139,7 @@
     const double page = number(at(m, 1), -1);
     if (page < 0 || page >= static_cast<double>(page_count))
       throw WireError("no such catalog page");
-    std::vector<WorkerEntry> rows;
+    std::vector<HostEntry> rows;
     for (const auto& row : at(m, 2))
       rows.push_back(entry(row));
     pages_[static_cast<std::size_t>(page)] = std::move(rows);
@@ -156,7 +154,7 @@
     return;
   const auto give = [&](Event event) { instance.policy.handle(now, event, out); };
   if (name == "Discovery") {
-    event::List list;
+    event::EndpointListUpdate list;
     list.kind = list_kind(whole(at(m, 2)));
     const double page = number(at(m, 3), 0);
     if (list.kind != ListKind::failed && page >= 0 && page < static_cast<double>(page_count)) {
@@ -173,13 +171,13 @@
     give(
         event::Loaded{text(at(m, 1)), large(at(m, 2)), outcome(at(m, 3)), millis(at(m, 4)), whole(at(m, 5))});
   } else if (name == "Gone") {
-    give(event::Left{text(at(m, 1))});
+    give(event::ClientDisconnected{text(at(m, 1))});
   } else if (name == "HeadReceived") {
     give(event::StreamBegan{text(at(m, 1)), whole(at(m, 2))});
   } else if (name == "Sampled") {
     give(event::Probed{text(at(m, 3)), outcome(at(m, 1)), millis(at(m, 2)), report(at(m, 4))});
   } else if (name == "Heard") {
-    give(event::Peer{whole(at(m, 1)), text(at(m, 2))});
+    give(event::PeerMessage{whole(at(m, 1)), text(at(m, 2))});
   } else if (name == "PowerOff") {
     give(event::Stop{});
     instance.live = false;
--- a/src/simulator_adapter/wire.h
+++ b/src/simulator_adapter/wire.h
@@ -16,14 +16,14 @@
 
 using policy::Action;
 using policy::Event;
+using policy::HostEntry;
+using policy::HostState;
 using policy::ListKind;
 using policy::Millis;
 using policy::Outcome;
 using policy::Policy;
 using policy::Report;
 using policy::Warmth;
-using policy::WorkerEntry;
-using policy::WorkerState;
 namespace action = policy::action;
 namespace event = policy::event;
 
@@ -42,7 +42,7 @@
     bool live = false;
   };
   static constexpr std::size_t page_count = 16;
-  std::array<std::vector<WorkerEntry>, page_count> pages_;
+  std::array<std::vector<HostEntry>, page_count> pages_;
   std::map<std::string, Instance> instances_;
 
   void take(Instance& instance, Millis now, const nlohmann::json& message, std::vector<Action>& out);
--- a/src/xds/hosts.cpp
+++ b/src/xds/hosts.cpp
@@ -7,6 +7,7 @@
 #include <tuple>
 
 #include "config/json_read.h"
+#include "metrics/host_counters.h"
 #include "net/socket.h"
 
 namespace lotusyard::xds {
@@ -14,7 +15,7 @@
 
 using config::key;
 using config::text;
-using core::WorkerState;
+using core::HostState;
 using nlohmann::json;
 
 // The JSON form of a protobuf message may name its fields in either way.
@@ -30,16 +31,16 @@
   return !either(resource, "cluster_name", "clusterName").is_null();
 }
 
-WorkerState state_of(const json& endpoint) {
+HostState state_of(const json& endpoint) {
   const json& health = either(endpoint, "health_status", "healthStatus");
   if (health.is_number()) {
     const int code = config::whole(health);  // UNKNOWN, HEALTHY, UNHEALTHY, DRAINING, TIMEOUT, DEGRADED
-    return code == 0 || code == 1 || code == 5 ? WorkerState::ready : WorkerState::draining;
+    return code == 0 || code == 1 || code == 5 ? HostState::ready : HostState::draining;
   }
   const std::string name = text(health);
   const bool takes = name.empty() || name == "UNKNOWN" || name == "HEALTHY" || name == "DEGRADED";
   // UNHEALTHY and TIMEOUT too: nothing new goes to what the list does not call able.
-  return takes ? WorkerState::ready : WorkerState::draining;
+  return takes ? HostState::ready : HostState::draining;
 }
 
 std::string address_of(const json& endpoint) {
@@ -97,7 +98,7 @@
   for (const auto& group : key(*assignment, "endpoints")) {
     for (const auto& endpoint : either(group, "lb_endpoints", "lbEndpoints")) {
       core::ListedHost member;
-      member.address = member.entry.worker = address_of(endpoint);
+      member.address = member.entry.host = address_of(endpoint);
       if (member.address.empty() || !seen.insert(member.address).second) {
         fault =
             "an endpoint without a numeric address and port of its own: " + endpoint.dump().substr(0, 200);
@@ -115,7 +116,7 @@
   return out;
 }
 
-HostFile::HostFile(net::EventLoop& loop, core::Counters& counters, std::string path, std::string cluster,
+HostFile::HostFile(net::EventLoop& loop, metrics::Counters& counters, std::string path, std::string cluster,
                    core::Millis pace, Told told)
     : loop_(loop),
       counters_(counters),
@@ -158,18 +159,18 @@
   fault = "cannot be read as JSON";
   auto list = file.is_discarded() ? std::nullopt : read_hosts(file, cluster_, fault);
   if (!list) {
-    counters_.add("xds.rejected");  // the hosts stay as they were
+    counters_.add(metrics::kXdsRejected);  // the hosts stay as they were
     return false;
   }
-  counters_.add("xds.lists");
+  counters_.add(metrics::kXdsLists);
   std::map<std::string, core::Millis> started;
   for (auto& member : list->hosts) {
-    const auto known = started_.find(member.entry.worker);
+    const auto known = started_.find(member.entry.host);
     // One that has just been added is cold, and would be sent a warm host's share.
     member.entry.started = known != started_.end() ? known->second
                            : read_once_            ? loop_.now()
                                                    : core::Millis(0);
-    started[member.entry.worker] = member.entry.started;
+    started[member.entry.host] = member.entry.started;
   }
   started_ = std::move(started);
   read_once_ = true;
--- a/src/xds/hosts.h
+++ b/src/xds/hosts.h
@@ -7,8 +7,8 @@
 #include <optional>
 #include <string>
 
-#include "core/counters.h"
 #include "core/listed_host.h"
+#include "metrics/counters.h"
 #include "net/event_loop.h"
 
 namespace lotusyard::xds {
@@ -22,7 +22,7 @@
 class HostFile {
  public:
   using Told = std::function<void(const core::HostListUpdate&)>;
-  HostFile(net::EventLoop& loop, core::Counters& counters, std::string path, std::string cluster,
+  HostFile(net::EventLoop& loop, metrics::Counters& counters, std::string path, std::string cluster,
            core::Millis pace, Told told);
   ~HostFile() { loop_.cancel(timer_); }
   bool start(std::string& fault);  // false if the first reading fails
@@ -32,7 +32,7 @@
 
  private:
   net::EventLoop& loop_;
-  core::Counters& counters_;
+  metrics::Counters& counters_;
   std::string path_, cluster_;
   core::Millis pace_;
   Told told_;
--- a/tests/lotusyard/console_test.cpp
+++ b/tests/admin/admin_endpoint_test.cpp
@@ -1,8 +1,20 @@
 // The admin endpoint: its parser, and its answers while others crowd it.
+#include "admin/admin_endpoint.h"
+
 #include <unistd.h>
 
-#include "admin/admin_endpoint.h"
-#include "helper.h"
+#include <algorithm>
+#include <catch2/catch.hpp>
+#include <list>
+#include <memory>
+#include <string>
+#include <vector>
+
+#include "net/buffered_connection.h"
+#include "net/event_loop.h"
+#include "support/invoker_fixture.h"
+#include "support/random_input.h"
+#include "support/test_settings.h"
 
 namespace lotusyard::test {
 namespace {
@@ -20,7 +32,7 @@
   Parser parser;
   for (std::size_t at = 0; at < bytes.size() && parser.state() == Parser::State::more;) {
     const std::size_t part = std::min(bytes.size() - at, 1 + below(random, 1 + below(random, 40)));
-    parser.take(std::string_view(bytes).substr(at, part));
+    parser.parse(std::string_view(bytes).substr(at, part));
     at += part;
   }
   if (out != nullptr)
@@ -94,19 +106,19 @@
 
 class Call final : public net::BufferedConnection {
  public:
-  Call(World& world, const std::string& address, const std::string& bytes)
+  Call(InvokerFixture& world, const std::string& address, const std::string& bytes)
       : BufferedConnection(world.loop, world.pool, net::connect_to(address).socket, true), world_(world) {
     write(bytes);
   }
   int status() {
-    world_.turn_until([&] { return closed; }, 20000);
+    world_.run_until([&] { return closed; }, 20000);
     return got.size() < 12 ? 0 : std::stoi(got.substr(9, 3));
   }
   std::string got;
   bool closed = false;
 
  private:
-  World& world_;
+  InvokerFixture& world_;
   void on_connected() override { loop().flush_later(*this); }
   void on_received(std::string_view bytes) override { got += bytes; }
   void on_closed() override { closed = true; }
@@ -132,7 +144,7 @@
 std::string get(const std::string& path) { return "GET " + path + " HTTP/1.1\r\n" + host + "\r\n"; }
 
 struct Desk {
-  World world{0};
+  InvokerFixture world{0};
   Office office;
   admin::AdminEndpoint admin_endpoint;
   explicit Desk(std::size_t callers = 4) : admin_endpoint(world.loop, world.counters, office, callers) {
@@ -171,11 +183,11 @@
     if (i % 3 == 0)
       CHECK(desk.ask(get("/-/ready")) == 200);
   }
-  REQUIRE(desk.world.turn_until(
+  REQUIRE(desk.world.run_until(
       [&] { return std::all_of(halves.begin(), halves.end(), [](const auto& c) { return c.closed; }); }));
   const auto timed_out = [](const auto& c) { return c.got.compare(0, 12, "HTTP/1.1 408") == 0; };
   CHECK(std::count_if(halves.begin(), halves.end(), timed_out) == 30);
-  CHECK(desk.world.turn_until([&] { return desk.admin_endpoint.quiet(); }));
+  CHECK(desk.world.run_until([&] { return desk.admin_endpoint.quiet(); }));
 }
 
 // A peer that always has something to read, and takes its time with it.
--- a/tests/lotusyard/triggers_gone_test.cpp
+++ b/tests/amqp/client_disconnected_test.cpp
@@ -1,6 +1,6 @@
 // A broker that ends the connection a delivery came over: it goes back to its queue, and nothing begins for
 // it here until it is delivered here again.
-#include "triggers.h"
+#include "support/triggers.h"
 
 namespace lotusyard::test {
 namespace {
@@ -31,7 +31,7 @@
     gone = true;
   };
   for (auto& host : t.world.host) {
-    host->react = [&](const std::string&) {
+    host->handler = [&](const std::string&) {
       if (!gone)
         go();
       return Reaction{Reaction::reply, "full"};
@@ -46,7 +46,7 @@
     });
   }
   const Millis until = t.world.loop.now() + Millis(300);
-  REQUIRE(t.world.turn_until([&] { return t.world.loop.now() >= until; }));
+  REQUIRE(t.world.run_until([&] { return t.world.loop.now() >= until; }));
   CHECK(execs() - before == (retry ? 1 : 0));
   CHECK(t.world.counters.value("amqp.down") > 0);
 }
--- a/tests/lotusyard/triggers_test.cpp
+++ b/tests/amqp/triggers_test.cpp
@@ -1,5 +1,5 @@
 // The AMQP front's whole path: stand-in broker, core and module, stand-in hosts.
-#include "triggers.h"
+#include "support/triggers.h"
 
 #include <cstdlib>
 #include <iostream>
@@ -28,7 +28,7 @@
   Triggers t(1);
   t.broker.chaos.nack = 1000;
   t.broker.send("a", "bin-check", "x");
-  REQUIRE(t.world.turn_until([&] { return t.world.counters.value("amqp.nacked") > 0; }, 20000));
+  REQUIRE(t.world.run_until([&] { return t.world.counters.value("amqp.nacked") > 0; }, 20000));
   CHECK(t.broker.acked == 0);
   t.broker.chaos.nack = 0;
   REQUIRE(t.settled());
@@ -40,7 +40,9 @@
   Triggers t(2);
   std::string word = "failed";
   for (auto& h : t.world.host) {
-    h->react = [&](const std::string&) { return Reaction{word.empty() ? Kind::silence : Kind::reply, word}; };
+    h->handler = [&](const std::string&) {
+      return Reaction{word.empty() ? Kind::silence : Kind::reply, word};
+    };
   }
   SECTION("an error of a bin-record may have run: failed, and not tried again") {
     t.broker.send("a", "bin-record", "x");
@@ -78,7 +80,7 @@
     t.front->apply_settings(next);
   };
   for (auto& h : t.world.host) {
-    h->react = [&](const std::string& body) {
+    h->handler = [&](const std::string& body) {
       change();  // while the first one is out
       return Reaction{Kind::reply, ++tries[body] == 1 ? "failed" : "data"};
     };
@@ -102,7 +104,7 @@
   t.broker.send("badallow", "bin-check", "x", {{"allow", std::int64_t{-1}}});
   t.broker.send("big", "bin-check", std::string(20000, 'x'));
   t.broker.put({{}, "no way to answer", false});
-  REQUIRE(t.world.turn_until([&] { return t.broker.acked + t.broker.rejected == 5; }, 20000));
+  REQUIRE(t.world.run_until([&] { return t.broker.acked + t.broker.rejected == 5; }, 20000));
   CHECK(t.broker.rejected == 1);
   for (const char* id : {"noclass", "badkey", "badallow", "big"}) {
     REQUIRE(t.broker.held[std::string("c-") + id].size() == 1);
@@ -130,7 +132,7 @@
 
 TEST_CASE("a keyed call goes out under its key or its id; redelivered, only while its window is open") {
   core::Settings s = settings();
-  s.classes[0].semantics = lotusyard::policy::Semantics::keyed;
+  s.classes[0].semantics = lotusyard::policy::Semantics::idempotent_with_key;
   s.classes[0].key_window = Millis(15000);
   Triggers t(1, 1, {}, s);
   t.broker.send("plain", "bin-check", "x");
@@ -163,7 +165,7 @@
 TEST_CASE("a consumer gone mid-answer: the call runs once and its redelivery gets the one answer") {
   Triggers t(1);
   bool running = false;
-  t.world.host[0]->react = [&](const std::string&) {
+  t.world.host[0]->handler = [&](const std::string&) {
     running = true;
     t.broker.drop_all();  // the connection breaks while the host works
     return Reaction();
@@ -188,7 +190,7 @@
   again.redelivered = true;
   SECTION("to the same address: acknowledged only") {
     t.broker.put(std::move(again));
-    REQUIRE(t.world.turn_until([&] { return t.broker.acked == 2; }, 20000));
+    REQUIRE(t.world.run_until([&] { return t.broker.acked == 2; }, 20000));
     CHECK(t.broker.answers.size() == 1);
   }
   SECTION("to another address: the remembered answer") {
@@ -209,7 +211,7 @@
     t.broker.missing_queues = 2;
   }
   const char* const counter = silent ? "amqp.quiet" : "amqp.channel_closed";
-  REQUIRE(t.world.turn_until([&] { return t.world.counters.value(counter) > 0; }, 20000));
+  REQUIRE(t.world.run_until([&] { return t.world.counters.value(counter) > 0; }, 20000));
   t.broker.heartbeat_s = 0;
   // Sent only once the old connection has gone at both ends: a delivery that it lost would come as
   // redelivered.
@@ -217,7 +219,7 @@
   const auto anew = [&] {
     return t.world.counters.value("amqp.up") >= ups && t.broker.server.peers.size() == 1;
   };
-  REQUIRE(t.world.turn_until(anew, 20000));
+  REQUIRE(t.world.run_until(anew, 20000));
   t.broker.send("a", "bin-record", "x");
   REQUIRE(t.answered("a"));
   CHECK(word_of(t.broker.held["c-a"][0]) == "OK");
@@ -277,7 +279,7 @@
   }
   Triggers t(1, 1, {}, settings(), nullptr, {nobody});
   t.broker.close_with = 320;
-  REQUIRE(t.world.turn_until([&] { return t.broker.closes >= 2; }, 20000));
+  REQUIRE(t.world.run_until([&] { return t.broker.closes >= 2; }, 20000));
   t.broker.close_with = 0;
   t.broker.send("a", "bin-record", "x");
   REQUIRE(t.answered("a"));
@@ -291,12 +293,12 @@
   t.broker.send("first", "bin-check", "x");
   REQUIRE(t.answered("first"));
   t.broker.say_all(amqp::method::connection_blocked, amqp::Writer().short_text("low on memory"));
-  REQUIRE(t.world.turn_until([&] { return t.world.counters.value("amqp.blocked") == 1; }, 20000));
+  REQUIRE(t.world.run_until([&] { return t.world.counters.value("amqp.blocked") == 1; }, 20000));
   for (int i = 0; i < 10; ++i)
     t.broker.send("m" + std::to_string(i), "bin-record", "y" + std::to_string(i));
-  REQUIRE(t.world.turn_until([&] { return t.world.host[0]->execs == 11; }, 20000));
+  REQUIRE(t.world.run_until([&] { return t.world.host[0]->execs == 11; }, 20000));
   const Millis began = t.world.loop.now();
-  t.world.turn_until([&] { return t.world.loop.now() - began > Millis(100); }, 20000);
+  t.world.run_until([&] { return t.world.loop.now() - began > Millis(100); }, 20000);
   CHECK(t.broker.answers.size() == 1);
   t.broker.say_all(amqp::method::connection_unblocked, amqp::Writer());
   REQUIRE(t.answered("m9"));
@@ -312,7 +314,7 @@
     t.broker.send("m" + std::to_string(i), "bin-check", "x");
   REQUIRE(t.answered("m15"));
   const Millis began = t.world.loop.now();
-  t.world.turn_until([&] { return t.world.loop.now() - began > Millis(200); }, 20000);
+  t.world.run_until([&] { return t.world.loop.now() - began > Millis(200); }, 20000);
   CHECK(t.broker.answers.size() == 16);  // the prefetch of these tests
   CHECK(t.world.counters.value("amqp.deliveries") == 16);
 }
@@ -343,8 +345,8 @@
     CHECK(t.broker.queues["calls"].size() == 2);
     CHECK(t.broker.bindings == 1);
   } else {
-    CHECK(t.world.turn_until([&] { return t.world.counters.value("amqp.closed.precondition_failed") == 1; },
-                             20000));
+    CHECK(t.world.run_until([&] { return t.world.counters.value("amqp.closed.precondition_failed") == 1; },
+                            20000));
     CHECK(said.str().find("amqp.topology.queues[0]: the broker refuses for good: 406") != std::string::npos);
   }
   std::cerr.rdbuf(before);
@@ -359,7 +361,7 @@
   t.broker.server.peers.front()->consuming = false;
   t.broker.server.peers.front()->say(amqp::method::basic_cancel, 1,
                                      amqp::Writer().short_text("lotusyard-0").u8(0));
-  REQUIRE(t.world.turn_until([&] { return t.broker.queues.count("calls") == 1; }, 20000));
+  REQUIRE(t.world.run_until([&] { return t.broker.queues.count("calls") == 1; }, 20000));
   t.broker.send("b", "bin-check", "y");
   REQUIRE(t.answered("b"));
   CHECK(t.world.counters.value("amqp.down") == 0);
@@ -369,7 +371,7 @@
   amqp::Memory memory(3, 1U << 20);
   for (const char* id : {"a", "b", "c", "d"}) {
     memory.begin(id, true);
-    memory.end(id, {core::Verdict::served, Millis(0), "x"});
+    memory.end(id, {core::CallStatus::succeeded, Millis(0), "x"});
   }
   memory.begin("runs", true);
   CHECK(memory.find("a") == nullptr);
@@ -379,7 +381,7 @@
   amqp::Memory small(100, 4000);
   for (int i = 0; i < 20; ++i) {
     small.begin(std::to_string(i), true);
-    small.end(std::to_string(i), {core::Verdict::served, Millis(0), std::string(500, 'x')});
+    small.end(std::to_string(i), {core::CallStatus::succeeded, Millis(0), std::string(500, 'x')});
   }
   CHECK(small.size() <= 4);
   CHECK(small.find("19") != nullptr);
--- a/tests/lotusyard/descriptors_test.cpp
+++ b/tests/app/descriptors_test.cpp
@@ -1,7 +1,7 @@
 // Descriptors run out while the change log is down: what the process needs for itself is kept free.
 #include <sys/resource.h>
 
-#include "service.h"
+#include "support/service.h"
 
 namespace lotusyard::test {
 namespace {
--- a/tests/lotusyard/platform_test.cpp
+++ b/tests/app/platform_test.cpp
@@ -1,5 +1,5 @@
 // The platform's front and the hosts' connections, over loopback.
-#include "platform.h"
+#include "support/platform.h"
 
 #include <sys/socket.h>
 
@@ -38,7 +38,7 @@
     CHECK(p.world.counters.value("resp.unknown_verb") == 1);
   }
   SECTION("the 33rd open call is refused") {
-    p.world.host[0]->react = [](const std::string&) { return Reaction{Kind::silence, ""}; };
+    p.world.host[0]->handler = [](const std::string&) { return Reaction{Kind::silence, ""}; };
     for (int i = 1; i <= 33; ++i)
       c.call(std::to_string(i), "bin-check", std::to_string(i));
     REQUIRE(c.answer("33") != nullptr);
@@ -55,7 +55,7 @@
       c.say({"CALL", "0"});
     if (which == 2)
       c.say({"CALL", "1", std::string(20000, 'x')});
-    CHECK(p.world.turn_until([&] { return c.closed; }, 20000));
+    CHECK(p.world.run_until([&] { return c.closed; }, 20000));
     CHECK(p.world.counters.value(which < 1    ? "resp.tag_repeated"
                                  : which == 1 ? "resp.no_tag"
                                               : "resp.malformed") == 1);
@@ -64,22 +64,22 @@
 
 TEST_CASE("a client that cancels or goes gets no answer, and its attempt is dropped") {
   Platform p(1);
-  p.world.host[0]->react = [](const std::string&) { return Reaction{Kind::silence, ""}; };
+  p.world.host[0]->handler = [](const std::string&) { return Reaction{Kind::silence, ""}; };
   Client c(p.world, p.front.address());
   c.call("1", "bin-record", "x");
-  REQUIRE(p.world.turn_until([&] { return p.world.host[0]->execs == 1; }, 20000));
+  REQUIRE(p.world.run_until([&] { return p.world.host[0]->execs == 1; }, 20000));
   if (GENERATE(true, false)) {
     c.say({"CANCEL", "1"});
   } else {
     c.close_later();
   }
-  REQUIRE(p.world.turn_until([&] { return p.world.host[0]->drops == 1; }, 20000));
+  REQUIRE(p.world.run_until([&] { return p.world.host[0]->drops == 1; }, 20000));
   CHECK(p.world.dispatcher.open_calls() == 0);
   CHECK(c.got.empty());
 }
 
 TEST_CASE("clients beyond the bound take the place of the one longest idle") {
-  resp::Front::Limits limits;
+  resp::FrontEnd::Limits limits;
   limits.clients = 2;
   Platform p(1, limits);
   Client a(p.world, p.front.address()), b(p.world, p.front.address());
@@ -89,7 +89,7 @@
   Client c(p.world, p.front.address());
   c.say({"CHECK", "1"});
   CHECK(c.answer("1") != nullptr);
-  CHECK(p.world.turn_until([&] { return a.closed || b.closed; }, 20000));
+  CHECK(p.world.run_until([&] { return a.closed || b.closed; }, 20000));
 }
 
 TEST_CASE("a connection that says nothing, or half a request, is closed; one that has asked may stay") {
@@ -101,15 +101,15 @@
   REQUIRE((usual.answer("1") != nullptr && later.answer("1") != nullptr));
   half.write("*3\r\n$5\r\nCHE");
   later.write("*3\r\n$5\r\nCHE");
-  CHECK(p.world.turn_until([&] { return silent.closed && half.closed && later.closed; }, 20000));
+  CHECK(p.world.run_until([&] { return silent.closed && half.closed && later.closed; }, 20000));
   CHECK_FALSE(usual.closed);
   CHECK(p.world.counters.value("resp.no_request") == 2);
   CHECK(p.world.counters.value("resp.half_request") == 1);
 }
 
 TEST_CASE("connections by dozens that say nothing cost those that ask no place") {
-  resp::Front::Limits limits;
-  limits.clients = limits.newcomers = 4;
+  resp::FrontEnd::Limits limits;
+  limits.clients = limits.new_connections = 4;
   Platform p(1, limits);
   Client usual(p.world, p.front.address());
   usual.say({"CHECK", "1"});
@@ -127,8 +127,8 @@
 
 TEST_CASE(
     "a request that is written piece by piece over two seconds is served, whatever crowd stops half-way") {
-  resp::Front::Limits limits;
-  limits.newcomers = 6;
+  resp::FrontEnd::Limits limits;
+  limits.new_connections = 6;
   Platform p(1, limits);
   Client slow(p.world, p.front.address());
   const std::string request = "*3\r\n$5\r\nCHECK\r\n$1\r\n1\r\n$0\r\n\r\n";
@@ -138,7 +138,7 @@
     slow.write(request.substr(at, 1));
     const Millis next =
         began + Millis(2200.0 * static_cast<double>(at + 1) / static_cast<double>(request.size()));
-    REQUIRE(p.world.turn_until([&] { return p.world.loop.now() >= next; }));
+    REQUIRE(p.world.run_until([&] { return p.world.loop.now() >= next; }));
     REQUIRE_FALSE(slow.closed);
     if (at == 0)
       continue;  // from its second piece on it is known to go on
@@ -158,7 +158,7 @@
 // A client that reads about a megabyte a second, with little room before it.
 class SlowReader final : public net::EventHandler {
  public:
-  SlowReader(World& world, const std::string& address)
+  SlowReader(InvokerFixture& world, const std::string& address)
       : world_(world), socket_(net::connect_to(address).socket) {
     const int room = 8192;
     REQUIRE(setsockopt(socket_.fd(), SOL_SOCKET, SO_RCVBUF, &room, sizeof room) == 0);
@@ -174,7 +174,7 @@
   bool closed = false, reads = true;
 
  private:
-  World& world_;
+  InvokerFixture& world_;
   net::Socket socket_;
   net::EventLoop::TimerId timer_{};
   std::string got_;
@@ -213,14 +213,14 @@
 TEST_CASE(
     "answers of 230,000 bytes reach clients that read a megabyte a second, at half of the least limits") {
   const auto shares = hot_restart::shares_of(16, 128, hot_restart::ProcessRole::sole);
-  hosts::Limits host_limits = World::limits();
+  hosts::Limits host_limits = InvokerFixture::limits();
   host_limits.incoming = shares.incoming;
   host_limits.longest_answer = 256U << 10;
-  resp::Front::Limits limits;
+  resp::FrontEnd::Limits limits;
   limits.unread_bytes = shares.unwritten / 2;
   Platform p(1, limits, host_limits);
   p.world.pool.set_max_blocks(shares.unwritten / net::BufferPool::block_size);
-  p.world.host[0]->react = [](const std::string&) { return Reaction{Kind::reply, "data", 230000}; };
+  p.world.host[0]->handler = [](const std::string&) { return Reaction{Kind::reply, "data", 230000}; };
   std::list<SlowReader> readers;
   for (int i = 0; i < 4; ++i)
     readers.emplace_back(p.world, p.front.address());
@@ -229,7 +229,7 @@
     for (int i = 0; i < 2; ++i)
       reader.say(call_bytes(++number, "long"));
   }
-  REQUIRE(p.world.turn_until([&] {
+  REQUIRE(p.world.run_until([&] {
     return std::all_of(readers.begin(), readers.end(),
                        [](const auto& r) { return r.bodies.size() == 2 || r.closed; });
   }));
@@ -241,13 +241,13 @@
 }
 
 TEST_CASE("a client that does not read is ended by what it holds, and no other one") {
-  World world(1);
+  InvokerFixture world(1);
   net::BufferPool pool(64);  // a megabyte; the hosts have their own
-  resp::Front::Limits limits;
+  resp::FrontEnd::Limits limits;
   limits.unread_bytes = 64U << 20;  // the pool runs out first
-  resp::Front front(world.loop, pool, world.dispatcher, world.counters, limits);
+  resp::FrontEnd front(world.loop, pool, world.dispatcher, world.counters, limits);
   REQUIRE(front.listen("127.0.0.1:0"));
-  world.host[0]->react = [](const std::string& body) {
+  world.host[0]->handler = [](const std::string& body) {
     return Reaction{Kind::reply, "data", body == "long" ? std::size_t{200000} : 0};
   };
   SlowReader mute(world, front.address());
@@ -255,7 +255,7 @@
   Client usual(world, front.address());
   for (int i = 1; i <= 30; ++i)
     mute.say(call_bytes(i, "long"));
-  REQUIRE(world.turn_until([&] { return world.counters.value("resp.unread_closed") == 1; }, 20000));
+  REQUIRE(world.run_until([&] { return world.counters.value("resp.unread_closed") == 1; }, 20000));
   for (int i = 1; i <= 5; ++i) {
     usual.call(std::to_string(i), "bin-check", "short");
     REQUIRE(usual.answer(std::to_string(i)) != nullptr);
@@ -266,17 +266,17 @@
 }
 
 TEST_CASE("answers that are not whole yet are bounded over all connections: the one that holds most ends") {
-  hosts::Limits limits = World::limits();
+  hosts::Limits limits = InvokerFixture::limits();
   limits.incoming = 300000;
   limits.attempts_a_link = 1;
   Platform p(1, {}, limits);
-  p.world.host[0]->react = [](const std::string& body) {  // half of each comes, and then nothing
+  p.world.host[0]->handler = [](const std::string& body) {  // half of each comes, and then nothing
     return Reaction{Kind::stall, "data", body == "most" ? std::size_t{500000} : std::size_t{200000}};
   };
   Client c(p.world, p.front.address());
   c.call("1", "bin-record", "most");
   c.call("2", "bin-record", "less");
-  REQUIRE(p.world.turn_until([&] { return p.world.counters.value("hosts.links_ended") == 1; }, 20000));
+  REQUIRE(p.world.run_until([&] { return p.world.counters.value("hosts.links_ended") == 1; }, 20000));
   CHECK(p.world.counters.value("hosts.no_memory") == 1);
   CHECK(p.world.counters.value("hosts.cut_answers") == 0);
   REQUIRE(c.answer("1") != nullptr);
@@ -301,16 +301,16 @@
 TEST_CASE("a connection with too many faults ends only once its sound calls have their answers") {
   Platform p(1);
   Client c(p.world, p.front.address());
-  p.world.host[0]->react = [](const std::string& body) {
+  p.world.host[0]->handler = [](const std::string& body) {
     return body == "sound" ? Reaction{Kind::silence, ""} : Reaction();
   };
   c.call("1", "bin-record", "sound", 600);
-  REQUIRE(p.world.turn_until([&] { return p.world.host[0]->execs == 1; }, 20000));
+  REQUIRE(p.world.run_until([&] { return p.world.host[0]->execs == 1; }, 20000));
   for (int i = 2; i <= 200; ++i)
     c.call(std::to_string(i), "no-class", "x");
   REQUIRE(c.answer("1") != nullptr);
   CHECK(c.got.size() == 200);
-  CHECK(p.world.turn_until([&] { return c.closed; }));
+  CHECK(p.world.run_until([&] { return c.closed; }));
 }
 
 TEST_CASE("a client that sends the same again whenever it is turned away is closed in the end") {
@@ -331,7 +331,7 @@
   const auto kind = GENERATE(Kind::half, Kind::hang_up);
   int broken = 0;
   for (auto& h : p.world.host) {
-    h->react = [&](const std::string&) { return broken++ == 0 ? Reaction{kind, "data"} : Reaction(); };
+    h->handler = [&](const std::string&) { return broken++ == 0 ? Reaction{kind, "data"} : Reaction(); };
   }
   Client c(p.world, p.front.address());
   const bool record = GENERATE(true, false);
@@ -345,7 +345,7 @@
   Platform p(1);
   const auto kind = GENERATE(Kind::noise, Kind::stall, Kind::silence);
   int execs = 0;
-  p.world.host[0]->react = [&](const std::string&) {
+  p.world.host[0]->handler = [&](const std::string&) {
     return execs++ == 1 ? Reaction{kind, "data"} : Reaction();
   };
   p.world.host[0]->mute = true;
@@ -372,7 +372,7 @@
   const auto kind = GENERATE(Kind::twice, Kind::stranger);
   const std::string word = GENERATE("data", "full");
   int execs = 0;
-  p.world.host[0]->react = [&](const std::string&) {
+  p.world.host[0]->handler = [&](const std::string&) {
     return execs++ == 0 ? Reaction{kind, word} : Reaction();
   };
   Client c(p.world, p.front.address());
@@ -388,7 +388,7 @@
 }
 
 TEST_CASE("an answer said to be longer than memory allows ends its connection before it comes") {
-  hosts::Limits limits = World::limits();
+  hosts::Limits limits = InvokerFixture::limits();
   limits.longest_answer = 100;
   Platform p(1, {}, limits);
   Client c(p.world, p.front.address());
@@ -417,7 +417,7 @@
   Client c(p.world, p.front.address());
   c.call("1", "bin-check", "x");
   REQUIRE(c.answer("1") != nullptr);
-  p.world.tell(lotusyard::policy::WorkerState::draining);
+  p.world.tell(lotusyard::policy::HostState::draining);
   c.call("2", "bin-check", "y", 300);
   REQUIRE(c.answer("2") != nullptr);
   CHECK(c.answer("2")->at(1) == "BUSY");
@@ -428,13 +428,13 @@
 
 // Failure found in review: bytes given to an ending connection were dropped, and the attempt counted as run.
 TEST_CASE("a call that comes in the very turn in which an idle connection ends goes out on a new one") {
-  struct Desk final : core::Front {
-    std::vector<core::Verdict> verdicts;
-    void answer(core::CallId, core::Answer&& answer) override { verdicts.push_back(answer.verdict); }
+  struct Desk final : core::FrontEnd {
+    std::vector<core::CallStatus> verdicts;
+    void answer(core::CallId, core::Answer&& answer) override { verdicts.push_back(answer.status); }
   } desk;
-  hosts::Limits limits = World::limits();
+  hosts::Limits limits = InvokerFixture::limits();
   limits.idle = Millis(50);
-  World world(1, settings(), limits);
+  InvokerFixture world(1, settings(), limits);
   const auto call = [&](const char* ref) {
     core::Call c;
     c.ref = ref;
@@ -443,17 +443,17 @@
     c.function = 7;
     c.lanes = 4;
     c.arrived = world.loop.now();
-    c.allow = Millis(1000);
+    c.timeout = Millis(1000);
     world.dispatcher.admit(world.dispatcher.allocate_call_id(), std::move(c), desk);
   };
   call("000000000000000a");
-  REQUIRE(world.turn_until([&] { return desk.verdicts.size() == 1; }, 20000));
+  REQUIRE(world.run_until([&] { return desk.verdicts.size() == 1; }, 20000));
   const Millis due = world.loop.now() + Millis(50);
   world.loop.schedule_at(due, [&] { call("000000000000000b"); });
   while (world.loop.now() < due) {
   }  // both timers ring in one turn, the connection's first
-  REQUIRE(world.turn_until([&] { return desk.verdicts.size() == 2; }, 20000));
-  CHECK(desk.verdicts[1] == core::Verdict::served);
+  REQUIRE(world.run_until([&] { return desk.verdicts.size() == 2; }, 20000));
+  CHECK(desk.verdicts[1] == core::CallStatus::succeeded);
   CHECK(world.counters.value("hosts.links_opened") == 2);
 }
 
@@ -463,7 +463,7 @@
   c.call("1", "bin-check", "x");
   REQUIRE(c.answer("1") != nullptr);
   const auto opened = p.world.counters.value("hosts.links_opened");
-  p.world.tell(lotusyard::policy::WorkerState::ready, p.world.loop.now().count() - 20000);
+  p.world.tell(lotusyard::policy::HostState::ready, p.world.loop.now().count() - 20000);
   c.call("2", "bin-check", "y");
   REQUIRE(c.answer("2") != nullptr);
   CHECK(c.answer("2")->at(1) == "OK");
@@ -472,20 +472,20 @@
 
 TEST_CASE("a host that answers nothing: the call is failed at its deadline and the next one asks anew") {
   Platform p(1);
-  p.world.host[0]->react = [](const std::string&) { return Reaction{Kind::silence, ""}; };
+  p.world.host[0]->handler = [](const std::string&) { return Reaction{Kind::silence, ""}; };
   Client c(p.world, p.front.address());
   c.call("1", "bin-record", "x", 600);
   REQUIRE(c.answer("1") != nullptr);
   CHECK(c.answer("1")->at(1) == "FAILED");
-  CHECK(p.world.turn_until([&] { return p.world.counters.value("hosts.links_ended") == 1; }, 20000));
+  CHECK(p.world.run_until([&] { return p.world.counters.value("hosts.links_ended") == 1; }, 20000));
 }
 
 // Failure found: calls that waited for a load were silent, and each invoker asked by a liveness probe every
 // 0.2 s: on a day of 100 invokers more signs than calls.
 TEST_CASE("silent links are asked for few signs, however many calls wait on them") {
-  World world(12);
+  InvokerFixture world(12);
   for (auto& host : world.host)
-    host->react = [](const std::string&) { return Reaction{Kind::silence, ""}; };
+    host->handler = [](const std::string&) { return Reaction{Kind::silence, ""}; };
   for (std::size_t i = 0; i < 24; ++i) {
     core::Call call;
     call.ref = net::hex16(i + 1);
@@ -494,7 +494,7 @@
     world.fleet.send_attempt({i + 1, 0}, "h" + std::to_string(i % 12), call, Millis(5000));
   }
   const Millis began = world.loop.now();
-  world.turn_until([&] { return world.loop.now() - began > Millis(1500); }, 20000);
+  world.run_until([&] { return world.loop.now() - began > Millis(1500); }, 20000);
   int execs = 0, signs = 0;
   for (const auto& host : world.host)
     execs += host->execs, signs += host->signs;
@@ -506,21 +506,21 @@
 // Failure found: the key stayed behind, and hosts got calls that were not as their clients had sent them.
 TEST_CASE("a client's key goes to hosts unchanged on every attempt; one that cannot is its call's fault") {
   core::Settings s = keyed_settings(Millis(15000));
-  s.probes = s.miss_is_answered = false;
-  World world(2, s);
-  resp::Front front(world.loop, world.pool, world.dispatcher, world.counters, {});
+  s.host_protocol.accepts_probes = s.host_protocol.answers_misses = false;
+  InvokerFixture world(2, s);
+  resp::FrontEnd front(world.loop, world.pool, world.dispatcher, world.counters, {});
   REQUIRE(front.listen("127.0.0.1:0"));
   int failures = 0;
   for (auto& host : world.host) {
-    host->react = [&](const std::string&) {
+    host->handler = [&](const std::string&) {
       return failures++ == 0 ? Reaction{Kind::reply, "failed"} : Reaction();
     };
   }
   Client c(world, front.address());
   int refs = 0;
-  const auto call = [&](const char* cls, const std::string& more) {
+  const auto call = [&](const char* call_class, const std::string& more) {
     const std::string tag = std::to_string(++refs);
-    c.say({"CALL", tag, cls,
+    c.say({"CALL", tag, call_class,
            "ref=" + net::hex16(static_cast<std::uint64_t>(refs)) +
                ",allow=1000,lookup=00000000000000a1,spec=memory_mb:300;lanes:4" + more,
            "x"});
@@ -551,7 +551,7 @@
 }
 
 // One call is out at the first host for five seconds.
-void call_out(World& world) {
+void call_out(InvokerFixture& world) {
   core::Call call;
   call.ref = net::hex16(1);
   call.class_name = "bin-check";
@@ -566,15 +566,15 @@
   const auto sign =
       GENERATE(hosts::LivenessProbe::health, hosts::LivenessProbe::order, hosts::LivenessProbe::none);
   const bool mute = GENERATE(true, false);
-  hosts::Limits limits = World::limits();
+  hosts::Limits limits = InvokerFixture::limits();
   limits.liveness = sign;
-  World world(1, settings(), limits);
+  InvokerFixture world(1, settings(), limits);
   auto& host = *world.host[0];
   host.mute = mute;
-  host.react = [](const std::string&) { return Reaction{Kind::silence, ""}; };
+  host.handler = [](const std::string&) { return Reaction{Kind::silence, ""}; };
   call_out(world);
   const Millis began = world.loop.now();
-  world.turn_until([&] { return world.loop.now() - began > Millis(1500); }, 20000);
+  world.run_until([&] { return world.loop.now() - began > Millis(1500); }, 20000);
   CHECK((host.signs > 0) == (sign == hosts::LivenessProbe::health));
   CHECK((host.asks > 0) == (sign == hosts::LivenessProbe::order));
   CHECK(world.counters.value("hosts.silent_links") == (mute && sign != hosts::LivenessProbe::none ? 1 : 0));
@@ -583,16 +583,16 @@
 // Failure found in review: where probes are not allowed, a silent connection to a host that drains was asked
 // by an order, later than any may go there.
 TEST_CASE("a silent connection to a host that was told draining gets no order, also none that only asks") {
-  hosts::Limits limits = World::limits();
+  hosts::Limits limits = InvokerFixture::limits();
   limits.liveness = hosts::LivenessProbe::order;
-  World world(1, settings(), limits);
+  InvokerFixture world(1, settings(), limits);
   auto& host = *world.host[0];
-  host.react = [](const std::string&) { return Reaction{Kind::silence, ""}; };
+  host.handler = [](const std::string&) { return Reaction{Kind::silence, ""}; };
   call_out(world);
-  REQUIRE(world.turn_until([&] { return host.execs == 1; }, 2000));
-  world.tell(lotusyard::policy::WorkerState::draining);
+  REQUIRE(world.run_until([&] { return host.execs == 1; }, 2000));
+  world.tell(lotusyard::policy::HostState::draining);
   const Millis began = world.loop.now();
-  world.turn_until([&] { return world.loop.now() - began > Millis(1500); }, 20000);
+  world.run_until([&] { return world.loop.now() - began > Millis(1500); }, 20000);
   CHECK(host.asks == 0);
   CHECK(world.counters.value("hosts.silent_links") == 0);
 }
--- a/tests/lotusyard/clubs_test.cpp
+++ b/tests/app/second_site_test.cpp
@@ -1,9 +1,23 @@
 // Hosts that load what they lack while the call waits, drop repeats of a key for a while, ignore cancels, are
 // slowed by neighbours and break connections, on loopback. Every run is counted.
+#include <algorithm>
+#include <catch2/catch.hpp>
+#include <map>
+#include <memory>
 #include <set>
+#include <string>
+#include <vector>
 
-#include "helper.h"
+#include "core/dispatcher.h"
+#include "hosts/connection_pool.h"
+#include "hosts/line_parser.h"
+#include "net/buffered_connection.h"
+#include "net/event_loop.h"
 #include "net/fields.h"
+#include "support/invoker_fixture.h"
+#include "support/loopback_server.h"
+#include "support/random_input.h"
+#include "support/test_settings.h"
 
 namespace lotusyard::test {
 namespace {
@@ -18,7 +32,7 @@
 
 class ClubHost {
  public:
-  ClubHost(World& world, Runs& runs, Random& random)
+  ClubHost(InvokerFixture& world, Runs& runs, Random& random)
       : server(world.loop, world.pool, *this), world_(world), runs_(runs), random_(random) {}
   class Peer final : public net::BufferedConnection {
    public:
@@ -32,7 +46,7 @@
     hosts::LineParser parser_;
     void on_received(std::string_view bytes) override {
       std::vector<hosts::Reply> lines;
-      REQUIRE(parser_.take(bytes, lines));
+      REQUIRE(parser_.parse(bytes, lines));
       for (const auto& line : lines)
         host_.take(number, line);
     }
@@ -42,7 +56,7 @@
   double slow = 1;  // what other programs on the machine leave
 
  private:
-  World& world_;
+  InvokerFixture& world_;
   Runs& runs_;
   Random& random_;
   std::map<std::string, Millis> standing_;  // by function: from when
@@ -104,7 +118,7 @@
   }
 };
 
-struct Clients final : core::Front {
+struct Clients final : core::FrontEnd {
   std::map<core::CallId, std::vector<core::Answer>> answers;
   void answer(core::CallId call, core::Answer&& a) override { answers[call].push_back(std::move(a)); }
 };
@@ -115,16 +129,16 @@
   Random random(seed);
   core::Settings s = keyed_settings(kWindow - Millis(100));  // from a send; a host counts from its arrival
   for (auto& c : s.classes)
-    c.aim = Millis(150), c.deadline = Millis(500);
-  s.miss_is_answered = s.probes = false;
-  s.reports = lotusyard::policy::ReportMode::answers;
-  s.report_fields = {lotusyard::policy::ReportField::inflight, lotusyard::policy::ReportField::pinned,
-                     lotusyard::policy::ReportField::loading};
+    c.latency_objective = Millis(150), c.deadline = Millis(500);
+  s.host_protocol.answers_misses = s.host_protocol.accepts_probes = false;
+  s.load_reports.mode = lotusyard::policy::ReportMode::answers;
+  s.load_reports.fields = {lotusyard::policy::ReportField::inflight, lotusyard::policy::ReportField::pinned,
+                           lotusyard::policy::ReportField::loading};
   hosts::Limits limits;
   limits.report_fields = {"inflight", "x0", "x1"};
   limits.liveness = hosts::LivenessProbe::order;
   limits.quiet = Millis(120);
-  World world(0, s, limits);
+  InvokerFixture world(0, s, limits);
   Runs runs;
   std::vector<std::unique_ptr<ClubHost>> fleet;
   core::HostListUpdate list{true, {}};
@@ -132,7 +146,7 @@
   for (int i = 0; i < 5; ++i) {
     fleet.push_back(std::make_unique<ClubHost>(world, runs, random));
     core::ListedHost member;
-    member.entry.worker = "c" + std::to_string(i);
+    member.entry.host = "c" + std::to_string(i);
     member.address = fleet.back()->server.address();
     list.hosts.push_back(member);
     entries.entries.push_back(member.entry);
@@ -141,7 +155,7 @@
   world.dispatcher.update_endpoints(std::move(entries));
 
   struct Try {
-    std::string cls, key, body;
+    std::string call_class, key, body;
     Millis first{0};
     std::uint64_t function = 0;
     core::CallId id = 0;
@@ -155,7 +169,7 @@
   const auto send = [&](Try& t) {
     core::Call c;
     c.ref = net::hex16(++refs);
-    c.class_name = t.cls;
+    c.class_name = t.call_class;
     c.key = t.key;
     c.function = t.function;
     c.function_name = net::hex16(t.function);
@@ -164,9 +178,9 @@
     c.memory_mb = 4000;
     c.retry = t.tries++ > 0;
     c.arrived = world.loop.now();
-    c.allow = std::min(Millis(250), t.first + Millis(500) - c.arrived);
+    c.timeout = std::min(Millis(250), t.first + Millis(500) - c.arrived);
     t.id = world.dispatcher.allocate_call_id();
-    if (world.dispatcher.admit(t.id, std::move(c), clients))
+    if (!world.dispatcher.admit(t.id, std::move(c), clients).has_value())
       taken.insert(t.id);
   };
   const Millis began = world.loop.now();
@@ -174,20 +188,20 @@
     const auto found = clients.answers.find(t.id);
     if (t.over || found == clients.answers.end())
       return;
-    const auto verdict = found->second.front().verdict;
-    const bool again = verdict == core::Verdict::refused || t.cls != "bin-record";
-    t.over = verdict == core::Verdict::served || !again || t.tries >= 3 ||
+    const auto status = found->second.front().status;
+    const bool again = status == core::CallStatus::rejected || t.call_class != "bin-record";
+    t.over = status == core::CallStatus::succeeded || !again || t.tries >= 3 ||
              world.loop.now() - t.first > Millis(400);
     if (!t.over)
       send(t);
   };
   while (wanted.size() < 500) {
     const Millis next = began + Millis(3.0 * static_cast<double>(wanted.size()));
-    world.turn_until([&] { return world.loop.now() >= next; });
+    world.run_until([&] { return world.loop.now() >= next; });
     Try t;
-    t.cls = s.classes[below(random, 3)].name;
+    t.call_class = s.classes[below(random, 3)].name;
     t.body = "b" + std::to_string(wanted.size());
-    if (t.cls == "booking")
+    if (t.call_class == "booking")
       t.key = "k" + std::to_string(wanted.size());
     t.function = 1 + below(random, 12);
     t.first = world.loop.now();
@@ -204,21 +218,21 @@
       retry(t);
     return world.dispatcher.open_calls() == 0;
   };
-  REQUIRE(world.turn_until(settled, 20000));
+  REQUIRE(world.run_until(settled, 20000));
   const Millis rest = world.loop.now() + kWindow;  // what was given up runs to its end
-  world.turn_until([&] { return world.loop.now() > rest; });
+  world.run_until([&] { return world.loop.now() > rest; });
 
   for (const auto id : taken)
     CHECK(clients.answers[id].size() == 1);
   std::size_t served = 0;
   for (const auto& t : wanted) {
     const auto& answers = clients.answers[t.id];
-    if (!answers.empty() && answers[0].verdict == core::Verdict::served) {
+    if (!answers.empty() && answers[0].status == core::CallStatus::succeeded) {
       ++served;
       CHECK(answers[0].body == t.body);
       CHECK(runs.by_body[t.body] >= 1);
     }
-    if (t.cls == "bin-record")
+    if (t.call_class == "bin-record")
       CHECK(runs.by_body[t.body] <= 1);
   }
   for (const auto& [key, count] : runs.by_key)
--- a/tests/lotusyard/service_test.cpp
+++ b/tests/app/service_test.cpp
@@ -1,6 +1,6 @@
 // Whole processes in service: the admin endpoint, hosts out by hand, settings at SIGHUP and replacement,
 // with stand-in hosts, a stand-in change log and clients on loopback.
-#include "service.h"
+#include "support/service.h"
 
 #include <netinet/in.h>
 
@@ -108,7 +108,7 @@
 TEST_CASE("a process is replaced under clients: no call is lost, and no bin-record runs twice") {
   Service s;
   for (auto& host : s.world.host)
-    host->react = [](const std::string&) { return Reaction(); };
+    host->handler = [](const std::string&) { return Reaction(); };
   s.start();
   REQUIRE(s.ready(s.consoles.back()));
   std::vector<std::unique_ptr<Tablet>> tablets(8);
--- a/tests/lotusyard/shutdown_test.cpp
+++ b/tests/app/shutdown_test.cpp
@@ -1,6 +1,6 @@
 // What comes in the last moments of a process: calls that are open, bytes that are in sockets already. Orders
 // are forced by stopping the process and by limits, not by waiting for luck.
-#include "service.h"
+#include "support/service.h"
 
 namespace lotusyard::test {
 namespace {
@@ -19,14 +19,14 @@
     "a process that has to end answers what is still open, and a bin-record only as what may have run") {
   Service s(false);
   auto file = platform_file(s.listen, s.log.server.address());
-  for (auto& cls : file["settings"]["Classes"])
-    cls["HardLimit"] = 9000;
+  for (auto& call_class : file["settings"]["Classes"])
+    call_class["HardLimit"] = 9000;
   s.write(file);
   Process& process = s.start();
   REQUIRE(s.ready(s.consoles.back()));
   REQUIRE(s.until([&] { return s.log.asked == 1; }));
   for (auto& host : s.world.host)
-    host->react = [](const std::string&) { return Reaction{Kind::silence, ""}; };
+    host->handler = [](const std::string&) { return Reaction{Kind::silence, ""}; };
   Tablet tablet(s.world, s.listen);
   tablet.call(1, "bin-record", "out", 8000);
   REQUIRE(s.until([&] { return s.runs("out") == 1; }));
--- a/tests/lotusyard/try_test.cpp
+++ b/tests/cli/try_test.cpp
@@ -1,7 +1,7 @@
 // What `./try` shows: three members, hosts and clients on one machine, and a work that they settle.
 #include <iostream>
 
-#include "cluster.h"
+#include "support/cluster.h"
 
 namespace lotusyard::test {
 namespace {
--- a/tests/lotusyard/compliance_test.cpp
+++ b/tests/compliance/compliance_test.cpp
@@ -1,8 +1,8 @@
 // Regulated tenants and certified hosts in their pure form: what the book says, when, and what it takes.
-#include "breaks_here.h"
 #include "catch2/catch.hpp"
 #include "compliance/certificate_state.h"
 #include "compliance/log_entry_codec.h"
+#include "support/fault_injection.h"
 
 namespace lotusyard::test {
 namespace {
@@ -19,8 +19,8 @@
   }
   std::string may(const std::string& tenant, const std::string& host, double now = 5000, bool knows = true,
                   double life = 10, const std::string& zone = "east") const {
-    const auto verdict = book.check(tenant, {host, zone, life}, knows, Millis(now), Millis(100));
-    return verdict.allowed ? "yes" : verdict.reason;
+    const auto status = book.check(tenant, {host, zone, life}, knows, Millis(now), Millis(100));
+    return status.allowed ? "yes" : status.reason;
   }
   Desk() {
     say({{"t", "regime"}, {"regime", {{"name", "export"}}}});
--- a/tests/lotusyard/config_test.cpp
+++ b/tests/config/config_test.cpp
@@ -3,11 +3,15 @@
 
 #include <unistd.h>
 
+#include <catch2/catch.hpp>
 #include <cstdio>
 #include <fstream>
+#include <string>
+#include <vector>
 
 #include "config/replacement.h"
-#include "helper.h"
+#include "net/event_loop.h"
+#include "support/test_settings.h"
 #include "xds/hosts.h"
 
 namespace lotusyard::test {
@@ -103,7 +107,7 @@
   REQUIRE(list);
   std::string states;
   for (const auto& m : list->hosts)
-    states += m.entry.state == core::WorkerState::ready ? 'r' : 'd';
+    states += m.entry.state == core::HostState::ready ? 'r' : 'd';
   CHECK(states == "rddrd");
   CHECK(list->hosts[1].address == "127.0.0.1:2");
   CHECK(list->hosts[0].entry.zone == "osborne-park");
@@ -123,7 +127,7 @@
 
 TEST_CASE("an xDS file is read again when it changes; what was added has just started") {
   net::EventLoop loop;
-  core::Counters counters;
+  metrics::Counters counters;
   char path[] = "/tmp/lotusyard-xds-XXXXXX";
   const net::Socket made(mkstemp(path));
   const auto write = [&](const std::string& text) {
@@ -144,7 +148,7 @@
   };
   write(assignment(json::array({endpoint(1, "DRAINING"), endpoint(2, "HEALTHY")})).dump());
   REQUIRE(wait_for("xds.lists", 2));
-  CHECK(told[1].hosts[0].entry.state == core::WorkerState::draining);
+  CHECK(told[1].hosts[0].entry.state == core::HostState::draining);
   CHECK(told[1].hosts[0].entry.started == Millis(0));
   CHECK(told[1].hosts[1].entry.started > Millis(0));
   write("{\"half\": ");
--- a/tests/control/change_log_test.cpp
+++ b/tests/control/change_log_test.cpp
@@ -2,7 +2,7 @@
 #include "control/change_log.h"
 
 #include "catch2/catch.hpp"
-#include "property.h"
+#include "control/property.h"
 
 namespace lotusyard::test {
 namespace {
@@ -18,7 +18,7 @@
 Delta delta_of(const ChangeLog::Entry& entry) {
   control::MessageReader reader(control::longest_to_invoker);
   std::vector<control::Message> messages;
-  REQUIRE(reader.take(entry.frame, messages));
+  REQUIRE(reader.parse(entry.frame, messages));
   REQUIRE(messages.size() == 1);
   return std::get<Delta>(messages[0]);
 }
--- a/tests/control/control_node_data_test.cpp
+++ b/tests/control/control_node_data_test.cpp
@@ -1,5 +1,5 @@
 // What a control node sends to a replica, and when.
-#include "node_rig.h"
+#include "control/node_rig.h"
 
 namespace lotusyard::test {
 namespace {
--- a/tests/control/control_node_test.cpp
+++ b/tests/control/control_node_test.cpp
@@ -1,5 +1,5 @@
 // A control node's sessions, message by message.
-#include "node_rig.h"
+#include "control/node_rig.h"
 
 namespace lotusyard::test {
 namespace {
--- a/tests/control/history.h
+++ b/tests/control/history.h
@@ -7,7 +7,7 @@
 
 #include "control/change.h"
 #include "control/message.h"
-#include "property.h"
+#include "control/property.h"
 
 namespace lotusyard::test {
 
--- a/tests/control/lease_rules.cpp
+++ b/tests/control/lease_rules.cpp
@@ -1,4 +1,4 @@
-#include "lease_rules.h"
+#include "control/lease_rules.h"
 
 #include <algorithm>
 #include <limits>
--- a/tests/control/lease_rules.h
+++ b/tests/control/lease_rules.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "process_rig.h"
+#include "support/process_rig.h"
 
 namespace lotusyard::test {
 
--- a/tests/control/message_test.cpp
+++ b/tests/control/message_test.cpp
@@ -3,7 +3,7 @@
 
 #include "catch2/catch.hpp"
 #include "control/change.h"
-#include "property.h"
+#include "control/property.h"
 
 namespace lotusyard::test {
 namespace {
@@ -86,7 +86,7 @@
     std::vector<Message> messages;
     for (std::size_t at = 0; at < stream.size();) {
       const std::size_t size = *rc::gen::inRange<std::size_t>(1, 40);
-      RC_ASSERT(reader.take(std::string_view(stream).substr(at, size), messages));
+      RC_ASSERT(reader.parse(std::string_view(stream).substr(at, size), messages));
       at += size;
     }
     RC_ASSERT(messages.size() == frames.size());
@@ -105,7 +105,7 @@
   open.terms = {Millis(1234.5), 0.02, Millis(777)};
   MessageReader reader(longest_to_node);
   std::vector<Message> messages;
-  REQUIRE(reader.take(encode(open) + encode(Forward{"part", "word"}), messages));
+  REQUIRE(reader.parse(encode(open) + encode(Forward{"part", "word"}), messages));
   REQUIRE(messages.size() == 2);
   const auto& read = std::get<Open>(messages[0]);
   CHECK((read.version == protocol_version && read.cluster == "c" && read.invoker == "i" && read.zone == "z"));
@@ -125,17 +125,17 @@
     }
     MessageReader reader(longest_to_invoker);
     std::vector<Message> messages;
-    if (reader.take(stream, messages))
+    if (reader.parse(stream, messages))
       return;
     const std::size_t before = messages.size();
-    RC_ASSERT(!reader.take(encode(Close{}), messages));
+    RC_ASSERT(!reader.parse(encode(Close{}), messages));
     RC_ASSERT(messages.size() == before);
   }));
   CHECK(property_holds("garbage is survived", 1000, [] {
     const std::string garbage = some_text(400);
     MessageReader reader(longest_to_invoker);
     std::vector<Message> messages;
-    reader.take(garbage, messages);
+    reader.parse(garbage, messages);
     decode_change(garbage);
     decode_records(garbage);
   }));
@@ -148,7 +148,7 @@
       head[3 - i] = static_cast<char>(length >> (8 * i) & 0xff);
     MessageReader reader(longest_to_node);
     std::vector<Message> messages;
-    return reader.take(head, messages);
+    return reader.parse(head, messages);
   };
   CHECK(takes(longest_to_node));
   CHECK_FALSE(takes(longest_to_node + 1));
@@ -159,7 +159,7 @@
   const auto takes = [](const std::string& stream) {
     MessageReader reader(longest_to_node);
     std::vector<Message> messages;
-    return reader.take(stream, messages);
+    return reader.parse(stream, messages);
   };
   const std::string sound = encode(Resume{5});
   CHECK(takes(sound));
--- a/tests/control/node_rig.h
+++ b/tests/control/node_rig.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "catch2/catch.hpp"
-#include "node_transport.h"
+#include "control/node_transport.h"
 
 namespace lotusyard::test {
 
@@ -12,7 +12,7 @@
 
 struct NodeRig {
   NodeTransport transport;
-  core::Counters counters;
+  metrics::Counters counters;
   ControlNode node;
   Millis now = kLate;
 
--- a/tests/control/node_course.h
+++ b/tests/control/node_scenario.h
@@ -2,8 +2,8 @@
 // are, and sees whether what the node reported was ever untrue.
 #pragma once
 
-#include "course_process.h"
-#include "course_step.h"
+#include "control/scenario_process.h"
+#include "control/scenario_step.h"
 
 namespace lotusyard::test {
 
@@ -38,7 +38,7 @@
  private:
   CourseCounts& counts_;
   NodeTransport transport_;
-  core::Counters counters_;
+  metrics::Counters counters_;
   ControlNode node_;
   Millis now_{0}, node_until_{0};
   std::vector<Process> processes_;
--- a/tests/control/node_course_test.cpp
+++ b/tests/control/node_scenario_test.cpp
@@ -1,9 +1,9 @@
 // Whatever the course of a control node's sessions, what it reports is true; and the model finds each rule
 // that is broken on purpose.
-#include "node_course.h"
+#include "control/node_scenario.h"
 
 #include "catch2/catch.hpp"
-#include "property.h"
+#include "control/property.h"
 
 namespace lotusyard::test {
 namespace {
--- a/tests/control/node_transport.h
+++ b/tests/control/node_transport.h
@@ -21,7 +21,7 @@
   void send(LinkId link, const std::string& frame) override {
     control::MessageReader reader(control::longest_to_invoker);
     std::vector<control::Message> messages;
-    const bool is_one = reader.take(frame, messages) && messages.size() == 1;
+    const bool is_one = reader.parse(frame, messages) && messages.size() == 1;
     if (!is_one || ended_links.count(link) != 0)
       throw std::logic_error("a frame that must not be sent");
     waiting[link].push_back(std::move(messages[0]));
--- a/tests/control/property.h
+++ b/tests/control/property.h
@@ -6,7 +6,7 @@
 #include <cstdint>
 #include <iostream>
 
-#include "breaks_here.h"
+#include "support/fault_injection.h"
 
 namespace lotusyard::test {
 
--- a/tests/control/relay.h
+++ b/tests/control/relay.h
@@ -4,10 +4,16 @@
 
 #include <sys/socket.h>
 
+#include <algorithm>
+#include <catch2/catch.hpp>
 #include <deque>
 #include <string>
 
-#include "helper.h"
+#include "net/buffered_connection.h"
+#include "net/event_loop.h"
+#include "support/loopback_server.h"
+#include "support/random_input.h"
+#include "support/test_settings.h"
 
 namespace lotusyard::test {
 
--- a/tests/control/replica_test.cpp
+++ b/tests/control/replica_test.cpp
@@ -4,7 +4,7 @@
 
 #include <catch2/catch.hpp>
 
-#include "history.h"
+#include "control/history.h"
 
 namespace lotusyard::test {
 namespace {
--- a/tests/control/course_process.h
+++ b/tests/control/scenario_process.h
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-#include "node_transport.h"
+#include "control/node_transport.h"
 
 namespace lotusyard::test {
 
--- a/tests/control/raw_invoker.h
+++ b/tests/control/scripted_invoker.h
@@ -3,12 +3,12 @@
 
 #include <sys/socket.h>
 
+#include <catch2/catch.hpp>
 #include <cerrno>
 #include <string>
 #include <vector>
 
 #include "control/message.h"
-#include "helper.h"
 #include "net/socket.h"
 
 namespace lotusyard::test {
@@ -48,7 +48,7 @@
         ended = true;
         return;
       }
-      REQUIRE(reader_.take(std::string_view(block, static_cast<std::size_t>(got)), messages));
+      REQUIRE(reader_.parse(std::string_view(block, static_cast<std::size_t>(got)), messages));
     }
   }
   // The first message of that type that was read; null: there is none.
--- a/tests/control/served.h
+++ b/tests/control/served.h
@@ -4,8 +4,8 @@
 #include <memory>
 #include <string>
 
-#include "raw_invoker.h"
-#include "tier.h"
+#include "control/scripted_invoker.h"
+#include "control/tier.h"
 
 namespace lotusyard::test {
 
--- a/tests/control/session_moves_test.cpp
+++ b/tests/control/session_moves_test.cpp
@@ -2,7 +2,7 @@
 #include <cmath>
 #include <map>
 
-#include "session_rig.h"
+#include "control/session_rig.h"
 
 namespace lotusyard::test {
 namespace {
--- a/tests/control/session_rig.h
+++ b/tests/control/session_rig.h
@@ -23,7 +23,7 @@
   void send(const std::string& frame) override {
     CHECK(linked);
     control::MessageReader reader(control::longest_to_node);
-    REQUIRE(reader.take(frame, sent));
+    REQUIRE(reader.parse(frame, sent));
   }
   void disconnect() override {
     CHECK(linked);
@@ -43,7 +43,7 @@
 struct SessionRig {
   KeepingTransport transport;
   control::Replica replica;
-  core::Counters counters;
+  metrics::Counters counters;
   Session::Config config;
   Millis now{10000};
   std::unique_ptr<Session> session;
--- a/tests/control/session_course_test.cpp
+++ b/tests/control/session_scenario_test.cpp
@@ -3,7 +3,7 @@
 #include <catch2/catch.hpp>
 #include <map>
 
-#include "session_world.h"
+#include "control/session_world.h"
 
 namespace lotusyard::test {
 namespace {
--- a/tests/control/session_storm_test.cpp
+++ b/tests/control/session_storm_test.cpp
@@ -4,7 +4,7 @@
 #include <map>
 #include <set>
 
-#include "session_rig.h"
+#include "control/session_rig.h"
 
 namespace lotusyard::test {
 namespace {
--- a/tests/control/session_test.cpp
+++ b/tests/control/session_test.cpp
@@ -1,7 +1,7 @@
 // An invoker's session: its renewals and its lease, the replica's progress, and its end.
 #include "control/session.h"
 
-#include "session_rig.h"
+#include "control/session_rig.h"
 
 namespace lotusyard::test {
 namespace {
--- a/tests/control/session_world.h
+++ b/tests/control/session_world.h
@@ -4,8 +4,8 @@
 
 #include <deque>
 
+#include "control/history.h"
 #include "control/session.h"
-#include "history.h"
 
 namespace lotusyard::test {
 
@@ -79,7 +79,7 @@
     run(Millis(10000));
   }
 
-  const core::Counters& counters() const { return counters_; }
+  const metrics::Counters& counters() const { return counters_; }
 
   void connect(const control::NodeAddress&) override {
     RC_ASSERT(!linked_);
@@ -98,7 +98,7 @@
     RC_ASSERT(linked_);
     control::MessageReader reader(control::longest_to_node);
     std::vector<control::Message> messages;
-    RC_ASSERT(reader.take(frame, messages));
+    RC_ASSERT(reader.parse(frame, messages));
     for (const control::Message& message : messages)
       at_node(message);
   }
@@ -113,7 +113,7 @@
   std::mt19937_64 random_;
   raft::LeaseTerms terms_;
   control::Replica replica_;
-  core::Counters counters_;
+  metrics::Counters counters_;
   std::unique_ptr<Session> session_;
   Millis now_{1000}, delay_{5};
   std::deque<Flight> flights_;
--- a/tests/control/tier.h
+++ b/tests/control/tier.h
@@ -7,15 +7,15 @@
 #include <vector>
 
 #include "control/node_server.h"
+#include "control/relay.h"
 #include "control/session_client.h"
-#include "relay.h"
 
 namespace lotusyard::test {
 
 class Tier {
  public:
   struct Invoker {
-    core::Counters counters;
+    metrics::Counters counters;
     std::vector<std::unique_ptr<Relay>> relays;  // one to each node
     std::unique_ptr<control::SessionClient> client;
 
@@ -105,7 +105,7 @@
   }
 
   net::EventLoop loop;
-  core::Counters counters;  // of all nodes
+  metrics::Counters counters;  // of all nodes
   raft::LeaseTerms terms;
   control::Records records = {{"first", "record"}};
   control::Index index = 1;
--- a/tests/control/tier_cluster.cpp
+++ b/tests/control/tier_cluster.cpp
@@ -1,6 +1,6 @@
-#include "tier_cluster.h"
+#include "control/tier_cluster.h"
 
-#include "lease_rules.h"
+#include "control/lease_rules.h"
 
 namespace lotusyard::test {
 namespace {
--- a/tests/control/tier_cluster.h
+++ b/tests/control/tier_cluster.h
@@ -8,9 +8,9 @@
 #include <string>
 #include <vector>
 
-#include "group_relay.h"
-#include "relay.h"
-#include "work_rig.h"
+#include "control/relay.h"
+#include "maintenance/maintenance_rig.h"
+#include "raft/group_relay.h"
 
 namespace lotusyard::test {
 
--- a/tests/control/tier_disturbances.cpp
+++ b/tests/control/tier_disturbances.cpp
@@ -1,5 +1,5 @@
 // What happens to the processes of a tier and to what they send each other.
-#include "tier_cluster.h"
+#include "control/tier_cluster.h"
 
 namespace lotusyard::test {
 namespace {
--- a/tests/control/tier_faults_test.cpp
+++ b/tests/control/tier_faults_test.cpp
@@ -5,7 +5,7 @@
 #include <functional>
 #include <iostream>
 
-#include "tier_cluster.h"
+#include "control/tier_cluster.h"
 
 namespace lotusyard::test {
 namespace {
--- a/tests/control/tier_processes_test.cpp
+++ b/tests/control/tier_processes_test.cpp
@@ -1,7 +1,7 @@
 // The control tier as real processes: a group with control nodes, invokers that have only sessions, stand-in
 // hosts and clients, and relays that cut, hold, delay and reset.
-#include "regulated.h"
-#include "tier_cluster.h"
+#include "control/tier_cluster.h"
+#include "support/regulated.h"
 
 namespace lotusyard::test {
 namespace {
--- a/tests/control/transport_faults_test.cpp
+++ b/tests/control/transport_faults_test.cpp
@@ -3,7 +3,7 @@
 #include <sys/resource.h>
 #include <unistd.h>
 
-#include "served.h"
+#include "control/served.h"
 
 namespace lotusyard::test {
 namespace {
--- a/tests/control/transport_slow_test.cpp
+++ b/tests/control/transport_slow_test.cpp
@@ -1,6 +1,6 @@
 // What waits for a peer that reads slowly or not at all is bounded.
 #include "control/replica.h"
-#include "served.h"
+#include "control/served.h"
 
 namespace lotusyard::test {
 namespace {
--- a/tests/control/transport_test.cpp
+++ b/tests/control/transport_test.cpp
@@ -1,6 +1,6 @@
 // Sessions over real sockets: changes reach every invoker through relays that delay, hold, cut and reset, and
 // invokers move when their node is gone.
-#include "tier.h"
+#include "control/tier.h"
 
 namespace lotusyard::test {
 namespace {
--- a/tests/lotusyard/last_look_test.cpp
+++ b/tests/core/check_before_write_test.cpp
@@ -4,7 +4,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#include "platform.h"
+#include "support/platform.h"
 
 namespace lotusyard::test {
 namespace {
@@ -16,7 +16,7 @@
   net::Socket socket;
   explicit Bytes(Platform& p) : socket(net::connect_to(p.front.address()).socket) {
     const auto before = p.world.counters.value("resp.connections");
-    REQUIRE(p.world.turn_until([&] { return p.world.counters.value("resp.connections") > before; }, 1000));
+    REQUIRE(p.world.run_until([&] { return p.world.counters.value("resp.connections") > before; }, 1000));
   }
   void say(const std::string& bytes) {
     REQUIRE(::send(socket.fd(), bytes.data(), bytes.size(), MSG_NOSIGNAL) ==
@@ -28,11 +28,11 @@
     socket.close();
   }
 };
-std::string call(int tag, const std::string& cls = "bin-check", const std::string& body = "x") {
+std::string call(int tag, const std::string& call_class = "bin-check", const std::string& body = "x") {
   std::string out;
   resp::write_array(
       out,
-      {"CALL", std::to_string(tag), cls,
+      {"CALL", std::to_string(tag), call_class,
        "ref=" + net::hex16(static_cast<std::uint64_t>(tag)) + ",allow=1000,lookup=00000000000000a1", body});
   return out;
 }
@@ -140,7 +140,7 @@
   REQUIRE(usual.answer("1") != nullptr);
   Bytes client(p);
   client.say(call(2, "bin-record", "second"));
-  const auto state = GENERATE(lotusyard::policy::WorkerState::draining, lotusyard::policy::WorkerState::gone);
+  const auto state = GENERATE(lotusyard::policy::HostState::draining, lotusyard::policy::HostState::gone);
   const int orders = p.world.host[0]->orders;
   turn_with(p, [&] {
     REQUIRE(p.world.dispatcher.open_calls() == 1);
@@ -158,12 +158,12 @@
 TEST_CASE(
     "a call is not written to a connection that its host has closed; the answer before the close counts") {
   Platform p(1);
-  p.world.host[0]->react = [](const std::string& body) {
+  p.world.host[0]->handler = [](const std::string& body) {
     return body == "first" ? Reaction{Kind::silence, ""} : Reaction();
   };
   Client client(p.world, p.front.address());
   client.call("1", "bin-record", "first");
-  REQUIRE(p.world.turn_until([&] { return p.world.host[0]->execs == 1; }, 1000));
+  REQUIRE(p.world.run_until([&] { return p.world.host[0]->execs == 1; }, 1000));
   const std::string ref = net::hex16(std::hash<std::string>()("1first"));
   client.call("2", "bin-record", "second");
   bool closed = false;
@@ -188,12 +188,12 @@
 // Failure found in review: a write that found the connection broken ended it with the answers unread.
 TEST_CASE("answers that came before a connection broke are taken, also where a write finds it broken") {
   Platform p(1);
-  p.world.host[0]->react = [](const std::string&) { return Reaction{Kind::silence, ""}; };
+  p.world.host[0]->handler = [](const std::string&) { return Reaction{Kind::silence, ""}; };
   Client client(p.world, p.front.address());
   client.call("1", "bin-record", "first");
   client.call("2", "bin-check", "second");
   client.call("3", "bin-check", "third");
-  REQUIRE(p.world.turn_until([&] { return p.world.host[0]->execs == 3; }, 1000));
+  REQUIRE(p.world.run_until([&] { return p.world.host[0]->execs == 3; }, 1000));
   const std::string ref = net::hex16(std::hash<std::string>()("1first"));
   turn_with(p, [&] {
     const auto peer = p.world.host[0]->server.peers.front();
@@ -210,7 +210,7 @@
 
 // Failure found in review: the client longest unheard was closed for another one with its request unread.
 TEST_CASE("a client is not closed for another one while its request stands unread") {
-  resp::Front::Limits limits;
+  resp::FrontEnd::Limits limits;
   limits.clients = 1;
   Platform p(1, limits);
   net::Socket low(dup(STDIN_FILENO));
@@ -237,10 +237,10 @@
     "a sound call before garbage, half a request or a repeated tag gets its answer, then the connection "
     "ends") {
   core::Settings patient = settings();
-  for (auto& cls : patient.classes)
-    cls.aim = cls.deadline = Millis(5000);
-  Platform p(1, {}, World::limits(), patient);
-  p.world.host[0]->react = [](const std::string&) { return Reaction{Kind::silence, ""}; };
+  for (auto& call_class : patient.classes)
+    call_class.latency_objective = call_class.deadline = Millis(5000);
+  Platform p(1, {}, InvokerFixture::limits(), patient);
+  p.world.host[0]->handler = [](const std::string&) { return Reaction{Kind::silence, ""}; };
   Client client(p.world, p.front.address());
   client.call("1", "bin-record", "sound", 5000);
   const auto which = GENERATE(0, 1, 2, 3);
@@ -254,7 +254,7 @@
     client.say({"CALL", "0"});
   INFO("which " << which);
   const char* const why[] = {"resp.malformed", "resp.half_request", "resp.tag_repeated", "resp.no_tag"};
-  REQUIRE(p.world.turn_until([&] { return p.world.counters.value(why[which]) == 1; }, 2000));
+  REQUIRE(p.world.run_until([&] { return p.world.counters.value(why[which]) == 1; }, 2000));
   client.call("5", "bin-record", "behind");
   turns(p);
   REQUIRE(p.world.host[0]->server.peers.size() == 1);
@@ -262,7 +262,7 @@
                                                " data - 5\r\nsound\r\n");
   REQUIRE(client.answer("1") != nullptr);
   CHECK(*client.answer("1") == resp::Words{"1", "OK", "", "sound"});
-  CHECK(p.world.turn_until([&] { return client.closed; }, 2000));
+  CHECK(p.world.run_until([&] { return client.closed; }, 2000));
   // Behind bytes that cannot be understood nothing can be told; behind a faulty tag a sound call can be.
   const bool readable = which >= 2;
   CHECK(client.got.size() == (readable ? 2 : 1));
--- a/tests/lotusyard/client_gone_test.cpp
+++ b/tests/core/client_disconnected_test.cpp
@@ -1,6 +1,6 @@
 // A client that cancelled or closed: no attempt begins for it, whatever stands before that in its bytes, and
 // however long the turns are. Orders are forced by what stands in sockets before a turn.
-#include "raw_client.h"
+#include "support/raw_client.h"
 
 namespace lotusyard::test {
 namespace {
@@ -39,11 +39,11 @@
 TEST_CASE("a CANCEL behind more bytes than two turns read is heard before a retry goes out") {
   Platform p(2);
   for (auto& host : p.world.host)
-    host->react = [](const std::string&) { return Reaction{Kind::silence, ""}; };
+    host->handler = [](const std::string&) { return Reaction{Kind::silence, ""}; };
   const auto execs = [&] { return p.world.host[0]->execs + p.world.host[1]->execs; };
   RawClient client(p);
   client.say(call_bytes(1));
-  REQUIRE(p.world.turn_until([&] { return execs() == 1; }, 1000));
+  REQUIRE(p.world.run_until([&] { return execs() == 1; }, 1000));
   const auto& host = p.world.host[0]->execs == 1 ? p.world.host[0] : p.world.host[1];
   const auto peer = host->server.peers.front();
   // Between a turn's reads and its writes: the next turn reads the host's word and a part of the client's.
--- a/tests/lotusyard/core_test.cpp
+++ b/tests/core/dispatcher_test.cpp
@@ -1,14 +1,22 @@
 // A request's life, under a clock and hosts that the test plays itself.
+#include "core/dispatcher.h"
+
+#include <algorithm>
+#include <catch2/catch.hpp>
 #include <cmath>
+#include <map>
 #include <set>
+#include <string>
+#include <vector>
 
-#include "helper.h"
+#include "support/random_input.h"
+#include "support/test_settings.h"
 
 namespace lotusyard::test {
 namespace {
 
 // Hosts that only note; a front that only counts. Both check the rules on whatever they are told.
-struct Desk final : core::HostTransport, core::Front {
+struct Desk final : core::HostTransport, core::FrontEnd {
   struct Out {
     std::string body, host;
     bool out = true;
@@ -17,8 +25,8 @@
   std::map<core::CallId, std::vector<core::Answer>> answers;
   std::vector<std::pair<std::string, std::uint64_t>> orders;
   void send_attempt(const core::Attempt& a, const std::string& host, const core::Call& call,
-                    Millis patience) override {
-    CHECK(patience.count() > 0);
+                    Millis attempt_timeout) override {
+    CHECK(attempt_timeout.count() > 0);
     CHECK(answers.count(a.call) == 0);
     for (const auto& [other, o] : attempts)
       CHECK_FALSE((other.call == a.call && o.out));
@@ -42,7 +50,7 @@
 struct Bench {
   Millis now{1000};
   Desk desk;
-  core::Counters counters;
+  metrics::Counters counters;
   core::Dispatcher dispatcher;
   int refs = 0;
   explicit Bench(int hosts, const core::Settings& s = settings())
@@ -51,23 +59,23 @@
     core::HostList list;
     for (int i = 0; i < hosts; ++i) {
       list.entries.emplace_back();
-      list.entries.back().worker = "h" + std::to_string(i);
+      list.entries.back().host = "h" + std::to_string(i);
     }
     dispatcher.update_endpoints(std::move(list));
   }
-  core::CallId call(const std::string& cls, const std::string& ref, Millis allow = Millis(1000)) {
+  core::CallId call(const std::string& call_class, const std::string& ref, Millis allow = Millis(1000)) {
     core::Call c;
     c.ref = ref;
-    c.class_name = cls;
+    c.class_name = call_class;
     c.function = 7;
     c.function_name = "0000000000000007";
     c.memory_mb = 300;
     c.lanes = 4;
     c.arrived = now;
-    c.allow = allow;
+    c.timeout = allow;
     c.body = ref;
     const core::CallId id = dispatcher.allocate_call_id();
-    CHECK(dispatcher.admit(id, std::move(c), desk));
+    CHECK_FALSE(dispatcher.admit(id, std::move(c), desk).has_value());
     return id;
   }
   void pass(Millis span) {
@@ -101,8 +109,9 @@
                b.desk.orders.begin() + static_cast<std::ptrdiff_t>(loads_told), b.desk.orders.end())) {
         ++loads_told;
         const bool good = below(random, 4) != 0;
-        b.dispatcher.load_ended({order.first, order.second, good ? core::Outcome::ok : core::Outcome::full,
-                                 Millis(200), good ? 1 : 0});
+        b.dispatcher.load_ended({order.first, order.second,
+                                 good ? core::Outcome::ok : core::Outcome::at_capacity, Millis(200),
+                                 good ? 1 : 0});
       }
       const auto now_out = b.desk.attempts;
       for (const auto& [attempt, o] : now_out) {
@@ -137,7 +146,7 @@
       CHECK(answers.size() == (left[id] ? 0U : 1U));
       if (once[id])
         CHECK(may_have_run[id] <= 1);
-      if (!answers.empty() && answers[0].verdict == core::Verdict::refused)
+      if (!answers.empty() && answers[0].status == core::CallStatus::rejected)
         CHECK(may_have_run[id] == 0);
     }
     for (const auto& [attempt, o] : b.desk.attempts)
@@ -156,9 +165,9 @@
     c.class_name = "bin-check";
     c.tenant = "redgum-estate";
     c.memory_mb = 300;
-    c.allow = Millis(1000);
+    c.timeout = Millis(1000);
     change(c);
-    return b.dispatcher.admit(b.dispatcher.allocate_call_id(), std::move(c), b.desk);
+    return !b.dispatcher.admit(b.dispatcher.allocate_call_id(), std::move(c), b.desk).has_value();
   };
   CHECK(takes([](core::Call&) {}));
   CHECK(takes([](core::Call& c) { c.ref = "same"; }));
@@ -172,8 +181,8 @@
   CHECK_FALSE(takes([](core::Call& c) { c.memory_mb = std::nan(""); }));
   CHECK_FALSE(takes([](core::Call& c) { c.lanes = 0; }));
   CHECK_FALSE(takes([](core::Call& c) { c.lanes = 5000; }));
-  CHECK_FALSE(takes([](core::Call& c) { c.allow = Millis(0); }));
-  CHECK_FALSE(takes([](core::Call& c) { c.allow = Millis(1502); }));
+  CHECK_FALSE(takes([](core::Call& c) { c.timeout = Millis(0); }));
+  CHECK_FALSE(takes([](core::Call& c) { c.timeout = Millis(1502); }));
   CHECK(takes([](core::Call& c) { c.tenant.clear(); }));
   CHECK(b.counters.value("calls.taken") == 3);
   CHECK(b.counters.value("calls.ref_repeated") == 2);
@@ -198,8 +207,8 @@
     c.ref = ref;
     c.class_name = "bin-check";
     c.arrived = b.now;
-    c.allow = Millis(1000);
-    return b.dispatcher.admit(b.dispatcher.allocate_call_id(), std::move(c), b.desk);
+    c.timeout = Millis(1000);
+    return !b.dispatcher.admit(b.dispatcher.allocate_call_id(), std::move(c), b.desk).has_value();
   };
   CHECK_FALSE(repeated(Millis(1)));
   CHECK_FALSE(repeated(Millis(10000)));
@@ -212,17 +221,17 @@
   const auto id = b.call("bin-record", "r");
   b.pass(Millis(1016));
   REQUIRE(b.desk.answers[id].size() == 1);
-  CHECK(b.desk.answers[id][0].verdict == core::Verdict::refused);
+  CHECK(b.desk.answers[id][0].status == core::CallStatus::rejected);
 }
 
 TEST_CASE("an open call keeps the rules under which it was taken; the next one is under the new ones") {
   Bench b(4);
   const auto old_check = b.call("bin-check", "0000000000000001");
   core::Settings next = settings();
-  next.max_attempts = 1;
-  next.classes[0].semantics = lotusyard::policy::Semantics::once;
+  next.retries.max_attempts = 1;
+  next.classes[0].semantics = lotusyard::policy::Semantics::non_idempotent;
   next.classes[1].name = "bin-weigh";
-  next.classes[1].semantics = lotusyard::policy::Semantics::repeatable;
+  next.classes[1].semantics = lotusyard::policy::Semantics::idempotent;
   b.dispatcher.apply_settings(next);
   const auto sent = [&](core::CallId id) {
     return std::count_if(b.desk.attempts.begin(), b.desk.attempts.end(),
@@ -241,16 +250,17 @@
   const auto new_check = b.call("bin-check", "0000000000000002");
   end_all(new_check, core::Outcome::error);
   CHECK(sent(new_check) == 1);
-  CHECK(b.desk.answers[new_check].at(0).verdict == core::Verdict::failed);
+  CHECK(b.desk.answers[new_check].at(0).status == core::CallStatus::failed);
   const auto weigh = b.call("bin-weigh", "0000000000000003");
-  end_all(weigh, core::Outcome::miss);
+  end_all(weigh, core::Outcome::no_instance);
   CHECK(sent(weigh) == 1);
   core::Call dropped;
   dropped.ref = "0000000000000004";
   dropped.class_name = "bin-record";
   dropped.arrived = b.now;
-  dropped.allow = Millis(1000);
-  CHECK_FALSE(b.dispatcher.admit(b.dispatcher.allocate_call_id(), std::move(dropped), b.desk));
+  dropped.timeout = Millis(1000);
+  CHECK(b.dispatcher.admit(b.dispatcher.allocate_call_id(), std::move(dropped), b.desk) ==
+        core::RejectionReason::unknown_class);
   CHECK(b.counters.value("calls.unknown_class") == 1);
   CHECK(b.counters.value("guard.send_stopped") == 0);
 }
@@ -273,7 +283,7 @@
     const bool goes_on = out.count(id) != 0 || id == spared;
     REQUIRE(b.desk.answers.count(id) == (goes_on ? 0 : 1));
     if (!goes_on)
-      CHECK(b.desk.answers[id].at(0).verdict == core::Verdict::refused);
+      CHECK(b.desk.answers[id].at(0).status == core::CallStatus::rejected);
   }
   for (const auto& [attempt, o] : std::map<core::Attempt, Desk::Out>(b.desk.attempts))
     b.dispatcher.attempt_ended(attempt, {core::Outcome::ok, 0, std::nullopt, {}});
--- a/tests/lotusyard/keys_test.cpp
+++ b/tests/core/idempotency_keys_test.cpp
@@ -1,7 +1,15 @@
 // Idempotency keys and second copies, in the core: what may go out again, where and until when.
+#include <algorithm>
+#include <catch2/catch.hpp>
+#include <map>
+#include <memory>
 #include <set>
+#include <string>
+#include <vector>
 
-#include "helper.h"
+#include "core/dispatcher.h"
+#include "support/random_input.h"
+#include "support/test_settings.h"
 
 namespace lotusyard::test {
 namespace {
@@ -17,7 +25,7 @@
   c.key = key;
   c.function = 7;
   c.body = body;
-  c.allow = allow;
+  c.timeout = allow;
   return c;
 }
 core::KeyRule rule(KeyScope scope = KeyScope::all) { return {scope, Millis(5000), Millis(1500)}; }
@@ -94,7 +102,7 @@
   CHECK(keys.may_send_to(call, rule(), {}, Millis(13999)));
   CHECK_FALSE(keys.may_send_to(call, rule(), {}, Millis(14000)));
   auto late = keyed("late");
-  late.ran_since = Millis(5000);
+  late.may_have_run_since = Millis(5000);
   CHECK(keys.begin(late, rule(), Millis(10000)) == IdempotencyKeys::KeyDecision::window_over);
 }
 
@@ -122,7 +130,7 @@
 }
 
 // Hosts that note every run by key and place; a front that counts answers.
-struct Ledger final : core::HostTransport, core::Front {
+struct Ledger final : core::HostTransport, core::FrontEnd {
   struct Out {
     std::string host, key;
     Millis at{0};
@@ -157,17 +165,17 @@
 };
 
 TEST_CASE("whatever comes, keyed runs keep to their scope and window, and attempts to what is allowed") {
-  int second_copies = 0;
+  int hedged_requests = 0;
   for (std::uint64_t seed = 0; seed < 60; ++seed) {
     CAPTURE(seed);
     Random random(seed);
     core::Settings s = keyed_settings(Millis(600));
     s.classes[2].scope = static_cast<KeyScope>(seed % 3);
-    s.miss_is_answered = seed % 2 == 0;
-    s.second_copies = seed % 4 != 0;
+    s.host_protocol.answers_misses = seed % 2 == 0;
+    s.retries.hedged_requests = seed % 4 != 0;
     Millis now{1000};
     Ledger desk(now);
-    core::Counters counters;
+    metrics::Counters counters;
     auto dispatcher = std::make_unique<core::Dispatcher>(
         s, [&now] { return now; }, desk, counters);
     const auto place = [](int host) { return HostLocation{"z" + std::to_string(host % 2), host % 3}; };
@@ -178,16 +186,16 @@
         if (!whole && below(random, 3) != 0)
           continue;
         list.entries.emplace_back();
-        list.entries.back().worker = "h" + std::to_string(i);
+        list.entries.back().host = "h" + std::to_string(i);
         list.entries.back().zone = place(i).zone;
         list.entries.back().cell = place(i).cell;
         if (!whole)
-          list.entries.back().state = static_cast<core::WorkerState>(below(random, 3));
+          list.entries.back().state = static_cast<core::HostState>(below(random, 3));
       }
       dispatcher->update_endpoints(std::move(list));
     };
     tell_list(true);
-    std::map<core::CallId, std::string> cls;
+    std::map<core::CallId, std::string> call_class;
     std::set<core::CallId> left;
     std::set<Attempt> never_ran;
     std::size_t orders_told = 0;
@@ -205,12 +213,12 @@
           c.function = 1 + key % 3;
         c.lanes = 4;
         c.arrived = now;
-        c.allow = Millis(300.0 + static_cast<double>(below(random, 900)));
+        c.timeout = Millis(300.0 + static_cast<double>(below(random, 900)));
         c.retry = below(random, 4) == 0;
         last = dispatcher->allocate_call_id();
-        cls[last] = c.class_name;
-        if (!dispatcher->admit(last, std::move(c), desk))
-          cls.erase(last);
+        call_class[last] = c.class_name;
+        if (dispatcher->admit(last, std::move(c), desk).has_value())
+          call_class.erase(last);
       }
       while (orders_told < desk.orders.size()) {
         const auto order = desk.orders[orders_told++];
@@ -227,7 +235,7 @@
           never_ran.insert(attempt);
         dispatcher->attempt_ended(attempt, {outcome, 0, std::nullopt, {}});
       }
-      if (below(random, 12) == 0 && cls.count(last) != 0 && desk.answers.count(last) == 0) {
+      if (below(random, 12) == 0 && call_class.count(last) != 0 && desk.answers.count(last) == 0) {
         left.insert(last);
         dispatcher->client_disconnected(last);
       }
@@ -241,14 +249,14 @@
       dispatcher->tick();
     }
     CHECK(dispatcher->open_calls() == 0);
-    for (const auto& [id, name] : cls)
+    for (const auto& [id, name] : call_class)
       CHECK(desk.answers[id].size() == (left.count(id) != 0 ? 0U : 1U));
-    CHECK(desk.most_out <= (s.second_copies ? 2 : 1));
+    CHECK(desk.most_out <= (s.retries.hedged_requests ? 2 : 1));
     std::map<core::CallId, int> runs;
     std::map<std::string, std::vector<const Ledger::Out*>> by_key;
     for (const auto& [attempt, o] : desk.attempts) {
       CHECK_FALSE(o.out);
-      CHECK(attempt.number < s.max_attempts);
+      CHECK(attempt.number < s.retries.max_attempts);
       if (never_ran.count(attempt) != 0)
         continue;
       ++runs[attempt.call];
@@ -256,11 +264,11 @@
         by_key[o.key].push_back(&o);
     }
     for (const auto& [id, n] : runs) {
-      if (cls[id] == "bin-record")
+      if (call_class[id] == "bin-record")
         CHECK(n <= 1);
       const auto& answers = desk.answers[id];
       if (!answers.empty())
-        CHECK(answers[0].verdict != core::Verdict::refused);
+        CHECK(answers[0].status != core::CallStatus::rejected);
     }
     for (auto& [key, outs] : by_key) {
       std::sort(outs.begin(), outs.end(), [](auto* a, auto* b) { return a->at < b->at; });
@@ -277,10 +285,10 @@
           CHECK(a.cell == b.cell);
       }
     }
-    second_copies += desk.most_out == 2;
+    hedged_requests += desk.most_out == 2;
     CHECK(counters.value("calls.overdue") == 0);
   }
-  CHECK(second_copies > 0);
+  CHECK(hedged_requests > 0);
 }
 
 }  // namespace
--- a/tests/lotusyard/discovery_test.cpp
+++ b/tests/discovery/discovery_test.cpp
@@ -1,7 +1,15 @@
 // The change log over connections that break.
 #include "discovery/discovery.h"
 
-#include "helper.h"
+#include <catch2/catch.hpp>
+#include <string>
+#include <vector>
+
+#include "net/buffered_connection.h"
+#include "net/event_loop.h"
+#include "support/loopback_server.h"
+#include "support/random_input.h"
+#include "support/test_settings.h"
 
 namespace lotusyard::test {
 namespace {
@@ -19,7 +27,7 @@
     discovery::LineCutter cutter_;
     void on_received(std::string_view bytes) override {
       std::vector<std::string> lines;
-      REQUIRE(cutter_.take(bytes, lines));
+      REQUIRE(cutter_.parse(bytes, lines));
       for (const auto& line : lines) {
         REQUIRE(line.compare(0, 6, "since ") == 0);
         log_.asked.push_back(std::stoull(line.substr(6)));
@@ -48,7 +56,7 @@
 TEST_CASE("a change log that breaks off anywhere is taken up again; each event is told once, in order") {
   net::EventLoop loop;
   net::BufferPool pool(64);
-  core::Counters counters;
+  metrics::Counters counters;
   StandInLog log(loop, pool);
   std::vector<std::string> told, all;
   for (int i = 4; i <= 20; ++i)
@@ -56,7 +64,7 @@
   discovery::Discovery discovery(loop, pool, counters, log.server.address(), discovery::Log(3),
                                  [&](const core::HostListUpdate& list) {
                                    for (const auto& m : list.hosts)
-                                     told.push_back(m.entry.worker);
+                                     told.push_back(m.entry.host);
                                  });
   discovery.start();
   for (int i = 0; i < 5000 && told.size() < all.size(); ++i)
@@ -70,26 +78,26 @@
 TEST_CASE("a change log that moves is asked at its new address at once; the old one is left") {
   net::EventLoop loop;
   net::BufferPool pool(64);
-  core::Counters counters;
+  metrics::Counters counters;
   StandInLog old(loop, pool), next(loop, pool);
   old.events = 3;
   old.stays_open = true;
   std::vector<std::string> told;
   discovery::Discovery discovery(
       loop, pool, counters, old.server.address(), discovery::Log(3),
-      [&](const core::HostListUpdate& list) { told.push_back(list.hosts.at(0).entry.worker); });
-  const auto turn_until = [&](const auto& until) {
+      [&](const core::HostListUpdate& list) { told.push_back(list.hosts.at(0).entry.host); });
+  const auto run_until = [&](const auto& until) {
     for (int i = 0; i < 5000 && !until(); ++i)
       loop.run_once(loop.now() + Millis(20), [] {});
     return until();
   };
   discovery.start();
-  REQUIRE(turn_until([&] { return old.asked.size() == 1; }));
+  REQUIRE(run_until([&] { return old.asked.size() == 1; }));
   discovery.move(next.server.address());
-  REQUIRE(turn_until([&] { return told.size() == 17; }));
+  REQUIRE(run_until([&] { return told.size() == 17; }));
   CHECK(told.front() == "s4");
   CHECK(next.asked.front() == 3);
-  CHECK(turn_until([&] { return old.server.peers.empty(); }));
+  CHECK(run_until([&] { return old.server.peers.empty(); }));
   CHECK(old.asked.size() == 1);
   CHECK(counters.value("feed.moves") == 1);
 }
@@ -97,7 +105,7 @@
 TEST_CASE("a change log that stops half-way through an event and stays open is asked again") {
   net::EventLoop loop;
   net::BufferPool pool(64);
-  core::Counters counters;
+  metrics::Counters counters;
   StandInLog log(loop, pool);
   log.events = 1;
   log.stays_open = true;
--- a/tests/lotusyard/membership_test.cpp
+++ b/tests/endpoints/endpoint_states_test.cpp
@@ -1,22 +1,30 @@
 // Hosts out by hand: one state out of list and hand, and its files.
+#include "endpoints/endpoint_states.h"
+
 #include <sys/stat.h>
 #include <unistd.h>
 
+#include <catch2/catch.hpp>
+#include <map>
+#include <memory>
+#include <string>
+#include <vector>
+
 #include "endpoints/disabled_host_files.h"
-#include "endpoints/endpoint_states.h"
-#include "helper.h"
-#include "process.h"
+#include "support/process.h"
+#include "support/random_input.h"
+#include "support/test_settings.h"
 
 namespace lotusyard::test {
 namespace {
 
-using core::WorkerState;
+using core::HostState;
 using endpoints::DisabledHostFiles;
 using endpoints::EndpointStates;
 
-core::ListedHost member(const std::string& id, WorkerState state, double started = 0) {
+core::ListedHost member(const std::string& id, HostState state, double started = 0) {
   core::ListedHost out;
-  out.entry.worker = id;
+  out.entry.host = id;
   out.entry.state = state;
   out.entry.started = Millis(started);
   out.address = "127.0.0.1:1";
@@ -24,63 +32,63 @@
 }
 
 struct Seen {  // what hosts and core would believe
-  std::map<std::string, core::WorkerEntry> hosts;
+  std::map<std::string, core::HostEntry> hosts;
   int tellings = 0;
   EndpointStates membership{[this](const core::HostListUpdate& list, core::ListKind) {
     ++tellings;
     std::set<std::string> named;
     for (const auto& m : list.hosts) {
-      hosts[m.entry.worker] = m.entry;
-      named.insert(m.entry.worker);
+      hosts[m.entry.host] = m.entry;
+      named.insert(m.entry.host);
     }
     for (auto& [id, entry] : hosts) {
       if (list.complete && named.count(id) == 0)
-        entry.state = WorkerState::gone;
+        entry.state = HostState::gone;
     }
   }};
 };
 
 TEST_CASE("a host out by hand is draining whatever the list says, till one call puts it back, cold") {
   Seen seen;
-  seen.membership.apply_list({true, {member("a", WorkerState::ready, 5), member("b", WorkerState::ready)}},
+  seen.membership.apply_list({true, {member("a", HostState::ready, 5), member("b", HostState::ready)}},
                              core::ListKind::cached);
   CHECK_FALSE(seen.membership.is_known("c"));
   seen.membership.disable("a");
   const int told = seen.tellings;
   seen.membership.disable("a");
   CHECK(seen.tellings == told);  // twice is once
-  CHECK(seen.hosts["a"].state == WorkerState::draining);
-  seen.membership.apply_list({false, {member("a", WorkerState::ready, 900)}}, core::ListKind::delta);
-  seen.membership.apply_list({true, {member("a", WorkerState::ready, 900)}}, core::ListKind::full);
-  CHECK(seen.hosts["a"].state == WorkerState::draining);
-  CHECK(seen.hosts["b"].state == WorkerState::gone);
+  CHECK(seen.hosts["a"].state == HostState::draining);
+  seen.membership.apply_list({false, {member("a", HostState::ready, 900)}}, core::ListKind::delta);
+  seen.membership.apply_list({true, {member("a", HostState::ready, 900)}}, core::ListKind::full);
+  CHECK(seen.hosts["a"].state == HostState::draining);
+  CHECK(seen.hosts["b"].state == HostState::gone);
   seen.membership.enable("a", Millis(2000));
-  CHECK((seen.hosts["a"].state == WorkerState::ready && seen.hosts["a"].started == Millis(2000)));
-  CHECK(seen.hosts["a"].put_back);
+  CHECK((seen.hosts["a"].state == HostState::ready && seen.hosts["a"].started == Millis(2000)));
+  CHECK(seen.hosts["a"].enabled_by_operator);
   seen.membership.enable("a", Millis(3000));  // it was not out
-  seen.membership.apply_list({false, {member("a", WorkerState::ready, 900)}}, core::ListKind::delta);
+  seen.membership.apply_list({false, {member("a", HostState::ready, 900)}}, core::ListKind::delta);
   CHECK(seen.hosts["a"].started == Millis(2000));  // the list does not know of its new start yet
-  seen.membership.apply_list({false, {member("a", WorkerState::ready, 4000)}}, core::ListKind::delta);
+  seen.membership.apply_list({false, {member("a", HostState::ready, 4000)}}, core::ListKind::delta);
   CHECK(seen.hosts["a"].started == Millis(4000));
 }
 
 TEST_CASE("a host that is out and has left the list stays known, and out when it comes back") {
   Seen seen;
-  seen.membership.apply_list({true, {member("a", WorkerState::ready)}}, core::ListKind::cached);
+  seen.membership.apply_list({true, {member("a", HostState::ready)}}, core::ListKind::cached);
   seen.membership.disable("a");
-  seen.membership.apply_list({false, {member("a", WorkerState::gone)}}, core::ListKind::delta);
+  seen.membership.apply_list({false, {member("a", HostState::gone)}}, core::ListKind::delta);
   for (int i = 0; i < 3000; ++i) {  // long after, thousands of others have come and gone
     const std::string id = "x" + std::to_string(i);
-    seen.membership.apply_list({false, {member(id, WorkerState::ready)}}, core::ListKind::delta);
-    seen.membership.apply_list({false, {member(id, WorkerState::gone)}}, core::ListKind::delta);
+    seen.membership.apply_list({false, {member(id, HostState::ready)}}, core::ListKind::delta);
+    seen.membership.apply_list({false, {member(id, HostState::gone)}}, core::ListKind::delta);
   }
   CHECK_FALSE(seen.membership.is_known("x0"));
   CHECK(seen.membership.is_known("x2999"));
   CHECK(seen.membership.is_known("a"));
-  seen.membership.apply_list({false, {member("a", WorkerState::ready, 70)}}, core::ListKind::delta);
-  CHECK(seen.hosts["a"].state == WorkerState::draining);
+  seen.membership.apply_list({false, {member("a", HostState::ready, 70)}}, core::ListKind::delta);
+  CHECK(seen.hosts["a"].state == HostState::draining);
   seen.membership.enable("a", Millis(90));
-  CHECK(seen.hosts["a"].state == WorkerState::ready);
+  CHECK(seen.hosts["a"].state == HostState::ready);
 }
 
 // Random series of list events, calls at either of two processes, restarts and kills, against the plain rule:
@@ -110,7 +118,7 @@
       switch (below(random, 6)) {
         case 0:
         case 1: {
-          const auto state = static_cast<WorkerState>(below(random, 3));
+          const auto state = static_cast<HostState>(below(random, 3));
           listed[id] = member(id, state, below(random, 2) == 0 ? 0 : now.count());
           for (auto& p : process)
             p->membership.apply_list({false, {listed[id]}}, core::ListKind::delta);
@@ -149,8 +157,8 @@
       for (const auto& p : process) {
         REQUIRE(p->membership.disabled() == out);
         for (const auto& [host_id, m] : listed) {
-          const bool ready = m.entry.state == WorkerState::ready && out.count(host_id) == 0;
-          REQUIRE((p->hosts[host_id].state == WorkerState::ready) == ready);
+          const bool ready = m.entry.state == HostState::ready && out.count(host_id) == 0;
+          REQUIRE((p->hosts[host_id].state == HostState::ready) == ready);
         }
       }
     }
--- /dev/null
+++ b/tests/fault_injection.cmake
@@ -0,0 +1,21 @@
+# Builds a second form `<library>_faulty` of each library given, in the order of their dependencies, in which the
+# rules named by fault_injected() can be broken. The program that links them defines fault_injected().
+function(lotusyard_add_fault_injection)
+  foreach(library IN LISTS ARGN)
+    get_target_property(sources ${library} SOURCES)
+    get_target_property(folder ${library} SOURCE_DIR)
+    get_target_property(dependencies ${library} LINK_LIBRARIES)
+    list(TRANSFORM sources PREPEND ${folder}/)
+    add_library(${library}_faulty ${sources})
+    target_include_directories(${library}_faulty PUBLIC ${PROJECT_SOURCE_DIR}/src)
+    target_compile_definitions(${library}_faulty PUBLIC LOTUSYARD_FAULT_INJECTION)
+    target_compile_options(${library}_faulty PRIVATE -O2)  # tests play hours in seconds
+    foreach(dependency IN LISTS dependencies)
+      if(TARGET ${dependency}_faulty)
+        target_link_libraries(${library}_faulty PUBLIC ${dependency}_faulty)
+      else()
+        target_link_libraries(${library}_faulty PUBLIC ${dependency})
+      endif()
+    endforeach()
+  endforeach()
+endfunction()
--- a/tests/golden/admin_golden.cpp
+++ b/tests/golden/admin_golden.cpp
@@ -1,7 +1,7 @@
 // The admin endpoint: its HTTP answers, byte for byte.
 #include "admin/admin_endpoint.h"
-#include "golden_part.h"
-#include "recording_client.h"
+#include "golden/golden_part.h"
+#include "golden/recording_client.h"
 
 namespace lotusyard::golden {
 namespace {
@@ -34,7 +34,7 @@
   }
   std::string answer(const std::string& bytes) {
     RecordingClient client(world_, endpoint_.address(), bytes);
-    REQUIRE(world_.turn_until([&] { return client.closed(); }));
+    REQUIRE(world_.run_until([&] { return client.closed(); }));
     return client.received_bytes();
   }
   std::string answer(const std::string& method, const std::string& path) {
@@ -42,7 +42,7 @@
   }
 
  private:
-  test::World world_{0};
+  test::InvokerFixture world_{0};
   admin::AdminEndpoint endpoint_;
 };
 
--- a/tests/golden/amqp_golden.cpp
+++ b/tests/golden/amqp_golden.cpp
@@ -1,7 +1,7 @@
 // AMQP 0-9-1: frames, method arguments, content headers and tables.
 #include "amqp/methods.h"
 #include "amqp/wire.h"
-#include "golden_part.h"
+#include "golden/golden_part.h"
 
 namespace lotusyard::golden {
 namespace {
@@ -11,7 +11,7 @@
 std::string reencode_frame(const std::string& bytes) {
   FrameParser parser;
   std::vector<Frame> out;
-  if (!parser.take(bytes, out) || out.size() != 1)
+  if (!parser.parse(bytes, out) || out.size() != 1)
     throw std::runtime_error("it isn't one whole frame");
   return frame(out.front().type, out.front().channel, out.front().payload);
 }
--- a/tests/golden/compliance_golden.cpp
+++ b/tests/golden/compliance_golden.cpp
@@ -1,6 +1,6 @@
 // Compliance: log entries of every kind and the state's snapshot.
-#include "golden_part.h"
-#include "maintenance_samples.h"
+#include "golden/golden_part.h"
+#include "golden/maintenance_samples.h"
 
 namespace lotusyard::golden {
 namespace {
--- a/tests/golden/compliance_samples.cpp
+++ b/tests/golden/compliance_samples.cpp
@@ -1,4 +1,4 @@
-#include "maintenance_samples.h"
+#include "golden/maintenance_samples.h"
 
 namespace lotusyard::golden {
 namespace {
--- a/tests/golden/control_golden.cpp
+++ b/tests/golden/control_golden.cpp
@@ -1,7 +1,7 @@
 // Session frames of every kind between invokers and control nodes, and the changes that they carry.
 #include "control/change.h"
 #include "control/message.h"
-#include "golden_part.h"
+#include "golden/golden_part.h"
 
 namespace lotusyard::golden {
 namespace {
@@ -11,7 +11,7 @@
 std::string reencode_frame(const std::string& bytes) {
   MessageReader reader(longest_to_invoker);
   std::vector<Message> out;
-  if (!reader.take(bytes, out) || out.size() != 1)
+  if (!reader.parse(bytes, out) || out.size() != 1)
     throw std::runtime_error("it isn't one whole frame");
   return encode(out.front());
 }
--- a/tests/golden/golden_part.cpp
+++ b/tests/golden/golden_part.cpp
@@ -1,4 +1,4 @@
-#include "golden_part.h"
+#include "golden/golden_part.h"
 
 #include <fstream>
 
--- a/tests/golden/golden_test.cpp
+++ b/tests/golden/golden_test.cpp
@@ -3,7 +3,7 @@
 #include <catch2/catch.hpp>
 #include <set>
 
-#include "golden_part.h"
+#include "golden/golden_part.h"
 
 namespace lotusyard::golden {
 namespace {
--- a/tests/golden/gossip_golden.cpp
+++ b/tests/golden/gossip_golden.cpp
@@ -1,5 +1,5 @@
 // Gossip between members: every kind of message, with members in every state.
-#include "golden_part.h"
+#include "golden/golden_part.h"
 #include "gossip/message.h"
 
 namespace lotusyard::golden {
--- a/tests/golden/hosts_golden.cpp
+++ b/tests/golden/hosts_golden.cpp
@@ -1,8 +1,8 @@
 // The hosts' protocol: what goes to a host, byte for byte, and its replies as they are read.
 #include <regex>
 
-#include "golden_part.h"
-#include "recording_client.h"
+#include "golden/golden_part.h"
+#include "golden/recording_client.h"
 
 namespace lotusyard::golden {
 namespace {
@@ -28,13 +28,13 @@
   std::string received;
 };
 
-class NoFront final : public core::Front {
+class NoFront final : public core::FrontEnd {
   void answer(core::CallId, core::Answer&&) override {}
 };
 
 core::Settings plain_settings() {
   core::Settings out = patient_settings();
-  out.orders = out.probes = out.miss_is_answered = false;
+  out.load_orders.allowed = out.host_protocol.accepts_probes = out.host_protocol.answers_misses = false;
   return out;
 }
 
@@ -43,12 +43,12 @@
   explicit Connection(hosts::LivenessProbe liveness = hosts::LivenessProbe::none)
       : world(0, plain_settings(), limits(liveness)), host_(world.loop, world.pool) {
     core::ListedHost member;
-    member.entry.worker = "h0";
+    member.entry.host = "h0";
     member.address = host_.server.address();
     world.fleet.update_endpoints({true, {member}});
     world.dispatcher.update_endpoints({core::ListKind::full, {member.entry}});
   }
-  test::World world;
+  test::InvokerFixture world;
 
   core::CallId call(const std::string& key) {
     core::Call call;
@@ -60,16 +60,16 @@
     call.lanes = 1;
     call.memory_mb = 300;
     call.arrived = world.loop.now();
-    call.allow = core::Millis(60000);
+    call.timeout = core::Millis(60000);
     call.body = std::string("bo\0dy", 5);
     const core::CallId id = world.dispatcher.allocate_call_id();
-    REQUIRE(world.dispatcher.admit(id, std::move(call), front_));
+    REQUIRE_FALSE(world.dispatcher.admit(id, std::move(call), front_).has_value());
     return id;
   }
   // What the host was sent up to `end`; the time that a call has left differs from run to run.
   std::string sent(const std::string& end) {
     const std::string& got = host_.received;
-    const bool in_time = world.turn_until([&] { return got.find(end) != std::string::npos; }, kTurnsMost);
+    const bool in_time = world.run_until([&] { return got.find(end) != std::string::npos; }, kTurnsMost);
     INFO(got);
     REQUIRE(in_time);
     const std::string whole = got.substr(0, got.find(end) + end.size());
@@ -81,7 +81,7 @@
   NoFront front_;
 
   static hosts::Limits limits(hosts::LivenessProbe liveness) {
-    hosts::Limits out = test::World::limits();
+    hosts::Limits out = test::InvokerFixture::limits();
     out.liveness = liveness;
     return out;
   }
@@ -116,7 +116,7 @@
 std::string reencode_reply(const std::string& bytes) {
   hosts::LineParser parser;
   std::vector<hosts::Reply> out;
-  if (!parser.take(bytes, out) || out.size() != 1)
+  if (!parser.parse(bytes, out) || out.size() != 1)
     throw std::runtime_error("it isn't one whole reply");
   const hosts::Reply& reply = out.front();
   return reply.id + ' ' + reply.word + ' ' + (reply.fields.empty() ? "-" : reply.fields) + ' ' +
--- a/tests/golden/maintenance_golden.cpp
+++ b/tests/golden/maintenance_golden.cpp
@@ -1,8 +1,8 @@
 // Maintenance jobs: log entries of every kind, the state's snapshot, and the admin endpoint's JSON.
-#include "golden_part.h"
+#include "golden/golden_part.h"
+#include "golden/maintenance_samples.h"
 #include "maintenance/admin_endpoint.h"
 #include "maintenance/log_entry_codec.h"
-#include "maintenance_samples.h"
 
 namespace lotusyard::golden {
 namespace {
@@ -30,7 +30,7 @@
 std::string proposal(const std::string& text) {
   std::map<std::string, core::ListedHost> listed;
   for (const char* id : {"h1", "h2", "h3"}) {
-    listed[id].entry.worker = id;
+    listed[id].entry.host = id;
     listed[id].entry.zone = "zone-a";
     listed[id].entry.kind = "kind-a";
   }
--- a/tests/golden/quota_golden.cpp
+++ b/tests/golden/quota_golden.cpp
@@ -1,5 +1,5 @@
 // The split of the slow-start budget: log entries and the state's snapshot.
-#include "golden_part.h"
+#include "golden/golden_part.h"
 #include "quota/log_entry_codec.h"
 #include "quota/quota_epochs.h"
 
--- a/tests/golden/raft_golden.cpp
+++ b/tests/golden/raft_golden.cpp
@@ -1,6 +1,6 @@
 // Links among a group's members: frames, the handshake, consensus messages of every kind, and the forms in
 // which several replicated state machines share one log.
-#include "golden_part.h"
+#include "golden/golden_part.h"
 #include "raft/frame.h"
 #include "raft/message_codec.h"
 #include "raft/replicated_state_machine.h"
--- a/tests/golden/recording_client.h
+++ b/tests/golden/recording_client.h
@@ -1,10 +1,13 @@
 // A client that sends bytes on a loop and keeps what comes back.
 #pragma once
 
+#include <catch2/catch.hpp>
 #include <string>
 #include <utility>
 
-#include "helper.h"
+#include "net/buffered_connection.h"
+#include "support/invoker_fixture.h"
+#include "support/test_settings.h"
 
 namespace lotusyard::golden {
 
@@ -18,7 +21,7 @@
 
 class RecordingClient final : public net::BufferedConnection {
  public:
-  RecordingClient(test::World& world, const std::string& address, const std::string& bytes)
+  RecordingClient(test::InvokerFixture& world, const std::string& address, const std::string& bytes)
       : BufferedConnection(world.loop, world.pool, net::connect_to(address).socket, true) {
     write(bytes);
   }
--- a/tests/golden/records_golden.cpp
+++ b/tests/golden/records_golden.cpp
@@ -1,6 +1,6 @@
 // The records that control nodes replicate to invokers, and what invokers report to them.
-#include "golden_part.h"
-#include "maintenance_samples.h"
+#include "golden/golden_part.h"
+#include "golden/maintenance_samples.h"
 #include "node/session_observations.h"
 #include "node/state_records.h"
 
--- a/tests/golden/resp_golden.cpp
+++ b/tests/golden/resp_golden.cpp
@@ -1,7 +1,7 @@
 // The RESP front: its replies, byte for byte, and arrays as they are read and written.
-#include "golden_part.h"
-#include "recording_client.h"
-#include "resp/front.h"
+#include "golden/golden_part.h"
+#include "golden/recording_client.h"
+#include "resp/front_end.h"
 
 namespace lotusyard::golden {
 namespace {
@@ -18,26 +18,26 @@
 std::string reencode_array(const std::string& bytes) {
   resp::Parser parser;
   std::vector<resp::Words> out;
-  if (!parser.take(bytes, out) || out.size() != 1)
+  if (!parser.parse(bytes, out) || out.size() != 1)
     throw std::runtime_error("it isn't one whole array");
   return command({out.front().begin(), out.front().end()});
 }
 
 class Service {
  public:
-  test::World world;
+  test::InvokerFixture world;
   explicit Service(std::size_t hosts = 1)
 
       : world(hosts, patient_settings()),
         front_(world.loop, world.pool, world.dispatcher, world.counters, {}) {
     REQUIRE(front_.listen("127.0.0.1:0"));
   }
-  resp::Front& front() { return front_; }
+  resp::FrontEnd& front() { return front_; }
   std::string reply(
       const std::string& bytes, const std::function<void()>& when_sent = [] {}) {
     RecordingClient client(world, front_.address(), bytes);
     bool done = false;
-    REQUIRE(world.turn_until([&] {
+    REQUIRE(world.run_until([&] {
       if (!done && front_.open_calls() > 0)
         when_sent();
       done = done || front_.open_calls() > 0;
@@ -47,13 +47,13 @@
   }
 
  private:
-  resp::Front front_;
+  resp::FrontEnd front_;
 };
 
 // The reply to a call that no host answers, whose answer is given here.
 std::string reply_with(const core::Answer& answer) {
   Service service;
-  service.world.host[0]->react = [](const std::string&) { return test::Reaction{test::Reaction::silence}; };
+  service.world.host[0]->handler = [](const std::string&) { return test::Reaction{test::Reaction::silence}; };
   const auto give = [&] {
     core::Answer copy = answer;
     service.front().answer(1, std::move(copy));
@@ -86,10 +86,11 @@
        {"unknown command", service.reply(command({"NONE", "6"})), reencode_array},
        {"malformed call", service.reply(command({"CALL", "7", "bin-check"})), reencode_array},
        {"unknown class", service.reply(command({"CALL", "8", "none", kFields, "x"})), reencode_array},
-       {"refused", reply_with({core::Verdict::refused, core::Millis(0), {}}), reencode_array},
-       {"refused with a wait", reply_with({core::Verdict::refused, core::Millis(249.5), {}}), reencode_array},
-       {"failed", reply_with({core::Verdict::failed, core::Millis(0), {}}), reencode_array},
-       {"failed with a wait", reply_with({core::Verdict::failed, core::Millis(30), {}}), reencode_array}}};
+       {"refused", reply_with({core::CallStatus::rejected, core::Millis(0), {}}), reencode_array},
+       {"refused with a wait", reply_with({core::CallStatus::rejected, core::Millis(249.5), {}}),
+        reencode_array},
+       {"failed", reply_with({core::CallStatus::failed, core::Millis(0), {}}), reencode_array},
+       {"failed with a wait", reply_with({core::CallStatus::failed, core::Millis(30), {}}), reencode_array}}};
 }
 
 }  // namespace lotusyard::golden
--- a/tests/golden/stores_golden.cpp
+++ b/tests/golden/stores_golden.cpp
@@ -6,7 +6,7 @@
 #include <catch2/catch.hpp>
 #include <cstdio>
 
-#include "golden_part.h"
+#include "golden/golden_part.h"
 #include "idempotency/sqlite_result_store.h"
 #include "raft/log_store.h"
 #include "sqlite/query.h"
@@ -123,10 +123,10 @@
   return dump_of(copied);
 }
 
-ResultRecord record(ResultStage stage, core::Verdict verdict, const std::string& body) {
+ResultRecord record(ResultStage stage, core::CallStatus status, const std::string& body) {
   ResultRecord out;
   out.stage = stage;
-  out.answer = {verdict, Millis(verdict == core::Verdict::refused ? 250.5 : 0), body};
+  out.answer = {status, Millis(status == core::CallStatus::rejected ? 250.5 : 0), body};
   out.at = Millis(1700000000000.25 + static_cast<int>(stage));
   if (stage == ResultStage::confirmed)
     out.address = "answers";
@@ -148,16 +148,17 @@
 
 std::string result_store() {
   const TemporaryFile file;
-  core::Counters counters;
+  metrics::Counters counters;
   {
     idempotency::SqliteResultStore store(file.path(), {}, Millis(1690000000000.5), counters,
                                          [](const auto&) {});
-    put(store, "sent", record(ResultStage::sent, core::Verdict::failed, ""));
-    put(store, "cleared", record(ResultStage::cleared, core::Verdict::failed, ""));
-    put(store, "answered", record(ResultStage::answered, core::Verdict::served, std::string("\0\xff", 2)));
-    put(store, "refused", record(ResultStage::answered, core::Verdict::refused, ""));
+    put(store, "sent", record(ResultStage::sent, core::CallStatus::failed, ""));
+    put(store, "cleared", record(ResultStage::cleared, core::CallStatus::failed, ""));
+    put(store, "answered",
+        record(ResultStage::answered, core::CallStatus::succeeded, std::string("\0\xff", 2)));
+    put(store, "refused", record(ResultStage::answered, core::CallStatus::rejected, ""));
     put(store, std::string("confirmed\0\xff", 11),
-        record(ResultStage::confirmed, core::Verdict::served, "body"));
+        record(ResultStage::confirmed, core::CallStatus::succeeded, "body"));
   }
   return dump_of(file);
 }
@@ -165,7 +166,7 @@
 std::string reencode_result_store(const std::string& sql) {
   const TemporaryFile stored, copied;
   Database(stored.path()).execute(sql);
-  core::Counters counters;
+  metrics::Counters counters;
   {
     idempotency::SqliteResultStore from(stored.path(), {}, Millis(1690000000000.5), counters,
                                         [](const auto&) {});
--- a/tests/lotusyard/view_measure.cpp
+++ b/tests/gossip/gossip_measure.cpp
@@ -1,7 +1,7 @@
 // Figures of the view in its pure form, by hand: lotusyard_fleet_tests "[view-measure]".
 #include <iostream>
 
-#include "view_net.h"
+#include "gossip/gossip_network.h"
 
 namespace lotusyard::test {
 namespace {
--- a/tests/lotusyard/view_test.cpp
+++ b/tests/gossip/gossip_test.cpp
@@ -4,8 +4,8 @@
 
 #include <iostream>
 
-#include "breaks_here.h"
-#include "view_net.h"
+#include "gossip/gossip_network.h"
+#include "support/fault_injection.h"
 
 namespace lotusyard::test {
 namespace {
--- a/tests/lotusyard/host_deadline_test.cpp
+++ b/tests/hosts/host_deadline_test.cpp
@@ -4,8 +4,8 @@
 #include <dirent.h>
 #include <netinet/in.h>
 
-#include "raw_client.h"
-#include "service.h"
+#include "support/raw_client.h"
+#include "support/service.h"
 
 namespace lotusyard::test {
 namespace {
@@ -23,7 +23,7 @@
   Millis sent{0}, most{-1e9};
   int calls = 0;
   void watch(const net::EventLoop& loop, StandInHost& host) {
-    host.react = [this, &loop, &host](const std::string&) {
+    host.handler = [this, &loop, &host](const std::string&) {
       ++calls;
       if (sent.count() > 0)
         most = std::max(most, told_patience(host) - (kAllow - (loop.now() - sent)));
@@ -94,7 +94,7 @@
   excess.watch(p.world.loop, *p.world.host[0]);
   RawClient client(p);
   const Millis until = p.world.loop.now() + Millis(400);
-  p.world.turn_until([&] { return p.world.loop.now() >= until; });
+  p.world.run_until([&] { return p.world.loop.now() >= until; });
   excess.sent = p.world.loop.now();
   client.say(call_bytes(1));
   run_turns(p);
@@ -132,7 +132,7 @@
 
 // Failure found in review: the time until an attempt was told from after its call's record was on the disk.
 TEST_CASE("what is recorded before an attempt takes its time off") {
-  class SlowDisk final : public core::Front {
+  class SlowDisk final : public core::FrontEnd {
     void answer(core::CallId, core::Answer&&) override {}
     bool before_attempt(core::CallId) override { return usleep(300000) == 0; }
   } front;
@@ -146,8 +146,9 @@
   call.function_name = net::hex16(0xa1);
   call.function = 0xa1;
   call.arrived = excess.sent = p.world.loop.now();
-  call.allow = kAllow;
-  REQUIRE(p.world.dispatcher.admit(p.world.dispatcher.allocate_call_id(), std::move(call), front));
+  call.timeout = kAllow;
+  REQUIRE_FALSE(
+      p.world.dispatcher.admit(p.world.dispatcher.allocate_call_id(), std::move(call), front).has_value());
   run_turns(p);
   REQUIRE(excess.calls == 1);
   CHECK(excess.most.count() < kSlack.count());
@@ -184,7 +185,7 @@
   p.world.host.push_back(std::make_unique<StandInHost>(host_loop, p.world.pool));
   StandInHost& host = *p.world.host[0];
   narrow_sockets_of(host.server.address());
-  p.world.tell(lotusyard::policy::WorkerState::ready);
+  p.world.tell(lotusyard::policy::HostState::ready);
   Excess excess;
   excess.watch(host_loop, host);
   const auto both_turn = [&] {
--- a/tests/lotusyard/local_connect_test.cpp
+++ b/tests/hosts/local_connect_test.cpp
@@ -1,6 +1,6 @@
 // Connections to hosts that this machine cannot make for a while: sound hosts keep their name.
-#include "platform.h"
-#include "system_call_faults.h"
+#include "support/platform.h"
+#include "support/system_call_faults.h"
 
 namespace lotusyard::test {
 namespace {
@@ -13,13 +13,13 @@
 }
 std::unique_ptr<Client> client_of(Platform& p) {
   auto client = std::make_unique<Client>(p.world, p.front.address());
-  REQUIRE(p.world.turn_until(
-      [&] { return client->is_open() && p.world.counters.value("resp.connections") > 0; }));
+  REQUIRE(
+      p.world.run_until([&] { return client->is_open() && p.world.counters.value("resp.connections") > 0; }));
   return client;
 }
 void run_for(Platform& p, Millis span) {
   const Millis end = p.world.loop.now() + span;
-  p.world.turn_until([&] { return p.world.loop.now() >= end; });
+  p.world.run_until([&] { return p.world.loop.now() >= end; });
 }
 std::string port_of(const std::string& address) { return address.substr(address.rfind(':') + 1); }
 
@@ -97,7 +97,7 @@
     if (cancels)
       client->say({"CANCEL", "1"});
     if (!cancels)
-      p.world.tell(lotusyard::policy::WorkerState::draining);
+      p.world.tell(lotusyard::policy::HostState::draining);
     run_for(p, Millis(50));
   }
   run_for(p, Millis(300));
--- a/tests/lotusyard/hot_restart_test.cpp
+++ b/tests/hot_restart/hot_restart_test.cpp
@@ -2,11 +2,14 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
+#include <catch2/catch.hpp>
 #include <csignal>
+#include <string>
+#include <vector>
 
-#include "helper.h"
 #include "hot_restart/presence.h"
 #include "hot_restart/shares.h"
+#include "net/event_loop.h"
 
 namespace lotusyard::test {
 namespace {
@@ -25,7 +28,7 @@
       REQUIRE(alone.bytes() <= mb << 20);
       REQUIRE(beside.bytes() * 2 <= mb << 20);
       REQUIRE(alone.clients <= sockets / 3);
-      REQUIRE((beside.clients > 0 && beside.newcomers > 0 && beside.links > 0 && beside.callers >= 4));
+      REQUIRE((beside.clients > 0 && beside.new_connections > 0 && beside.links > 0 && beside.callers >= 4));
     }
   }
 }
--- a/tests/lotusyard/answers_test.cpp
+++ b/tests/idempotency/result_store_test.cpp
@@ -7,13 +7,13 @@
 #include <fstream>
 
 #include "idempotency/sqlite_result_store.h"
-#include "triggers.h"
+#include "support/triggers.h"
 
 namespace lotusyard::test {
 namespace {
 
 using namespace idempotency;
-using core::Verdict;
+using core::CallStatus;
 
 constexpr double kNow = 1e12;
 
@@ -34,15 +34,15 @@
   explicit Opened(const File& file, const Bounds& bounds = {}, double now = kNow)
       : store(file.path, bounds, Millis(now), counters,
               [this](const std::string& line) { log.push_back(line); }) {}
-  core::Counters counters;
+  metrics::Counters counters;
   std::vector<std::string> log;
   SqliteResultStore store;
 };
 
-ResultRecord record(ResultStage stage, Verdict verdict = Verdict::served, double at = kNow) {
+ResultRecord record(ResultStage stage, CallStatus status = CallStatus::succeeded, double at = kNow) {
   ResultRecord r;
   r.stage = stage;
-  r.answer = {verdict, Millis(0), stage >= ResultStage::answered ? "body" : ""};
+  r.answer = {status, Millis(0), stage >= ResultStage::answered ? "body" : ""};
   r.at = Millis(at);
   return r;
 }
@@ -57,10 +57,10 @@
     CHECK(decide(record(ResultStage::sent), arrival, trust) == Decision::fail_may_have_run);
     CHECK(decide(record(ResultStage::cleared), arrival, trust) == Decision::run);
     CHECK(decide(record(ResultStage::answered), arrival, trust) == Decision::answer);
-    CHECK(decide(record(ResultStage::confirmed, Verdict::failed), arrival, trust) == Decision::answer);
+    CHECK(decide(record(ResultStage::confirmed, CallStatus::failed), arrival, trust) == Decision::answer);
   }
-  CHECK(decide(record(ResultStage::answered, Verdict::refused), fresh, trust) == Decision::run);
-  CHECK(decide(record(ResultStage::answered, Verdict::refused), again, trust) == Decision::answer);
+  CHECK(decide(record(ResultStage::answered, CallStatus::rejected), fresh, trust) == Decision::run);
+  CHECK(decide(record(ResultStage::answered, CallStatus::rejected), again, trust) == Decision::answer);
   // Not in the store shows that it did not run only at the sole consumer, and for what is young enough.
   trust.complete_from = Millis(kNow);
   const DeliveryFacts young{true, Millis(kNow) + kClockSkew}, old{true, Millis(kNow) + kClockSkew / 2};
@@ -85,10 +85,10 @@
     bool open = false, may_have_run = false;
     for (int step = 0; step < 30; ++step) {
       const std::size_t dice = below(random, 8);
-      const auto write = [&](ResultStage to, Verdict verdict = Verdict::served) {
+      const auto write = [&](ResultStage to, CallStatus status = CallStatus::succeeded) {
         if (!may_follow(stored ? std::optional<ResultStage>(stored->stage) : std::nullopt, to))
           return false;
-        stored = record(to, verdict);
+        stored = record(to, status);
         return true;
       };
       if (dice < 3 && !open) {
@@ -107,7 +107,7 @@
         if (!ran)
           write(ResultStage::cleared);
       } else if (dice == 5 && open) {
-        write(ResultStage::answered, may_have_run ? Verdict::served : Verdict::refused);
+        write(ResultStage::answered, may_have_run ? CallStatus::succeeded : CallStatus::rejected);
         open = false;
       } else if (dice == 6) {
         write(ResultStage::confirmed);
@@ -160,7 +160,8 @@
   for (int i = 0; i < 6; ++i)
     REQUIRE(opened.store.put("sent" + std::to_string(i), record(ResultStage::sent)));
   for (int i = 0; i < 20; ++i) {
-    opened.store.put("done" + std::to_string(i), record(ResultStage::answered, Verdict::served, kNow + i));
+    opened.store.put("done" + std::to_string(i),
+                     record(ResultStage::answered, CallStatus::succeeded, kNow + i));
     opened.store.prune(Millis(kNow + i));
   }
   CHECK(opened.store.size() == 10);
@@ -219,17 +220,17 @@
   {
     Opened opened(file);
     Triggers t(1, 1, {}, settings(), &opened.store);
-    t.world.host[0]->react = [](const std::string& body) {
+    t.world.host[0]->handler = [](const std::string& body) {
       return body == "done" ? Reaction() : Reaction{Reaction::silence, ""};
     };
     t.broker.send("done", "bin-record", "done");
     REQUIRE(t.answered("done"));
     t.broker.send("lost", "bin-record", "lost");
-    REQUIRE(t.world.turn_until([&] { return t.world.host[0]->execs == 2; }, 20000));
+    REQUIRE(t.world.run_until([&] { return t.world.host[0]->execs == 2; }, 20000));
     const double now = t.world.loop.now().count();
-    opened.store.put("cleared", record(ResultStage::sent, Verdict::served, now));
-    opened.store.put("cleared", record(ResultStage::cleared, Verdict::served, now));
-    opened.store.put("answered", record(ResultStage::answered, Verdict::served, now));
+    opened.store.put("cleared", record(ResultStage::sent, CallStatus::succeeded, now));
+    opened.store.put("cleared", record(ResultStage::cleared, CallStatus::succeeded, now));
+    opened.store.put("answered", record(ResultStage::answered, CallStatus::succeeded, now));
   }  // as if killed: "lost" is out and its answer never comes
   Opened opened(file);
   Triggers t(1, 1, {}, settings(), &opened.store);
--- a/tests/lotusyard/store_faults_test.cpp
+++ b/tests/idempotency/store_faults_test.cpp
@@ -1,16 +1,20 @@
 // The store of answers on a disk that fails: what it took on is found again, and no call runs twice, whatever
 // write or sync fails, lies or is the last one before a crash.
+#include <catch2/catch.hpp>
 #include <map>
+#include <memory>
+#include <string>
 
-#include "fault_vfs.h"
-#include "helper.h"
 #include "idempotency/sqlite_result_store.h"
+#include "support/fault_vfs.h"
+#include "support/random_input.h"
+#include "support/test_settings.h"
 
 namespace lotusyard::test {
 namespace {
 
 using namespace idempotency;
-using core::Verdict;
+using core::CallStatus;
 
 constexpr double kStart = 1e12;
 constexpr Millis kStep{20};
@@ -54,7 +58,7 @@
 
   FaultVfs vfs;
   FaultDisk& disk;
-  core::Counters counters;
+  metrics::Counters counters;
   History history;
   Millis clock{0};
   std::unique_ptr<SqliteResultStore> store;
@@ -73,7 +77,7 @@
     record.stage = stage;
     record.at = Millis(kStart) + clock;
     if (stage >= ResultStage::answered)
-      record.answer = {Verdict::served, Millis(0), "answer of " + id};
+      record.answer = {CallStatus::succeeded, Millis(0), "answer of " + id};
     const bool taken = store->put(id, record);
     auto& call = history[id];
     if (taken) {
--- a/tests/lotusyard/works_measure.cpp
+++ b/tests/maintenance/maintenance_measure.cpp
@@ -3,7 +3,7 @@
 
 #include <iostream>
 
-#include "cluster.h"
+#include "support/cluster.h"
 
 namespace lotusyard::test {
 namespace {
--- a/tests/lotusyard/work_rig.h
+++ b/tests/maintenance/maintenance_rig.h
@@ -1,7 +1,7 @@
 // A rig in which one work over all hosts is settled while the processes are disturbed.
 #pragma once
 
-#include "process_rig.h"
+#include "support/process_rig.h"
 
 namespace lotusyard::test {
 
--- a/tests/lotusyard/works_test.cpp
+++ b/tests/maintenance/maintenance_test.cpp
@@ -1,15 +1,21 @@
 // Works on machines without processes: the agreed board, the order and the leases, over a made-up log that
 // members follow at different times, with clocks that run apart, cuts, deaths and leaders that change.
+#include <algorithm>
+#include <catch2/catch.hpp>
 #include <cmath>
+#include <map>
 #include <set>
+#include <string>
+#include <vector>
 
-#include "helper.h"
 #include "maintenance/host_observer.h"
 #include "maintenance/log_entry_codec.h"
 #include "maintenance/maintenance_scheduler.h"
 #include "maintenance/maintenance_state.h"
 #include "maintenance/timeline.h"
 #include "raft/lease.h"
+#include "support/random_input.h"
+#include "support/test_settings.h"
 
 namespace lotusyard::test {
 namespace {
--- a/tests/lotusyard/listeners_test.cpp
+++ b/tests/net/listeners_test.cpp
@@ -1,9 +1,9 @@
 // Each part that listens: out of what accept takes it pauses, does not spin, and comes back by itself.
 #include "admin/admin_endpoint.h"
-#include "platform.h"
+#include "control/tier.h"
 #include "raft/peer_transport.h"
-#include "system_call_faults.h"
-#include "tier.h"
+#include "support/platform.h"
+#include "support/system_call_faults.h"
 
 namespace lotusyard::test {
 namespace {
@@ -37,16 +37,16 @@
     CHECK(client.answer("1") != nullptr);
   }
   SECTION("the admin endpoint") {
-    World world(0);
+    InvokerFixture world(0);
     NoOperations operations;
     admin::AdminEndpoint endpoint(world.loop, world.counters, operations, 4);
     REQUIRE(endpoint.listen("127.0.0.1:0"));
     const net::Socket caller = net::connect_to(endpoint.address()).socket;
     CHECK(few(accepts_while_short(world.loop, error, [&] { world.turn(); })));
-    CHECK(world.turn_until([&] { return world.counters.value("console.connections") == 1; }, 1000));
+    CHECK(world.run_until([&] { return world.counters.value("console.connections") == 1; }, 1000));
   }
   SECTION("the group's links") {
-    World world(0);
+    InvokerFixture world(0);
     raft::PeerTransport links(
         world.loop, world.counters, {}, [](const auto&, auto&&) {}, [](const auto&) {});
     REQUIRE(links.listen("127.0.0.1:0"));
@@ -54,7 +54,7 @@
     CHECK(few(accepts_while_short(world.loop, error, [&] { world.turn(); })));
     REQUIRE(::send(caller.fd(), "garbage that is no frame", 24, MSG_NOSIGNAL) == 24);
     const auto closed = [&] { return net::peek_peer(caller) == net::PeerState::disconnected; };
-    CHECK(world.turn_until(closed, 1000));  // accepted, read and let go
+    CHECK(world.run_until(closed, 1000));  // accepted, read and let go
   }
   SECTION("a control node's server") {
     Tier tier;
--- a/tests/lotusyard/net_test.cpp
+++ b/tests/net/net_test.cpp
@@ -1,7 +1,12 @@
 // Buffers and what waits in them to be written.
 #include <sys/socket.h>
 
-#include "helper.h"
+#include <catch2/catch.hpp>
+#include <string>
+
+#include "net/event_loop.h"
+#include "support/random_input.h"
+#include "support/test_settings.h"
 
 namespace lotusyard::test {
 namespace {
--- a/tests/lotusyard/parsers_test.cpp
+++ b/tests/net/parsers_test.cpp
@@ -1,9 +1,15 @@
 // The parsers under random cuts of valid messages and under random garbage.
+#include <catch2/catch.hpp>
+#include <string>
+#include <vector>
+
 #include "amqp/wire.h"
 #include "discovery/discovery.h"
-#include "helper.h"
+#include "hosts/line_parser.h"
 #include "net/fields.h"
 #include "resp/parser.h"
+#include "support/random_input.h"
+#include "support/test_settings.h"
 
 namespace lotusyard::test {
 namespace {
@@ -162,7 +168,7 @@
   core::HostListUpdate list;
   CHECK(log.line(event(4), list) == discovery::Log::Read::news);
   REQUIRE(list.hosts.size() == 1);
-  CHECK(list.hosts[0].entry.state == core::WorkerState::draining);
+  CHECK(list.hosts[0].entry.state == core::HostState::draining);
   CHECK(list.hosts[0].entry.started == Millis(5));
   CHECK(log.line(event(4), list) == discovery::Log::Read::nothing);
   CHECK(log.line("4", list) == discovery::Log::Read::nothing);
--- a/tests/lotusyard/system_call_storm_test.cpp
+++ b/tests/net/system_call_storm_test.cpp
@@ -1,11 +1,11 @@
 // Every part that owns sockets at work while system calls fail at random, and while no read or write moves
 // more than one byte.
 #include "admin/admin_endpoint.h"
+#include "control/tier.h"
 #include "discovery/discovery.h"
-#include "platform.h"
-#include "system_call_faults.h"
-#include "tier.h"
-#include "triggers.h"
+#include "support/platform.h"
+#include "support/system_call_faults.h"
+#include "support/triggers.h"
 
 namespace lotusyard::test {
 namespace {
@@ -100,7 +100,7 @@
     discovery::LineCutter cutter_;
     void on_received(std::string_view bytes) override {
       std::vector<std::string> lines;
-      REQUIRE(cutter_.take(bytes, lines));
+      REQUIRE(cutter_.parse(bytes, lines));
       for (const auto& line : lines)
         tell(std::stoull(line.substr(6)));
     }
@@ -122,12 +122,12 @@
   in_each_weather([](std::uint64_t, const auto& begin) {
     net::EventLoop loop;
     net::BufferPool pool(64);
-    core::Counters counters;
+    metrics::Counters counters;
     WholeLog log(loop, pool);
     std::vector<std::string> told;
     const auto keep = [&](const core::HostListUpdate& list) {
       for (const auto& member : list.hosts)
-        told.push_back(member.entry.worker);
+        told.push_back(member.entry.host);
     };
     discovery::Discovery discovery(loop, pool, counters, log.server.address(), discovery::Log(0), keep);
     begin();
@@ -148,7 +148,7 @@
 
 class AdminCaller final : public net::BufferedConnection {
  public:
-  AdminCaller(World& world, const std::string& address)
+  AdminCaller(InvokerFixture& world, const std::string& address)
       : BufferedConnection(world.loop, world.pool, net::connect_to(address).socket, true) {
     write("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n");
   }
@@ -163,7 +163,7 @@
 
 TEST_CASE("admin endpoint: each call gets its whole answer", "[system-calls][storm]") {
   in_each_weather([](std::uint64_t, const auto& begin) {
-    World world(0);
+    InvokerFixture world(0);
     AlwaysReady operations;
     admin::AdminEndpoint endpoint(world.loop, world.counters, operations, 4);
     REQUIRE(endpoint.listen("127.0.0.1:0"));
@@ -171,7 +171,7 @@
     for (int i = 0; i < 20; ++i) {
       const auto connected = made([&] { return std::make_unique<AdminCaller>(world, endpoint.address()); });
       AdminCaller& caller = *connected;
-      REQUIRE(world.turn_until([&] { return caller.closed; }, 5000));
+      REQUIRE(world.run_until([&] { return caller.closed; }, 5000));
       CHECK(caller.got.compare(0, 12, "HTTP/1.1 200") == 0);
       CHECK(caller.got.find("ready") != std::string::npos);
     }
--- a/tests/lotusyard/system_calls_test.cpp
+++ b/tests/net/system_calls_test.cpp
@@ -5,7 +5,7 @@
 
 #include "net/buffered_connection.h"
 #include "net/event_loop.h"
-#include "system_call_faults.h"
+#include "support/system_call_faults.h"
 
 namespace lotusyard::test {
 namespace {
@@ -93,11 +93,11 @@
     faults.fail(SystemCall::pending_error, {error});
     Pair pair;
     std::string counted;
-    pair.loop.count_errors([&](const char* name) { counted += name; });
+    pair.loop.count_errors([&](const metrics::Counter& counter) { counted += counter.name; });
     REQUIRE(pair.until([&] { return pair.near.has_ended; }));
     REQUIRE(pair.near.connect_error());
     CHECK(pair.near.connect_error()->kind == kind);
-    CHECK(counted == net::counter_name(kind));
+    CHECK(counted == net::counter_of(kind).name);
   }
 }
 
--- a/tests/lotusyard/fleet_test.cpp
+++ b/tests/node/cluster_member_test.cpp
@@ -1,7 +1,7 @@
 // The fleet's view and the parts of what all may send cold hosts, at whole members: real processes with
 // stand-in hosts and clients, a relay among them that cuts, and kills and restarts.
-#include "cluster.h"
-#include "regulated.h"
+#include "support/cluster.h"
+#include "support/regulated.h"
 
 namespace lotusyard::test {
 namespace {
--- a/tests/example.cpp
+++ b/tests/policy/example.cpp
@@ -9,12 +9,12 @@
   std::vector<Action> actions;
 
   Settings settings;
-  settings.classes.push_back({"lookup", Semantics::repeatable});
+  settings.classes.push_back({"lookup", Semantics::idempotent});
   policy.handle(Millis(0), event::Start{settings}, actions);
 
-  WorkerEntry worker;
-  worker.worker = "worker-1";
-  policy.handle(Millis(1), event::List{ListKind::full, {worker}}, actions);
+  HostEntry host;
+  host.host = "worker-1";
+  policy.handle(Millis(1), event::EndpointListUpdate{ListKind::full, {host}}, actions);
 
   event::Request request;
   request.id = "call-1";
@@ -25,7 +25,7 @@
 
   for (const auto& action : actions) {
     if (const auto* send = std::get_if<action::Send>(&action)) {
-      std::cout << send->id << " goes to " << send->worker << '\n';
+      std::cout << send->id << " goes to " << send->host << '\n';
       return 0;
     }
   }
