--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -1,3 +1,5 @@
+// The decision module on the simulator's wire: a batch a line on standard input, its reply on standard
+// output.
 #include <exception>
 #include <iostream>
 #include <string>
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -102,6 +102,14 @@
   return read;
 }
 
+event::Loaded read_loaded(const json& m) {
+  return {text(at(m, 1)), large(at(m, 2)), outcome(at(m, 3)), millis(at(m, 4)), whole(at(m, 5))};
+}
+
+event::Probed read_probed(const json& m) {
+  return {text(at(m, 3)), outcome(at(m, 1)), millis(at(m, 2)), report(at(m, 4))};
+}
+
 json with(const char* name, std::initializer_list<json> values) {
   json row = json::array({name});
   for (const auto& value : values)
@@ -131,66 +139,74 @@
 
 json write_action(const Action& action) { return std::visit(Writer{}, action); }
 
-void Host::take(Instance& instance, Millis now, const json& m, std::vector<Action>& out) {
-  if (!m.is_array() || m.empty())
+void Host::handle_message(Instance& instance, Millis now, const json& message, std::vector<Action>& actions) {
+  if (!message.is_array() || message.empty())
     throw WireError("a message is no array with a name");
-  const std::string& name = needed_text(m[0], "message name");
-  if (name == "Catalog") {
-    const double page = number(at(m, 1), -1);
-    if (page < 0 || page >= static_cast<double>(page_count))
-      throw WireError("no such catalog page");
-    std::vector<HostEntry> rows;
-    for (const auto& row : at(m, 2))
-      rows.push_back(entry(row));
-    pages_[static_cast<std::size_t>(page)] = std::move(rows);
-    return;
-  }
+  const std::string& name = needed_text(message[0], "message name");
+  if (name == "Catalog")
+    return store_page(message);
   if (name == "Init") {
     instance.live = true;
-    instance.policy.handle(now, event::Start{read_settings(at(m, 2), large(at(m, 1)))}, out);
-    return;
+    const event::Start start{read_settings(at(message, 2), large(at(message, 1)))};
+    return instance.policy.handle(now, start, actions);
   }
   if (!instance.live)
     return;
-  const auto give = [&](Event event) { instance.policy.handle(now, event, out); };
-  if (name == "Discovery") {
-    event::EndpointListUpdate list;
-    list.kind = list_kind(whole(at(m, 2)));
-    const double page = number(at(m, 3), 0);
-    if (list.kind != ListKind::failed && page >= 0 && page < static_cast<double>(page_count)) {
-      list.entries = pages_[static_cast<std::size_t>(page)];
-    }
-    give(list);
-  } else if (name == "Order") {
-    give(read_request(m));
-  } else if (name == "Result") {
-    give(read_answer(m));
-  } else if (name == "Ring") {
-    give(event::Timer{large(at(m, 1))});
-  } else if (name == "BroughtUp") {
-    give(
-        event::Loaded{text(at(m, 1)), large(at(m, 2)), outcome(at(m, 3)), millis(at(m, 4)), whole(at(m, 5))});
-  } else if (name == "Gone") {
-    give(event::ClientDisconnected{text(at(m, 1))});
-  } else if (name == "HeadReceived") {
-    give(event::StreamBegan{text(at(m, 1)), whole(at(m, 2))});
-  } else if (name == "Sampled") {
-    give(event::Probed{text(at(m, 3)), outcome(at(m, 1)), millis(at(m, 2)), report(at(m, 4))});
-  } else if (name == "Heard") {
-    give(event::PeerMessage{whole(at(m, 1)), text(at(m, 2))});
-  } else if (name == "PowerOff") {
-    give(event::Stop{});
+  if (const auto event = read_event(name, message))
+    instance.policy.handle(now, *event, actions);
+  if (name == "PowerOff")
     instance.live = false;
-  }
 }
 
-std::string Host::reply(const std::string& line) {
-  json batch;
-  try {
-    batch = json::parse(line);
-  } catch (const json::exception&) {
-    throw WireError("a line is no JSON");
-  }
+void Host::store_page(const json& message) {
+  const double page = number(at(message, 1), -1);
+  if (page < 0 || page >= static_cast<double>(kPageCount))
+    throw WireError("no such catalog page");
+  std::vector<HostEntry> entries;
+  for (const auto& row : at(message, 2))
+    entries.push_back(entry(row));
+  pages_[static_cast<std::size_t>(page)] = std::move(entries);
+}
+
+event::EndpointListUpdate Host::read_endpoint_list(const json& message) const {
+  event::EndpointListUpdate list;
+  list.kind = list_kind(whole(at(message, 2)));
+  const double page = number(at(message, 3), 0);
+  const bool has_page = page >= 0 && page < static_cast<double>(kPageCount);
+  if (list.kind != ListKind::failed && has_page)
+    list.entries = pages_[static_cast<std::size_t>(page)];
+  return list;
+}
+
+std::optional<Event> Host::read_event(const std::string& name, const json& message) const {
+  if (name == "Discovery")
+    return read_endpoint_list(message);
+  static const std::map<std::string, Event (*)(const json&)> readers = {
+      {"Order", [](const json& m) -> Event { return read_request(m); }},
+      {"Result", [](const json& m) -> Event { return read_answer(m); }},
+      {"Ring", [](const json& m) -> Event { return event::Timer{large(at(m, 1))}; }},
+      {"BroughtUp", [](const json& m) -> Event { return read_loaded(m); }},
+      {"Gone", [](const json& m) -> Event { return event::ClientDisconnected{text(at(m, 1))}; }},
+      {"HeadReceived",
+       [](const json& m) -> Event {
+         return event::StreamBegan{text(at(m, 1)), whole(at(m, 2))};
+       }},
+      {"Sampled", [](const json& m) -> Event { return read_probed(m); }},
+      {"Heard",
+       [](const json& m) -> Event {
+         return event::PeerMessage{whole(at(m, 1)), text(at(m, 2))};
+       }},
+      {"PowerOff", [](const json&) -> Event { return event::Stop{}; }}};
+  const auto reader = readers.find(name);
+  if (reader == readers.end())
+    return std::nullopt;
+  return reader->second(message);
+}
+
+namespace {
+
+// Throws WireError where the batch lacks what every batch has.
+void check_batch(const json& batch) {
   if (!batch.is_object())
     throw WireError("a batch is no object");
   if (!key(batch, "Time").is_number())
@@ -199,23 +215,37 @@
     throw WireError("a batch without n");
   if (!key(batch, "routers").is_array())
     throw WireError("a batch without routers");
+}
+
+}  // namespace
+
+json Host::handle_inbox(const std::string& router, Millis now, const json& inbox) {
+  if (!inbox.is_array())
+    throw WireError("a router without inbox");
+  std::vector<Action> actions;
+  for (const auto& message : inbox)
+    handle_message(instances_[router], now, message, actions);
+  json commands = json::array();
+  for (const auto& action : actions)
+    commands.push_back(write_action(action));
+  return commands;
+}
+
+std::string Host::reply(const std::string& line) {
+  json batch;
+  try {
+    batch = json::parse(line);
+  } catch (const json::exception&) {
+    throw WireError("a line is no JSON");
+  }
+  check_batch(batch);
   const Millis now = millis(key(batch, "Time"));
   json groups = json::array();
-  std::vector<Action> actions;
   for (const auto& group : key(batch, "routers")) {
     const std::string& router = needed_text(key(group, "Router"), "Router");
-    const json& inbox = key(group, "inbox");
-    if (!inbox.is_array())
-      throw WireError("a router without inbox");
-    actions.clear();
-    for (const auto& message : inbox)
-      take(instances_[router], now, message, actions);
-    if (actions.empty())
-      continue;
-    json commands = json::array();
-    for (const auto& action : actions)
-      commands.push_back(write_action(action));
-    groups.push_back({{"Router", router}, {"cmds", std::move(commands)}});
+    json commands = handle_inbox(router, now, key(group, "inbox"));
+    if (!commands.empty())
+      groups.push_back({{"Router", router}, {"cmds", std::move(commands)}});
   }
   return json{{"n", batch["n"]}, {"routers", std::move(groups)}}.dump(-1, ' ', false,
                                                                       json::error_handler_t::replace);
--- a/src/simulator_adapter/wire.h
+++ b/src/simulator_adapter/wire.h
@@ -1,10 +1,12 @@
-// Translation between the bench's JSON lines and the decision module's interface. No decision lives here.
+// Translates between the simulator's JSON lines and the decision module's interface. No decision is made
+// here.
 #pragma once
 
 #include <algorithm>
 #include <array>
 #include <map>
 #include <nlohmann/json.hpp>
+#include <optional>
 #include <stdexcept>
 #include <string>
 #include <vector>
@@ -31,7 +33,7 @@
   using std::runtime_error::runtime_error;
 };
 
-// Turns batches into replies, with one Policy for each instance.
+// Turns a batch of messages into a reply, with one Policy for each simulated invoker. Throws WireError.
 class Host {
  public:
   std::string reply(const std::string& line);
@@ -41,11 +43,18 @@
     Policy policy;
     bool live = false;
   };
-  static constexpr std::size_t page_count = 16;
-  std::array<std::vector<HostEntry>, page_count> pages_;
+  static constexpr std::size_t kPageCount = 16;
+  std::array<std::vector<HostEntry>, kPageCount> pages_;  // of endpoint lists
   std::map<std::string, Instance> instances_;
 
-  void take(Instance& instance, Millis now, const nlohmann::json& message, std::vector<Action>& out);
+  nlohmann::json handle_inbox(const std::string& router, Millis now, const nlohmann::json& inbox);
+  void handle_message(Instance& instance, Millis now, const nlohmann::json& message,
+                      std::vector<Action>& actions);
+  // Keeps a page of the endpoint list; a later message refers to it by its number.
+  void store_page(const nlohmann::json& message);
+  event::EndpointListUpdate read_endpoint_list(const nlohmann::json& message) const;
+  // Nothing for a message of an unknown name.
+  std::optional<Event> read_event(const std::string& name, const nlohmann::json& message) const;
 };
 
 using lotusyard::config::read_settings;
