--- a/src/compliance/compliance_replica.cpp
+++ b/src/compliance/compliance_replica.cpp
@@ -9,9 +9,6 @@
 using nlohmann::json;
 using State = Certificate::State;
 
-// Periods after which the leader repeats a proposal that has not been applied.
-constexpr int kProposalRetryPeriods = 4;
-
 Millis period_of(const raft::Config& config) { return config.terms.heartbeat_interval() / 2; }
 
 }  // namespace
@@ -27,7 +24,8 @@
       admin_(
           services, config_.member, state_, maintenance_,
           [this](const std::string& certificate) { return members_not_acknowledged(certificate); },
-          [this](const LogEntry& entry) { return replica_->send_to_leader(*this, encode_entry(entry)); }) {}
+          [this](const LogEntry& entry) { return replica_->send_to_leader(*this, encode_entry(entry)); }),
+      proposal_retry_(period_of(config)) {}
 
 void ComplianceReplica::attach(raft::RaftReplica& replica) {
   replica_ = &replica;
@@ -46,7 +44,7 @@
     return maintenance_.on_store_failure("entry " + std::to_string(index) +
                                          " of the log cannot be read: " + error.what());
   }
-  last_proposal_at_ = Millis(0);
+  proposal_retry_.on_applied();
   const auto outcome = state_.apply(index, *entry);
   ++version_;
   const bool is_repeated = outcome.index != index;
@@ -79,7 +77,7 @@
       services_.loop.schedule_at(services_.loop.now() + period_of(config_), [this] { run_periodic(); });
   acknowledge_revocations();
   forget_finished_revocations();
-  if (maintenance_.is_ready_leader() && may_propose_again()) {
+  if (maintenance_.is_ready_leader() && proposal_retry_.may_propose(services_.loop.now())) {
     run_leader();
   }
 }
@@ -115,10 +113,6 @@
   }
 }
 
-bool ComplianceReplica::may_propose_again() const {
-  return services_.loop.now() - last_proposal_at_ >= period_of(config_) * kProposalRetryPeriods;
-}
-
 // Members that may still use the revoked certificate. Those presumed dead have lost their lease.
 std::vector<std::string> ComplianceReplica::members_not_acknowledged(const std::string& certificate) const {
   std::vector<std::string> out;
@@ -139,7 +133,7 @@
     }
     const FinishRevocation command{name, certificate.revoked_at_index};
     if (replica_->propose(*this, encode_entry({command}))) {
-      last_proposal_at_ = services_.loop.now();
+      proposal_retry_.on_proposed(services_.loop.now());
     }
   }
 }
--- a/src/compliance/compliance_replica.h
+++ b/src/compliance/compliance_replica.h
@@ -13,6 +13,7 @@
 #include "compliance/compliance_admin.h"
 #include "compliance/compliance_filter.h"
 #include "maintenance/maintenance_replica.h"
+#include "raft/proposal_retry.h"
 #include "raft/raft_replica.h"
 
 namespace lotusyard::compliance {
@@ -72,8 +73,7 @@
   net::EventLoop::TimerId periodic_timer_{};
   // When this member stopped using a revoked certificate, by certificate.
   std::map<std::string, Millis> unused_since_;
-  // When this member last proposed an entry as leader; 0 once an entry has been applied since.
-  Millis last_proposal_at_{0};
+  raft::ProposalRetry proposal_retry_;
 
   void run_periodic();
   void acknowledge_revocations();
@@ -81,7 +81,6 @@
   void forget_finished_revocations();
 
   void run_leader();
-  bool may_propose_again() const;
   std::vector<std::string> members_not_acknowledged(const std::string& certificate) const;
 
   void on_revoked(const std::string& certificate);
--- a/src/quota/quota_replica.cpp
+++ b/src/quota/quota_replica.cpp
@@ -14,8 +14,8 @@
 // Passed to the policy in place of a share of 0, which it takes for "no share
 // is set".
 constexpr double kSmallestShare = 1e-9;
-// Periods after which the leader repeats a proposal that has not been applied.
-constexpr int kProposalRetryPeriods = 4;
+
+Millis period_of(const raft::Config& config) { return config.terms.heartbeat_interval() / 2; }
 
 }  // namespace
 
@@ -25,7 +25,8 @@
       config_(config),
       maintenance_(maintenance),
       log_(std::move(log)),
-      epoch_began_at_(services.loop.now()) {}
+      epoch_began_at_(services.loop.now()),
+      proposal_retry_(period_of(config)) {}
 
 void QuotaReplica::attach(raft::RaftReplica& replica) {
   replica_ = &replica;
@@ -35,9 +36,8 @@
 
 void QuotaReplica::run_leader() {
   const Millis now = services_.loop.now();
-  const Millis period = config_.terms.heartbeat_interval() / 2;
-  leader_timer_ = services_.loop.schedule_at(now + period, [this] { run_leader(); });
-  if (maintenance_.is_ready_leader() && now - last_proposal_at_ >= period * kProposalRetryPeriods) {
+  leader_timer_ = services_.loop.schedule_at(now + period_of(config_), [this] { run_leader(); });
+  if (maintenance_.is_ready_leader() && proposal_retry_.may_propose(now)) {
     propose_next_entry(now);
   }
 }
@@ -51,7 +51,7 @@
   }
   const auto entry = next_entry(epochs_, progress, config_.terms, epoch_began_at_, now);
   if (entry && replica_->propose(*this, encode_entry(*entry))) {
-    last_proposal_at_ = now;
+    proposal_retry_.on_proposed(now);
   }
 }
 
@@ -62,7 +62,7 @@
     return maintenance_.on_store_failure("entry " + std::to_string(index) +
                                          " of the log is of another version of the program");
   }
-  last_proposal_at_ = Millis(0);
+  proposal_retry_.on_applied();
   if (!epochs_.apply(index, *entry)) {
     return;
   }
--- a/src/quota/quota_replica.h
+++ b/src/quota/quota_replica.h
@@ -9,6 +9,7 @@
 #include "maintenance/maintenance_replica.h"
 #include "metrics/cluster_counters.h"
 #include "quota/quota_epochs.h"
+#include "raft/proposal_retry.h"
 #include "raft/raft_replica.h"
 
 namespace lotusyard::quota {
@@ -52,9 +53,7 @@
   net::EventLoop::TimerId leader_timer_{};
   // When this member learned of the current epoch, by its own clock.
   Millis epoch_began_at_{0};
-  // When this member last proposed an entry as leader; 0 once an entry has been
-  // applied since.
-  Millis last_proposal_at_{0};
+  raft::ProposalRetry proposal_retry_;
   std::size_t members_seen_ = 0;
   double share_ = -1;
 
