--- a/src/maintenance/maintenance_scheduler.cpp
+++ b/src/maintenance/maintenance_scheduler.cpp
@@ -3,6 +3,8 @@
 #include <algorithm>
 #include <cstdio>
 
+#include "maintenance/service_observations.h"
+
 namespace lotusyard::maintenance {
 namespace {
 
@@ -48,12 +50,6 @@
   return now - member.last_heartbeat_at >= terms_.presumed_dead_after();
 }
 
-// Whether the member's last observations are recent.
-bool MaintenanceScheduler::is_reporting(const MemberProgress& member, Millis now) const {
-  return member.serves && member.has_reported &&
-         now - member.last_heartbeat_at <= terms_.presumed_dead_after();
-}
-
 std::optional<LogEntry> MaintenanceScheduler::next_release(const MaintenanceState& state, Millis now) {
   for (const auto& [id, host] : state.hosts()) {
     if (host.stage != HostStage::draining)
@@ -131,56 +127,17 @@
   return LogEntry{std::move(out), {}, {}};
 }
 
-double MaintenanceScheduler::failed_share(const MaintenanceState& state, Millis now) const {
-  double calls = 0, failed = 0;
-  for (const auto& [name, member] : state.members()) {
-    if (!is_reporting(member, now))
-      continue;
-    calls += member.observations.calls_per_second;
-    failed += member.observations.failed_per_second;
-  }
-  return calls > 0 ? std::min(1.0, failed / calls) : 0;
-}
-
-double MaintenanceScheduler::serving_value(const MaintenanceState& state, const std::string& host,
-                                           Millis now) const {
-  double out = 0;
-  for (const auto& [name, member] : state.members()) {
-    if (!is_reporting(member, now))
-      continue;
-    const auto found = member.observations.serving_value.find(host);
-    if (found != member.observations.serving_value.end())
-      out += found->second;
-  }
-  return out;
-}
-
-std::string MaintenanceScheduler::unexpected_failure(const MaintenanceState& state, Millis now) const {
-  bool any_reporting = false;
-  for (const auto& [name, member] : state.members()) {
-    if (!is_reporting(member, now))
-      continue;
-    any_reporting = true;
-    for (const auto& id : member.observations.down) {
-      const auto found = state.hosts().find(id);
-      const bool is_expected = found != state.hosts().end() && counts_against_bounds(found->second.stage);
-      if (!is_expected)
-        return "host " + id + " is down unasked, says " + name;
-    }
-  }
-  return any_reporting ? std::string() : "no member that serves calls tells what it sees";
-}
-
 std::string MaintenanceScheduler::obstacle(const MaintenanceState& state, const MaintenanceJob& job,
                                            Millis now) const {
   for (const auto& [id, host] : state.hosts()) {
     if (host.overdue)
       return "host " + id + " is " + host.reason + "; it is to come back first";
   }
-  std::string failure = unexpected_failure(state, now);
+  const ServiceObservations observations(state, terms_, now);
+  std::string failure = observations.unexpected_failure();
   if (!failure.empty())
     return failure;
-  const double share = failed_share(state, now);
+  const double share = observations.failed_share();
   if (baseline_.is_exceeded_by(share))
     return "service falls: " + format_number(share * 100) + "% of calls are lost, usually " +
            format_number(baseline_.share() * 100) + "%";
@@ -192,6 +149,7 @@
 MaintenanceScheduler::DrainCandidates MaintenanceScheduler::find_candidates(const MaintenanceState& state,
                                                                             const MaintenanceJob& job,
                                                                             Millis now) const {
+  const ServiceObservations observations(state, terms_, now);
   DrainCandidates out;
   for (const auto& key : job.hosts) {
     const auto found = state.hosts().find(key.id);
@@ -203,7 +161,7 @@
         out.first_refusal = refusal;
       continue;
     }
-    const double value = serving_value(state, key.id, now);
+    const double value = observations.serving_value(key.id);
     if (out.best == nullptr || value < out.best_value) {
       if (out.best != nullptr)
         out.next_value = out.best_value;
@@ -244,7 +202,8 @@
 
 std::optional<LogEntry> MaintenanceScheduler::next_entry(const MaintenanceState& state, Millis now) {
   waiting_reasons_.clear();
-  baseline_.update(failed_share(state, now), state.budget().hosts_in_progress() == 0, now);
+  const double failed_share = ServiceObservations(state, terms_, now).failed_share();
+  baseline_.update(failed_share, state.budget().hosts_in_progress() == 0, now);
   if (auto entry = next_release(state, now))
     return entry;
   if (auto entry = next_return(state, now))
--- a/src/maintenance/maintenance_scheduler.h
+++ b/src/maintenance/maintenance_scheduler.h
@@ -36,16 +36,12 @@
 
   bool has_quiesced(const MemberProgress& member, const std::string& host, std::uint64_t drained_at_index,
                     Millis now) const;
-  bool is_reporting(const MemberProgress& member, Millis now) const;
   std::optional<LogEntry> next_release(const MaintenanceState& state, Millis now);
   std::optional<LogEntry> next_return(const MaintenanceState& state, Millis now) const;
   std::optional<LogEntry> next_selection(const MaintenanceState& state) const;
   std::optional<LogEntry> next_drain(const MaintenanceState& state, const MaintenanceJob& job, Millis now);
   DrainCandidates find_candidates(const MaintenanceState& state, const MaintenanceJob& job, Millis now) const;
-  std::string unexpected_failure(const MaintenanceState& state, Millis now) const;
   std::string obstacle(const MaintenanceState& state, const MaintenanceJob& job, Millis now) const;
-  double failed_share(const MaintenanceState& state, Millis now) const;
-  double serving_value(const MaintenanceState& state, const std::string& host, Millis now) const;
 };
 
 }  // namespace lotusyard::maintenance
