--- a/src/admin/admin_endpoint.h
+++ b/src/admin/admin_endpoint.h
@@ -1,61 +1,61 @@
-// The admin endpoint: HTTP/1.1, one call to a connection. It reads calls and words answers, and decides
-// nothing: what a call means is up to its Operations.
+// The admin endpoint: HTTP/1.1 with one request for each connection. What a request does is up to the
+// operations.
 #pragma once
 
+#include <cstddef>
 #include <list>
 #include <memory>
-#include <optional>
 #include <string>
 
-#include "admin/parser.h"
+#include "admin/admin_connection.h"
+#include "admin/admin_operations.h"
+#include "admin/admin_router.h"
+#include "admin/http_message.h"
 #include "metrics/counters.h"
-#include "net/buffered_connection.h"
+#include "net/buffer.h"
 #include "net/event_loop.h"
+#include "net/socket.h"
 
 namespace lotusyard::admin {
 
-enum class OperationResult { done, unknown_host, not_persisted };
-
-struct Response {
-  int status = 200;
-  std::string text;
-};
-
-class AdminOperations {
- public:
-  virtual ~AdminOperations() = default;
-  virtual bool ready() const = 0;
-  virtual OperationResult disable(const std::string& host) = 0;
-  virtual OperationResult enable(const std::string& host) = 0;
-  virtual std::optional<Response> handle_request(const Request&) {
-    return std::nullopt;
-  }  // nothing: no such call
-};
-
-class AdminEndpoint final : private net::EventHandler {
+// Listens and owns the connections. They are served ahead of clients, so that operators get through under any
+// load. Loop, counters and operations must outlive it.
+class AdminEndpoint final : private net::EventHandler, private AdminConnection::Owner {
  public:
   AdminEndpoint(net::EventLoop& loop, metrics::Counters& counters, AdminOperations& operations,
-                std::size_t callers);
+                std::size_t max_connections);
   ~AdminEndpoint() override;
+  AdminEndpoint(const AdminEndpoint&) = delete;
+  AdminEndpoint& operator=(const AdminEndpoint&) = delete;
+
+  // Returns false if the address cannot be listened on.
   bool listen(const std::string& address);
   std::string address() const { return net::bound_address(listener_); }
-  bool quiet() const { return callers_.empty(); }  // nobody waits for an answer
+
+  // Whether there is no connection.
+  bool quiet() const { return connections_.empty(); }
 
  private:
-  class AdminConnection;
+  using Connections = std::list<std::shared_ptr<AdminConnection>>;
+
   net::EventLoop& loop_;
   metrics::Counters& counters_;
-  AdminOperations& operations_;
-  std::size_t most_;
-  net::BufferPool pool_;  // its own: what clients leave unread takes nothing from here
+  AdminRouter router_;
+  std::size_t max_connections_;
+  net::BufferPool pool_;  // of its own, so that clients' unsent bytes do not use up its buffers
   net::Socket listener_;
-  net::EventLoop::TimerId again_{};
-  std::list<std::shared_ptr<AdminConnection>> callers_;  // in the order in which they came
+  net::EventLoop::TimerId accept_timer_{};
+  Connections connections_;  // oldest first
 
   void ready(short events) override;
-  void watch();
-  void serve(AdminConnection& caller, const Request& request);
-  void connection_closed(AdminConnection& caller);
+  void on_request(AdminConnection& connection, const Request& request) override;
+  void on_rejected(HttpStatus status) override;
+  void on_closed(AdminConnection& connection) override;
+
+  void resume_accepting();
+  void pause_accepting();
+  void add_connection(net::Socket socket);
+  void evict_connection();
 };
 
 }  // namespace lotusyard::admin
--- a/src/net/buffered_connection.cpp
+++ b/src/net/buffered_connection.cpp
@@ -11,10 +11,10 @@
 namespace lotusyard::net {
 namespace {
 
-constexpr int kReadsATurn = 8;            // one busy peer must not keep the others waiting
-constexpr Millis kLinger{1000};           // a peer that was told the end has closed by then
-constexpr Millis kMemoryPause{5};         // until a call that found no memory is made again
-constexpr Millis kMemoryShortMost{2000};  // a connection that finds none for longer is ended
+constexpr int kMaxReadsPerIteration = 8;    // a busy peer must not keep the others waiting
+constexpr Millis kLingerTimeout{1000};      // a peer has closed within this after the end of the stream
+constexpr Millis kMemoryRetryInterval{5};   // between calls that fail for lack of memory
+constexpr Millis kMaxMemoryShortage{2000};  // a connection that is short of memory for longer is closed
 
 }  // namespace
 
@@ -30,23 +30,26 @@
 }
 
 BufferedConnection::~BufferedConnection() {
-  loop_.cancel(linger_);
-  loop_.cancel(resume_);
+  loop_.cancel(linger_timer_);
+  loop_.cancel(resume_timer_);
   loop_.unregister(socket_.fd(), *this);
 }
 
+short BufferedConnection::awaited_events() const {
+  if (paused_for_memory_)
+    return 0;
+  if (connecting_)
+    return POLLOUT;
+  return send_queue_.empty() ? POLLIN : POLLIN | POLLOUT;
+}
+
 void BufferedConnection::update_registration() {
-  if (paused_)
-    return loop_.register_handler(socket_.fd(), *this, 0, priority_);
-  const bool writes = connecting_ || !send_queue_.empty();
-  loop_.register_handler(socket_.fd(), *this,
-                         static_cast<short>((connecting_ ? 0 : POLLIN) | (writes ? POLLOUT : 0)), priority_);
+  loop_.register_handler(socket_.fd(), *this, awaited_events(), priority_);
 }
 
 void BufferedConnection::write(std::string_view bytes) {
   if (is_closing())
     return;
-  // A stream with a gap cannot be understood: it ends.
   if (!send_queue_.append(bytes))
     return close_later();
   if (!connecting_)
@@ -54,59 +57,58 @@
 }
 
 bool BufferedConnection::flush_now() {
-  if (!socket_ || connecting_ || closing_)
-    return false;
-  if (paused_)
+  if (!is_open() || closes_at_flush() || paused_for_memory_)
     return false;
-  const auto before = send_queue_.written();
-  const auto written = send_queue_.write_to(socket_.fd());
-  if (send_queue_.written() > before)
-    short_since_.reset();
-  if (written == SendQueue::WriteStatus::short_of_memory) {
-    pause_for_memory(metrics::kNetSendLocalResource);
-    return false;
-  }
-  if (written == SendQueue::WriteStatus::broken) {
+  const auto written_before = send_queue_.written();
+  const SendQueue::WriteStatus status = send_queue_.write_to(socket_.fd());
+  if (send_queue_.written() > written_before)
+    short_of_memory_since_.reset();
+  handle_write_status(status);
+  return status == SendQueue::WriteStatus::all;
+}
+
+void BufferedConnection::handle_write_status(SendQueue::WriteStatus status) {
+  if (status == SendQueue::WriteStatus::short_of_memory)
+    return pause_for_memory(metrics::kNetSendLocalResource);
+  if (status == SendQueue::WriteStatus::broken) {
     loop_.count_error(metrics::kNetSendConnectionLost);
-    broken_ = true;
-    close_later();
-    return false;
+    write_failed_ = true;
+    return close_later();
   }
   update_registration();
-  if (finishing_ && send_queue_.empty())
+  if (shutdown_ == Shutdown::after_flush && send_queue_.empty())
     shutdown_write();
-  return written == SendQueue::WriteStatus::all;
 }
 
 void BufferedConnection::flush() {
-  if (!closing_ && !connecting_ && !send_queue_.empty())
+  if (!send_queue_.empty())
     flush_now();
-  if (!closing_ && !paused_ && is_open() && send_queue_.empty())
+  if (is_open() && !closes_at_flush() && !paused_for_memory_ && send_queue_.empty())
     before_write();
-  if (!closing_)
-    flush_now();
-  if (closing_ && broken_ && reads_after_write_failure())
+  flush_now();
+  if (!closes_at_flush())
+    return;
+  if (write_failed_ && reads_after_write_failure())
     read_remaining();
-  if (closing_)
-    close_now();
+  close_now();
 }
 
-// What is lacking is this machine's, and the peer may well be sound: the call is made again.
+// The lack of memory is this machine's, and the peer may well be sound: the call is repeated.
 void BufferedConnection::pause_for_memory(const metrics::Counter& counter) {
   loop_.count_error(counter);
   const Millis now = loop_.now();
-  if (!short_since_)
-    short_since_ = now;
-  if (now - *short_since_ > kMemoryShortMost)
+  if (!short_of_memory_since_)
+    short_of_memory_since_ = now;
+  if (now - *short_of_memory_since_ > kMaxMemoryShortage)
     return close_later();
-  if (std::exchange(paused_, true))
+  if (std::exchange(paused_for_memory_, true))
     return;
-  resume_ = loop_.schedule_at(now + kMemoryPause, [this] { resume(); });
+  resume_timer_ = loop_.schedule_at(now + kMemoryRetryInterval, [this] { resume(); });
   update_registration();
 }
 
 void BufferedConnection::resume() {
-  paused_ = false;
+  paused_for_memory_ = false;
   if (!socket_)
     return;
   update_registration();
@@ -116,7 +118,7 @@
 void BufferedConnection::close_later() {
   if (!socket_)
     return;
-  closing_ = true;
+  shutdown_ = Shutdown::closing;
   loop_.flush_later(*this);
 }
 
@@ -125,22 +127,21 @@
     return close_later();
   if (is_closing())
     return;
-  finishing_ = true;
+  shutdown_ = Shutdown::after_flush;
   loop_.flush_later(*this);
 }
 
 void BufferedConnection::shutdown_write() {
-  if (std::exchange(told_, true))
-    return;
+  shutdown_ = Shutdown::lingering;
   ::shutdown(socket_.fd(), SHUT_WR);
-  linger_ = loop_.schedule_at(loop_.now() + kLinger, [this] { close_later(); });
+  linger_timer_ = loop_.schedule_at(loop_.now() + kLingerTimeout, [this] { close_later(); });
 }
 
 void BufferedConnection::close_now() {
   if (!socket_)
     return;
-  loop_.cancel(linger_);
-  loop_.cancel(resume_);
+  loop_.cancel(linger_timer_);
+  loop_.cancel(resume_timer_);
   loop_.unregister(socket_.fd(), *this);
   socket_.close();
   send_queue_.clear();
@@ -148,7 +149,7 @@
   on_closed();
 }
 
-void BufferedConnection::connect_decided(short events) {
+void BufferedConnection::finish_connecting(short events) {
   int error_number = pending_error(socket_);
   if (error_number == 0 && (events & (POLLERR | POLLNVAL)) != 0)
     error_number = ECONNREFUSED;
@@ -166,14 +167,32 @@
 
 void BufferedConnection::ready(short events) {
   if (connecting_)
-    return connect_decided(events);
+    return finish_connecting(events);
   if ((events & POLLOUT) != 0)
     loop_.flush_later(*this);
-  if ((events & (POLLIN | POLLHUP | POLLERR)) != 0 && !paused_)
+  if ((events & (POLLIN | POLLHUP | POLLERR)) != 0 && !paused_for_memory_)
     read();
 }
 
-void BufferedConnection::read_failed(int error_number) {
+void BufferedConnection::read() {
+  auto& buffer = loop_.read_buffer();
+  for (int i = 0; i < kMaxReadsPerIteration && socket_ && !closes_at_flush(); ++i) {
+    const ssize_t received = system_calls::receive(socket_.fd(), buffer.data(), buffer.size(), 0);
+    if (received < 0 && errno == EINTR)
+      continue;
+    if (received < 0)
+      return handle_read_error(errno);
+    short_of_memory_since_.reset();
+    if (received == 0)
+      return close_now();
+    const auto size = static_cast<std::size_t>(received);
+    on_received(std::string_view(buffer.data(), size));
+    if (size < buffer.size())
+      return;
+  }
+}
+
+void BufferedConnection::handle_read_error(int error_number) {
   if (error_number == EAGAIN || error_number == EWOULDBLOCK)
     return;
   if (is_transient_shortage(error_number))
@@ -182,33 +201,17 @@
   close_now();
 }
 
-void BufferedConnection::read() {
-  auto& block = loop_.read_buffer();
-  for (int i = 0; i < kReadsATurn && socket_ && !closing_; ++i) {
-    const ssize_t got = system_calls::receive(socket_.fd(), block.data(), block.size(), 0);
-    if (got < 0 && errno == EINTR)
-      continue;
-    if (got < 0)
-      return read_failed(errno);
-    short_since_.reset();
-    if (got == 0)
-      return close_now();
-    on_received(std::string_view(block.data(), static_cast<std::size_t>(got)));
-    if (static_cast<std::size_t>(got) < block.size())
-      return;
-  }
-}
-
-// A peer that answered and then died is found dead by a write; its answers would go with the socket.
+// A peer that responded and then died may be noticed by a write first. Its responses would be lost with the
+// socket.
 void BufferedConnection::read_remaining() {
-  auto& block = loop_.read_buffer();
-  for (int i = 0; i < kReadsATurn && socket_; ++i) {
-    const ssize_t got = system_calls::receive(socket_.fd(), block.data(), block.size(), 0);
-    if (got < 0 && (errno == EINTR || is_transient_shortage(errno)))
+  auto& buffer = loop_.read_buffer();
+  for (int i = 0; i < kMaxReadsPerIteration && socket_; ++i) {
+    const ssize_t received = system_calls::receive(socket_.fd(), buffer.data(), buffer.size(), 0);
+    if (received < 0 && (errno == EINTR || is_transient_shortage(errno)))
       continue;
-    if (got <= 0)
+    if (received <= 0)
       return;
-    on_received(std::string_view(block.data(), static_cast<std::size_t>(got)));
+    on_received(std::string_view(buffer.data(), static_cast<std::size_t>(received)));
   }
 }
 
--- a/src/net/buffered_connection.h
+++ b/src/net/buffered_connection.h
@@ -1,5 +1,4 @@
-// A connection: owns its socket, its unwritten bytes and its place in the loop, and gives all three back at
-// once.
+// A buffered TCP connection on the event loop.
 #pragma once
 
 #include <optional>
@@ -10,6 +9,9 @@
 
 namespace lotusyard::net {
 
+// Owns its socket, its unwritten bytes and its registration at the loop, and releases all three when it
+// closes. Derived classes receive the bytes. Holders that drop a connection from one of its own callbacks
+// keep it with EventLoop::delete_later().
 class BufferedConnection : public EventHandler {
  public:
   BufferedConnection(EventLoop& loop, BufferPool& pool, Socket socket, bool is_connecting,
@@ -18,58 +20,82 @@
   BufferedConnection(const BufferedConnection&) = delete;
   BufferedConnection& operator=(const BufferedConnection&) = delete;
 
-  void write(std::string_view bytes);  // goes out at the end of the turn
-  bool flush_now();                    // false if some bytes must wait or the stream ends
-  void close_later();                  // ends it from the loop, for callers that `ended` must not interrupt
-  // What was written goes out, then the peer hears that no more comes; what it still sends is read for a
-  // while. Guards against a reset, which would take what the peer has not read yet.
+  // Queues bytes, which are sent at the end of the iteration. If the pool has no buffer left the connection
+  // is closed, because the peer could not understand a stream with a gap.
+  void write(std::string_view bytes);
+
+  // Sends what is queued now. Returns false if bytes remain queued or the connection closes.
+  bool flush_now();
+
+  // Closes the connection from the event loop, so that on_closed() does not interrupt the caller.
+  void close_later();
+
+  // Sends what is queued, shuts down the sending side and goes on reading until the peer closes or a
+  // time-out. Closing at once could reset the connection, and the peer would lose data that it has not read
+  // yet.
   void shutdown_after_flush();
+
   bool is_open() const { return static_cast<bool>(socket_) && !connecting_; }
   bool is_connecting() const { return static_cast<bool>(socket_) && connecting_; }
-  bool is_closing() const { return closing_ || finishing_ || !socket_; }  // nothing written now would go out
+  // Whether bytes written now would never be sent.
+  bool is_closing() const { return shutdown_ != Shutdown::none || !socket_; }
   const SendQueue& send_queue() const { return send_queue_; }
-  // Why the connection could not be made, once it has ended for that.
+  // Why the connection could not be established; set before on_closed() is called.
   const std::optional<ConnectError>& connect_error() const { return connect_error_; }
-  // A system call on it failed for lack of this machine's memory; it is made again before long.
-  bool short_of_memory() const { return paused_; }
-  PeerState peer_state() const {
-    return socket_ ? peek_peer(socket_) : PeerState::disconnected;
-  }  // asks the kernel
+  // Whether reads and writes are paused because this machine had no memory for the last one.
+  bool short_of_memory() const { return paused_for_memory_; }
+  // What the peer has done that was not read yet. Makes system calls.
+  PeerState peer_state() const { return socket_ ? peek_peer(socket_) : PeerState::disconnected; }
 
   void ready(short events) final;
   void flush() final;
 
  protected:
   virtual void on_connected() {}
-  // The last point before bytes go to the kernel: nothing waits before what is written now. What stands back
-  // until then can still be taken back.
+  // Called right before the bytes go to the kernel, when nothing written earlier is still queued. Writes that
+  // could still be withdrawn until then are made here.
   virtual void before_write() {}
-  // What a peer sent before it broke the connection is read when a write finds that out, where this says so.
+  // Whether to read what the peer has sent before a write fails because the connection is broken.
   virtual bool reads_after_write_failure() const { return false; }
   virtual void on_received(std::string_view bytes) = 0;
-  virtual void on_closed() = 0;  // once; the socket is closed, nothing more comes
+  // Called once, after the socket was closed. No other callback follows.
+  virtual void on_closed() = 0;
   void close_now();
   EventLoop& loop() { return loop_; }
 
  private:
+  // How far this side has ended the connection.
+  enum class Shutdown {
+    none,
+    after_flush,  // the sending side is shut down as soon as all is sent
+    lingering,    // shut down; waits for the peer to close
+    closing       // is closed by the next flush
+  };
+
   EventLoop& loop_;
-  Socket socket_;
+  Socket socket_;  // empty once the connection has closed
   SendQueue send_queue_;
   EventLoop::Priority priority_;
-  bool connecting_ = false, closing_ = false, finishing_ = false, told_ = false, broken_ = false;
+  bool connecting_ = false;
+  Shutdown shutdown_ = Shutdown::none;
+  bool write_failed_ = false;
   std::optional<ConnectError> connect_error_;
-  bool paused_ = false;  // for a moment nothing is read or written: the last try found no memory
-  std::optional<Millis> short_since_;  // since when no call has found memory
-  EventLoop::TimerId linger_{}, resume_{};
+  bool paused_for_memory_ = false;
+  std::optional<Millis> short_of_memory_since_;  // the first failure since the last call that succeeded
+  EventLoop::TimerId linger_timer_{};
+  EventLoop::TimerId resume_timer_{};
 
+  bool closes_at_flush() const { return shutdown_ == Shutdown::closing; }
+  short awaited_events() const;
   void update_registration();
-  void connect_decided(short events);
-  void pause_for_memory(const metrics::Counter& counter);
-  void resume();
-  void read_failed(int error_number);
+  void finish_connecting(short events);
+  void handle_write_status(SendQueue::WriteStatus status);
   void shutdown_write();
   void read();
   void read_remaining();
+  void handle_read_error(int error_number);
+  void pause_for_memory(const metrics::Counter& counter);
+  void resume();
 };
 
 }  // namespace lotusyard::net
--- a/src/net/errors.cpp
+++ b/src/net/errors.cpp
@@ -49,7 +49,7 @@
 
 bool is_transient_shortage(int error_number) { return error_number == ENOBUFS || error_number == ENOMEM; }
 
-// accept(2) passes on errors that wait on the new connection; they are named there.
+// accept(2) also reports errors of the new connection; its manual page lists them.
 AcceptErrorKind accept_error(int error_number) {
   switch (error_number) {
     case EINTR:
--- a/src/net/errors.h
+++ b/src/net/errors.h
@@ -1,29 +1,39 @@
-// Errors of system calls on sockets, by what they mean to whoever made the call.
+// Errors of system calls on sockets, classified by what they mean for the caller.
 #pragma once
 
 #include "metrics/counter.h"
 
 namespace lotusyard::net {
 
-// Why a connection could not be made. A local resource is short on this machine and says nothing of the peer.
-enum class ConnectErrorKind { local_resource, unreachable, refused, timed_out };
+// Why a connection could not be established.
+enum class ConnectErrorKind {
+  local_resource,  // this machine lacks something; the error says nothing about the peer
+  unreachable,
+  refused,
+  timed_out
+};
 
 struct ConnectError {
   ConnectErrorKind kind = ConnectErrorKind::unreachable;
   int error_number = 0;  // as in errno(3)
 };
 
+// Classifies an error of connect(2) or socket(2).
 ConnectError connect_error(int error_number);
+
 // The counter of such errors.
 const metrics::Counter& counter_of(ConnectErrorKind kind);
 
-// This machine lacks memory for the call right now; the connection is sound, and the call may be made again.
+// Whether this machine lacks memory for a read or write right now. The connection is sound, and the call may
+// be repeated.
 bool is_transient_shortage(int error_number);
 
 enum class AcceptErrorKind {
-  connection_lost,  // of the one connection only: the next one may be sound
+  connection_lost,  // concerns one connection; the next one may be sound
   local_resource    // no connection can be accepted for now
 };
+
+// Classifies an error of accept(2).
 AcceptErrorKind accept_error(int error_number);
 
 }  // namespace lotusyard::net
--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -11,17 +11,16 @@
 namespace lotusyard::net {
 namespace {
 
-// A wait from which the process wakes late by more than kWokeLate was cut by a stop of it, which is noticed
-// only past the wait's end: so no wait is long.
-constexpr double kLongestWait = 100;
-constexpr Millis kWokeLate{20};
-constexpr Millis kNoWait{1};  // what had come by then was not waited for
-constexpr Millis kUrgentPace{
-    20};  // no turn keeps an urgent handler waiting for longer, save one handler's work
-
-constexpr int kFreePollFailures = 2;  // one signal or two cost no pause
-constexpr double kFailedPollPauseMs = 1;
-constexpr double kFailedPollPauseMostMs = 10;
+// A process that was stopped during a wait notices it only because it wakes up later than the wait's end by
+// more than kMaxWakeUpDelay. Short waits make it notice.
+constexpr Millis kMaxWait{100};
+constexpr Millis kMaxWakeUpDelay{20};
+
+// A wait shorter than this counts as none: the data had arrived before.
+constexpr Millis kMinWait{1};
+
+// An urgent handler waits no longer than this, plus the work of one other handler.
+constexpr Millis kUrgentInterval{20};
 
 }  // namespace
 
@@ -30,13 +29,14 @@
       wall_(clocks_.steady(), clocks_.wall()),
       iteration_started_(now()),
       earliest_arrival_(iteration_started_) {}
+
 EventLoop::~EventLoop() = default;
 
 Millis EventLoop::now() const { return clocks_.steady() + wall_.start_offset(); }
 
-WallTime EventLoop::wall_time(Millis memory) {
+WallTime EventLoop::wall_time(Millis retention) {
   observe_wall();
-  return wall_.read(clocks_.steady(), memory);
+  return wall_.read(clocks_.steady(), retention);
 }
 
 bool EventLoop::wall_has_stepped() {
@@ -45,129 +45,105 @@
 }
 
 void EventLoop::register_handler(int fd, EventHandler& handler, short events, Priority priority) {
-  const auto place = static_cast<std::size_t>(fd);
-  if (place >= by_fd_.size())
-    by_fd_.resize(place + 1);
-  Registration& entry = by_fd_[place];
-  if (entry.handler != &handler)
-    entry.serial = ++serial_;
-  entry.handler = &handler;
-  entry.events = events;
-  entry.priority = priority;
+  handlers_.register_handler(fd, handler, events, priority);
 }
 
 void EventLoop::unregister(int fd, EventHandler& handler) {
-  const auto place = static_cast<std::size_t>(fd);
-  if (fd >= 0 && place < by_fd_.size() && by_fd_[place].handler == &handler)
-    by_fd_[place] = Registration();
-  std::replace(unflushed_.begin(), unflushed_.end(), &handler, static_cast<EventHandler*>(nullptr));
+  handlers_.unregister(fd, handler);
+  flush_queue_.remove(handler);
 }
 
-void EventLoop::flush_later(EventHandler& handler) {
-  if (std::find(unflushed_.begin(), unflushed_.end(), &handler) == unflushed_.end()) {
-    unflushed_.push_back(&handler);
-  }
+void EventLoop::run_once(Millis due, const std::function<void()>& decide) {
+  const int ready = wait_for_events(max_wait(due));
+  observe_wall();
+  serve_urgent();
+  if (ready > 0)
+    call_ready_handlers();
+  fire_due_timers();
+  decide();
+  serve_urgent_if_overdue();
+  flush_queue_.flush_all();
+  deferred_deletions_.clear();
 }
 
-EventLoop::TimerId EventLoop::schedule_at(Millis when, std::function<void()> callback) {
-  const TimerId id{when.count(), ++serial_};
-  timers_.emplace(id, std::move(callback));
-  return id;
+Millis EventLoop::max_wait(Millis due) const {
+  const Millis until = std::min(due, timers_.next_due().value_or(due));
+  return std::min(std::max(until - now(), Millis(0)), kMaxWait);
 }
 
-void EventLoop::flush() {
-  // By index: a flush may queue more, and an ended handler leaves a gap.
-  for (std::size_t i = 0; i < unflushed_.size(); ++i) {
-    EventHandler* handler = std::exchange(unflushed_[i], nullptr);
-    if (handler != nullptr)
-      handler->flush();
-  }
-  unflushed_.clear();
+// Returns the number of descriptors with events.
+int EventLoop::wait_for_events(Millis wait) {
+  poll_set_.clear();
+  handlers_.append_all(poll_set_);
+  const Millis wait_started = now();
+  const Millis longest_wait(std::ceil(wait.count()));
+  const int ready = poll(poll_set_, longest_wait);
+  record_wake_up(wait_started, longest_wait);
+  return ready;
+}
+
+void EventLoop::record_wake_up(Millis wait_started, Millis longest_wait) {
+  const Millis woke_up = now();
+  const Millis waited = woke_up - wait_started;
+  const bool did_not_wait = longest_wait.count() <= 0 || waited < kMinWait;
+  const bool woke_up_late = waited > longest_wait + kMaxWakeUpDelay;
+  earliest_arrival_ = did_not_wait || woke_up_late ? iteration_started_ : woke_up;
+  iteration_started_ = woke_up;
 }
 
-// A poll(2) that fails tells of no descriptor. Failing time after time, it must not keep the processor busy.
-int EventLoop::poll(std::vector<pollfd>& polled, double wait_ms) {
-  const int found = system_calls::poll(polled.data(), polled.size(), static_cast<int>(std::ceil(wait_ms)));
-  if (found >= 0) {
-    failed_polls_ = 0;
-    return found;
+// Returns the number of descriptors with events; none if poll(2) fails.
+int EventLoop::poll(PollSet& poll_set, Millis wait) {
+  auto& descriptors = poll_set.descriptors;
+  const int timeout_ms = static_cast<int>(std::ceil(wait.count()));
+  const int ready = system_calls::poll(descriptors.data(), descriptors.size(), timeout_ms);
+  if (ready >= 0) {
+    poll_backoff_.on_success();
+    return ready;
   }
   count_error(errno == EINTR ? metrics::kNetPollInterrupted : metrics::kNetPollFailed);
-  if (++failed_polls_ <= kFreePollFailures)
-    return 0;
-  const double pause =
-      std::min(kFailedPollPauseMs * (failed_polls_ - kFreePollFailures), kFailedPollPauseMostMs);
-  std::this_thread::sleep_for(Millis(std::min(pause, wait_ms)));
+  const Millis pause = std::min(poll_backoff_.on_failure(), wait);
+  if (pause > Millis(0))
+    std::this_thread::sleep_for(pause);
   return 0;
 }
 
-// A crowd of clients makes a turn as long as there are of them.
-void EventLoop::serve_urgent(bool at_once) {
-  if (!at_once && now() - urgent_served_ < kUrgentPace)
-    return;
-  urgent_served_ = now();
-  std::vector<pollfd> polled;
-  std::vector<std::uint64_t> serials;
-  for (std::size_t fd = 0; fd < by_fd_.size(); ++fd) {
-    const Registration& entry = by_fd_[fd];
-    if (entry.handler == nullptr || entry.events == 0 || entry.priority != Priority::urgent)
+void EventLoop::call_ready_handlers() {
+  for (std::size_t i = 0; i < poll_set_.descriptors.size(); ++i) {
+    const short events = poll_set_.descriptors[i].revents;
+    if (events == 0)
       continue;
-    polled.push_back({static_cast<int>(fd), by_fd_[fd].events, 0});
-    serials.push_back(by_fd_[fd].serial);
+    if (handlers_.current(poll_set_, i).priority == Priority::urgent)
+      continue;  // serve_urgent() has called it
+    if (handlers_.is_unchanged(poll_set_, i))
+      handlers_.current(poll_set_, i).handler->ready(events);
+    serve_urgent_if_overdue();
   }
-  if (polled.empty() || poll(polled, 0) <= 0)
+}
+
+// Timers that become due meanwhile wait for the next iteration.
+void EventLoop::fire_due_timers() {
+  const Millis started = now();
+  while (timers_.fire_next(started))
+    serve_urgent_if_overdue();
+}
+
+void EventLoop::serve_urgent() {
+  urgent_served_ = now();
+  PollSet urgent;
+  handlers_.append_urgent(urgent);
+  if (urgent.descriptors.empty() || poll(urgent, Millis(0)) <= 0)
     return;
-  for (std::size_t i = 0; i < polled.size(); ++i) {
-    const Registration& entry = by_fd_[static_cast<std::size_t>(polled[i].fd)];
-    const bool same = entry.handler != nullptr && entry.serial == serials[i];
-    if (polled[i].revents != 0 && same)
-      entry.handler->ready(polled[i].revents);
+  for (std::size_t i = 0; i < urgent.descriptors.size(); ++i) {
+    const short events = urgent.descriptors[i].revents;
+    if (events != 0 && handlers_.is_unchanged(urgent, i))
+      handlers_.current(urgent, i).handler->ready(events);
   }
 }
 
-void EventLoop::run_once(Millis due, const std::function<void()>& decide) {
-  double until = due.count();
-  if (!timers_.empty())
-    until = std::min(until, timers_.begin()->first.first);
-  const double wait = std::min(std::max(until - now().count(), 0.0), kLongestWait);
-  polled_.clear();
-  serials_.clear();
-  for (std::size_t fd = 0; fd < by_fd_.size(); ++fd) {
-    if (by_fd_[fd].handler == nullptr || by_fd_[fd].events == 0)
-      continue;
-    polled_.push_back({static_cast<int>(fd), by_fd_[fd].events, 0});
-    serials_.push_back(by_fd_[fd].serial);
-  }
-  const Millis asked = now(), longest(std::ceil(wait));
-  const int found = poll(polled_, longest.count());
-  const Millis woke = now();
-  const bool did_not_wait = longest.count() <= 0 || woke - asked < kNoWait;
-  const bool woke_late = woke - asked > longest + kWokeLate;
-  earliest_arrival_ = did_not_wait || woke_late ? iteration_started_ : woke;
-  iteration_started_ = woke;
-  observe_wall();
-  serve_urgent(true);
-  for (std::size_t i = 0; found > 0 && i < polled_.size(); ++i) {
-    if (polled_[i].revents == 0)
-      continue;
-    const Registration& entry = by_fd_[static_cast<std::size_t>(polled_[i].fd)];
-    if (entry.priority == Priority::urgent)
-      continue;  // has had its turn
-    if (entry.handler != nullptr && entry.serial == serials_[i])
-      entry.handler->ready(polled_[i].revents);
-    serve_urgent(false);
-  }
-  const double turn_at = now().count();
-  while (!timers_.empty() && timers_.begin()->first.first <= turn_at) {
-    const auto callback = std::move(timers_.begin()->second);
-    timers_.erase(timers_.begin());
-    callback();
-    serve_urgent(false);
-  }
-  decide();
-  serve_urgent(false);
-  flush();
-  deferred_deletions_.clear();
+// An iteration with many ready clients takes long.
+void EventLoop::serve_urgent_if_overdue() {
+  if (now() - urgent_served_ >= kUrgentInterval)
+    serve_urgent();
 }
 
 void count_connect_error(const EventLoop& loop, const ConnectResult& result) {
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -16,12 +16,17 @@
 namespace lotusyard::net {
 namespace {
 
-constexpr int kConnectTries = 4;
-constexpr int kPollTries = 4;
-constexpr int kAcceptTries = 64;  // a listener that gives nothing but errors is left alone for a while
+// Calls that a signal may interrupt are repeated so often.
+constexpr int kMaxConnectAttempts = 4;
+constexpr int kMaxPollAttempts = 4;
+
+constexpr int kMaxAcceptAttempts =
+    64;                              // a listener that returns nothing but errors is left alone for a while
+constexpr int kListenBacklog = 512;  // connections that wait to be accepted
 
 using Addresses = std::unique_ptr<addrinfo, decltype(&freeaddrinfo)>;
 
+// Parses a numeric address; null if it is none.
 Addresses resolve(const std::string& address, int flags) {
   const auto colon = address.rfind(':');
   if (colon == std::string::npos || colon == 0)
@@ -38,16 +43,32 @@
   return {found, &freeaddrinfo};
 }
 
-void no_delay(int fd) {
-  const int on = 1;
-  setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
+void disable_nagle(int fd) {
+  const int enabled = 1;
+  setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof enabled);
+}
+
+std::optional<int> socket_option(int fd, int option) {
+  int value = 0;
+  socklen_t size = sizeof value;
+  if (getsockopt(fd, SOL_SOCKET, option, &value, &size) != 0)
+    return std::nullopt;
+  return value;
+}
+
+bool is_tcp_listener(int fd) {
+  const auto listening = socket_option(fd, SO_ACCEPTCONN);
+  const auto type = socket_option(fd, SO_TYPE);
+  const auto family = socket_option(fd, SO_DOMAIN);
+  const bool is_internet = family == AF_INET || family == AF_INET6;
+  return listening.value_or(0) != 0 && type == SOCK_STREAM && is_internet;
 }
 
-// 0 if the connection stands or is under way, else the error. A call that a signal interrupted goes on by
-// itself; made again, it tells so.
-int start_connect(const Socket& socket, const addrinfo& at) {
-  for (int i = 0; i < kConnectTries; ++i) {
-    if (system_calls::connect(socket.fd(), at.ai_addr, at.ai_addrlen) == 0)
+// Returns 0 if the connection is established or in progress, else the error. A connect(2) that a signal
+// interrupts continues in the background; a repeated call reports that as EALREADY or EISCONN.
+int start_connect(const Socket& socket, const addrinfo& address) {
+  for (int i = 0; i < kMaxConnectAttempts; ++i) {
+    if (system_calls::connect(socket.fd(), address.ai_addr, address.ai_addrlen) == 0)
       return 0;
     if (errno == EINPROGRESS || errno == EALREADY || errno == EISCONN)
       return 0;
@@ -57,18 +78,18 @@
   return 0;
 }
 
-// What poll(2) would have told, as far as recv(2) can: a close behind unread bytes stays unseen.
-PeerState peek(const Socket& socket) {
+// Approximates poll(2) by recv(2). A close behind unread bytes is not seen.
+PeerState peek_by_receive(const Socket& socket) {
   char byte = 0;
-  ssize_t got = -1;
-  for (int i = 0; i < kPollTries; ++i) {
-    got = system_calls::receive(socket.fd(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-    if (got >= 0 || errno != EINTR)
+  ssize_t received = -1;
+  for (int i = 0; i < kMaxPollAttempts; ++i) {
+    received = system_calls::receive(socket.fd(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+    if (received >= 0 || errno != EINTR)
       break;
   }
-  if (got == 0)
+  if (received == 0)
     return PeerState::disconnected;
-  if (got > 0 || is_transient_shortage(errno) || errno == EINTR)
+  if (received > 0 || is_transient_shortage(errno) || errno == EINTR)
     return PeerState::readable;
   return errno == EAGAIN || errno == EWOULDBLOCK ? PeerState::idle : PeerState::disconnected;
 }
@@ -82,57 +103,50 @@
 }
 
 Socket listen_on(const std::string& address) {
-  const Addresses at = resolve(address, AI_PASSIVE);
-  if (!at)
+  const Addresses resolved = resolve(address, AI_PASSIVE);
+  if (!resolved)
     return Socket();
-  Socket socket(system_calls::open_socket(at->ai_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC));
-  const int on = 1;
+  Socket socket(system_calls::open_socket(resolved->ai_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC));
   if (!socket)
     return Socket();
-  setsockopt(socket.fd(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-  if (bind(socket.fd(), at->ai_addr, at->ai_addrlen) != 0 || listen(socket.fd(), 512) != 0)
+  const int enabled = 1;
+  setsockopt(socket.fd(), SOL_SOCKET, SO_REUSEADDR, &enabled, sizeof enabled);
+  if (bind(socket.fd(), resolved->ai_addr, resolved->ai_addrlen) != 0 ||
+      listen(socket.fd(), kListenBacklog) != 0)
     return Socket();
   return socket;
 }
 
 Socket adopt_listener(int fd) {
-  int listening = 0, type = 0, family = 0;
-  const auto read = [fd](int option, int& value) {
-    socklen_t size = sizeof value;
-    return getsockopt(fd, SOL_SOCKET, option, &value, &size) == 0;
-  };
-  if (!read(SO_ACCEPTCONN, listening) || !read(SO_TYPE, type) || !read(SO_DOMAIN, family))
-    return Socket();
-  if (listening == 0 || type != SOCK_STREAM || (family != AF_INET && family != AF_INET6))
+  if (!is_tcp_listener(fd))
     return Socket();
-  // A connection that another process takes first would block an accept here.
+  // Non-blocking, because another process that shares the socket may accept a connection first.
   const int flags = fcntl(fd, F_GETFL);
-  if (flags < 0 || fcntl(fd, F_SETFL, flags | O_NONBLOCK) != 0 || fcntl(fd, F_SETFD, FD_CLOEXEC) != 0) {
+  if (flags < 0 || fcntl(fd, F_SETFL, flags | O_NONBLOCK) != 0 || fcntl(fd, F_SETFD, FD_CLOEXEC) != 0)
     return Socket();
-  }
   return Socket(fd);
 }
 
 ConnectResult connect_to(const std::string& address) {
   const auto failed = [](int error_number) { return ConnectResult{Socket(), connect_error(error_number)}; };
-  const Addresses at = resolve(address, 0);
-  if (!at)
+  const Addresses resolved = resolve(address, 0);
+  if (!resolved)
     return failed(EINVAL);
-  Socket socket(system_calls::open_socket(at->ai_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC));
+  Socket socket(system_calls::open_socket(resolved->ai_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC));
   if (!socket)
     return failed(errno);
-  no_delay(socket.fd());
-  if (const int error_number = start_connect(socket, *at); error_number != 0)
+  disable_nagle(socket.fd());
+  if (const int error_number = start_connect(socket, *resolved); error_number != 0)
     return failed(error_number);
   return {std::move(socket), std::nullopt};
 }
 
 AcceptResult accept_from(const Socket& listener) {
   AcceptResult result;
-  for (int i = 0; i < kAcceptTries; ++i) {
+  for (int i = 0; i < kMaxAcceptAttempts; ++i) {
     result.socket = Socket(system_calls::accept(listener.fd(), SOCK_NONBLOCK | SOCK_CLOEXEC));
     if (result.socket) {
-      no_delay(result.socket.fd());
+      disable_nagle(result.socket.fd());
       result.status = AcceptStatus::accepted;
       return result;
     }
@@ -148,30 +162,31 @@
 }
 
 PeerState peek_peer(const Socket& socket) {
-  pollfd asked{socket.fd(), POLLIN | POLLRDHUP, 0};
-  int found = -1;
-  for (int i = 0; i < kPollTries && found < 0; ++i)
-    found = system_calls::poll(&asked, 1, 0);
-  if (found < 0)
-    return peek(socket);
-  if (found == 0)
+  pollfd polled{socket.fd(), POLLIN | POLLRDHUP, 0};
+  int ready = -1;
+  for (int i = 0; i < kMaxPollAttempts && ready < 0; ++i)
+    ready = system_calls::poll(&polled, 1, 0);
+  if (ready < 0)
+    return peek_by_receive(socket);
+  if (ready == 0)
     return PeerState::idle;
-  return (asked.revents & (POLLRDHUP | POLLHUP | POLLERR | POLLNVAL)) != 0 ? PeerState::disconnected
-                                                                           : PeerState::readable;
+  const bool disconnected = (polled.revents & (POLLRDHUP | POLLHUP | POLLERR | POLLNVAL)) != 0;
+  return disconnected ? PeerState::disconnected : PeerState::readable;
 }
 
 int pending_error(const Socket& socket) { return system_calls::pending_error(socket.fd()); }
 
 std::string bound_address(const Socket& listener) {
-  sockaddr_storage at{};
-  socklen_t size = sizeof at;
-  char host[NI_MAXHOST], port[NI_MAXSERV];
-  auto* any = reinterpret_cast<sockaddr*>(&at);
-  if (getsockname(listener.fd(), any, &size) != 0)
+  sockaddr_storage storage{};
+  socklen_t size = sizeof storage;
+  auto* address = reinterpret_cast<sockaddr*>(&storage);
+  if (getsockname(listener.fd(), address, &size) != 0)
     return {};
-  if (getnameinfo(any, size, host, sizeof host, port, sizeof port, NI_NUMERICHOST | NI_NUMERICSERV) != 0) {
+  char host[NI_MAXHOST];
+  char port[NI_MAXSERV];
+  const int flags = NI_NUMERICHOST | NI_NUMERICSERV;
+  if (getnameinfo(address, size, host, sizeof host, port, sizeof port, flags) != 0)
     return {};
-  }
   return std::string(host) + ":" + port;
 }
 
--- a/src/net/socket.h
+++ b/src/net/socket.h
@@ -1,4 +1,4 @@
-// An owned descriptor, and the few ways in which the program opens one. All are non-blocking.
+// Owned descriptors, and the ways in which the program opens sockets. All sockets are non-blocking.
 #pragma once
 
 #include <optional>
@@ -9,6 +9,7 @@
 
 namespace lotusyard::net {
 
+// Owns a descriptor and closes it.
 class Socket {
  public:
   Socket() = default;
@@ -22,7 +23,8 @@
     }
     return *this;
   }
-  int fd() const { return fd_; }
+
+  int fd() const { return fd_; }  // -1: none
   explicit operator bool() const { return fd_ >= 0; }
   void close();
 
@@ -30,9 +32,9 @@
   int fd_ = -1;
 };
 
-// A connection under way, or why there is none.
+// A connection that is being established, or why there is none.
 struct ConnectResult {
-  Socket socket;  // writable once it is decided
+  Socket socket;  // becomes writable once the connection is established or has failed
   std::optional<ConnectError> error;
   explicit operator bool() const { return static_cast<bool>(socket); }
 };
@@ -40,28 +42,43 @@
 enum class AcceptStatus {
   accepted,
   none_waiting,
-  out_of_resources  // connections wait, but none can be taken for now: the listener is to be left alone a
-                    // while
+  out_of_resources  // connections wait but cannot be accepted: the listener should be left alone for a while
 };
 
 struct AcceptResult {
   Socket socket;
   AcceptStatus status = AcceptStatus::none_waiting;
-  int connections_lost = 0;  // ended before they could be taken; the next one was tried in their place
+  int connections_lost = 0;  // connections that failed before they could be accepted
 };
 
-// Numeric addresses only, as host:port or [host]:port. Empty if the address cannot be listened on.
+// Addresses are numeric: host:port or [host]:port.
+bool valid_address(const std::string& address);
+
+// Returns an empty socket if the address cannot be listened on.
 Socket listen_on(const std::string& address);
-// A listening TCP socket that was inherited under this number, now non-blocking; empty if it is none.
+
+// Takes over an inherited listening TCP socket and makes it non-blocking. Returns an empty socket if the
+// descriptor is none; the descriptor is not closed then.
 Socket adopt_listener(int fd);
+
+// The address that the listener is bound to; empty if it cannot be read.
+std::string bound_address(const Socket& listener);
+
+// Starts to connect.
 ConnectResult connect_to(const std::string& address);
+
+// The error of a connect that has finished, as in errno(3); 0 if there is none. Clears it.
+int pending_error(const Socket& socket);
+
+// Accepts one connection. A connection that was lost meanwhile is skipped.
 AcceptResult accept_from(const Socket& listener);
-// What a connection's peer has done that was not read yet, right now. Whoever sends no more, has closed or
-// was reset is `gone`: one that only half-closes cannot be told from one that has closed.
-enum class PeerState { idle, readable, disconnected };
+
+// What a connection's peer has done that was not read yet.
+enum class PeerState {
+  idle,
+  readable,
+  disconnected  // closed, reset, or closed for sending: these cannot be distinguished
+};
 PeerState peek_peer(const Socket& socket);
-int pending_error(const Socket& socket);  // of a connect that was decided
-std::string bound_address(const Socket& listener);
-bool valid_address(const std::string& address);
 
 }  // namespace lotusyard::net
--- a/src/net/wall_clock.cpp
+++ b/src/net/wall_clock.cpp
@@ -7,7 +7,7 @@
 namespace lotusyard::net {
 namespace {
 
-Millis size_of(Millis step) { return Millis(std::fabs(step.count())); }
+Millis magnitude(Millis step) { return Millis(std::fabs(step.count())); }
 
 template <typename Clock>
 Millis now_of() {
@@ -20,39 +20,40 @@
 
 void WallClock::observe(Millis steady, Millis wall) {
   const Millis offset = wall - steady;
-  const Millis step = size_of(offset - offset_);
-  if (step >= step_least) {
+  const Millis step = magnitude(offset - offset_);
+  if (step >= kMinStep) {
     stepped_ = true;
-    doubt({offset_, steady, step});
+    add_earlier({offset_, steady, step});
   }
   offset_ = offset;
 }
 
-void WallClock::remember(Millis steady, Millis wall) {
+void WallClock::record_earlier_reading(Millis steady, Millis wall) {
   const Millis offset = wall - steady;
-  const auto covers = [&](const Setting& setting) { return setting.offset >= offset; };
-  if (offset - offset_ < step_least || std::any_of(earlier_.begin(), earlier_.end(), covers))
+  const auto covers = [&](const EarlierSetting& setting) { return setting.offset >= offset; };
+  if (offset - offset_ < kMinStep || std::any_of(earlier_.begin(), earlier_.end(), covers))
     return;
   stepped_ = true;
-  doubt({offset, steady, offset - offset_});
+  add_earlier({offset, steady, offset - offset_});
 }
 
-void WallClock::doubt(const Setting& setting) {
+void WallClock::add_earlier(const EarlierSetting& setting) {
   earlier_.push_back(setting);
-  if (earlier_.size() > settings_most)
+  if (earlier_.size() > kMaxSettings)
     earlier_.pop_front();
 }
 
-WallTime WallClock::read(Millis steady, Millis memory) const {
-  WallTime out{steady + offset_, steady + offset_, steady + offset_};
+WallTime WallClock::read(Millis steady, Millis retention) const {
+  const Millis current = steady + offset_;
+  WallTime time{current, current, current};
   for (const auto& setting : earlier_) {
-    const Millis doubted_for = std::min(setting.step + memory, doubt_most);
-    if (steady - setting.replaced_at >= doubted_for)
+    const Millis counts_for = std::min(setting.step + retention, doubt_most);
+    if (steady - setting.replaced_at >= counts_for)
       continue;
-    out.earliest = std::min(out.earliest, steady + setting.offset);
-    out.latest = std::max(out.latest, steady + setting.offset);
+    time.earliest = std::min(time.earliest, steady + setting.offset);
+    time.latest = std::max(time.latest, steady + setting.offset);
   }
-  return out;
+  return time;
 }
 
 }  // namespace lotusyard::net
--- a/src/net/wall_clock.h
+++ b/src/net/wall_clock.h
@@ -1,6 +1,5 @@
-// Which times the wall clock may stand at, by the steady clock. It can be set forwards or back at any time,
-// and nothing tells which setting was right: for a while after a step both count. No I/O; readings are passed
-// in.
+// An estimate of the wall clock that allows for steps. The wall clock can be set forwards or back at any
+// time, and nothing tells which setting was right, so for a while after a step both count.
 #pragma once
 
 #include <deque>
@@ -12,43 +11,56 @@
 
 using policy::Millis;
 
-// The system's clocks, or those of a test. A `wall` reading is in Unix milliseconds.
+// The clocks of the system, or those of a test.
 struct Clocks {
-  std::function<Millis()> steady, wall;
+  std::function<Millis()> steady;
+  std::function<Millis()> wall;  // Unix milliseconds
   static Clocks system();
 };
 
-// What the wall clock reads now, and what it would read by the settings that are still in doubt.
+// What the wall clock reads now, and the range of what it would read by the settings that are still in doubt.
 struct WallTime {
-  Millis earliest{0}, current{0}, latest{0};
+  Millis earliest{0};
+  Millis current{0};
+  Millis latest{0};
 };
 
+// Tracks the offset of the wall clock to the steady clock. Has no clock of its own: readings are passed in.
 class WallClock {
  public:
-  static constexpr Millis step_least{100};         // less is taken for slewing
-  static constexpr Millis doubt_most{2 * 3600e3};  // for how long an earlier setting counts, at most
-  static constexpr std::size_t settings_most = 16;
+  static constexpr Millis kMinStep{100};           // a smaller change is slewing
+  static constexpr Millis doubt_most{2 * 3600e3};  // an earlier setting counts no longer than this
+  static constexpr std::size_t kMaxSettings = 16;  // earlier settings that are kept
 
   WallClock(Millis steady, Millis wall) : offset_(wall - steady), start_offset_(offset_) {}
 
+  // Takes readings of both clocks at the same time.
   void observe(Millis steady, Millis wall);
-  // An earlier process of this machine read `wall` before now: if that is ahead, the clock was set back.
-  void remember(Millis steady, Millis wall);
-  // An earlier setting counts until the size of its step, and `memory`, have passed since the step was seen.
-  // Whatever was over by that setting at the step is over by the present one by then.
-  WallTime read(Millis steady, Millis memory) const;
+
+  // An earlier process of this machine has read `wall`, before now. If that is ahead of the present setting,
+  // the clock was set back since then.
+  void record_earlier_reading(Millis steady, Millis wall);
+
+  // An earlier setting counts until the size of its step, and `retention`, have passed since the step was
+  // seen. By then, a time that had passed by the earlier setting has passed by the present one too.
+  WallTime read(Millis steady, Millis retention) const;
+
   bool has_stepped() const { return stepped_; }
   Millis start_offset() const { return start_offset_; }
 
  private:
-  struct Setting {
-    Millis offset{0}, replaced_at{0}, step{0};
+  struct EarlierSetting {
+    Millis offset{0};       // of the wall clock to the steady clock
+    Millis replaced_at{0};  // by the steady clock
+    Millis step{0};         // the size of the step that replaced it
   };
-  Millis offset_, start_offset_;
+
+  Millis offset_;
+  Millis start_offset_;
   bool stepped_ = false;
-  std::deque<Setting> earlier_;
+  std::deque<EarlierSetting> earlier_;
 
-  void doubt(const Setting& setting);
+  void add_earlier(const EarlierSetting& setting);
 };
 
 }  // namespace lotusyard::net
