--- a/src/admin/admin_endpoint.cpp
+++ b/src/admin/admin_endpoint.cpp
@@ -61,7 +61,8 @@
 
 void AdminEndpoint::add_connection(net::Socket socket) {
   counters_.add(metrics::kConsoleConnections);
-  const auto connection = std::make_shared<AdminConnection>(loop_, pool_, std::move(socket), *this);
+  AdminConnection::Owner& owner = *this;
+  const auto connection = std::make_shared<AdminConnection>(loop_, pool_, std::move(socket), owner);
   connections_.push_back(connection);
   // The request has mostly arrived already. A connection that is served now is not evicted for lack of
   // capacity.
