--- a/src/config/json_read.h
+++ b/src/config/json_read.h
@@ -1,4 +1,4 @@
-// Lenient readers of JSON values: what is absent or of another type reads as the stated default.
+// Lenient readers of JSON values: a value that is absent or of another type reads as the fallback.
 #pragma once
 
 #include <algorithm>
@@ -15,15 +15,18 @@
 using nlohmann::json;
 using policy::Millis;
 
+// What stands for an absent value: null.
 inline const json& absent() {
   static const json null_value;
   return null_value;
 }
 
-inline const json& at(const json& row, std::size_t index) {
-  return index < row.size() ? row[index] : absent();
+// The element of an array.
+inline const json& at(const json& array, std::size_t index) {
+  return index < array.size() ? array[index] : absent();
 }
 
+// The member of an object.
 inline const json& key(const json& object, const char* name) {
   if (!object.is_object())
     return absent();
@@ -31,40 +34,46 @@
   return found == object.end() ? absent() : *found;
 }
 
-inline double number(const json& value, double missing = 0) {
+// A finite number.
+inline double number(const json& value, double fallback = 0) {
   if (!value.is_number())
-    return missing;
+    return fallback;
   const double read = value.get<double>();
-  return std::isfinite(read) ? read : missing;
+  return std::isfinite(read) ? read : fallback;
 }
 
-constexpr double int_limit = 1e9;  // the type's range, with room
+constexpr double kMaxInt = 1e9;  // within the range of int
 
-inline int whole(const json& value, int missing = 0) {
-  const double read = number(value, missing);
-  return static_cast<int>(std::min(std::max(read, -int_limit), int_limit));
+// A number without its fraction, clamped to kMaxInt in both directions.
+inline int whole(const json& value, int fallback = 0) {
+  return static_cast<int>(std::clamp(number(value, fallback), -kMaxInt, kMaxInt));
 }
 
+// An integer of 64 bits; 0 if the value is none.
 inline std::uint64_t large(const json& value) {
   if (value.is_number_unsigned())
     return value.get<std::uint64_t>();
   return value.is_number_integer() ? static_cast<std::uint64_t>(value.get<std::int64_t>()) : 0;
 }
 
+// A boolean, or whether a number is not zero.
 inline bool flag(const json& value) { return value.is_boolean() ? value.get<bool>() : number(value) != 0; }
 
+// A string, or the digits of an integer; empty if the value is neither.
 inline std::string text(const json& value) {
   if (value.is_string())
     return value.get<std::string>();
   return value.is_number_integer() ? value.dump() : std::string();
 }
 
-inline Millis millis(const json& value, double missing = 0) { return Millis(number(value, missing)); }
+// A number of milliseconds.
+inline Millis millis(const json& value, double fallback = 0) { return Millis(number(value, fallback)); }
 
+// The enumerator for a word.
 template <typename T>
-T word(const std::string& name, const std::map<std::string, T>& words, T otherwise) {
+T word(const std::string& name, const std::map<std::string, T>& words, T fallback) {
   const auto found = words.find(name);
-  return found == words.end() ? otherwise : found->second;
+  return found == words.end() ? fallback : found->second;
 }
 
 }  // namespace lotusyard::config
--- a/src/config/replacement.cpp
+++ b/src/config/replacement.cpp
@@ -1,73 +1,80 @@
 #include "config/replacement.h"
 
-#include <algorithm>
+#include <iterator>
 #include <string>
 
-#include "config/config.h"
+#include "config/config_error.h"
 
 namespace lotusyard::config {
 namespace {
 
 using nlohmann::json;
 
-const char* type_of(const json& value) { return value.is_number() ? "number" : value.type_name(); }
+// All numbers are of one type here.
+std::string type_name(const json& value) { return value.is_number() ? "number" : value.type_name(); }
 
-// Keys that all rows of a list have: an optional key of one of them need not stand in the next ones.
-json common_row(const json& rows) {
-  json common = rows.front();
-  for (const auto& row : rows) {
-    if (!row.is_object() || !common.is_object())
+// The keys that all elements of the list have, with the values of the first one: an optional key of one
+// element may be missing in others. Null unless all elements are objects.
+json common_keys(const json& list) {
+  json common = list.front();
+  for (const auto& element : list) {
+    if (!element.is_object() || !common.is_object())
       return json();
-    for (auto i = common.begin(); i != common.end();)
-      i = row.contains(i.key()) ? std::next(i) : common.erase(i);
+    for (auto member = common.begin(); member != common.end();)
+      member = element.contains(member.key()) ? std::next(member) : common.erase(member);
   }
   return common;
 }
 
-void check(const json& before, const json& next, const std::string& path) {
-  const auto fault = [](const std::string& key, const std::string& what) {
-    throw ConfigError("configuration: " + key + ": " + what);
-  };
-  if (before.is_null())
-    return;
-  if (std::string(type_of(before)) != type_of(next)) {
-    fault(path, std::string("is of type ") + type_of(next) + ", was " + type_of(before));
-  }
-  if (before.is_object()) {
-    for (const auto& [name, value] : before.items()) {
-      const std::string here = path.empty() ? name : path + "." + name;
-      if (!next.contains(name))
-        fault(here, "is missing");
-      check(value, next.at(name), here);
-    }
-  } else if (before.is_array() && !before.empty()) {
-    for (std::size_t i = 0; i < next.size(); ++i) {
-      check(before.front(), next[i], path + "[" + std::to_string(i) + "]");
-    }
+json outline_of(const json& value) {
+  if (value.is_array()) {
+    const json element = value.empty() ? json() : common_keys(value);
+    return element.is_null() ? json::array() : json::array({outline_of(element)});
   }
+  if (!value.is_object())
+    return value;
+  json outline = json::object();
+  for (const auto& [name, member] : value.items())
+    outline[name] = outline_of(member);
+  return outline;
 }
 
-json outlined(const json& value) {
-  if (value.is_object()) {
-    json out = json::object();
-    for (const auto& [name, inner] : value.items())
-      out[name] = outlined(inner);
-    return out;
-  }
-  if (value.is_array()) {
-    const json row = value.empty() ? json() : common_row(value);
-    return row.is_null() ? json::array() : json::array({outlined(row)});
+void check(const json& outline, const json& next, const std::string& path);
+
+void check_members(const json& outline, const json& next, const std::string& path) {
+  for (const auto& [name, member] : outline.items()) {
+    const std::string member_path = path.empty() ? name : path + "." + name;
+    if (!next.contains(name))
+      throw ConfigError(member_path, "is missing");
+    check(member, next.at(name), member_path);
   }
-  return value;
+}
+
+void check_elements(const json& outline, const json& next, const std::string& path) {
+  if (outline.empty())
+    return;
+  for (std::size_t i = 0; i < next.size(); ++i)
+    check(outline.front(), next[i], path + "[" + std::to_string(i) + "]");
+}
+
+void check(const json& outline, const json& next, const std::string& path) {
+  if (outline.is_null())
+    return;
+  if (type_name(outline) != type_name(next))
+    throw ConfigError(path, "is of type " + type_name(next) + ", was " + type_name(outline));
+  if (outline.is_object())
+    check_members(outline, next, path);
+  else if (outline.is_array())
+    check_elements(outline, next, path);
 }
 
 }  // namespace
 
 json outline(json file) {
-  // What was known at the start matters to the start alone, and is long.
+  // The events that were known at the start are many, and matter only then.
   if (file.contains("known"))
     file["known"] = json::object();
-  return outlined(file);
+  return outline_of(file);
 }
 
 void check_replacement(const json& outline, const json& next) { check(outline, next, ""); }
--- a/src/config/replacement.h
+++ b/src/config/replacement.h
@@ -1,16 +1,17 @@
-// Whether a file may take the place of the one that the program runs by.
+// Whether a configuration file may replace that of the running program.
 #pragma once
 
 #include <nlohmann/json.hpp>
 
 namespace lotusyard::config {
 
-// What has to be kept of a file for that: its keys and the types of their values.
+// What has to be kept of the running file for check_replacement(): its keys and the types of their values. Of
+// a list, the keys that all its elements have.
 nlohmann::json outline(nlohmann::json file);
 
-// Throws a ConfigError that names the key which the running file has and the next one lacks, or holds as
-// something else. A start gives what is missing its default; a file that was cut short or edited by
-// mistake would change rules that nobody meant to change.
+// Throws a ConfigError for the first key that the running file has and the next one lacks, or has with
+// another type. At a start, a missing key gets its default; in a running program, a file that was cut short
+// or edited by mistake would change rules by accident.
 void check_replacement(const nlohmann::json& outline, const nlohmann::json& next);
 
 }  // namespace lotusyard::config
--- /dev/null
+++ b/src/discovery/log.h
@@ -0,0 +1,42 @@
+// Parses the events of the discovery stream and checks their sequence numbers.
+#pragma once
+
+#include <algorithm>
+#include <cstdint>
+#include <nlohmann/json.hpp>
+#include <string>
+
+#include "core/listed_host.h"
+
+namespace lotusyard::discovery {
+
+// Accepts each event once and in order. Does no I/O.
+class Log {
+ public:
+  enum class Read {
+    news,      // an event that changes the endpoint list
+    nothing,   // an event that was read before, an event of another kind, or a heartbeat
+    gap,       // events before this one are missing
+    malformed  // no event
+  };
+
+  // `last`: the sequence number of the last event that is known already.
+  explicit Log(std::uint64_t last = 0) : last_(last) {}
+
+  // Reads a line of the stream: an event, or the number of the last event as a heartbeat. `update` is set if
+  // the result is `news`.
+  Read line(const std::string& line, core::HostListUpdate& update);
+
+  // Reads an event; `update` is set if the result is `news`.
+  Read event(const nlohmann::json& event, core::HostListUpdate& update);
+
+  std::uint64_t last() const { return last_; }
+
+  // Events up to this one are known from elsewhere.
+  void skip_to(std::uint64_t sequence) { last_ = std::max(last_, sequence); }
+
+ private:
+  std::uint64_t last_;  // sequence number of the last event that was read
+};
+
+}  // namespace lotusyard::discovery
--- a/src/hot_restart/presence.cpp
+++ b/src/hot_restart/presence.cpp
@@ -7,59 +7,74 @@
 #include <unistd.h>
 
 #include <memory>
+#include <string_view>
+#include <utility>
 
 namespace lotusyard::hot_restart {
 namespace {
 
-constexpr int kTries = 100;
-const std::string kPrefix = "process.";
+constexpr int kMaxFileNames = 100;  // that are tried
+constexpr std::string_view kFilePrefix = "process.";
+constexpr mode_t kFolderMode = 0700;
+constexpr mode_t kFileMode = 0600;
 
 }  // namespace
 
 Presence::Presence(std::string folder) : folder_(std::move(folder)) {
   if (folder_.empty())
     return;
-  mkdir(folder_.c_str(), 0700);
-  for (int i = 0; i < kTries && !mine_; ++i) {
-    name_ = kPrefix + std::to_string(getpid()) + '.' + std::to_string(i);
-    const std::string path = folder_ + '/' + name_;
-    net::Socket file(open(path.c_str(), O_WRONLY | O_CREAT | O_EXCL | O_CLOEXEC, 0600));
-    if (!file || flock(file.fd(), LOCK_EX | LOCK_NB) != 0)
-      continue;
-    // One that looked before the lock was held has taken the file for one left behind.
-    struct stat about {};
-    if (fstat(file.fd(), &about) == 0 && about.st_nlink > 0)
-      mine_ = std::move(file);
+  mkdir(folder_.c_str(), kFolderMode);
+  for (int i = 0; i < kMaxFileNames; ++i) {
+    file_name_ = std::string(kFilePrefix) + std::to_string(getpid()) + '.' + std::to_string(i);
+    if (announce(file_name_))
+      return;
   }
 }
 
 Presence::~Presence() {
-  if (mine_)
-    unlink((folder_ + '/' + name_).c_str());
+  if (lock_file_)
+    unlink(path_of(file_name_).c_str());
+}
+
+// Creates and locks a file.
+bool Presence::announce(const std::string& file_name) {
+  net::Socket file(open(path_of(file_name).c_str(), O_WRONLY | O_CREAT | O_EXCL | O_CLOEXEC, kFileMode));
+  if (!file || flock(file.fd(), LOCK_EX | LOCK_NB) != 0)
+    return false;
+  // Another process that looked before the file was locked has removed it as one of a dead process.
+  struct stat status {};
+  if (fstat(file.fd(), &status) != 0 || status.st_nlink == 0)
+    return false;
+  lock_file_ = std::move(file);
+  return true;
 }
 
 bool Presence::other_lives() const {
-  if (!mine_)
+  if (!lock_file_)
     return false;
   const std::unique_ptr<DIR, int (*)(DIR*)> folder(opendir(folder_.c_str()), &closedir);
   if (!folder)
     return false;
   bool lives = false;
   while (const dirent* entry = readdir(folder.get())) {
-    const std::string name = entry->d_name;
-    if (name.compare(0, kPrefix.size(), kPrefix) != 0 || name == name_)
-      continue;
-    const std::string path = folder_ + '/' + name;
-    const net::Socket file(open(path.c_str(), O_RDONLY | O_CLOEXEC));
-    if (!file)
-      continue;
-    if (flock(file.fd(), LOCK_SH | LOCK_NB) != 0) {
+    if (is_other_process(entry->d_name))
       lives = true;
-    } else {
-      unlink(path.c_str());  // left behind by a process that was killed
-    }
   }
   return lives;
 }
 
+// Whether the file belongs to another process that is alive. Removes the file if its process is dead.
+bool Presence::is_other_process(const std::string& file_name) const {
+  if (file_name.compare(0, kFilePrefix.size(), kFilePrefix) != 0 || file_name == file_name_)
+    return false;
+  const std::string path = path_of(file_name);
+  const net::Socket file(open(path.c_str(), O_RDONLY | O_CLOEXEC));
+  if (!file)
+    return false;
+  if (flock(file.fd(), LOCK_SH | LOCK_NB) != 0)
+    return true;
+  unlink(path.c_str());
+  return false;
+}
+
 }  // namespace lotusyard::hot_restart
--- a/src/hot_restart/presence.h
+++ b/src/hot_restart/presence.h
@@ -1,5 +1,4 @@
-// Tells whether another process of this invoker lives: each holds a lock on a file of its own, which ends
-// with it however it ends.
+// Whether another process of this invoker is alive.
 #pragma once
 
 #include <string>
@@ -8,18 +7,29 @@
 
 namespace lotusyard::hot_restart {
 
+// Each process holds a lock on a file of its own in a shared folder. The lock ends with the process, however
+// it ends.
 class Presence {
  public:
-  explicit Presence(std::string folder);
+  explicit Presence(std::string folder);  // empty: there is no folder
   ~Presence();
   Presence(const Presence&) = delete;
   Presence& operator=(const Presence&) = delete;
-  bool known() const { return static_cast<bool>(mine_); }  // false: the folder cannot be written
+
+  // Returns false if this process could not announce itself, because the folder cannot be written to.
+  bool known() const { return static_cast<bool>(lock_file_); }
+
+  // Also removes the files of processes that were killed. Always false if this process is not known.
   bool other_lives() const;
 
  private:
-  std::string folder_, name_;
-  net::Socket mine_;
+  std::string folder_;
+  std::string file_name_;
+  net::Socket lock_file_;
+
+  std::string path_of(const std::string& file_name) const { return folder_ + '/' + file_name; }
+  bool announce(const std::string& file_name);
+  bool is_other_process(const std::string& file_name) const;
 };
 
 }  // namespace lotusyard::hot_restart
--- a/src/hot_restart/shares.cpp
+++ b/src/hot_restart/shares.cpp
@@ -5,11 +5,25 @@
 namespace lotusyard::hot_restart {
 namespace {
 
-// Standard streams, two listeners, the change log, signals, the lock, a folder being read, and some to spare.
+// Standard streams, two listeners, the discovery stream, signals, the lock, a folder being read, and some to
+// spare.
 constexpr std::size_t kOwnDescriptors = 14;
-// Code, libraries, configuration, the module's tables, and what a heap leaves unused.
+// Code, libraries, configuration, the tables of the policy, and what a heap leaves unused.
 constexpr std::size_t kOwnBytes = 6U << 20;
-constexpr std::size_t kLeastPart = 512U << 10;  // two of the longest answers
+constexpr std::size_t kMinBufferBytes = 512U << 10;  // two of the longest responses
+
+constexpr std::size_t kSocketsPerAdminConnection = 64;
+constexpr std::size_t kMinAdminConnections = 4;
+constexpr std::size_t kMaxAdminConnections = 16;
+
+std::size_t subtract_or_zero(std::size_t value, std::size_t subtrahend) {
+  return value - std::min(value, subtrahend);
+}
+
+std::size_t admin_connections(std::size_t sockets) {
+  const std::size_t wanted = std::max(sockets / kSocketsPerAdminConnection, kMinAdminConnections);
+  return std::min(wanted, kMaxAdminConnections);
+}
 
 }  // namespace
 
@@ -17,23 +31,23 @@
   return kOwnDescriptors + clients + new_connections + links + callers;
 }
 
-ResourceShares shares_of(std::size_t memory_mb, std::size_t sockets, ProcessRole standing) {
-  const std::size_t processes = standing == ProcessRole::sole ? 1 : 2;
-  const std::size_t bytes = (memory_mb << 20) / processes, mine = sockets / processes;
-  ResourceShares out;
-  // A quarter of what is left may wait unwritten, a quarter be bodies of open calls, a quarter answers that
-  // are not whole yet: a length is only what a host says, a spoilt one says anything.
-  const std::size_t part = std::max((bytes - std::min(bytes, kOwnBytes)) / 4, kLeastPart);
-  out.unwritten = out.bodies = out.incoming = part;
-  out.callers = std::min<std::size_t>(std::max<std::size_t>(sockets / 64, 4), 16);
-  const std::size_t taken = kOwnDescriptors + out.callers;
-  const std::size_t free = mine - std::min(mine, taken);
-  // Clients hold at most a third of the limit, of both processes together. The rest is parted between links
-  // and connections that have not asked yet.
-  out.clients = std::min(sockets / 3, free / 2);
-  out.links = std::max<std::size_t>((free - out.clients) / 2, 1);
-  out.new_connections = std::max<std::size_t>(free - out.clients - out.links, 1);
-  return out;
+ResourceShares shares_of(std::size_t memory_mb, std::size_t sockets, ProcessRole role) {
+  const std::size_t processes = role == ProcessRole::sole ? 1 : 2;
+  const std::size_t process_bytes = (memory_mb << 20) / processes;
+  const std::size_t process_sockets = sockets / processes;
+  ResourceShares shares;
+  // Each kind of buffer gets a quarter of the memory. Incomplete responses have a bound of their own, because
+  // the length that a faulty host announces may be wrong.
+  const std::size_t quarter = subtract_or_zero(process_bytes, kOwnBytes) / 4;
+  shares.unwritten = shares.bodies = shares.incoming = std::max(quarter, kMinBufferBytes);
+  shares.callers = admin_connections(sockets);
+  const std::size_t free = subtract_or_zero(process_sockets, kOwnDescriptors + shares.callers);
+  // The clients of one process get at most a third of the limit of both. The rest is divided between
+  // connections to hosts and new connections.
+  shares.clients = std::min(sockets / 3, free / 2);
+  shares.links = std::max<std::size_t>((free - shares.clients) / 2, 1);
+  shares.new_connections = std::max<std::size_t>(free - shares.clients - shares.links, 1);
+  return shares;
 }
 
 }  // namespace lotusyard::hot_restart
--- a/src/hot_restart/shares.h
+++ b/src/hot_restart/shares.h
@@ -1,30 +1,37 @@
-// What a process may hold of the limits. Two that take turns, one to replace the other, are one invoker: the
-// limits are of both together, and this is the one place where they are parted. No I/O.
+// How much of an invoker's resource limits one process may use.
 #pragma once
 
 #include <cstddef>
 
 namespace lotusyard::hot_restart {
 
+// During a hot restart two processes are one invoker.
 enum class ProcessRole {
-  sole,        // no other process of this invoker lives
-  concurrent,  // another one lives, and both take clients
-  draining,    // another one has taken over; what is open here is brought to its end
+  sole,        // no other process of this invoker is alive
+  concurrent,  // another one is alive, and both admit clients
+  draining     // another one has taken over; this one only finishes what it has begun
 };
 
+// The share of one process. Everything that divides the limits between processes is computed here.
 struct ResourceShares {
-  std::size_t clients = 0, new_connections = 0;  // connections that have asked something, and not yet
-  std::size_t links = 0;                         // connections to hosts
-  std::size_t callers = 0;                       // of the admin endpoint
-  std::size_t unwritten = 0;                     // bytes that wait to be written
-  std::size_t bodies = 0;                        // bytes of open calls
-  std::size_t incoming = 0;                      // bytes of answers that are not whole yet
-  std::size_t descriptors() const;               // all of a process, its own included
+  std::size_t clients = 0;          // connections that have sent a request
+  std::size_t new_connections = 0;  // connections that have not
+  std::size_t links = 0;            // connections to hosts
+  std::size_t callers = 0;          // connections of the admin endpoint
+  std::size_t unwritten = 0;        // bytes that wait to be sent
+  std::size_t bodies = 0;           // bytes of open calls
+  std::size_t incoming = 0;         // bytes of responses that are not complete yet
+
+  // All descriptors of the process, its own included.
+  std::size_t descriptors() const;
   std::size_t bytes() const { return unwritten + bodies + incoming; }
 };
 
-constexpr std::size_t least_memory_mb = 12, least_sockets = 96;
+// The smallest limits that an invoker works with.
+constexpr std::size_t kMinMemoryMb = 12;
+constexpr std::size_t kMinSockets = 96;
 
-ResourceShares shares_of(std::size_t memory_mb, std::size_t sockets, ProcessRole standing);
+// The share of a process in this role of the limits of its invoker. Does no I/O.
+ResourceShares shares_of(std::size_t memory_mb, std::size_t sockets, ProcessRole role);
 
 }  // namespace lotusyard::hot_restart
--- a/src/xds/hosts.h
+++ b/src/xds/hosts.h
@@ -1,49 +1,57 @@
-// Envoy's Cluster and ClusterLoadAssignment, as JSON, read as a list of hosts.
+// Watches a file with an endpoint list in Envoy's xDS format.
 #pragma once
 
 #include <functional>
 #include <map>
-#include <nlohmann/json.hpp>
 #include <optional>
 #include <string>
 
 #include "core/listed_host.h"
 #include "metrics/counters.h"
 #include "net/event_loop.h"
+#include "xds/host_list_parser.h"
 
 namespace lotusyard::xds {
 
-// The endpoints of one cluster. Nothing, and a reason in `fault`, if the text does not hold it whole: half a
-// list must not be taken for one from which hosts were removed.
-std::optional<core::HostListUpdate> read_hosts(const nlohmann::json& file, const std::string& cluster,
-                                               std::string& fault);
-
-// Such a file, read again whenever it changes. An endpoint that comes later, or comes back, has just started.
+// Reads the file again whenever it changes. A host that is added after the first reading, or comes back,
+// counts as just started. A file that cannot be read leaves the hosts as they are. Loop and counters must
+// outlive it.
 class HostFile {
  public:
-  using Told = std::function<void(const core::HostListUpdate&)>;
+  using UpdateHandler = std::function<void(const core::HostListUpdate&)>;
+
   HostFile(net::EventLoop& loop, metrics::Counters& counters, std::string path, std::string cluster,
-           core::Millis pace, Told told);
-  ~HostFile() { loop_.cancel(timer_); }
-  bool start(std::string& fault);  // false if the first reading fails
-  // The list is in another file, or another cluster's, from now on; false, and nothing changed, if it cannot
-  // be read.
-  bool move(const std::string& path, const std::string& cluster, std::string& fault);
+           core::Millis poll_interval, UpdateHandler on_update);
+  ~HostFile() { loop_.cancel(poll_timer_); }
+  HostFile(const HostFile&) = delete;
+  HostFile& operator=(const HostFile&) = delete;
+
+  // Reads the file and starts to watch it. Returns false and sets `error` if it cannot be read; it is watched
+  // all the same.
+  bool start(std::string& error);
+
+  // The list is in another file or another cluster from now on. Returns false, sets `error` and changes
+  // nothing if it cannot be read.
+  bool move(const std::string& path, const std::string& cluster, std::string& error);
 
  private:
   net::EventLoop& loop_;
   metrics::Counters& counters_;
-  std::string path_, cluster_;
-  core::Millis pace_;
-  Told told_;
-  net::EventLoop::TimerId timer_{};
-  std::string stamp_;  // what tells one writing of the file from the next
-  bool read_once_ = false;
-  std::map<std::string, core::Millis> started_;  // of the hosts on the last list
-
-  std::string stamp() const;
-  bool read(std::string& fault);
-  void look();
+  std::string path_;
+  std::string cluster_;
+  core::Millis poll_interval_;
+  UpdateHandler on_update_;
+  net::EventLoop::TimerId poll_timer_{};
+  std::string version_;  // of the file that was read last
+  bool has_list_ = false;
+  std::map<std::string, core::Millis> started_;  // by host, of the hosts on the last list
+
+  std::string file_version() const;
+  std::optional<HostListError> read();
+  HostListResult parse() const;
+  void set_start_times(core::HostListUpdate& list);
+  void schedule_poll();
+  void poll();
 };
 
 }  // namespace lotusyard::xds
--- a/tests/discovery/discovery_test.cpp
+++ b/tests/discovery/discovery_test.cpp
@@ -1,4 +1,4 @@
-// The change log over connections that break.
+// The discovery stream over connections that break.
 #include "discovery/discovery.h"
 
 #include <catch2/catch.hpp>
@@ -14,116 +14,115 @@
 namespace lotusyard::test {
 namespace {
 
-// Answers `since N` with the later events, cut anywhere; breaks off after a random part, or stops there and
-// stays open.
-struct StandInLog {
+// Responds to `since N` with a random part of the later events, then closes the connection or leaves it open.
+struct DiscoveryServer {
   class Peer final : public net::BufferedConnection {
    public:
-    Peer(StandInLog& log, net::EventLoop& loop, net::BufferPool& pool, net::Socket socket)
-        : BufferedConnection(loop, pool, std::move(socket), false), log_(log) {}
+    Peer(DiscoveryServer& server, net::EventLoop& loop, net::BufferPool& pool, net::Socket socket)
+        : BufferedConnection(loop, pool, std::move(socket), false), server_(server) {}
 
    private:
-    StandInLog& log_;
-    discovery::LineCutter cutter_;
+    DiscoveryServer& server_;
+    discovery::LineSplitter splitter_;
     void on_received(std::string_view bytes) override {
       std::vector<std::string> lines;
-      REQUIRE(cutter_.parse(bytes, lines));
+      REQUIRE(splitter_.parse(bytes, lines));
       for (const auto& line : lines) {
         REQUIRE(line.compare(0, 6, "since ") == 0);
-        log_.asked.push_back(std::stoull(line.substr(6)));
+        server_.requests.push_back(std::stoull(line.substr(6)));
         std::string text;
-        for (std::size_t i = log_.asked.back(); i < log_.events; ++i) {
+        for (std::size_t i = server_.requests.back(); i < server_.events; ++i) {
           text += R"({"seq":)" + std::to_string(i + 1) + R"(,"fleet":{"complete":false,"members":[{"id":"s)" +
                   std::to_string(i + 1) + R"(","host_port":"127.0.0.1:9","phase":"ready"}]}})" + "\n";
         }
-        text += std::to_string(log_.events) + "\n";
-        write(text.substr(0, below(log_.random, text.size() + 1)));
+        text += std::to_string(server_.events) + "\n";
+        write(text.substr(0, below(server_.random, text.size() + 1)));
         flush_now();
-        if (!log_.stays_open)
+        if (!server_.stays_open)
           close_later();
       }
     }
-    void on_closed() override { log_.server.gone(*this); }
+    void on_closed() override { server_.listener.gone(*this); }
   };
-  StandInLog(net::EventLoop& loop, net::BufferPool& pool) : server(loop, pool, *this) {}
+  DiscoveryServer(net::EventLoop& loop, net::BufferPool& pool) : listener(loop, pool, *this) {}
   Random random{6};
-  Server<Peer, StandInLog> server;
+  Server<Peer, DiscoveryServer> listener;
   std::size_t events = 20;
-  std::vector<std::uint64_t> asked;
+  std::vector<std::uint64_t> requests;  // the number N of each
   bool stays_open = false;
 };
 
-TEST_CASE("a change log that breaks off anywhere is taken up again; each event is told once, in order") {
+TEST_CASE("a stream that breaks off anywhere is resumed; each event arrives once, in order") {
   net::EventLoop loop;
   net::BufferPool pool(64);
   metrics::Counters counters;
-  StandInLog log(loop, pool);
-  std::vector<std::string> told, all;
+  DiscoveryServer server(loop, pool);
+  std::vector<std::string> received, all;
   for (int i = 4; i <= 20; ++i)
     all.push_back("s" + std::to_string(i));
-  discovery::Discovery discovery(loop, pool, counters, log.server.address(), discovery::Log(3),
+  discovery::Discovery discovery(loop, pool, counters, server.listener.address(), discovery::Log(3),
                                  [&](const core::HostListUpdate& list) {
-                                   for (const auto& m : list.hosts)
-                                     told.push_back(m.entry.host);
+                                   for (const auto& host : list.hosts)
+                                     received.push_back(host.entry.host);
                                  });
   discovery.start();
-  for (int i = 0; i < 5000 && told.size() < all.size(); ++i)
+  for (int i = 0; i < 5000 && received.size() < all.size(); ++i)
     loop.run_once(loop.now() + Millis(20), [] {});
-  CHECK(told == all);
-  CHECK(log.asked.size() > 1);
-  CHECK(log.asked.front() == 3);
-  CHECK(std::is_sorted(log.asked.begin(), log.asked.end()));
+  CHECK(received == all);
+  CHECK(server.requests.size() > 1);
+  CHECK(server.requests.front() == 3);
+  CHECK(std::is_sorted(server.requests.begin(), server.requests.end()));
 }
 
-TEST_CASE("a change log that moves is asked at its new address at once; the old one is left") {
+TEST_CASE("a stream that moves is continued at its new address at once; the old one is closed") {
   net::EventLoop loop;
   net::BufferPool pool(64);
   metrics::Counters counters;
-  StandInLog old(loop, pool), next(loop, pool);
+  DiscoveryServer old(loop, pool), next(loop, pool);
   old.events = 3;
   old.stays_open = true;
-  std::vector<std::string> told;
+  std::vector<std::string> received;
   discovery::Discovery discovery(
-      loop, pool, counters, old.server.address(), discovery::Log(3),
-      [&](const core::HostListUpdate& list) { told.push_back(list.hosts.at(0).entry.host); });
+      loop, pool, counters, old.listener.address(), discovery::Log(3),
+      [&](const core::HostListUpdate& list) { received.push_back(list.hosts.at(0).entry.host); });
   const auto run_until = [&](const auto& until) {
     for (int i = 0; i < 5000 && !until(); ++i)
       loop.run_once(loop.now() + Millis(20), [] {});
     return until();
   };
   discovery.start();
-  REQUIRE(run_until([&] { return old.asked.size() == 1; }));
-  discovery.move(next.server.address());
-  REQUIRE(run_until([&] { return told.size() == 17; }));
-  CHECK(told.front() == "s4");
-  CHECK(next.asked.front() == 3);
-  CHECK(run_until([&] { return old.server.peers.empty(); }));
-  CHECK(old.asked.size() == 1);
+  REQUIRE(run_until([&] { return old.requests.size() == 1; }));
+  discovery.move(next.listener.address());
+  REQUIRE(run_until([&] { return received.size() == 17; }));
+  CHECK(received.front() == "s4");
+  CHECK(next.requests.front() == 3);
+  CHECK(run_until([&] { return old.listener.peers.empty(); }));
+  CHECK(old.requests.size() == 1);
   CHECK(counters.value("feed.moves") == 1);
 }
 
-TEST_CASE("a change log that stops half-way through an event and stays open is asked again") {
+TEST_CASE("a stream that stops within an event and stays open is requested again") {
   net::EventLoop loop;
   net::BufferPool pool(64);
   metrics::Counters counters;
-  StandInLog log(loop, pool);
-  log.events = 1;
-  log.stays_open = true;
-  std::size_t told = 0;
-  discovery::Discovery discovery(loop, pool, counters, log.server.address(), discovery::Log(0),
-                                 [&](const core::HostListUpdate&) { ++told; });
+  DiscoveryServer server(loop, pool);
+  server.events = 1;
+  server.stays_open = true;
+  std::size_t updates = 0;
+  discovery::Discovery discovery(loop, pool, counters, server.listener.address(), discovery::Log(0),
+                                 [&](const core::HostListUpdate&) { ++updates; });
   discovery.start();
   Millis next = loop.now();
-  for (int i = 0; i < 5000 && log.asked.size() < 2; ++i) {
+  for (int i = 0; i < 5000 && server.requests.size() < 2; ++i) {
     loop.run_once(loop.now() + Millis(20), [] {});
     if (loop.now() < next)
       continue;
     next = loop.now() + Millis(20);
-    for (const auto& peer : log.server.peers)
-      peer->write("x");  // it trickles on, but no line ends
+    for (const auto& peer : server.listener.peers)
+      peer->write("x");  // bytes arrive, but no line ends
   }
-  CHECK(log.asked.size() == 2);
-  CHECK(log.asked.back() == told);
+  CHECK(server.requests.size() == 2);
+  CHECK(server.requests.back() == updates);
 }
 
 }  // namespace
--- a/tests/golden/admin_golden.cpp
+++ b/tests/golden/admin_golden.cpp
@@ -1,4 +1,4 @@
-// The admin endpoint: its HTTP answers, byte for byte.
+// The admin endpoint: its HTTP responses, byte for byte.
 #include "admin/admin_endpoint.h"
 #include "golden/golden_part.h"
 #include "golden/recording_client.h"
@@ -8,7 +8,8 @@
 
 class SampleOperations final : public admin::AdminOperations {
  public:
-  bool is_ready = true, can_keep = true;
+  bool is_ready = true;
+  bool can_persist = true;
   bool ready() const override { return is_ready; }
   admin::OperationResult disable(const std::string& host) override { return change(host); }
   admin::OperationResult enable(const std::string& host) override { return change(host); }
@@ -22,7 +23,7 @@
   admin::OperationResult change(const std::string& host) const {
     if (host != "h1")
       return admin::OperationResult::unknown_host;
-    return can_keep ? admin::OperationResult::done : admin::OperationResult::not_persisted;
+    return can_persist ? admin::OperationResult::done : admin::OperationResult::not_persisted;
   }
 };
 
@@ -32,13 +33,13 @@
   Endpoint() : endpoint_(world_.loop, world_.counters, operations, 4) {
     REQUIRE(endpoint_.listen("127.0.0.1:0"));
   }
-  std::string answer(const std::string& bytes) {
+  std::string response(const std::string& bytes) {
     RecordingClient client(world_, endpoint_.address(), bytes);
     REQUIRE(world_.run_until([&] { return client.closed(); }));
     return client.received_bytes();
   }
-  std::string answer(const std::string& method, const std::string& path) {
-    return answer(method + " " + path + " HTTP/1.1\r\nHost: x\r\n\r\n");
+  std::string response(const std::string& method, const std::string& path) {
+    return response(method + " " + path + " HTTP/1.1\r\nHost: x\r\n\r\n");
   }
 
  private:
@@ -46,26 +47,26 @@
   admin::AdminEndpoint endpoint_;
 };
 
-void add_faulty(Endpoint& endpoint, std::vector<Sample>& out) {
+void add_malformed(Endpoint& endpoint, std::vector<Sample>& samples) {
   const std::string line = "GET /-/ready HTTP/1.1\r\n", host = "Host: x\r\n";
-  const std::vector<std::pair<std::string, std::string>> faulty = {
+  const std::vector<std::pair<std::string, std::string>> malformed = {
       {"bad request", "GET  /-/ready HTTP/1.1\r\n"},
       {"too large", line + host + "Content-Length: 70000\r\n\r\n"},
       {"long path", "GET /" + std::string(5000, 'a')},
       {"long header", line + "X: " + std::string(5000, 'a')},
       {"encoding", line + host + "Transfer-Encoding: gzip\r\n"},
       {"version", "GET /-/ready HTTP/2.0\r\n"}};
-  for (const auto& [name, bytes] : faulty)
-    out.push_back({name, endpoint.answer(bytes), {}});
+  for (const auto& [name, bytes] : malformed)
+    samples.push_back({name, endpoint.response(bytes), {}});
 }
 
 }  // namespace
 
 Part admin_part() {
   Endpoint endpoint;
-  Part out{"admin", {}};
+  Part part{"admin", {}};
   const auto add = [&](const std::string& name, const std::string& method, const std::string& path) {
-    out.samples.push_back({name, endpoint.answer(method, path), {}});
+    part.samples.push_back({name, endpoint.response(method, path), {}});
   };
   add("ready", "GET", "/-/ready");
   add("ready by another method", "POST", "/-/ready");
@@ -75,11 +76,11 @@
   add("unknown host", "POST", "/-/hosts/h2/enable");
   add("unknown call", "GET", "/-/none");
   add("other call", "GET", "/-/other");
-  add_faulty(endpoint, out.samples);
-  endpoint.operations.is_ready = endpoint.operations.can_keep = false;
+  add_malformed(endpoint, part.samples);
+  endpoint.operations.is_ready = endpoint.operations.can_persist = false;
   add("not ready", "GET", "/-/ready");
   add("not kept", "POST", "/-/hosts/h1/disable");
-  return out;
+  return part;
 }
 
 }  // namespace lotusyard::golden
--- a/tests/hot_restart/hot_restart_test.cpp
+++ b/tests/hot_restart/hot_restart_test.cpp
@@ -1,4 +1,4 @@
-// Two processes that are one invoker: what each may hold, who lives, and a listener that both inherit.
+// Two processes of one invoker: their resource shares, their presence, and a listener that both inherit.
 #include <sys/wait.h>
 #include <unistd.h>
 
@@ -16,24 +16,25 @@
 
 using hot_restart::ProcessRole;
 
-TEST_CASE("what two processes may hold is no more than the limits of one") {
-  for (std::size_t sockets = hot_restart::least_sockets; sockets <= 4096; sockets += 7) {
-    for (std::size_t mb = hot_restart::least_memory_mb; mb <= 512; mb += 9) {
-      const auto alone = hot_restart::shares_of(mb, sockets, ProcessRole::sole);
-      const auto beside = hot_restart::shares_of(mb, sockets, ProcessRole::concurrent);
-      const auto leaving = hot_restart::shares_of(mb, sockets, ProcessRole::draining);
-      REQUIRE(alone.descriptors() <= sockets);
-      REQUIRE(beside.descriptors() * 2 <= sockets);
-      REQUIRE(beside.descriptors() + leaving.descriptors() <= sockets);
-      REQUIRE(alone.bytes() <= mb << 20);
-      REQUIRE(beside.bytes() * 2 <= mb << 20);
-      REQUIRE(alone.clients <= sockets / 3);
-      REQUIRE((beside.clients > 0 && beside.new_connections > 0 && beside.links > 0 && beside.callers >= 4));
+TEST_CASE("the shares of two processes add up to no more than the limits of one") {
+  for (std::size_t sockets = hot_restart::kMinSockets; sockets <= 4096; sockets += 7) {
+    for (std::size_t mb = hot_restart::kMinMemoryMb; mb <= 512; mb += 9) {
+      const auto sole = hot_restart::shares_of(mb, sockets, ProcessRole::sole);
+      const auto concurrent = hot_restart::shares_of(mb, sockets, ProcessRole::concurrent);
+      const auto draining = hot_restart::shares_of(mb, sockets, ProcessRole::draining);
+      REQUIRE(sole.descriptors() <= sockets);
+      REQUIRE(concurrent.descriptors() * 2 <= sockets);
+      REQUIRE(concurrent.descriptors() + draining.descriptors() <= sockets);
+      REQUIRE(sole.bytes() <= mb << 20);
+      REQUIRE(concurrent.bytes() * 2 <= mb << 20);
+      REQUIRE(sole.clients <= sockets / 3);
+      REQUIRE((concurrent.clients > 0 && concurrent.new_connections > 0 && concurrent.links > 0 &&
+               concurrent.callers >= 4));
     }
   }
 }
 
-TEST_CASE("a pool that is to hold less gives back what is not out, and the rest as it comes back") {
+TEST_CASE("a pool that shrinks frees its free blocks at once, and the others when they are returned") {
   net::BufferPool pool(8);
   std::vector<net::BufferPool::Lease> leases;
   for (int i = 0; i < 6; ++i)
@@ -48,7 +49,7 @@
   CHECK(pool.acquire());
 }
 
-TEST_CASE("another process is known to live for as long as it does, however it ends") {
+TEST_CASE("another process is seen for as long as it is alive, however it ends") {
   char name[] = "/tmp/lotusyard-test-XXXXXX";
   REQUIRE(mkdtemp(name) != nullptr);
   const std::string folder = std::string(name) + "/n0";
@@ -62,7 +63,7 @@
     }
     CHECK_FALSE(one.other_lives());
     const pid_t killed = fork();
-    if (killed == 0) {  // it leaves its file behind
+    if (killed == 0) {  // it leaves its file
       static hot_restart::Presence child(folder);
       raise(child.known() ? SIGKILL : SIGTERM);
     }
@@ -76,13 +77,13 @@
   CHECK_FALSE(hot_restart::Presence("/nowhere/at/all").known());
 }
 
-TEST_CASE("only a listening TCP socket is adopted, and is left as it is for others") {
+TEST_CASE("only a listening TCP socket is adopted, and others can still use it") {
   const net::Socket listener = net::listen_on("127.0.0.1:0");
   const std::string address = net::bound_address(listener);
   CHECK_FALSE(net::adopt_listener(-1));
   CHECK_FALSE(net::adopt_listener(9999));
-  const net::Socket talker = net::connect_to(address).socket;
-  CHECK_FALSE(net::adopt_listener(talker.fd()));
+  const net::Socket connection = net::connect_to(address).socket;
+  CHECK_FALSE(net::adopt_listener(connection.fd()));
   {
     const net::Socket mine = net::adopt_listener(dup(listener.fd()));
     REQUIRE(static_cast<bool>(mine));
--- a/tests/net/listeners_test.cpp
+++ b/tests/net/listeners_test.cpp
@@ -1,4 +1,4 @@
-// Each part that listens: out of what accept takes it pauses, does not spin, and comes back by itself.
+// Every listener pauses while accept(2) lacks resources, does not spin, and resumes by itself.
 #include "admin/admin_endpoint.h"
 #include "control/tier.h"
 #include "raft/peer_transport.h"
@@ -14,26 +14,26 @@
   admin::OperationResult enable(const std::string&) override { return admin::OperationResult::done; }
 };
 
-// Turns for so long; the number of accepts that were tried meanwhile.
-template <typename Turn>
-int accepts_while_short(const net::EventLoop& loop, int error, const Turn& turn) {
+// Lets accept fail for a while; returns how often it was called.
+template <typename RunOnce>
+int accepts_while_failing(const net::EventLoop& loop, int error, const RunOnce& run_once) {
   SystemCallFaults faults;
   faults.fail(SystemCall::accept, {error});
   const Millis end = loop.now() + Millis(300);
   while (loop.now() < end)
-    turn();
+    run_once();
   return faults.calls(SystemCall::accept);
 }
 bool few(int accepts) { return accepts > 0 && accepts < 20; }
 
-TEST_CASE("a listener that is short of what accept takes pauses and comes back", "[system-calls]") {
+TEST_CASE("a listener that lacks what accept needs pauses and resumes", "[system-calls]") {
   const int error = GENERATE(EMFILE, ENFILE, ENOBUFS, ENOMEM);
   INFO("error " << error);
-  SECTION("the platform's front") {
+  SECTION("the front end of the platform") {
     Platform p(1);
     Client client(p.world, p.front.address());
     client.call("1", "bin-check", "x");
-    CHECK(few(accepts_while_short(p.world.loop, error, [&] { p.world.turn(); })));
+    CHECK(few(accepts_while_failing(p.world.loop, error, [&] { p.world.turn(); })));
     CHECK(client.answer("1") != nullptr);
   }
   SECTION("the admin endpoint") {
@@ -42,30 +42,30 @@
     admin::AdminEndpoint endpoint(world.loop, world.counters, operations, 4);
     REQUIRE(endpoint.listen("127.0.0.1:0"));
     const net::Socket caller = net::connect_to(endpoint.address()).socket;
-    CHECK(few(accepts_while_short(world.loop, error, [&] { world.turn(); })));
+    CHECK(few(accepts_while_failing(world.loop, error, [&] { world.turn(); })));
     CHECK(world.run_until([&] { return world.counters.value("console.connections") == 1; }, 1000));
   }
-  SECTION("the group's links") {
+  SECTION("the peer transport of a raft group") {
     InvokerFixture world(0);
     raft::PeerTransport links(
         world.loop, world.counters, {}, [](const auto&, auto&&) {}, [](const auto&) {});
     REQUIRE(links.listen("127.0.0.1:0"));
     const net::Socket caller = net::connect_to(links.address()).socket;
-    CHECK(few(accepts_while_short(world.loop, error, [&] { world.turn(); })));
+    CHECK(few(accepts_while_failing(world.loop, error, [&] { world.turn(); })));
     REQUIRE(::send(caller.fd(), "garbage that is no frame", 24, MSG_NOSIGNAL) == 24);
     const auto closed = [&] { return net::peek_peer(caller) == net::PeerState::disconnected; };
-    CHECK(world.run_until(closed, 1000));  // accepted, read and let go
+    CHECK(world.run_until(closed, 1000));  // accepted, read and closed
   }
   SECTION("a control node's server") {
     Tier tier;
     auto& server = tier.add_node();
     const net::Socket caller = net::connect_to(server.address()).socket;
-    CHECK(few(accepts_while_short(tier.loop, error, [&] { tier.turn(); })));
+    CHECK(few(accepts_while_failing(tier.loop, error, [&] { tier.turn(); })));
     CHECK(tier.until([&] { return server.links() == 1; }, Millis(1000)));
   }
 }
 
-TEST_CASE("lost connections keep no listener from the sound one behind them", "[system-calls]") {
+TEST_CASE("connections that were lost do not delay the sound one behind them", "[system-calls]") {
   const int error = GENERATE(ECONNABORTED, EPROTO, ENETDOWN, EHOSTUNREACH);
   Platform p(1);
   Client client(p.world, p.front.address());
--- a/tests/net/parsers_test.cpp
+++ b/tests/net/parsers_test.cpp
@@ -1,4 +1,4 @@
-// The parsers under random cuts of valid messages and under random garbage.
+// The parsers, with valid messages in random pieces and with random bytes.
 #include <catch2/catch.hpp>
 #include <string>
 #include <vector>
@@ -23,7 +23,7 @@
   return out;
 }
 
-TEST_CASE("RESP arrays come out as they went in, however they are cut") {
+TEST_CASE("RESP arrays parse to what was written, in whatever pieces they arrive") {
   Random random(1);
   for (int round = 0; round < kRounds; ++round) {
     std::vector<resp::Words> sent(1 + below(random, 4));
@@ -40,7 +40,7 @@
   }
 }
 
-TEST_CASE("what is no RESP array of allowed size spoils the stream") {
+TEST_CASE("anything but a RESP array of allowed size is malformed") {
   Random random(2);
   bool sound = true;
   for (const char* bad : {"*0\r\n", "*9\r\n", "*-1\r\n", "*1\r\n$16385\r\n", "*1\r\n$x\r\n",
@@ -56,7 +56,7 @@
   CHECK(sound);
 }
 
-TEST_CASE("hosts' lines come out as they went in, however they are cut") {
+TEST_CASE("hosts' lines parse to what was written, in whatever pieces they arrive") {
   Random random(3);
   for (int round = 0; round < kRounds; ++round) {
     std::string bytes;
@@ -85,7 +85,7 @@
   CHECK_FALSE(sound);
 }
 
-TEST_CASE("AMQP frames, properties and tables come out as they went in, however they are cut") {
+TEST_CASE("AMQP frames, properties and tables parse to what was written, in whatever pieces they arrive") {
   Random random(4);
   for (int round = 0; round < kRounds; ++round) {
     std::string bytes;
@@ -122,7 +122,7 @@
 }
 
 // Bytes as the specification prints them, so that writer and reader cannot be wrong alike.
-TEST_CASE("AMQP bytes stand in the order of the specification") {
+TEST_CASE("AMQP bytes are in the order of the specification") {
   using namespace std::string_literals;
   CHECK(amqp::frame(amqp::FrameType::heartbeat, 0, {}) == "\x08\0\0\0\0\0\0\xCE"s);
   CHECK(amqp::frame(amqp::FrameType::method, 1, "\0\x3C\0\x50"s) == "\x01\0\x01\0\0\0\x04\0\x3C\0\x50\xCE"s);
@@ -137,7 +137,7 @@
   CHECK(table.table() == amqp::Table{{"s", "hi"s}, {"n", std::int64_t{-2}}, {"v", std::monostate()}});
 }
 
-TEST_CASE("garbage ends a stream or is passed over; it never ends the process") {
+TEST_CASE("random bytes end a stream or are ignored; they never end the process") {
   Random random(5);
   bool sound = false;
   for (int round = 0; round < 20 * kRounds; ++round) {
@@ -145,7 +145,7 @@
     parse_cut<hosts::LineParser, hosts::Reply>(random, garbage(random, "ab =-1 20\r\n"), sound);
     parse_cut<amqp::FrameParser, amqp::Frame>(random, garbage(random, std::string("\1\2\3\0\0\0\1\xCE", 8)),
                                               sound);
-    parse_cut<discovery::LineCutter, std::string>(random, garbage(random, "{}[]\":1,\n"), sound);
+    parse_cut<discovery::LineSplitter, std::string>(random, garbage(random, "{}[]\":1,\n"), sound);
     amqp::read_content_header(std::string("\0\x3C\0\0", 4) +
                               garbage(random, std::string("\0\1FAStx\xFF", 8)));
     const std::string wild = garbage(random, std::string("\0\0\0\1FAStx", 9));
@@ -158,7 +158,7 @@
   }
 }
 
-TEST_CASE("the change log is read once and in order") {
+TEST_CASE("discovery events are accepted once and in order") {
   const auto event = [](int seq) {
     return R"({"seq":)" + std::to_string(seq) +
            R"(,"fleet":{"complete":false,"members":[{"id":"s","host_port":"127.0.0.1:9",)"
--- a/tests/net/system_calls_test.cpp
+++ b/tests/net/system_calls_test.cpp
@@ -1,4 +1,4 @@
-// What sockets, connections and the loop make of system calls that fail.
+// How sockets, connections and the event loop handle system calls that fail.
 #include <sys/socket.h>
 
 #include <catch2/catch.hpp>
@@ -19,17 +19,17 @@
   std::string address = net::bound_address(socket);
 };
 
-// Keeps what it reads.
+// Stores what it receives.
 class Reader final : public net::BufferedConnection {
  public:
   Reader(net::EventLoop& loop, net::BufferPool& pool, net::Socket socket, bool connecting)
       : BufferedConnection(loop, pool, std::move(socket), connecting) {}
-  std::string got;
-  bool has_ended = false;
+  std::string received;
+  bool has_closed = false;
 
  private:
-  void on_received(std::string_view bytes) override { got += bytes; }
-  void on_closed() override { has_ended = true; }
+  void on_received(std::string_view bytes) override { received += bytes; }
+  void on_closed() override { has_closed = true; }
 };
 
 // Two ends of one connection, on one loop.
@@ -48,7 +48,7 @@
   }
 };
 
-TEST_CASE("each error of a connect has its kind: this machine's, or the peer's", "[system-calls]") {
+TEST_CASE("each error of a connect has its kind", "[system-calls]") {
   const Listener listener;
   const std::vector<std::pair<int, ConnectErrorKind>> errors = {
       {EADDRNOTAVAIL, ConnectErrorKind::local_resource}, {EAGAIN, ConnectErrorKind::local_resource},
@@ -73,16 +73,17 @@
   }
 }
 
-TEST_CASE("a connect that a signal interrupts is under way", "[system-calls]") {
+TEST_CASE("a connect that a signal interrupts continues", "[system-calls]") {
   SystemCallFaults faults;
   faults.fail(SystemCall::connect, {EINTR}, 1, 1);
   Pair pair;
   CHECK(faults.failures(SystemCall::connect) == 1);
   pair.near.write("x");
-  CHECK(pair.until([&] { return pair.far.got == "x"; }));
+  CHECK(pair.until([&] { return pair.far.received == "x"; }));
 }
 
-TEST_CASE("a connect that fails late is typed like one that fails at once", "[system-calls]") {
+TEST_CASE("a connect that fails late has the same kind of error as one that fails at once",
+          "[system-calls]") {
   const std::vector<std::pair<int, ConnectErrorKind>> errors = {
       {EADDRNOTAVAIL, ConnectErrorKind::local_resource},
       {ECONNREFUSED, ConnectErrorKind::refused},
@@ -94,14 +95,14 @@
     Pair pair;
     std::string counted;
     pair.loop.count_errors([&](const metrics::Counter& counter) { counted += counter.name; });
-    REQUIRE(pair.until([&] { return pair.near.has_ended; }));
+    REQUIRE(pair.until([&] { return pair.near.has_closed; }));
     REQUIRE(pair.near.connect_error());
     CHECK(pair.near.connect_error()->kind == kind);
     CHECK(counted == net::counter_of(kind).name);
   }
 }
 
-TEST_CASE("a connection that was lost before accept costs the next one no turn", "[system-calls]") {
+TEST_CASE("a connection that was lost before accept does not delay the next one", "[system-calls]") {
   for (const int error : {ECONNABORTED, EPROTO, ENETDOWN, EHOSTUNREACH, EINTR, ENOPROTOOPT, ENETUNREACH}) {
     const Listener listener;
     const net::ConnectResult waiting = net::connect_to(listener.address);
@@ -114,7 +115,7 @@
   }
 }
 
-TEST_CASE("a machine that lacks what accept takes is told from a queue that is empty", "[system-calls]") {
+TEST_CASE("a lack of resources in accept is distinguished from an empty queue", "[system-calls]") {
   for (const int error : {EMFILE, ENFILE, ENOBUFS, ENOMEM}) {
     const Listener listener;
     SystemCallFaults faults;
@@ -122,37 +123,37 @@
     CHECK(net::accept_from(listener.socket).status == AcceptStatus::out_of_resources);
     CHECK(net::accept_from(listener.socket).status == AcceptStatus::none_waiting);
   }
-  const Listener listener;  // one that gives nothing but lost connections must not hold up the loop
+  const Listener listener;  // one with nothing but lost connections must not block the loop
   SystemCallFaults faults;
   faults.fail(SystemCall::accept, {ECONNABORTED});
   CHECK(net::accept_from(listener.socket).status == AcceptStatus::out_of_resources);
   CHECK(faults.calls(SystemCall::accept) < 100);
 }
 
-TEST_CASE("a poll that fails tells of nothing, does not spin, and timers go on", "[system-calls]") {
+TEST_CASE("a poll that fails calls no handler and does not spin, and timers still fire", "[system-calls]") {
   for (const int error : {EINTR, ENOMEM}) {
     Pair pair;
     REQUIRE(pair.until([&] { return pair.near.is_open(); }));
     pair.far.write("x");
     pair.far.flush_now();
-    bool rung = false;
-    pair.loop.schedule_at(pair.loop.now() + Millis(40), [&] { rung = true; });
+    bool fired = false;
+    pair.loop.schedule_at(pair.loop.now() + Millis(40), [&] { fired = true; });
     {
       SystemCallFaults faults;
       faults.fail(SystemCall::poll, {error});
       const Millis end = pair.loop.now() + Millis(200);
       while (pair.loop.now() < end)
         pair.loop.run_once(end, [] {});
-      CHECK(rung);
-      CHECK(pair.near.got.empty());
+      CHECK(fired);
+      CHECK(pair.near.received.empty());
       CHECK(faults.calls(SystemCall::receive) == 0);
       CHECK(faults.calls(SystemCall::poll) < 100);
     }
-    CHECK(pair.until([&] { return pair.near.got == "x"; }));
+    CHECK(pair.until([&] { return pair.near.received == "x"; }));
   }
 }
 
-TEST_CASE("whether a peer has gone is known also while poll fails", "[system-calls]") {
+TEST_CASE("whether a peer has disconnected is known also while poll fails", "[system-calls]") {
   for (const int error : {EINTR, ENOMEM}) {
     const Listener listener;
     const net::ConnectResult near = net::connect_to(listener.address);
@@ -169,7 +170,7 @@
   }
 }
 
-TEST_CASE("memory that is short for a while ends no connection, and the loop rests", "[system-calls]") {
+TEST_CASE("a short lack of memory closes no connection, and the loop does not spin", "[system-calls]") {
   const SystemCall call = GENERATE(SystemCall::receive, SystemCall::send);
   const int error = GENERATE(ENOBUFS, ENOMEM);
   Pair pair;
@@ -181,13 +182,13 @@
     pair.until([] { return false; }, Millis(300));
     CHECK(faults.calls(call) < 150);
   }
-  CHECK(pair.far.got.empty());
-  CHECK(pair.until([&] { return pair.far.got == "well"; }));
-  CHECK_FALSE((pair.near.has_ended || pair.far.has_ended));
-  SystemCallFaults faults;  // but it is not waited for without end
+  CHECK(pair.far.received.empty());
+  CHECK(pair.until([&] { return pair.far.received == "well"; }));
+  CHECK_FALSE((pair.near.has_closed || pair.far.has_closed));
+  SystemCallFaults faults;  // a long one does
   faults.fail(call, {error});
   pair.near.write("more");
-  CHECK(pair.until([&] { return pair.near.has_ended || pair.far.has_ended; }));
+  CHECK(pair.until([&] { return pair.near.has_closed || pair.far.has_closed; }));
 }
 
 }  // namespace
