--- a/src/endpoints/disabled_host_files.cpp
+++ b/src/endpoints/disabled_host_files.cpp
@@ -7,62 +7,74 @@
 
 #include <cerrno>
 #include <memory>
+#include <string_view>
 
 #include "net/socket.h"
 
 namespace lotusyard::endpoints {
 namespace {
 
-constexpr std::size_t kLongestName = 200;
-const std::string kPrefix = "out.";
+constexpr std::size_t kMaxFileNameBytes = 200;  // file systems allow 255
+constexpr std::string_view kFilePrefix = "out.";
+constexpr std::string_view kHexDigits = "0123456789ABCDEF";
+constexpr mode_t kFolderMode = 0700;
+constexpr mode_t kFileMode = 0600;
 
-bool plain(char c) {
-  return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || c == '-' || c == '_';
+bool is_plain(char character) {
+  const bool is_digit = character >= '0' && character <= '9';
+  const bool is_lower = character >= 'a' && character <= 'z';
+  const bool is_upper = character >= 'A' && character <= 'Z';
+  return is_digit || is_lower || is_upper || character == '-' || character == '_';
+}
+
+std::string escape(char character) {
+  const auto byte = static_cast<unsigned char>(character);
+  return {'%', kHexDigits[byte >> 4], kHexDigits[byte & 15]};
 }
 
 }  // namespace
 
 std::string DisabledHostFiles::file_name(const std::string& host) {
-  static constexpr const char* digits = "0123456789ABCDEF";
-  std::string out;
-  for (const char c : host) {
-    if (plain(c)) {
-      out += c;
-      continue;
-    }
-    const auto byte = static_cast<unsigned char>(c);
-    out += '%';
-    out += digits[byte >> 4];
-    out += digits[byte & 15];
+  std::string name;
+  for (const char character : host) {
+    if (is_plain(character))
+      name += character;
+    else
+      name += escape(character);
   }
-  return out.size() > kLongestName ? std::string() : out;
+  return name.size() > kMaxFileNameBytes ? std::string() : name;
 }
 
 std::optional<std::string> DisabledHostFiles::host_name(const std::string& file) {
-  std::string out;
+  std::string host;
   for (std::size_t i = 0; i < file.size(); ++i) {
     if (file[i] != '%') {
-      out += file[i];
+      host += file[i];
       continue;
     }
-    const std::string hex = file.substr(i + 1, 2);
-    if (hex.size() != 2 || hex.find_first_not_of("0123456789ABCDEF") != std::string::npos)
+    const std::string digits = file.substr(i + 1, 2);
+    if (digits.size() != 2 || digits.find_first_not_of(kHexDigits) != std::string::npos)
       return std::nullopt;
-    out += static_cast<char>(std::stoi(hex, nullptr, 16));
+    host += static_cast<char>(std::stoi(digits, nullptr, 16));
     i += 2;
   }
-  // Only names that are ours: no other file stands for a host.
-  return !out.empty() && file_name(out) == file ? std::optional<std::string>(out) : std::nullopt;
+  // A name that file_name() would not produce was made by something else.
+  if (host.empty() || file_name(host) != file)
+    return std::nullopt;
+  return host;
+}
+
+std::string DisabledHostFiles::path_of(const std::string& encoded_host) const {
+  return folder_ + '/' + std::string(kFilePrefix) + encoded_host;
 }
 
 bool DisabledHostFiles::add(const std::string& host) {
   const std::string name = file_name(host);
   if (folder_.empty() || name.empty())
     return false;
-  if (mkdir(folder_.c_str(), 0700) != 0 && errno != EEXIST)
+  if (mkdir(folder_.c_str(), kFolderMode) != 0 && errno != EEXIST)
     return false;
-  const net::Socket file(
-      open((folder_ + '/' + kPrefix + name).c_str(), O_WRONLY | O_CREAT | O_CLOEXEC, 0600));
+  const net::Socket file(open(path_of(name).c_str(), O_WRONLY | O_CREAT | O_CLOEXEC, kFileMode));
   return static_cast<bool>(file);
 }
 
@@ -70,24 +82,24 @@
   const std::string name = file_name(host);
   if (folder_.empty() || name.empty())
     return false;
-  return unlink((folder_ + '/' + kPrefix + name).c_str()) == 0 || errno == ENOENT;
+  return unlink(path_of(name).c_str()) == 0 || errno == ENOENT;
 }
 
 std::optional<std::set<std::string>> DisabledHostFiles::read() const {
-  std::set<std::string> out;
+  std::set<std::string> hosts;
   if (folder_.empty())
     return std::nullopt;
   const std::unique_ptr<DIR, int (*)(DIR*)> folder(opendir(folder_.c_str()), &closedir);
   if (!folder)
-    return errno == ENOENT ? std::optional(out) : std::nullopt;
+    return errno == ENOENT ? std::optional(hosts) : std::nullopt;
   while (const dirent* entry = readdir(folder.get())) {
     const std::string name = entry->d_name;
-    if (name.compare(0, kPrefix.size(), kPrefix) != 0)
-      continue;  // others lie there as well
-    if (const auto host = host_name(name.substr(kPrefix.size())))
-      out.insert(*host);
+    if (name.compare(0, kFilePrefix.size(), kFilePrefix) != 0)
+      continue;  // the folder also holds files of other kinds
+    if (const auto host = host_name(name.substr(kFilePrefix.size())))
+      hosts.insert(*host);
   }
-  return out;
+  return hosts;
 }
 
 }  // namespace lotusyard::endpoints
--- a/src/endpoints/disabled_host_files.h
+++ b/src/endpoints/disabled_host_files.h
@@ -1,25 +1,36 @@
-// Which hosts are out by hand, kept where a process and its replacement both look: one empty file for each.
+// Stores which hosts operators disabled, where a process and its replacement both find it.
 #pragma once
 
 #include <optional>
 #include <set>
 #include <string>
+#include <utility>
 
 namespace lotusyard::endpoints {
 
-// Each change is one system call, so that neither a kill nor another process finds half of one.
+// One empty file for each disabled host. Each change is one system call, so neither a crash nor another
+// process leaves or sees half of it.
 class DisabledHostFiles {
  public:
-  explicit DisabledHostFiles(std::string folder)
-      : folder_(std::move(folder)) {}                     // empty: there is no such place
-  bool add(const std::string& host);                      // false: it is not kept
-  bool remove(const std::string& host);                   // false: it is still kept
-  std::optional<std::set<std::string>> read() const;      // nothing: the folder cannot be read
-  static std::string file_name(const std::string& host);  // any id as a file's name; empty: too long for one
+  // An empty folder name: there is no storage, and every call fails.
+  explicit DisabledHostFiles(std::string folder) : folder_(std::move(folder)) {}
+
+  // Returns false if the change could not be stored. Storing it again is no error.
+  bool add(const std::string& host);
+  bool remove(const std::string& host);
+
+  // Returns nothing if the folder cannot be read. A missing folder holds no hosts.
+  std::optional<std::set<std::string>> read() const;
+
+  // Encodes any host id as a file name; empty if it is too long for one.
+  static std::string file_name(const std::string& host);
+  // The inverse; nothing if no host has that file name.
   static std::optional<std::string> host_name(const std::string& file);
 
  private:
   std::string folder_;
+
+  std::string path_of(const std::string& encoded_host) const;
 };
 
 }  // namespace lotusyard::endpoints
--- a/src/endpoints/endpoint_states.cpp
+++ b/src/endpoints/endpoint_states.cpp
@@ -8,75 +8,93 @@
 
 using core::HostState;
 
-core::ListedHost EndpointStates::state_of(const std::string& id, const Host& host) const {
+core::ListedHost EndpointStates::effective_state(const std::string& id, const Host& host) const {
   core::ListedHost state = host.listed;
   state.entry.started = host.started;
-  const bool left_alone = suspended_ || disabled(id) || in_maintenance_.count(id) != 0;
-  if (left_alone && state.entry.state == HostState::ready)
+  const bool is_excluded = suspended_ || disabled(id) || in_maintenance_.count(id) != 0;
+  if (is_excluded && state.entry.state == HostState::ready)
     state.entry.state = HostState::draining;
-  // A host that was out may have started anew, and the list, seconds late, does not say so yet.
+  // A host that was excluded may have restarted, and the list does not say so for seconds.
   state.entry.enabled_by_operator = host.enabled_at > state.entry.started;
   if (state.entry.enabled_by_operator)
     state.entry.started = host.enabled_at;
   return state;
 }
 
-// A host that has just started, stamped by a clock that is behind, would be taken for a warm one, and
-// one stamped in the future for cold until then. What cannot be believed counts from when it was first seen.
-core::Millis EndpointStates::start_of(const Host* before, core::Millis stamped,
-                                      const ClockReading& sight) const {
-  if (!see_)
-    return stamped;
-  if (before != nullptr && before->listed.entry.started == stamped)
-    return before->started;
-  if (stamped.count() <= 0)
-    return stamped;  // it has not started late
-  const bool ahead = stamped > sight.now;
-  const bool behind_itself = before != nullptr && stamped <= before->started;
-  const bool untold = first_list_at_ && stamped < *first_list_at_ - untold_most;
-  const bool by_another_clock = first_list_at_ && sight.wall_has_stepped;
-  return ahead || behind_itself || untold || by_another_clock ? sight.now : stamped;
+// A host that has just started would be taken for a warm one if its clock is behind, and for one that warms
+// up until a time in the future if its clock is ahead. A start time that is not credible is replaced by the
+// time at which it was first seen.
+core::Millis EndpointStates::start_time(const Host* known, core::Millis listed_start,
+                                        const ClockReading& clock) const {
+  if (!read_clock_)
+    return listed_start;
+  if (known != nullptr && known->listed.entry.started == listed_start)
+    return known->started;
+  if (listed_start.count() <= 0)
+    return listed_start;  // the host has run since before the list began
+  return is_credible_start(known, listed_start, clock) ? listed_start : clock.now;
+}
+
+bool EndpointStates::is_credible_start(const Host* known, core::Millis listed_start,
+                                       const ClockReading& clock) const {
+  if (listed_start > clock.now)
+    return false;
+  if (known != nullptr && listed_start <= known->started)
+    return false;
+  if (!first_list_at_)
+    return true;
+  return listed_start >= *first_list_at_ - kMaxListDelay && !clock.wall_has_stepped;
 }
 
 void EndpointStates::apply_list(const core::HostListUpdate& list, core::ListKind kind) {
-  core::HostListUpdate states{list.complete, {}};
-  const ClockReading sight = see_ ? see_() : ClockReading();
-  std::set<std::string> named;
-  for (const auto& member : list.hosts) {
-    const std::string& id = member.entry.host;
-    const auto before = hosts_.find(id);
-    const core::Millis started =
-        start_of(before == hosts_.end() ? nullptr : &before->second, member.entry.started, sight);
-    Host& host = hosts_[id];
-    host.started = started;
-    host.listed = member;
-    named.insert(id);
-    states.hosts.push_back(state_of(id, host));
-    if (member.entry.state == HostState::gone)
-      forget_removed(id);
+  core::HostListUpdate update{list.complete, {}};
+  const ClockReading clock = read_clock_ ? read_clock_() : ClockReading();
+  std::set<std::string> listed;
+  for (const auto& host : list.hosts) {
+    listed.insert(host.entry.host);
+    update.hosts.push_back(apply_host(host, clock));
+    if (host.entry.state == HostState::gone)
+      forget_removed(host.entry.host);
   }
-  std::vector<std::string> left;
+  if (list.complete)
+    remove_unlisted(listed);
+  if (!first_list_at_)
+    first_list_at_ = clock.now;
+  update_handler_(update, kind);
+}
+
+// Returns the effective state of the host.
+core::ListedHost EndpointStates::apply_host(const core::ListedHost& listed, const ClockReading& clock) {
+  const std::string& id = listed.entry.host;
+  const auto found = hosts_.find(id);
+  const Host* known = found == hosts_.end() ? nullptr : &found->second;
+  const core::Millis started = start_time(known, listed.entry.started, clock);
+  Host& host = hosts_[id];
+  host.started = started;
+  host.listed = listed;
+  return effective_state(id, host);
+}
+
+void EndpointStates::remove_unlisted(const std::set<std::string>& listed) {
+  std::vector<std::string> removed;
   for (auto& [id, host] : hosts_) {
-    if (!list.complete || named.count(id) != 0 || host.listed.entry.state == HostState::gone)
+    if (listed.count(id) != 0 || host.listed.entry.state == HostState::gone)
       continue;
     host.listed.entry.state = HostState::gone;
-    left.push_back(id);
+    removed.push_back(id);
   }
-  for (const auto& id : left)
+  for (const auto& id : removed)
     forget_removed(id);
-  if (!first_list_at_)
-    first_list_at_ = sight.now;
-  update_handler_(states, kind);
 }
 
-// Bounds the table of hosts; the one place where it shrinks.
+// Bounds the table of hosts: the only place where it shrinks.
 void EndpointStates::forget_removed(const std::string& id) {
   removed_.push_back(id);
-  while (removed_.size() > max_removed_hosts) {
+  while (removed_.size() > kMaxRemovedHosts) {
     const auto oldest = hosts_.find(removed_.front());
-    const bool gone = oldest != hosts_.end() && oldest->second.listed.entry.state == HostState::gone;
-    const bool again = std::count(removed_.begin(), removed_.end(), removed_.front()) > 1;
-    if (gone && !again)
+    const bool is_gone = oldest != hosts_.end() && oldest->second.listed.entry.state == HostState::gone;
+    const bool was_removed_again = std::count(removed_.begin(), removed_.end(), removed_.front()) > 1;
+    if (is_gone && !was_removed_again)
       hosts_.erase(oldest);
     removed_.pop_front();
   }
@@ -86,7 +104,7 @@
   const auto found = hosts_.find(id);
   if (found == hosts_.end() || found->second.listed.entry.state == HostState::gone)
     return;
-  update_handler_({false, {state_of(id, found->second)}}, core::ListKind::delta);
+  update_handler_({false, {effective_state(id, found->second)}}, core::ListKind::delta);
 }
 
 void EndpointStates::disable(const std::string& host) {
@@ -96,7 +114,7 @@
 
 void EndpointStates::enable(const std::string& host, core::Millis now) {
   if (disabled_.erase(host) == 0)
-    return;  // it was not out: it may be as warm as it likes
+    return;  // it may be warm
   const auto found = hosts_.find(host);
   if (found == hosts_.end())
     return;
@@ -104,25 +122,35 @@
   notify(host);
 }
 
-void EndpointStates::set_in_maintenance(const std::set<std::string>& out, const std::set<std::string>& anew,
-                                        core::Millis now) {
-  const std::set<std::string> before = std::exchange(in_maintenance_, out);
-  for (const auto& id : out) {
+void EndpointStates::set_disabled(const std::set<std::string>& disabled_hosts, core::Millis now) {
+  const std::set<std::string> before = disabled_;
+  for (const auto& host : disabled_hosts)
+    disable(host);
+  for (const auto& host : before) {
+    if (disabled_hosts.count(host) == 0)
+      enable(host, now);
+  }
+}
+
+void EndpointStates::set_in_maintenance(const std::set<std::string>& in_maintenance,
+                                        const std::set<std::string>& restarted, core::Millis now) {
+  const std::set<std::string> before = std::exchange(in_maintenance_, in_maintenance);
+  for (const auto& id : in_maintenance) {
     if (before.count(id) == 0)
       notify(id);
   }
   for (const auto& id : before) {
-    if (out.count(id) != 0)
+    if (in_maintenance.count(id) != 0)
       continue;
     const auto found = hosts_.find(id);
-    if (found != hosts_.end() && anew.count(id) != 0)
+    if (found != hosts_.end() && restarted.count(id) != 0)
       found->second.enabled_at = now;
     notify(id);
   }
 }
 
-void EndpointStates::suspend_all(bool held) {
-  if (std::exchange(suspended_, held) == held)
+void EndpointStates::suspend_all(bool suspended) {
+  if (std::exchange(suspended_, suspended) == suspended)
     return;
   for (const auto& [id, host] : hosts_)
     notify(id);
@@ -136,22 +164,12 @@
 }
 
 std::map<std::string, core::ListedHost> EndpointStates::listed_hosts() const {
-  std::map<std::string, core::ListedHost> out;
+  std::map<std::string, core::ListedHost> listed;
   for (const auto& [id, host] : hosts_) {
     if (host.listed.entry.state != HostState::gone)
-      out.emplace(id, host.listed);
-  }
-  return out;
-}
-
-void EndpointStates::set_disabled(const std::set<std::string>& out, core::Millis now) {
-  const std::set<std::string> before = disabled_;
-  for (const auto& host : out)
-    disable(host);
-  for (const auto& host : before) {
-    if (out.count(host) == 0)
-      enable(host, now);
+      listed.emplace(id, host.listed);
   }
+  return listed;
 }
 
 }  // namespace lotusyard::endpoints
--- a/src/endpoints/endpoint_states.h
+++ b/src/endpoints/endpoint_states.h
@@ -1,7 +1,7 @@
-// One state a host, out of the list and the operators' hand. Whoever hears of hosts tells it here; it tells
-// the hosts' part and the core what has become of them. No I/O; the time is passed in.
+// The effective state of each host: what the endpoint list says, overridden by operators and maintenance.
 #pragma once
 
+#include <cstddef>
 #include <deque>
 #include <functional>
 #include <map>
@@ -13,62 +13,81 @@
 
 namespace lotusyard::endpoints {
 
+// All changes of hosts go through it; it notifies the host connections and the policy of what results. Does
+// no I/O and has no clock of its own.
 class EndpointStates {
  public:
-  // What is told holds for calls and load orders from then on.
+  // Called with the effective states of hosts that may have changed.
   using UpdateHandler = std::function<void(const core::HostListUpdate&, core::ListKind)>;
-  // What the process's clock says, and whether the wall clock has been set since the process started.
+
   struct ClockReading {
     core::Millis now{0};
-    bool wall_has_stepped = false;
+    bool wall_has_stepped = false;  // the wall clock was set since the process started
   };
-  using See = std::function<ClockReading()>;
-  // Without `see`, hosts' starts are taken as the list stamps them.
-  explicit EndpointStates(UpdateHandler told, See see = nullptr)
-      : update_handler_(std::move(told)), see_(std::move(see)) {}
+  using ClockReader = std::function<ClockReading()>;
+
+  // Without a `read_clock`, the start times of hosts are taken as the list gives them.
+  explicit EndpointStates(UpdateHandler on_update, ClockReader read_clock = nullptr)
+      : update_handler_(std::move(on_update)), read_clock_(std::move(read_clock)) {}
 
+  // Takes an update of the endpoint list.
   void apply_list(const core::HostListUpdate& list, core::ListKind kind);
 
+  // Whether the host is or was on the list, or is disabled. A host that has left the list is known for a
+  // while.
   bool is_known(const std::string& host) const {
     return hosts_.count(host) != 0 || disabled_.count(host) != 0;
   }
+
+  // Hosts that operators disabled get no new calls, whatever the list says.
   bool disabled(const std::string& host) const { return disabled_.count(host) != 0; }
   const std::set<std::string>& disabled() const { return disabled_; }
   void disable(const std::string& host);
+  // The host counts as just started at `now`. Does nothing if it is not disabled.
   void enable(const std::string& host, core::Millis now);
-  // Hosts that a group's works leave no use of, in whole. Those of `anew` that are used again are cold from
-  // now on; the others were only left alone.
-  void set_in_maintenance(const std::set<std::string>& out, const std::set<std::string>& anew,
+  // Replaces the set of disabled hosts by that of another process.
+  void set_disabled(const std::set<std::string>& disabled_hosts, core::Millis now);
+
+  // Replaces the set of hosts that get no new calls because of maintenance. Hosts that leave the set and are
+  // in `restarted` count as just started at `now`.
+  void set_in_maintenance(const std::set<std::string>& in_maintenance, const std::set<std::string>& restarted,
                           core::Millis now);
-  void suspend_all(bool held);  // no host is used while it holds
-  // As the list names it; nothing: it does not, or says that it is gone.
-  std::optional<core::ListedHost> find_listed(const std::string& host) const;
-  std::map<std::string, core::ListedHost> listed_hosts() const;  // that are not gone, as listed
 
-  // Who is out as another process has it, in whole.
-  void set_disabled(const std::set<std::string>& out, core::Millis now);
+  // While suspended, no host gets new calls.
+  void suspend_all(bool suspended);
+
+  // The host as it is on the list; nothing if it is not on it or is gone.
+  std::optional<core::ListedHost> find_listed(const std::string& host) const;
+  // All hosts on the list that are not gone, as they are on it.
+  std::map<std::string, core::ListedHost> listed_hosts() const;
 
  private:
-  // Hosts that are gone stay known for a while: one that is away for a short time can still be taken out.
-  static constexpr std::size_t max_removed_hosts = 1024;
+  // Hosts that are gone stay known, so that one that is away for a short time can still be disabled.
+  static constexpr std::size_t kMaxRemovedHosts = 1024;
+  // A new host cannot have started so long before this process saw its first list: the start time is from a
+  // clock that differs.
+  static constexpr core::Millis kMaxListDelay{600e3};
+
   struct Host {
     core::ListedHost listed;
-    core::Millis started{0};     // by this process's clock, and no earlier than it was
-    core::Millis enabled_at{0};  // when the hand last put it back; it is cold from then on
+    core::Millis started{0};     // by this process's clock; never decreases
+    core::Millis enabled_at{0};  // when it last returned from being disabled or in maintenance
   };
-  // A host that comes anew with a stamp so much older than this process is stamped by another clock.
-  static constexpr core::Millis untold_most{600e3};
+
   UpdateHandler update_handler_;
-  See see_;
+  ClockReader read_clock_;
   std::optional<core::Millis> first_list_at_;
   std::map<std::string, Host> hosts_;
-  std::set<std::string> disabled_;  // also of hosts that no list names any more
+  std::set<std::string> disabled_;  // may contain hosts that have left the list
   std::set<std::string> in_maintenance_;
   bool suspended_ = false;
-  std::deque<std::string> removed_;
+  std::deque<std::string> removed_;  // hosts that are gone, oldest first
 
-  core::Millis start_of(const Host* before, core::Millis stamped, const ClockReading& sight) const;
-  core::ListedHost state_of(const std::string& id, const Host& host) const;
+  core::ListedHost effective_state(const std::string& id, const Host& host) const;
+  core::ListedHost apply_host(const core::ListedHost& listed, const ClockReading& clock);
+  core::Millis start_time(const Host* known, core::Millis listed_start, const ClockReading& clock) const;
+  bool is_credible_start(const Host* known, core::Millis listed_start, const ClockReading& clock) const;
+  void remove_unlisted(const std::set<std::string>& listed);
   void notify(const std::string& id);
   void forget_removed(const std::string& id);
 };
--- a/tests/endpoints/endpoint_states_test.cpp
+++ b/tests/endpoints/endpoint_states_test.cpp
@@ -1,4 +1,4 @@
-// Hosts out by hand: one state out of list and hand, and its files.
+// Effective states of hosts that are on the list and may be disabled, and the files that store the latter.
 #include "endpoints/endpoint_states.h"
 
 #include <sys/stat.h>
@@ -22,150 +22,179 @@
 using endpoints::DisabledHostFiles;
 using endpoints::EndpointStates;
 
-core::ListedHost member(const std::string& id, HostState state, double started = 0) {
-  core::ListedHost out;
-  out.entry.host = id;
-  out.entry.state = state;
-  out.entry.started = Millis(started);
-  out.address = "127.0.0.1:1";
-  return out;
+core::ListedHost listed_host(const std::string& id, HostState state, double started = 0) {
+  core::ListedHost host;
+  host.entry.host = id;
+  host.entry.state = state;
+  host.entry.started = Millis(started);
+  host.address = "127.0.0.1:1";
+  return host;
 }
 
-struct Seen {  // what hosts and core would believe
+// The states that the update handler was called with.
+struct RecordedStates {
   std::map<std::string, core::HostEntry> hosts;
-  int tellings = 0;
-  EndpointStates membership{[this](const core::HostListUpdate& list, core::ListKind) {
-    ++tellings;
-    std::set<std::string> named;
-    for (const auto& m : list.hosts) {
-      hosts[m.entry.host] = m.entry;
-      named.insert(m.entry.host);
+  int updates = 0;
+  EndpointStates states{[this](const core::HostListUpdate& list, core::ListKind) {
+    ++updates;
+    std::set<std::string> listed;
+    for (const auto& host : list.hosts) {
+      hosts[host.entry.host] = host.entry;
+      listed.insert(host.entry.host);
     }
     for (auto& [id, entry] : hosts) {
-      if (list.complete && named.count(id) == 0)
+      if (list.complete && listed.count(id) == 0)
         entry.state = HostState::gone;
     }
   }};
 };
 
-TEST_CASE("a host out by hand is draining whatever the list says, till one call puts it back, cold") {
-  Seen seen;
-  seen.membership.apply_list({true, {member("a", HostState::ready, 5), member("b", HostState::ready)}},
-                             core::ListKind::cached);
-  CHECK_FALSE(seen.membership.is_known("c"));
-  seen.membership.disable("a");
-  const int told = seen.tellings;
-  seen.membership.disable("a");
-  CHECK(seen.tellings == told);  // twice is once
-  CHECK(seen.hosts["a"].state == HostState::draining);
-  seen.membership.apply_list({false, {member("a", HostState::ready, 900)}}, core::ListKind::delta);
-  seen.membership.apply_list({true, {member("a", HostState::ready, 900)}}, core::ListKind::full);
-  CHECK(seen.hosts["a"].state == HostState::draining);
-  CHECK(seen.hosts["b"].state == HostState::gone);
-  seen.membership.enable("a", Millis(2000));
-  CHECK((seen.hosts["a"].state == HostState::ready && seen.hosts["a"].started == Millis(2000)));
-  CHECK(seen.hosts["a"].enabled_by_operator);
-  seen.membership.enable("a", Millis(3000));  // it was not out
-  seen.membership.apply_list({false, {member("a", HostState::ready, 900)}}, core::ListKind::delta);
-  CHECK(seen.hosts["a"].started == Millis(2000));  // the list does not know of its new start yet
-  seen.membership.apply_list({false, {member("a", HostState::ready, 4000)}}, core::ListKind::delta);
-  CHECK(seen.hosts["a"].started == Millis(4000));
+TEST_CASE(
+    "a disabled host is draining whatever the list says, until it is enabled and counts as just started") {
+  RecordedStates recorded;
+  recorded.states.apply_list(
+      {true, {listed_host("a", HostState::ready, 5), listed_host("b", HostState::ready)}},
+      core::ListKind::cached);
+  CHECK_FALSE(recorded.states.is_known("c"));
+  recorded.states.disable("a");
+  const int updates = recorded.updates;
+  recorded.states.disable("a");
+  CHECK(recorded.updates == updates);  // is disabled already
+  CHECK(recorded.hosts["a"].state == HostState::draining);
+  recorded.states.apply_list({false, {listed_host("a", HostState::ready, 900)}}, core::ListKind::delta);
+  recorded.states.apply_list({true, {listed_host("a", HostState::ready, 900)}}, core::ListKind::full);
+  CHECK(recorded.hosts["a"].state == HostState::draining);
+  CHECK(recorded.hosts["b"].state == HostState::gone);
+  recorded.states.enable("a", Millis(2000));
+  CHECK((recorded.hosts["a"].state == HostState::ready && recorded.hosts["a"].started == Millis(2000)));
+  CHECK(recorded.hosts["a"].enabled_by_operator);
+  recorded.states.enable("a", Millis(3000));  // it is not disabled
+  recorded.states.apply_list({false, {listed_host("a", HostState::ready, 900)}}, core::ListKind::delta);
+  CHECK(recorded.hosts["a"].started == Millis(2000));  // the list is older than its restart
+  recorded.states.apply_list({false, {listed_host("a", HostState::ready, 4000)}}, core::ListKind::delta);
+  CHECK(recorded.hosts["a"].started == Millis(4000));
 }
 
-TEST_CASE("a host that is out and has left the list stays known, and out when it comes back") {
-  Seen seen;
-  seen.membership.apply_list({true, {member("a", HostState::ready)}}, core::ListKind::cached);
-  seen.membership.disable("a");
-  seen.membership.apply_list({false, {member("a", HostState::gone)}}, core::ListKind::delta);
-  for (int i = 0; i < 3000; ++i) {  // long after, thousands of others have come and gone
+TEST_CASE("a disabled host that has left the list stays known, and is still disabled when it returns") {
+  RecordedStates recorded;
+  recorded.states.apply_list({true, {listed_host("a", HostState::ready)}}, core::ListKind::cached);
+  recorded.states.disable("a");
+  recorded.states.apply_list({false, {listed_host("a", HostState::gone)}}, core::ListKind::delta);
+  for (int i = 0; i < 3000; ++i) {  // much later, thousands of others have come and gone
     const std::string id = "x" + std::to_string(i);
-    seen.membership.apply_list({false, {member(id, HostState::ready)}}, core::ListKind::delta);
-    seen.membership.apply_list({false, {member(id, HostState::gone)}}, core::ListKind::delta);
+    recorded.states.apply_list({false, {listed_host(id, HostState::ready)}}, core::ListKind::delta);
+    recorded.states.apply_list({false, {listed_host(id, HostState::gone)}}, core::ListKind::delta);
   }
-  CHECK_FALSE(seen.membership.is_known("x0"));
-  CHECK(seen.membership.is_known("x2999"));
-  CHECK(seen.membership.is_known("a"));
-  seen.membership.apply_list({false, {member("a", HostState::ready, 70)}}, core::ListKind::delta);
-  CHECK(seen.hosts["a"].state == HostState::draining);
-  seen.membership.enable("a", Millis(90));
-  CHECK(seen.hosts["a"].state == HostState::ready);
+  CHECK_FALSE(recorded.states.is_known("x0"));
+  CHECK(recorded.states.is_known("x2999"));
+  CHECK(recorded.states.is_known("a"));
+  recorded.states.apply_list({false, {listed_host("a", HostState::ready, 70)}}, core::ListKind::delta);
+  CHECK(recorded.hosts["a"].state == HostState::draining);
+  recorded.states.enable("a", Millis(90));
+  CHECK(recorded.hosts["a"].state == HostState::ready);
 }
 
-// Random series of list events, calls at either of two processes, restarts and kills, against the plain rule:
-// out is who was called out last and not back since; ready is who the list says is ready and is not out.
-TEST_CASE("whatever happens in whatever order, both processes agree on who is out") {
+// Two processes of one invoker that share a folder, and the plain rule for them: the disabled hosts are those
+// that were disabled last and not enabled since, and a host is ready if the list says so and it is not
+// disabled.
+class TwoProcesses {
+ public:
+  explicit TwoProcesses(Random& random) : random_(random) {
+    for (auto& process : processes_)
+      restart(process);
+  }
+
+  // One random event: an update of the list, an operator's call or a restart.
+  void step(Millis now) {
+    const std::string id(1, static_cast<char>('a' + below(random_, 5)));
+    auto& process = *processes_[below(random_, 2)];
+    switch (below(random_, 6)) {
+      case 0:
+      case 1:
+        update_list(id, now);
+        break;
+      case 2:
+        disable(process, id);
+        break;
+      case 3:
+        enable(process, id, now);
+        break;
+      case 4:
+        restart(processes_[below(random_, 2)]);
+        break;
+      default:
+        break;
+    }
+    for (auto& each : processes_)
+      each->states.set_disabled(*DisabledHostFiles(folder_.path).read(), now);
+  }
+
+  void check() {
+    for (const auto& process : processes_) {
+      REQUIRE(process->states.disabled() == disabled_);
+      for (const auto& [id, host] : listed_) {
+        const bool ready = host.entry.state == HostState::ready && disabled_.count(id) == 0;
+        REQUIRE((process->hosts[id].state == HostState::ready) == ready);
+      }
+    }
+  }
+
+ private:
+  const Folder folder_;
+  Random& random_;
+  std::map<std::string, core::ListedHost> listed_;
+  std::set<std::string> disabled_;
+  std::vector<std::unique_ptr<RecordedStates>> processes_{2};
+
+  void restart(std::unique_ptr<RecordedStates>& process) {
+    process = std::make_unique<RecordedStates>();
+    process->states.set_disabled(*DisabledHostFiles(folder_.path).read(), Millis(0));
+    core::HostListUpdate all{true, {}};
+    for (const auto& [id, host] : listed_)
+      all.hosts.push_back(host);
+    process->states.apply_list(all, core::ListKind::cached);
+  }
+  void update_list(const std::string& id, Millis now) {
+    const auto state = static_cast<HostState>(below(random_, 3));
+    listed_[id] = listed_host(id, state, below(random_, 2) == 0 ? 0 : now.count());
+    for (auto& process : processes_)
+      process->states.apply_list({false, {listed_[id]}}, core::ListKind::delta);
+  }
+  // Sometimes a process is killed between the file and the state in memory.
+  void disable(RecordedStates& process, const std::string& id) {
+    if (!process.states.is_known(id))
+      return;
+    REQUIRE(DisabledHostFiles(folder_.path).add(id));
+    disabled_.insert(id);
+    if (below(random_, 4) == 0)
+      restart(processes_[0]);
+    else
+      process.states.disable(id);
+  }
+  void enable(RecordedStates& process, const std::string& id, Millis now) {
+    if (!process.states.is_known(id))
+      return;
+    REQUIRE(DisabledHostFiles(folder_.path).remove(id));
+    disabled_.erase(id);
+    if (below(random_, 4) == 0)
+      restart(processes_[1]);
+    else
+      process.states.enable(id, now);
+  }
+};
+
+TEST_CASE("after any sequence of events, both processes agree on the disabled hosts") {
   Random random(11);
   for (int round = 0; round < 60; ++round) {
-    const Folder folder;
-    std::map<std::string, core::ListedHost> listed;
-    std::set<std::string> out;
-    std::vector<std::unique_ptr<Seen>> process(2);
-    const auto start = [&](std::unique_ptr<Seen>& one) {
-      one = std::make_unique<Seen>();
-      one->membership.set_disabled(*DisabledHostFiles(folder.path).read(), Millis(0));
-      core::HostListUpdate all{true, {}};
-      for (const auto& [id, m] : listed)
-        all.hosts.push_back(m);
-      one->membership.apply_list(all, core::ListKind::cached);
-    };
-    for (auto& one : process)
-      start(one);
+    TwoProcesses processes(random);
     for (int step = 1; step <= 120; ++step) {
-      const Millis now(1000.0 * step);
-      const std::string id(1, static_cast<char>('a' + below(random, 5)));
-      auto& one = *process[below(random, 2)];
-      DisabledHostFiles files(folder.path);
-      switch (below(random, 6)) {
-        case 0:
-        case 1: {
-          const auto state = static_cast<HostState>(below(random, 3));
-          listed[id] = member(id, state, below(random, 2) == 0 ? 0 : now.count());
-          for (auto& p : process)
-            p->membership.apply_list({false, {listed[id]}}, core::ListKind::delta);
-          break;
-        }
-        case 2:  // the call out, killed at times between the file and the memory
-          if (!one.membership.is_known(id))
-            break;
-          REQUIRE(files.add(id));
-          out.insert(id);
-          if (below(random, 4) == 0) {
-            start(process[0]);
-          } else {
-            one.membership.disable(id);
-          }
-          break;
-        case 3:
-          if (!one.membership.is_known(id))
-            break;
-          REQUIRE(files.remove(id));
-          out.erase(id);
-          if (below(random, 4) == 0) {
-            start(process[1]);
-          } else {
-            one.membership.enable(id, now);
-          }
-          break;
-        case 4:
-          start(process[below(random, 2)]);
-          break;  // it is replaced
-        default:
-          break;
-      }
-      for (auto& p : process)
-        p->membership.set_disabled(*files.read(), now);
-      for (const auto& p : process) {
-        REQUIRE(p->membership.disabled() == out);
-        for (const auto& [host_id, m] : listed) {
-          const bool ready = m.entry.state == HostState::ready && out.count(host_id) == 0;
-          REQUIRE((p->hosts[host_id].state == HostState::ready) == ready);
-        }
-      }
+      processes.step(Millis(1000.0 * step));
+      processes.check();
     }
   }
 }
 
-TEST_CASE("any id has a file of its own name, and no other file is taken for one") {
+TEST_CASE("each id has a file name of its own, and no other file name is an id") {
   Random random(12);
   for (int i = 0; i < 2000; ++i) {
     std::string id = garbage(random, "s-0./%_Az").substr(0, 60);
@@ -181,7 +210,7 @@
   CHECK(DisabledHostFiles::file_name(std::string(300, 'a')).empty());
 }
 
-TEST_CASE("what cannot be kept is refused") {
+TEST_CASE("a change that cannot be stored fails") {
   DisabledHostFiles nowhere("");
   CHECK_FALSE(nowhere.add("a"));
   CHECK_FALSE(nowhere.read());
@@ -190,7 +219,7 @@
   CHECK_FALSE(missing.add("a"));
   const std::string file = folder.path + "/out.file";
   REQUIRE(DisabledHostFiles(folder.path).add("file"));
-  DisabledHostFiles under(file);  // a file stands where the folder should
+  DisabledHostFiles under(file);  // a file is in place of the folder
   CHECK_FALSE(under.add("a"));
   CHECK_FALSE(under.remove("a"));
   CHECK_FALSE(under.read());
