--- a/src/app/invoker.h
+++ b/src/app/invoker.h
@@ -1,4 +1,4 @@
-// One invoker: its parts, wired together, from its start to its end.
+// One invoker process: creates its parts, connects them, and runs the event loop until it has shut down.
 #pragma once
 
 #include <memory>
@@ -8,6 +8,8 @@
 #include "admin/admin_endpoint.h"
 #include "amqp/front_end.h"
 #include "app/app.h"
+#include "app/configuration_reload.h"
+#include "app/graceful_shutdown.h"
 #include "app/signals.h"
 #include "config/config.h"
 #include "core/dispatcher.h"
@@ -25,50 +27,77 @@
 
 class Invoker final : private admin::AdminOperations {
  public:
-  Invoker(std::string file, const ResultStoreFactory& make_store, const ExtensionFactory& make_extension);
+  // Reads the configuration file and starts all parts. Throws config::ConfigError if the configuration is
+  // faulty or cannot be followed, and another exception if a resource is lacking.
+  Invoker(std::string configuration_file, const ResultStoreFactory& make_store,
+          const ExtensionFactory& make_extension);
   ~Invoker() override;
-  void run();  // until it has been told to end, and has
+
+  // Serves until SIGTERM or SIGINT has come and the graceful shutdown is complete, then prints the counters.
+  void run();
 
  private:
-  const std::string file_;
+  // In the order of construction: each part uses those above it.
   net::EventLoop loop_;
-  Signals signals_;
-  nlohmann::json replaceable_keys_;  // of the file that is followed
-  std::shared_ptr<const config::Config> config_;
-  const std::string state_folder_;  // what outlives this process; empty: nothing does
+  Signals signals_;  // before the configuration is read: no signal may kill the process while it starts
+  ReloadableConfiguration configuration_;
+  const std::string state_folder_;  // shared by the processes of this invoker; empty: there is none
   metrics::Counters counters_;
   hot_restart::Presence presence_;
   hot_restart::ProcessRole role_;
-  net::BufferPool pool_;
+  net::BufferPool pool_;  // for what waits to be written to clients and hosts
   hosts::HostConnectionPool host_connections_;
   core::Dispatcher dispatcher_;
-  endpoints::DisabledHostFiles disabled_host_files_;
+  endpoints::DisabledHostFiles disabled_host_files_;  // in state_folder_
   endpoints::EndpointStates endpoint_states_;
-  std::optional<discovery::Discovery> discovery_;
-  std::optional<xds::HostFile> host_file_;
+  std::optional<discovery::Discovery> discovery_;  // the endpoint list comes from the change log,
+  std::optional<xds::HostFile> host_file_;         // or from a file; one of the two is set
   resp::FrontEnd front_;
-  std::unique_ptr<idempotency::ResultStore> store_;
+  std::unique_ptr<idempotency::ResultStore> store_;  // null: results are kept in memory only
   std::optional<amqp::FrontEnd> triggers_;
-  std::unique_ptr<InvokerExtension> extension_;
+  std::unique_ptr<InvokerExtension> extension_;  // may be null
   std::optional<admin::AdminEndpoint> admin_endpoint_;
-  net::EventLoop::TimerId poll_timer_{};
-  core::Millis shutdown_started_at_{0};
+  net::EventLoop::TimerId poll_timer_{};  // of poll_shared_state()
+  GracefulShutdown shutdown_;
 
-  bool replaces() const { return config_->listen_fd >= 0; }  // processes take turns at one listener
-  bool is_shutting_down() const { return shutdown_started_at_.count() > 0; }
+  const config::Config& config() const { return configuration_.current(); }
+  // Whether the listener is inherited, so that another process of this invoker may have it, too.
+  bool shares_listener() const { return config().listen_fd >= 0; }
   hot_restart::ResourceShares resource_shares() const;
-  resp::FrontEnd::Limits front_limits() const;
+
+  // The start, in invoker_startup.cpp.
+  void attach_extension(const ExtensionFactory& make_extension);
   void watch_endpoint_list();
+  discovery::Log replay_known_events();
+  void watch_host_file();
+  void watch_change_log(discovery::Log log);
   void listen();
-  void attach_extension(const ExtensionFactory& make_extension);
-  void open_admin_endpoint();
+  void listen_on_inherited();
   void start_amqp_consumer(const ResultStoreFactory& make_store);
-  void poll_shared_state();  // at what another process of this invoker has done
-  void set_role(hot_restart::ProcessRole standing);
+
+  void update_endpoints(const core::HostListUpdate& list, core::ListKind kind);
+  void set_quota(double quota);
+
+  // Reads what other processes of this invoker have changed: hosts disabled by hand, and which processes
+  // live.
+  void poll_shared_state();
+  void set_role(hot_restart::ProcessRole role);
+
+  void handle_signals();
+  // Replaces the configuration, or reports why it cannot be replaced and keeps the old one.
   void reload_configuration();
+  void move_endpoint_source(const config::Config& next);
+  void apply_configuration(ReloadableConfiguration::Replacement replacement);
+
+  // The graceful shutdown, in invoker_shutdown.cpp.
+  core::Millis next_wake_up() const;
   void begin_shutdown();
-  bool shutdown_complete();
+  bool run_shutdown_iteration();  // true once the process may exit
+  void observe(ShutdownFacts& facts) const;
+  void execute(ShutdownCommand command, ShutdownFacts& facts);
 
+  // The admin endpoint, in invoker_admin_endpoint.cpp.
+  void open_admin_endpoint();
   bool ready() const override;
   admin::OperationResult disable(const std::string& host) override;
   admin::OperationResult enable(const std::string& host) override;
--- a/src/app/invoker_admin_endpoint.cpp
+++ b/src/app/invoker_admin_endpoint.cpp
@@ -1,4 +1,4 @@
-// What the operators' calls do.
+// The operations of the admin endpoint.
 #include <iostream>
 
 #include "app/invoker.h"
@@ -6,20 +6,20 @@
 namespace lotusyard {
 
 void Invoker::open_admin_endpoint() {
-  if (config_->console.empty())
+  if (config().console.empty())
     return;
   admin_endpoint_.emplace(loop_, counters_, static_cast<admin::AdminOperations&>(*this),
                           resource_shares().callers);
-  if (!admin_endpoint_->listen(config_->console)) {
-    throw config::ConfigError("configuration: console: cannot listen on " + config_->console);
+  if (!admin_endpoint_->listen(config().console)) {
+    throw config::ConfigError("configuration: console: cannot listen on " + config().console);
   }
-  std::cout << "lotusyard " << config_->name << " is operated at " << config_->console << std::endl;
+  std::cout << "lotusyard " << config().name << " is operated at " << config().console << std::endl;
   if (state_folder_.empty())
     std::cerr << "lotusyard: TMPDIR is not set: no host can be taken out by hand" << std::endl;
 }
 
 bool Invoker::ready() const {
-  return front_.listening() && !is_shutting_down() && (!extension_ || extension_->ready());
+  return front_.listening() && !shutdown_.has_begun() && (!extension_ || extension_->ready());
 }
 
 std::optional<admin::Response> Invoker::handle_request(const admin::Request& request) {
@@ -32,7 +32,7 @@
   if (!disabled_host_files_.add(host))
     return admin::OperationResult::not_persisted;
   endpoint_states_.disable(host);
-  std::cout << "lotusyard " << config_->name << ": host " << host << " is out by hand" << std::endl;
+  std::cout << "lotusyard " << config().name << ": host " << host << " is out by hand" << std::endl;
   return admin::OperationResult::done;
 }
 
@@ -42,7 +42,7 @@
   if (!disabled_host_files_.remove(host))
     return admin::OperationResult::not_persisted;
   endpoint_states_.enable(host, loop_.now());
-  std::cout << "lotusyard " << config_->name << ": host " << host << " may be used again" << std::endl;
+  std::cout << "lotusyard " << config().name << ": host " << host << " may be used again" << std::endl;
   return admin::OperationResult::done;
 }
 
--- a/src/app/signals.cpp
+++ b/src/app/signals.cpp
@@ -9,17 +9,31 @@
 namespace lotusyard {
 namespace {
 
-volatile std::sig_atomic_t g_terminate = 0, g_print = 0, g_reread = 0;
-int g_wake_fd = -1;  // the write end of a pipe: a signal must end poll(2) at once
+// A signal handler can reach nothing but globals.
+volatile std::sig_atomic_t g_terminate = 0;
+volatile std::sig_atomic_t g_print = 0;
+volatile std::sig_atomic_t g_reload = 0;
+int g_wake_fd = -1;  // the write end of the pipe that wakes up poll(2)
+
+volatile std::sig_atomic_t& flag_of(int signal) {
+  switch (signal) {
+    case SIGUSR1:
+      return g_print;
+    case SIGHUP:
+      return g_reload;
+    default:
+      return g_terminate;
+  }
+}
 
 void on_signal(int signal) {
-  (signal == SIGUSR1 ? g_print : signal == SIGHUP ? g_reread : g_terminate) = 1;
+  flag_of(signal) = 1;
   const char byte = 0;
   if (write(g_wake_fd, &byte, 1) < 0)
-    return;  // full: the loop wakes anyway
+    return;  // the pipe is full: the loop wakes up anyway
 }
 
-bool taken(volatile std::sig_atomic_t& flag) {
+bool test_and_clear(volatile std::sig_atomic_t& flag) {
   if (flag == 0)
     return false;
   flag = 0;
@@ -36,12 +50,12 @@
   write_end_ = net::Socket(ends[1]);
   g_wake_fd = write_end_.fd();
   loop_.register_handler(read_end_.fd(), *this, POLLIN, net::EventLoop::Priority::urgent);
-  struct sigaction act {};
-  act.sa_handler = on_signal;
+  struct sigaction action {};
+  action.sa_handler = on_signal;
   for (const int signal : {SIGTERM, SIGINT, SIGUSR1, SIGHUP})
-    sigaction(signal, &act, nullptr);
-  act.sa_handler = SIG_IGN;
-  sigaction(SIGPIPE, &act, nullptr);
+    sigaction(signal, &action, nullptr);
+  action.sa_handler = SIG_IGN;
+  sigaction(SIGPIPE, &action, nullptr);
 }
 
 Signals::~Signals() { loop_.unregister(read_end_.fd(), *this); }
@@ -52,8 +66,8 @@
   }
 }
 
-bool Signals::print_requested() { return taken(g_print); }
-bool Signals::reload_requested() { return taken(g_reread); }
-bool Signals::terminate_requested() { return taken(g_terminate); }
+bool Signals::print_requested() { return test_and_clear(g_print); }
+bool Signals::reload_requested() { return test_and_clear(g_reload); }
+bool Signals::terminate_requested() { return test_and_clear(g_terminate); }
 
 }  // namespace lotusyard
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,16 +1,17 @@
-// The platform's program: no store, no further libraries.
+// The platform's program: an invoker without an extension, which keeps results in memory only.
 #include <iostream>
 
 #include "app/app.h"
 
-int main(int count, char** words) {
-  if (count > 2) {
+int main(int argument_count, char** arguments) {
+  if (argument_count > 2) {
     std::cerr
         << "usage: lotusyard [FILE]   the configuration; without it the one that BALANCER_CONFIG names\n";
     return 2;
   }
   try {
-    return lotusyard::run(count == 2 ? words[1] : lotusyard::environment("BALANCER_CONFIG"), nullptr);
+    const std::string file = argument_count == 2 ? arguments[1] : lotusyard::environment("BALANCER_CONFIG");
+    return lotusyard::run(file, nullptr);
   } catch (const std::exception& fault) {
     std::cerr << "lotusyard: " << fault.what() << std::endl;
     return 1;
