--- a/src/hosts/connection_pool.h
+++ b/src/hosts/connection_pool.h
@@ -1,58 +1,58 @@
-// The hosts and the connections to them: attempts, probes and orders go out here and their ends come back.
+// The connections to all hosts: sends attempts, load requests and probes, and reports how they ended.
 #pragma once
 
-#include <deque>
+#include <cstdint>
 #include <functional>
 #include <map>
-#include <memory>
 #include <string>
 #include <vector>
 
 #include "core/dispatcher.h"
 #include "core/listed_host.h"
-#include "hosts/connection_wait.h"
-#include "metrics/counters.h"
-#include "net/buffered_connection.h"
-#include "net/event_loop.h"
+#include "hosts/connection_selector.h"
+#include "hosts/connection_services.h"
+#include "hosts/deferred_ends.h"
+#include "hosts/host_connection_listener.h"
+#include "hosts/limits.h"
+#include "hosts/pooled_host.h"
+#include "hosts/reachable_hosts.h"
+#include "hosts/waiting_sends.h"
 
 namespace lotusyard::hosts {
 
-using core::Millis;
-
-// How a connection that has fallen silent is asked whether anything still comes over it.
-enum class LivenessProbe { none, health, order };  // order: one that only asks, where probes are not allowed
-
-struct Limits {
-  Millis connect_timeout{250}, idle{15000}, order_timeout{10000};
-  LivenessProbe liveness = LivenessProbe::health;
-  Millis quiet{400};        // a connection is never asked sooner than after this, where answers take long
-  Millis past_kept{10000};  // a late answer to an attempt that has ended may still come for so long
-  std::size_t attempts_a_link = 32, links_a_host = 4, links = 256;
-  std::size_t longest_answer = 1U << 20;   // the body of one; a link holds at most one that is not whole yet
-  std::size_t incoming = 32U << 20;        // bytes of answers that are not whole yet, over all links
-  std::vector<std::string> report_fields;  // in the order in which the module wants them
-};
-
-class HostConnectionPool final : public core::HostTransport {
+// Ends are reported to the dispatcher from the event loop, never from within a call to the pool. What cannot
+// be sent because this machine can make no connection waits for one; whatever else cannot be sent ends as a
+// failed connect.
+class HostConnectionPool final : public core::HostTransport, private HostConnectionListener {
  public:
-  HostConnectionPool(net::EventLoop& loop, net::BufferPool& pool, metrics::Counters& counters, Limits limits);
+  // All references have to outlive the pool.
+  HostConnectionPool(net::EventLoop& loop, net::BufferPool& buffers, metrics::Counters& counters,
+                     Limits limits);
   ~HostConnectionPool() override;
+
+  // Reports ends to this dispatcher from now on, and filters its hosts. Call it before anything is sent.
   void attach(core::Dispatcher& dispatcher);
-  // Which hosts a call may go to, as far as connections tell, and as `next` says beside that, where set.
+  // The filter of hosts by connections; hosts have to pass `next` as well, unless it is null.
   policy::HostFilter* host_filter(policy::HostFilter* next);
 
+  // Applies a list of hosts, or a change of it. Connections to hosts that are not ready any more are retired.
   void update_endpoints(const core::HostListUpdate& list);
-  // Nothing that was decided for this host and is not with the kernel yet goes out any more.
+  // Withdraws all that was decided for the host and is not with the kernel yet.
   void abort_unsent(const std::string& host);
-  // No call of this process is at the host: none is out, and what was given up has run out of time.
+  // True if no call of this process runs at the host: none is in flight, and none that was cancelled or lost
+  // may still be running.
   bool has_no_calls(const std::string& host) const;
-  // Asked before anything new goes to a host, where set: a call, a load of the function, or what names
-  // neither.
+
+  // Decides whether a host may be sent something new: a call, a load of the function, or, where both are
+  // empty, what is neither.
   using SendFilter =
       std::function<bool(const std::string& host, const core::Call* call, std::uint64_t function)>;
+  // An empty filter allows everything.
   void set_send_filter(SendFilter may_send) { send_filter_ = std::move(may_send); }
-  void set_limits(const Limits& limits) { limits_ = limits; }  // open connections keep to them from now on
+  // Applies to open connections as well.
+  void set_limits(const Limits& limits) { services_.limits = limits; }
 
+  // See core::HostTransport.
   void send_attempt(const core::Attempt& attempt, const std::string& host, const core::Call& call,
                     Millis attempt_timeout) override;
   bool cancel_attempt(const core::Attempt& attempt) override;
@@ -61,78 +61,57 @@
   void unload(const std::string& host, std::uint64_t function) override;
 
  private:
-  class HostConnection;
-  struct Host {
-    core::ListedHost member;
-    std::vector<std::shared_ptr<HostConnection>> connections;
-    Millis calls_expire_at{0};         // when the last call that went there has run out of time
-    bool has_cancelled_calls = false;  // one was given up, and may run there till then
-    bool may_run_cancelled_calls(Millis now) const { return has_cancelled_calls && calls_expire_at > now; }
-  };
-  net::EventLoop& loop_;
-  net::BufferPool& pool_;
-  metrics::Counters& counters_;
-  Limits limits_;
-  core::Dispatcher* dispatcher_ = nullptr;
-  std::map<std::string, Host> hosts_;
-  std::map<core::Attempt, HostConnection*> attempts_;
-  SendFilter send_filter_;
-  std::size_t connections_ = 0, incoming_ = 0;
-  std::uint64_t last_tag_ = 0;
-  Millis usual_answer_{0};  // moving average over all hosts
-  double probes_left_ = 0;  // a token bucket, filled by what is sent
+  enum class RetryResult { finished, keep_waiting };
 
-  bool allows(const std::string& id, const core::Call* call, std::uint64_t function) const;
-  Host* ready_host(const std::string& id, const core::Call* call, std::uint64_t function);
-  struct LinkChoice {
-    HostConnection* link = nullptr;
-    bool local_trouble = false;  // there is none for this machine's sake, and soon there may be one
-  };
-  class ReachableHosts final : public policy::HostFilter {
-   public:
-    explicit ReachableHosts(const HostConnectionPool& fleet) : fleet_(fleet) {}
-    void ask_too(policy::HostFilter* next) { next_ = next; }
-    bool allows(const std::string& tenant, std::uint64_t function, const std::string& id) override;
+  // The endpoint list: connection_pool_endpoints.cpp.
+  void update_endpoint(const core::ListedHost& endpoint);
+  void retire_others_at_address(const core::ListedHost& endpoint);
+  void forget_unused_hosts();
+  void retire(PooledHost& host);
 
-   private:
-    const HostConnectionPool& fleet_;
-    policy::HostFilter* next_ = nullptr;
-  };
-  ReachableHosts reachable_hosts_{*this};
-  ConnectBackoff backoff_;
-  WaitingSends waiting_;
-  net::EventLoop::TimerId waiting_timer_{};
+  // The host if it may be sent this now, or null.
+  PooledHost* find_sendable_host(const std::string& host, const core::Call* call, std::uint64_t function);
+  void send_attempt_on(HostConnection& connection, const core::Attempt& attempt, const core::Call& call,
+                       Millis attempt_timeout);
 
-  LinkChoice connection_for(Host& host, const std::string& ref);
-  LinkChoice open_link(Host& host);
-  bool in_local_trouble() const;
-  bool has_open_link(const Host& host) const;
-  bool is_reachable(const Host& host) const;
-  void send_attempt(HostConnection& link, const core::Attempt& attempt, const core::Call& call,
-                    Millis attempt_timeout);
-  void wait(WaitingSend&& send);
-  void wait_for_connection(const core::Attempt& attempt, const std::string& host, const core::Call& call,
-                           Millis until);
-  void wait_with(WaitingSend::Kind kind, const std::string& host, std::uint64_t function, int copies);
-  void arm_waiting();
-  void try_waiting();
-  bool try_again(WaitingSend& send);
-  bool may_move_on(const WaitingSend& send, Millis now) const;
-  void send_on(HostConnection& link, const WaitingSend& send);
-  void end_waiting(const WaitingSend& send);
+  // Waiting for a connection: connection_pool_waiting.cpp.
+  void enqueue_waiting(WaitingSend&& send);
+  void arm_retry_timer();
+  void retry_waiting();
+  RetryResult retry(const WaitingSend& send);
+  PooledHost* find_sendable_host(const WaitingSend& send);
+  bool may_move_to_other_host(const WaitingSend& send, Millis now) const;
+  void send_on(HostConnection& connection, const WaitingSend& send);
+  void abort_waiting(const WaitingSend& send);
   void end_unreachable(const WaitingSend& send);
   void withdraw_waiting(const std::string& host);
-  void notify_later(std::function<void()> tell);
-  // Told in the next turn: none of these went out.
-  void attempt_not_sent(const core::Attempt& attempt);
-  void probe_not_sent(const std::string& id);
-  void load_not_sent(const std::string& id, std::uint64_t function);
-  core::Report parse_report(const std::string& text) const;
-  void connection_closed(HostConnection& link);
-  void account_incoming(HostConnection& link, std::size_t before, std::size_t now);
-  Millis max_silence() const;
-  void record_answer_time(Millis took);
-  bool take_liveness_probe();
+
+  // What connections report: connection_pool_listener.cpp.
+  bool may_send(const std::string& host, const core::Call* call, std::uint64_t function) const override;
+  void on_attempt_answered(const core::Attempt& attempt, core::AttemptEnd&& end) override;
+  void on_attempt_not_sent(const core::Attempt& attempt) override;
+  void on_attempts_lost(const std::string& host, const std::vector<LostAttempt>& lost) override;
+  void on_attempt_needs_connection(const core::Attempt& attempt, const std::string& host,
+                                   const core::Call& call, Millis deadline) override;
+  void on_probe_ended(core::ProbeOutcome&& outcome) override;
+  void on_probe_not_sent(const std::string& host) override;
+  void on_probe_needs_connection(const std::string& host) override;
+  void on_load_ended(core::LoadOutcome&& outcome) override;
+  void on_load_not_sent(const std::string& host, std::uint64_t function) override;
+  void on_load_needs_connection(const std::string& host, std::uint64_t function, int copies) override;
+  void on_buffered_bytes_changed(HostConnection& connection, std::size_t before, std::size_t now) override;
+  void on_connection_closed(HostConnection& connection) override;
+
+  ConnectionServices services_;
+  std::map<std::string, PooledHost> hosts_;
+  std::map<core::Attempt, HostConnection*> attempts_;  // in flight
+  ConnectionSelector selector_{services_};
+  ReachableHosts reachable_hosts_{services_, hosts_};
+  DeferredEnds deferred_ends_{services_};
+  SendFilter send_filter_;
+  WaitingSends waiting_;
+  net::EventLoop::TimerId retry_timer_{};
+  std::size_t incoming_bytes_ = 0;  // of incomplete answers, over all connections
 };
 
 }  // namespace lotusyard::hosts
--- /dev/null
+++ b/src/hosts/connection_pool_endpoints.cpp
@@ -0,0 +1,59 @@
+// What changes of the endpoint list mean for connections.
+#include <set>
+
+#include "hosts/connection_pool.h"
+
+namespace lotusyard::hosts {
+
+using core::HostState;
+
+void HostConnectionPool::update_endpoints(const core::HostListUpdate& list) {
+  std::set<std::string> listed;
+  for (const auto& endpoint : list.hosts) {
+    listed.insert(endpoint.entry.host);
+    update_endpoint(endpoint);
+  }
+  if (list.complete) {
+    for (auto& [id, host] : hosts_) {
+      if (listed.count(id) != 0)
+        continue;
+      host.set_state(HostState::gone);
+      retire(host);
+    }
+  }
+  forget_unused_hosts();
+}
+
+void HostConnectionPool::update_endpoint(const core::ListedHost& endpoint) {
+  PooledHost& host = hosts_[endpoint.entry.host];
+  if (host.is_replaced_by(endpoint))
+    retire(host);
+  host.set_endpoint(endpoint);
+  if (host.is_ready()) {
+    retire_others_at_address(endpoint);
+  } else {
+    retire(host);
+  }
+}
+
+// A new host may have the address of one that is gone, and be taken for it.
+void HostConnectionPool::retire_others_at_address(const core::ListedHost& endpoint) {
+  for (auto& [id, other] : hosts_) {
+    if (id != endpoint.entry.host && other.endpoint().address == endpoint.address)
+      retire(other);
+  }
+}
+
+// Hosts that are gone are forgotten with their last connection, or each deployment would leave some behind.
+void HostConnectionPool::forget_unused_hosts() {
+  const Millis now = services_.loop.now();
+  for (auto host = hosts_.begin(); host != hosts_.end();)
+    host = host->second.may_be_forgotten(now) ? hosts_.erase(host) : std::next(host);
+}
+
+void HostConnectionPool::retire(PooledHost& host) {
+  withdraw_waiting(host.endpoint().entry.host);
+  host.retire_connections(UnsentRequests::abort);
+}
+
+}  // namespace lotusyard::hosts
--- /dev/null
+++ b/src/hosts/connection_services.h
@@ -0,0 +1,38 @@
+// What the connections of one pool share.
+#pragma once
+
+#include "core/dispatcher.h"
+#include "hosts/connect_backoff.h"
+#include "hosts/limits.h"
+#include "hosts/liveness_probe_budget.h"
+#include "hosts/response_time_estimate.h"
+#include "hosts/tag_sequence.h"
+#include "metrics/counters.h"
+#include "net/buffer.h"
+#include "net/event_loop.h"
+
+namespace lotusyard::hosts {
+
+class HostConnectionListener;
+
+// Owned by the pool, which outlives what it is passed to.
+struct ConnectionServices {
+  net::EventLoop& loop;
+  net::BufferPool& buffers;
+  metrics::Counters& counters;
+  HostConnectionListener& listener;
+  Limits limits;
+  core::Dispatcher* dispatcher = nullptr;  // set by HostConnectionPool::attach, before the first connection
+  ConnectBackoff connect_backoff{};
+  LivenessProbeBudget probe_budget{};
+  ResponseTimeEstimate response_times{};
+  TagSequence tags{};
+
+  // True while this machine may be unable to make new connections. It is asked for each host of each call, so
+  // it reads the clock only after a failure.
+  bool in_local_trouble() const {
+    return !connect_backoff.has_no_failure() && connect_backoff.is_in_trouble(loop.now());
+  }
+};
+
+}  // namespace lotusyard::hosts
--- a/src/hosts/host_connection.h
+++ b/src/hosts/host_connection.h
@@ -1,111 +1,124 @@
-// One connection to a host: what is out on it, what it says, and how it ends.
+// One connection to a host: what is in flight on it, what arrives, and how it ends.
 #pragma once
 
 #include <deque>
 #include <map>
 #include <string>
-#include <unordered_map>
-#include <utility>
+#include <string_view>
+#include <vector>
 
-#include "hosts/connection_pool.h"
+#include "hosts/connection_services.h"
+#include "hosts/ended_refs.h"
+#include "hosts/host_connection_listener.h"
+#include "hosts/host_protocol.h"
 #include "hosts/line_parser.h"
-#include "net/fields.h"
+#include "hosts/pending_write.h"
+#include "hosts/silence_monitor.h"
+#include "net/buffered_connection.h"
 
 namespace lotusyard::hosts {
 
-// An order to hold so many copies; 0 only asks.
-inline std::string order_line(const std::string& tag, std::uint64_t function, int copies) {
-  return "ensure " + tag + " asset=" + net::hex16(function) + ",count=" + std::to_string(copies);
-}
+// Whether requests that are not written yet still may be, once a connection takes no new ones.
+enum class UnsentRequests { keep, abort };
 
-// What is decided stands in `pending_`, where it can still be taken back, until the very moment in which its
-// bytes go to the kernel. Then, and there alone, it is asked whether it may begin.
-class HostConnectionPool::HostConnection final : public net::BufferedConnection {
+// Requests are queued until the moment at which their bytes go to the kernel. Until then they can be
+// withdrawn; only then, in before_write(), it is checked whether they may be sent. Ends are reported to the
+// listener.
+class HostConnection final : public net::BufferedConnection {
  public:
-  HostConnection(HostConnectionPool& fleet, std::string host, net::Socket socket);
+  // `services` has to outlive the connection. The socket is connecting.
+  HostConnection(ConnectionServices& services, std::string host, net::Socket socket);
   ~HostConnection() override;
 
   const std::string& host() const { return host_; }
-  std::size_t load() const { return attempts_.size() + queries_.size(); }
-  std::size_t buffered_bytes() const { return held_; }  // bytes of an answer that is not whole yet
-  // suspect_too: also where the connection may be cut off
-  bool has_capacity(const std::string& ref, bool suspect_too) const;
+  // Attempts, load requests and probes that are not answered yet.
+  std::size_t in_flight() const { return attempts_.size() + queries_.size(); }
+  // Bytes of an incomplete answer.
+  std::size_t buffered_bytes() const { return buffered_bytes_; }
+  // True if an attempt of this ref can be sent here. An empty ref stands for any request.
+  bool has_capacity(const std::string& ref) const;
+  // The host was silent for long when an attempt was cancelled; it may never answer.
+  bool is_possibly_partitioned() const { return possibly_partitioned_; }
+
   void send_attempt(const core::Attempt& attempt, const core::Call& call, Millis attempt_timeout);
+  // Ends the attempt without a report. Returns true if it may have run.
   bool cancel_attempt(const core::Attempt& attempt);
-  void load_copies(const std::string& tag, std::uint64_t function, int copies);
-  void probe(const std::string& tag);
-  void send_line(const std::string& line);
-  void abort_pending_writes();  // nothing that is still pending goes out
-  // The host is told draining or gone, or started anew: nothing new goes here; what has not gone out never
-  // will.
-  void retire(bool unsent_too);
+  void load_copies(std::uint64_t function, int copies);
+  void probe();
+  void unload(std::uint64_t function);
+  // Withdraws all requests that are not written.
+  void abort_pending_writes();
+  // Takes no new requests, and closes once what is in flight has ended. For hosts that are draining, gone or
+  // restarted.
+  void retire(UnsentRequests unsent);
 
  private:
-  struct SentAttempt {
-    core::Attempt attempt;
-    Millis at{0};
-    std::uint64_t end_offset = 0;  // offset behind its last byte
-    bool written = false;          // its bytes stand in the outbox or went out
-    std::uint64_t function = 0;
-  };
-  struct PendingWrite {
-    enum class Kind { attempt, load, line };  // word: what loads nothing and is no call
-    Kind kind = Kind::line;
-    std::string name;        // ref or tag; empty: nothing is answered
-    std::string text, body;  // of an exec: its fields, without patience, which counts from when it goes out
-    Millis until{0};
-    std::uint64_t function = 0;
-  };
-  struct Query {
-    enum class Kind { load, probe, liveness };  // liveness: whether anything comes over this link at all
-    Kind kind = Kind::load;
-    std::uint64_t function = 0;
-    Millis at{0};
-    std::uint64_t end_offset = 0;
-    bool written = false;
-    net::EventLoop::TimerId timer{};
-    int copies = 0;  // of an order
-  };
-  HostConnectionPool& fleet_;
-  std::string host_;
-  LineParser parser_;
-  std::map<std::string, SentAttempt> attempts_;  // by ref
-  std::map<std::string, Query> queries_;         // by tag
-  std::deque<PendingWrite> pending_writes_;
-  std::unordered_map<std::string, bool> past_;  // refs whose attempt here has ended: answered, or dropped
-  std::deque<std::pair<Millis, std::string>> past_order_;
-  Millis heard_{0}, sent_{0}, begun_{0}, probed_{0};
-  std::size_t held_ = 0;
-  int probes_unanswered_ = 0;  // asked for since the last answer of an attempt
-  Millis idle_until_{0};
-  bool retired_ = false, suspect_ = false, checking_ = false;
-  net::EventLoop::TimerId timer_{}, stuck_{}, check_{}, again_{}, stuck_exec_{};
+  enum class WriteDecision { write, wait, discard };
+  enum class ReplyCheck { valid, malformed };
+  using Attempts = std::map<std::string, InFlightAttempt>;
+  using Queries = std::map<std::string, Query>;
 
-  void remember_ended(const std::string& ref, bool answered);
-  void send_query(const std::string& tag, Query::Kind kind, std::uint64_t function, const std::string& line,
-                  PendingWrite::Kind what);
+  void send_query(const std::string& tag, Query::Kind kind, PendingWrite&& request, int copies);
   void enqueue_write(PendingWrite&& pending);
-  enum class WriteDecision { write, wait, discard };
-  WriteDecision check_before_write(PendingWrite& pending);
-  void write_out(const PendingWrite& pending);
-  void read_callers();
-  void limit_stuck_exec();
+  void withdraw_attempt(const std::string& ref);
+  bool cancel_written_attempt(const std::string& ref, const InFlightAttempt& sent);
+  void close_if_unread();
+
+  // Writing: host_connection_write.cpp.
+  void before_write() override;
+  WriteDecision check_before_write(const PendingWrite& pending);
+  WriteDecision check_attempt_before_write(const PendingWrite& pending);
+  void write_pending(const PendingWrite& pending);
   void discard_write(const PendingWrite& pending);
+  void discard_query(const std::string& tag);
+  void schedule_recheck();
+  void read_client_input();
+  void limit_stalled_write();
+
+  // Timers: host_connection_timers.cpp.
+  void arm_idle_timer();
+  void on_idle_timeout();
   void arm_silence_timer();
   void check_silence();
   void send_liveness_probe();
-  void connect_timed_out();
-  void arm_idle_timer();
-  void query_timed_out(const std::string& tag);
-  void idle_over();
-  void hand_back(const std::deque<PendingWrite>& pending);
-  void finish_query(const Query& asked, core::Outcome outcome, int copies, core::Report report);
-  bool handle_reply(Reply&& reply);
-  void before_write() override;
-  bool reads_after_write_failure() const override { return true; }
+  void on_connect_timeout();
+  void on_query_timeout(const std::string& tag);
+  void cancel_timers();
+
+  // Reading and the end: host_connection_read.cpp.
   void on_connected() override;
   void on_received(std::string_view bytes) override;
+  ReplyCheck handle_reply(Reply&& reply);
+  void complete_attempt(Attempts::iterator found, HostReply&& reply);
+  void complete_query(Queries::iterator found, HostReply&& reply);
+  void finish_query(const Query& query, core::Outcome outcome, int copies, core::Report report);
+  void set_buffered_bytes(std::size_t bytes);
   void on_closed() override;
+  void hand_back(const std::deque<PendingWrite>& pending);
+  void hand_back_attempt(const PendingWrite& pending);
+  void hand_back_query(const std::string& tag);
+  void end_lost_requests();
+  core::Outcome lost_outcome(const WriteProgress& progress) const;
+  bool reads_after_write_failure() const override { return true; }
+
+  ConnectionServices& services_;
+  const std::string host_;
+  LineParser parser_;
+  Attempts attempts_;  // by ref
+  Queries queries_;    // by tag
+  std::deque<PendingWrite> pending_writes_;
+  EndedRefs ended_refs_;
+  SilenceMonitor silence_;
+  std::size_t buffered_bytes_ = 0;
+  Millis idle_deadline_{0};  // the latest end of an idle connection
+  bool retired_ = false;
+  bool possibly_partitioned_ = false;
+  bool silence_timer_armed_ = false;
+  net::EventLoop::TimerId connect_or_idle_timer_{};
+  net::EventLoop::TimerId unread_timer_{};
+  net::EventLoop::TimerId silence_timer_{};
+  net::EventLoop::TimerId recheck_timer_{};
+  net::EventLoop::TimerId stalled_write_timer_{};
 };
 
 }  // namespace lotusyard::hosts
--- /dev/null
+++ b/src/hosts/host_connection_listener.h
@@ -0,0 +1,51 @@
+// What a connection to a host reports to the pool that it belongs to.
+#pragma once
+
+#include <cstdint>
+#include <string>
+#include <vector>
+
+#include "core/dispatcher.h"
+
+namespace lotusyard::hosts {
+
+class HostConnection;
+
+// Implemented by HostConnectionPool. Functions named ..._not_sent and ..._needs_connection are about what
+// never left this process, so that none of it can have run.
+class HostConnectionListener {
+ public:
+  struct LostAttempt {
+    core::Attempt attempt;
+    core::Outcome outcome = core::Outcome::reset;
+  };
+
+  // Returns whether the host may be sent this now: a call, a load of the function, or, where both are empty,
+  // what is neither.
+  virtual bool may_send(const std::string& host, const core::Call* call, std::uint64_t function) const = 0;
+
+  virtual void on_attempt_answered(const core::Attempt& attempt, core::AttemptEnd&& end) = 0;
+  virtual void on_attempt_not_sent(const core::Attempt& attempt) = 0;
+  // The connection is closed: all attempts that were in flight on it have ended.
+  virtual void on_attempts_lost(const std::string& host, const std::vector<LostAttempt>& lost) = 0;
+  virtual void on_attempt_needs_connection(const core::Attempt& attempt, const std::string& host,
+                                           const core::Call& call, core::Millis deadline) = 0;
+
+  virtual void on_probe_ended(core::ProbeOutcome&& outcome) = 0;
+  virtual void on_probe_not_sent(const std::string& host) = 0;
+  virtual void on_probe_needs_connection(const std::string& host) = 0;
+
+  virtual void on_load_ended(core::LoadOutcome&& outcome) = 0;
+  virtual void on_load_not_sent(const std::string& host, std::uint64_t function) = 0;
+  virtual void on_load_needs_connection(const std::string& host, std::uint64_t function, int copies) = 0;
+
+  // The bytes of an incomplete answer that the connection buffers have changed.
+  virtual void on_buffered_bytes_changed(HostConnection& connection, std::size_t before, std::size_t now) = 0;
+  // The connection has closed. It is deleted in the next iteration of the event loop.
+  virtual void on_connection_closed(HostConnection& connection) = 0;
+
+ protected:
+  ~HostConnectionListener() = default;
+};
+
+}  // namespace lotusyard::hosts
--- a/src/hosts/host_connection_read.cpp
+++ b/src/hosts/host_connection_read.cpp
@@ -1,188 +1,165 @@
-// What a connection to a host says, and its end.
-#include <algorithm>
+// What a host sends, and the end of a connection.
+#include <utility>
 #include <vector>
 
 #include "hosts/host_connection.h"
 #include "metrics/host_counters.h"
-#include "net/fields.h"
 
 namespace lotusyard::hosts {
-namespace {
 
 using core::Outcome;
-using net::field;
 
-constexpr std::size_t kPastMost = 2048;
-
-const std::map<std::string, Outcome>& outcomes() {
-  static const std::map<std::string, Outcome> words = {{"data", Outcome::ok},
-                                                       {"absent", Outcome::no_instance},
-                                                       {"full", Outcome::at_capacity},
-                                                       {"failed", Outcome::error},
-                                                       {"moot", Outcome::never_ran}};
-  return words;
-}
-bool known_word(const std::string& word) { return outcomes().count(word) != 0; }
-
-}  // namespace
-
-// A late or second answer would end a further attempt under the same ref: that goes elsewhere.
-void HostConnectionPool::HostConnection::remember_ended(const std::string& ref, bool answered) {
-  const Millis now = fleet_.loop_.now();
-  while (!past_order_.empty() &&
-         (now - past_order_.front().first > fleet_.limits_.past_kept || past_order_.size() > kPastMost)) {
-    past_.erase(past_order_.front().second);
-    past_order_.pop_front();
-  }
-  if (past_.emplace(ref, answered).second)
-    past_order_.emplace_back(now, ref);
-}
-
-void HostConnectionPool::HostConnection::on_connected() {
-  heard_ = fleet_.loop_.now();
-  fleet_.counters_.add(metrics::kHostsLinksUp);
-  fleet_.backoff_.succeeded();
-  fleet_.loop_.flush_later(*this);
+void HostConnection::on_connected() {
+  silence_.record_received(loop().now());
+  services_.counters.add(metrics::kHostsLinksUp);
+  services_.connect_backoff.record_success();
+  loop().flush_later(*this);
   arm_idle_timer();
 }
 
-void HostConnectionPool::HostConnection::finish_query(const Query& asked, Outcome outcome, int copies,
-                                                      core::Report report) {
-  const Millis elapsed = fleet_.loop_.now() - asked.at;
-  if (asked.kind == Query::Kind::load) {
-    fleet_.dispatcher_->load_ended({host_, asked.function, outcome, elapsed, copies});
-  } else if (asked.kind == Query::Kind::probe) {
-    fleet_.dispatcher_->probe_ended({host_, outcome, elapsed, std::move(report)});
-  }
-}
-
-void HostConnectionPool::HostConnection::on_received(std::string_view bytes) {
-  heard_ = fleet_.loop_.now();
-  suspect_ = false;
+void HostConnection::on_received(std::string_view bytes) {
+  silence_.record_received(loop().now());
+  possibly_partitioned_ = false;
   std::vector<Reply> replies;
-  bool sound = parser_.parse(bytes, replies);
+  bool is_malformed = !parser_.parse(bytes, replies);
   for (auto& reply : replies) {
-    if (handle_reply(std::move(reply)))
-      continue;     // also when the connection ends meanwhile: it came whole
-    sound = false;  // what follows it proves no more than it does
-    break;
-  }
-  if (!parser_.begun()) {
-    begun_ = Millis(0);
-  } else if (begun_.count() == 0 || !replies.empty()) {
-    begun_ = heard_;
+    // Also if the connection ends meanwhile: the reply came in full.
+    if (handle_reply(std::move(reply)) == ReplyCheck::valid)
+      continue;
+    is_malformed = true;
+    break;  // what follows a malformed reply cannot be believed either
   }
-  fleet_.account_incoming(*this, held_, parser_.held());
-  held_ = parser_.held();
-  if (!sound) {
-    fleet_.counters_.add(metrics::kHostsMalformed);
+  silence_.record_parsed(parser_.begun(), !replies.empty());
+  set_buffered_bytes(parser_.held());
+  if (is_malformed) {
+    services_.counters.add(metrics::kHostsMalformed);
     close_later();
   }
   arm_idle_timer();
 }
 
-// False if it is spoilt: whatever is out on the link then ends as what it is, something that may have run.
-bool HostConnectionPool::HostConnection::handle_reply(Reply&& reply) {
-  const auto fields = net::parse_fields(reply.fields);
-  const bool plain = std::all_of(reply.id.begin(), reply.id.end(),
-                                 [](char c) { return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'z'); });
-  const bool sign = reply.word == "well" || reply.word == "ill";
-  if (!fields || !plain || !(known_word(reply.word) || sign))
-    return false;
-  const net::Fields& read = *fields;
-  if (const auto found = attempts_.find(reply.id); found != attempts_.end() && found->second.written) {
-    if (sign)
-      return false;
-    const core::Attempt attempt = found->second.attempt;
-    fleet_.record_answer_time(fleet_.loop_.now() - found->second.at);
-    probes_unanswered_ = 0;
-    attempts_.erase(found);
-    fleet_.attempts_.erase(attempt);
-    remember_ended(reply.id, true);
-    const Outcome outcome = outcomes().at(reply.word);
-    fleet_.counters_.add(metrics::kHostsAnswers, reply.word);
-    const int host_concurrency =
-        static_cast<int>(net::parse_whole(field(read, "crowd"), 1000000).value_or(0));
-    fleet_.dispatcher_->attempt_ended(
-        attempt, {outcome, std::min(host_concurrency, 30), fleet_.parse_report(field(read, "l")),
-                  std::move(reply.body)});
-  } else if (const auto answered = queries_.find(reply.id);
-             answered != queries_.end() && answered->second.written) {
-    const Query asked = answered->second;
-    fleet_.loop_.cancel(asked.timer);
-    queries_.erase(answered);
-    const Outcome outcome = reply.word == "well"  ? Outcome::ok
-                            : reply.word == "ill" ? Outcome::error
-                                                  : outcomes().at(reply.word);
-    const int copies = static_cast<int>(net::parse_whole(field(read, "count"), 1000).value_or(0));
-    finish_query(asked, outcome, copies, fleet_.parse_report(field(read, "l")));
-  } else if (const auto ended = past_.find(reply.id); ended != past_.end() && !ended->second) {
-    ended->second = true;
-    fleet_.counters_.add(metrics::kHostsLateAnswers);  // to an attempt dropped meanwhile
-  } else {
-    // More than belongs to it: what is out here keeps its own answers, nothing new is sent.
-    fleet_.counters_.add(metrics::kHostsSurplusAnswers);
-    retire(false);
+// After a malformed reply the connection is closed, and what is in flight on it may have run.
+HostConnection::ReplyCheck HostConnection::handle_reply(Reply&& reply) {
+  std::optional<HostReply> decoded = decode_reply(std::move(reply), services_.limits.report_fields);
+  if (!decoded)
+    return ReplyCheck::malformed;
+  const auto attempt = attempts_.find(decoded->id);
+  if (attempt != attempts_.end() && attempt->second.progress.is_written()) {
+    if (is_health_status(decoded->status))
+      return ReplyCheck::malformed;
+    complete_attempt(attempt, std::move(*decoded));
+    return ReplyCheck::valid;
+  }
+  const auto query = queries_.find(decoded->id);
+  if (query != queries_.end() && query->second.progress.is_written()) {
+    complete_query(query, std::move(*decoded));
+    return ReplyCheck::valid;
+  }
+  if (ended_refs_.accept_late_answer(decoded->id)) {
+    services_.counters.add(metrics::kHostsLateAnswers);
+    return ReplyCheck::valid;
   }
-  return true;
+  // An answer to nothing: what is in flight may still be answered here, but nothing new is sent.
+  services_.counters.add(metrics::kHostsSurplusAnswers);
+  retire(UnsentRequests::keep);
+  return ReplyCheck::valid;
 }
 
-// The connection was never made, for this machine's sake: what stands here waits for another one.
-void HostConnectionPool::HostConnection::hand_back(const std::deque<PendingWrite>& pending) {
-  fleet_.backoff_.failed(fleet_.loop_.now());
-  for (const PendingWrite& one : pending) {
-    if (one.kind == PendingWrite::Kind::attempt) {
-      const core::Attempt attempt = attempts_.at(one.name).attempt;
-      const core::Call* call = fleet_.dispatcher_->find_call(attempt.call);
-      if (call == nullptr)
-        continue;
-      attempts_.erase(one.name);
-      fleet_.attempts_.erase(attempt);
-      fleet_.wait_for_connection(attempt, host_, *call, one.until);
-    } else if (const auto found = queries_.find(one.name); found != queries_.end()) {
-      const Query asked = found->second;
-      if (asked.kind == Query::Kind::liveness)
-        continue;
-      fleet_.loop_.cancel(asked.timer);
-      queries_.erase(found);
-      const bool order = asked.kind == Query::Kind::load;
-      fleet_.wait_with(order ? WaitingSend::Kind::load_order : WaitingSend::Kind::probe, host_,
-                       asked.function, asked.copies);
-    }
+void HostConnection::complete_attempt(Attempts::iterator found, HostReply&& reply) {
+  const Millis now = loop().now();
+  const InFlightAttempt answered = found->second;
+  attempts_.erase(found);
+  services_.response_times.record(now - answered.sent_at);
+  silence_.record_attempt_answered();
+  ended_refs_.add(reply.id, EndedRefs::State::answered, now, services_.limits.past_kept);
+  services_.counters.add(metrics::kHostsAnswers, wire_word(reply.status));
+  services_.listener.on_attempt_answered(answered.attempt, {outcome_of(reply.status), reply.host_concurrency,
+                                                            std::move(reply.report), std::move(reply.body)});
+}
+
+void HostConnection::complete_query(Queries::iterator found, HostReply&& reply) {
+  const Query query = found->second;
+  loop().cancel(query.timeout_timer);
+  queries_.erase(found);
+  finish_query(query, outcome_of(reply.status), reply.copies, std::move(reply.report));
+}
+
+void HostConnection::finish_query(const Query& query, Outcome outcome, int copies, core::Report report) {
+  const Millis elapsed = loop().now() - query.sent_at;
+  switch (query.kind) {
+    case Query::Kind::load:
+      return services_.listener.on_load_ended({host_, query.function, outcome, elapsed, copies});
+    case Query::Kind::probe:
+      return services_.listener.on_probe_ended({host_, outcome, elapsed, std::move(report)});
+    case Query::Kind::liveness:
+      return;  // that something came is all there is to know
   }
 }
 
-void HostConnectionPool::HostConnection::on_closed() {
-  fleet_.loop_.cancel(timer_);
-  fleet_.loop_.cancel(stuck_);
-  fleet_.loop_.cancel(check_);
-  fleet_.loop_.cancel(again_);
-  fleet_.loop_.cancel(stuck_exec_);
+void HostConnection::set_buffered_bytes(std::size_t bytes) {
+  services_.listener.on_buffered_bytes_changed(*this, buffered_bytes_, bytes);
+  buffered_bytes_ = bytes;
+}
+
+void HostConnection::on_closed() {
+  cancel_timers();
   const auto pending = std::exchange(pending_writes_, {});
-  fleet_.account_incoming(*this, std::exchange(held_, 0), 0);
-  fleet_.connection_closed(*this);  // buried: this object lives to the turn's end
+  services_.listener.on_buffered_bytes_changed(*this, std::exchange(buffered_bytes_, 0), 0);
+  services_.listener.on_connection_closed(*this);
   const auto& error = connect_error();
   if (error && error->kind == net::ConnectErrorKind::local_resource && !retired_)
     hand_back(pending);
-  const auto attempts = std::move(attempts_);
-  const auto asked = std::move(queries_);
-  attempts_.clear();
-  queries_.clear();
-  const auto outcome = [&](bool put, std::uint64_t end) {
-    return put && send_queue().written() >= end ? Outcome::reset : Outcome::connect_failed;
-  };
-  for (const auto& [ref, sent] : attempts)
-    fleet_.attempts_.erase(sent.attempt);
-  if (!attempts.empty())
-    fleet_.hosts_.at(host_).has_cancelled_calls = true;
-  for (const auto& [ref, sent] : attempts) {
-    fleet_.dispatcher_->attempt_ended(sent.attempt,
-                                      {outcome(sent.written, sent.end_offset), 0, std::nullopt, {}});
+  end_lost_requests();
+}
+
+// The connection was never made, for a local reason: what is pending waits for another one.
+void HostConnection::hand_back(const std::deque<PendingWrite>& pending) {
+  services_.connect_backoff.record_local_failure(loop().now());
+  for (const auto& write : pending) {
+    if (write.kind == PendingWrite::Kind::attempt) {
+      hand_back_attempt(write);
+    } else {
+      hand_back_query(write.id);
+    }
   }
-  for (const auto& [tag, a] : asked) {
-    fleet_.loop_.cancel(a.timer);
-    finish_query(a, outcome(a.written, a.end_offset), 0, std::nullopt);
+}
+
+void HostConnection::hand_back_attempt(const PendingWrite& pending) {
+  const core::Attempt attempt = attempts_.at(pending.id).attempt;
+  const core::Call* call = services_.dispatcher->find_call(attempt.call);
+  if (call == nullptr)
+    return;
+  attempts_.erase(pending.id);
+  services_.listener.on_attempt_needs_connection(attempt, host_, *call, pending.deadline);
+}
+
+void HostConnection::hand_back_query(const std::string& tag) {
+  const auto found = queries_.find(tag);
+  if (found == queries_.end() || found->second.kind == Query::Kind::liveness)
+    return;
+  const Query query = found->second;
+  loop().cancel(query.timeout_timer);
+  queries_.erase(found);
+  if (query.kind == Query::Kind::load)
+    return services_.listener.on_load_needs_connection(host_, query.function, query.copies);
+  services_.listener.on_probe_needs_connection(host_);
+}
+
+void HostConnection::end_lost_requests() {
+  const auto attempts = std::exchange(attempts_, {});
+  const auto queries = std::exchange(queries_, {});
+  std::vector<HostConnectionListener::LostAttempt> lost;
+  for (const auto& [ref, sent] : attempts)
+    lost.push_back({sent.attempt, lost_outcome(sent.progress)});
+  services_.listener.on_attempts_lost(host_, lost);
+  for (const auto& [tag, query] : queries) {
+    loop().cancel(query.timeout_timer);
+    finish_query(query, lost_outcome(query.progress), 0, std::nullopt);
   }
 }
 
+Outcome HostConnection::lost_outcome(const WriteProgress& progress) const {
+  return progress.is_with_kernel(send_queue()) ? Outcome::reset : Outcome::connect_failed;
+}
+
 }  // namespace lotusyard::hosts
--- /dev/null
+++ b/src/hosts/host_protocol.h
@@ -0,0 +1,101 @@
+// The messages between invoker and host, and their codec.
+//
+// This is the one place that knows the words of the platform's page PROTOCOL. They are, with our names:
+//   exec REF sort=CLASS,asset=FUNCTION[,op=KEY],patience=MS LENGTH   AttemptRequest (op: idempotency key,
+//                                                                    patience: the attempt's timeout)
+//   drop REF                                                         CancelRequest
+//   ensure TAG asset=FUNCTION,count=COPIES                           LoadRequest
+//   release FUNCTION                                                 UnloadRequest
+//   load TAG                                                         LoadReportRequest
+//   health TAG                                                       HealthCheckRequest
+//   ID WORD [FIELDS [LENGTH]]                                        HostReply, where FIELDS are
+//     l=NAME:VALUE;...  load report      crowd=N  host_concurrency      count=N  copies
+//   and WORD is one of those at ReplyStatus.
+#pragma once
+
+#include <cstdint>
+#include <optional>
+#include <string>
+#include <string_view>
+#include <vector>
+
+#include "core/types.h"
+#include "hosts/line_parser.h"
+
+namespace lotusyard::hosts {
+
+using core::Millis;
+
+// Runs a call. The ref names the attempt on its connection.
+struct AttemptRequest {
+  std::string ref;
+  std::string class_name, function_name;
+  std::string idempotency_key;  // empty: none
+  std::string body;
+};
+
+// Cancels the attempt of that ref.
+struct CancelRequest {
+  std::string ref;
+};
+
+// Asks the host to hold this many copies of the function; 0 changes nothing, but is answered.
+struct LoadRequest {
+  std::string tag;
+  std::uint64_t function = 0;
+  int copies = 0;
+};
+
+// Lets the host unload the function. It is not answered.
+struct UnloadRequest {
+  std::uint64_t function = 0;
+};
+
+// Asks for a load report.
+struct LoadReportRequest {
+  std::string tag;
+};
+
+// Asks whether the host is there. It answers beside its queue of calls.
+struct HealthCheckRequest {
+  std::string tag;
+};
+
+// `timeout` is counted from the moment at which the bytes are sent, and is sent in whole milliseconds.
+std::string encode(const AttemptRequest& request, Millis timeout);
+std::string encode(const CancelRequest& request);
+std::string encode(const LoadRequest& request);
+std::string encode(const UnloadRequest& request);
+std::string encode(const LoadReportRequest& request);
+std::string encode(const HealthCheckRequest& request);
+
+enum class ReplyStatus {
+  succeeded,    // data
+  no_instance,  // absent
+  at_capacity,  // full
+  failed,       // failed
+  never_ran,    // moot
+  healthy,      // well
+  unhealthy     // ill
+};
+
+// True for the answers to LoadReportRequest and HealthCheckRequest. An attempt is never answered by one.
+bool is_health_status(ReplyStatus status);
+core::Outcome outcome_of(ReplyStatus status);
+// The word on the wire; counters are labelled with it.
+std::string_view wire_word(ReplyStatus status);
+
+struct HostReply {
+  std::string id;  // the ref of an attempt, or a tag
+  ReplyStatus status = ReplyStatus::failed;
+  int host_concurrency = 0;  // calls of the same function in flight at the host; 0: not reported
+  int copies = 0;            // copies that the host holds, in answer to a LoadRequest
+  core::Report report;       // nothing if any of the requested fields is missing
+  std::string body;
+};
+
+// Decodes a framed reply. `report_fields`: the names of the report's values, in their order. Returns nothing
+// if the reply is malformed.
+std::optional<HostReply> decode_reply(Reply&& reply, const std::vector<std::string>& report_fields);
+
+}  // namespace lotusyard::hosts
--- a/src/hosts/line_parser.cpp
+++ b/src/hosts/line_parser.cpp
@@ -5,71 +5,108 @@
 #include "net/fields.h"
 
 namespace lotusyard::hosts {
+namespace {
 
-bool LineParser::whole_line(std::vector<Reply>& out) {
+constexpr std::string_view kBodyEnd = "\r\n";
+// ID WORD [FIELDS [LENGTH]]
+constexpr std::size_t kMinWords = 2;
+constexpr std::size_t kMaxWords = 4;
+
+std::vector<std::string> split_words(std::string_view line) {
   std::vector<std::string> words(1);
-  for (const char c : line_) {
-    if (c == ' ') {
+  for (const char character : line) {
+    if (character == ' ') {
       words.emplace_back();
     } else {
-      words.back() += c;
+      words.back() += character;
+    }
+  }
+  return words;
+}
+
+}  // namespace
+
+bool LineParser::parse(std::string_view bytes, std::vector<Reply>& out) {
+  while (!bytes.empty() && state_ != State::malformed) {
+    switch (state_) {
+      case State::line:
+        read_line(bytes, out);
+        break;
+      case State::body:
+        read_body(bytes);
+        break;
+      case State::body_end:
+        read_body_end(bytes, out);
+        break;
+      case State::malformed:
+        break;
     }
   }
+  return state_ != State::malformed;
+}
+
+void LineParser::read_line(std::string_view& bytes, std::vector<Reply>& out) {
+  const auto end = bytes.find('\n');
+  line_.append(bytes.substr(0, std::min(end, longest_line + 1)));
+  const bool is_too_long = line_.size() > longest_line;
+  if (is_too_long)
+    state_ = State::malformed;
+  if (end == std::string_view::npos) {
+    bytes = {};
+    return;
+  }
+  bytes.remove_prefix(end + 1);
+  if (is_too_long || line_.empty() || line_.back() != '\r') {
+    state_ = State::malformed;
+    return;
+  }
+  line_.pop_back();
+  finish_line(out);
+}
+
+void LineParser::finish_line(std::vector<Reply>& out) {
+  std::vector<std::string> words = split_words(line_);
   line_.clear();
-  if (words.size() < 2 || words.size() > 4 || words[0].empty() || words[1].empty())
-    return false;
+  if (words.size() < kMinWords || words.size() > kMaxWords || words[0].empty() || words[1].empty()) {
+    state_ = State::malformed;
+    return;
+  }
   reply_ = Reply{std::move(words[0]), std::move(words[1]), {}, {}};
-  if (words.size() > 2 && words[2] != "-")
+  if (words.size() > kMinWords && words[2] != "-")
     reply_.fields = std::move(words[2]);
-  if (words.size() < 4) {
+  if (words.size() < kMaxWords) {
     out.push_back(std::move(reply_));
-    return true;
+    return;
   }
   const auto length = net::parse_whole(words[3], longest_body_);
-  if (!length)
-    return false;
-  body_left_ = *length;
-  ending_ = 0;
-  state_ = State::body;
-  return true;
+  if (!length) {
+    state_ = State::malformed;
+    return;
+  }
+  body_bytes_left_ = *length;
+  body_end_bytes_ = 0;
+  state_ = body_bytes_left_ > 0 ? State::body : State::body_end;
 }
 
-bool LineParser::parse(std::string_view bytes, std::vector<Reply>& out) {
-  while (!bytes.empty() && state_ != State::spoilt) {
-    if (state_ == State::body && body_left_ > 0) {
-      const std::size_t part = std::min(body_left_, bytes.size());
-      reply_.body.append(bytes.substr(0, part));
-      bytes.remove_prefix(part);
-      body_left_ -= part;
-    } else if (state_ == State::body) {
-      if (bytes.front() != "\r\n"[ending_]) {
-        state_ = State::spoilt;
-        break;
-      }
-      bytes.remove_prefix(1);
-      if (++ending_ < 2)
-        continue;
-      out.push_back(std::move(reply_));
-      state_ = State::line;
-    } else {
-      const auto end = bytes.find('\n');
-      line_.append(bytes.substr(0, std::min(end, longest_line + 1)));
-      // Guards memory against a line without an end.
-      if (line_.size() > longest_line)
-        state_ = State::spoilt;
-      if (end == std::string_view::npos)
-        break;
-      bytes.remove_prefix(end + 1);
-      if (state_ == State::spoilt || line_.empty() || line_.back() != '\r') {
-        state_ = State::spoilt;
-        break;
-      }
-      line_.pop_back();
-      if (!whole_line(out))
-        state_ = State::spoilt;
-    }
+void LineParser::read_body(std::string_view& bytes) {
+  const std::size_t length = std::min(body_bytes_left_, bytes.size());
+  reply_.body.append(bytes.substr(0, length));
+  bytes.remove_prefix(length);
+  body_bytes_left_ -= length;
+  if (body_bytes_left_ == 0)
+    state_ = State::body_end;
+}
+
+void LineParser::read_body_end(std::string_view& bytes, std::vector<Reply>& out) {
+  if (bytes.front() != kBodyEnd[body_end_bytes_]) {
+    state_ = State::malformed;
+    return;
   }
-  return state_ != State::spoilt;
+  bytes.remove_prefix(1);
+  if (++body_end_bytes_ < kBodyEnd.size())
+    return;
+  out.push_back(std::move(reply_));
+  state_ = State::line;
 }
 
 }  // namespace lotusyard::hosts
--- a/src/hosts/line_parser.h
+++ b/src/hosts/line_parser.h
@@ -1,4 +1,4 @@
-// The hosts' answers: lines of words, some with a body of a stated length, in whatever pieces they come.
+// Framing of the host protocol: lines of words, some followed by a body of a stated length.
 #pragma once
 
 #include <string>
@@ -7,30 +7,42 @@
 
 namespace lotusyard::hosts {
 
+// One message as it is framed; hosts/host_protocol.h decodes it. Requests have the same form.
 struct Reply {
-  std::string id, word, fields;  // fields: empty for '-'
+  std::string id, word, fields;  // fields: empty where the wire has '-' or nothing
   std::string body;
 };
 
+// Cuts a byte stream into messages, however the bytes are split over reads. Memory is bounded by the longest
+// line and the longest body.
 class LineParser {
  public:
   static constexpr std::size_t longest_line = 2048;
   explicit LineParser(std::size_t longest_body = 1U << 20) : longest_body_(longest_body) {}
 
-  // Takes all bytes; whole replies are added to `out`. False once the stream cannot be understood any more.
+  // Consumes all bytes and appends the completed messages to `out`. Returns false once the stream is
+  // malformed, from then on for ever.
   bool parse(std::string_view bytes, std::vector<Reply>& out);
+  // Bytes of an incomplete message that are buffered.
   std::size_t held() const { return line_.size() + reply_.body.size(); }
-  bool begun() const { return state_ == State::body || !line_.empty(); }  // a reply, and its rest has to come
+  // True if a message has begun whose rest has to come.
+  bool begun() const { return state_ == State::body || state_ == State::body_end || !line_.empty(); }
 
  private:
-  enum class State { line, body, spoilt };
+  enum class State { line, body, body_end, malformed };
+
+  // Each consumes at least one byte, or finds the stream malformed.
+  void read_line(std::string_view& bytes, std::vector<Reply>& out);
+  void read_body(std::string_view& bytes);
+  void read_body_end(std::string_view& bytes, std::vector<Reply>& out);
+  void finish_line(std::vector<Reply>& out);
+
   std::size_t longest_body_;
   State state_ = State::line;
   std::string line_;
   Reply reply_;
-  std::size_t body_left_ = 0, ending_ = 0;  // ending_: bytes of the CR LF after a body that have come
-
-  bool whole_line(std::vector<Reply>& out);
+  std::size_t body_bytes_left_ = 0;
+  std::size_t body_end_bytes_ = 0;  // of the CR LF behind a body
 };
 
 }  // namespace lotusyard::hosts
--- /dev/null
+++ b/src/hosts/pooled_host.cpp
@@ -0,0 +1,52 @@
+#include "hosts/pooled_host.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace lotusyard::hosts {
+
+bool PooledHost::is_replaced_by(const core::ListedHost& endpoint) const {
+  const bool is_known = !endpoint_.entry.host.empty();
+  const bool moved = endpoint.address != endpoint_.address;
+  const bool restarted = endpoint.entry.started > endpoint_.entry.started;
+  return is_known && (moved || restarted);
+}
+
+bool PooledHost::has_open_connection() const {
+  return std::any_of(connections_.begin(), connections_.end(), [](const auto& connection) {
+    return connection->is_open() && connection->has_capacity({});
+  });
+}
+
+bool PooledHost::may_be_forgotten(Millis now) const {
+  const bool is_gone = endpoint_.entry.state == core::HostState::gone;
+  return is_gone && connections_.empty() && !may_run_unfinished_calls(now);
+}
+
+void PooledHost::record_call(Millis now, Millis attempt_timeout) {
+  if (calls_expire_at_ <= now)
+    has_unfinished_calls_ = false;
+  calls_expire_at_ = std::max(calls_expire_at_, now + attempt_timeout);
+}
+
+HostConnection& PooledHost::add(std::shared_ptr<HostConnection> connection) {
+  connections_.push_back(std::move(connection));
+  return *connections_.back();
+}
+
+std::shared_ptr<HostConnection> PooledHost::remove(const HostConnection& connection) {
+  const auto found = std::find_if(connections_.begin(), connections_.end(),
+                                  [&](const auto& owned) { return owned.get() == &connection; });
+  std::shared_ptr<HostConnection> removed = std::move(*found);
+  connections_.erase(found);
+  return removed;
+}
+
+void PooledHost::retire_connections(UnsentRequests unsent) {
+  // A copy: a connection may end, and be removed, meanwhile.
+  const auto connections = connections_;
+  for (const auto& connection : connections)
+    connection->retire(unsent);
+}
+
+}  // namespace lotusyard::hosts
--- /dev/null
+++ b/src/hosts/pooled_host.h
@@ -0,0 +1,48 @@
+// A host as the pool knows it: its endpoint, its connections, and the calls that may still run there.
+#pragma once
+
+#include <cstddef>
+#include <memory>
+#include <string>
+#include <vector>
+
+#include "core/listed_host.h"
+#include "hosts/host_connection.h"
+
+namespace lotusyard::hosts {
+
+// Owns the host's connections.
+class PooledHost {
+ public:
+  const core::ListedHost& endpoint() const { return endpoint_; }
+  void set_endpoint(const core::ListedHost& endpoint) { endpoint_ = endpoint; }
+  void set_state(core::HostState state) { endpoint_.entry.state = state; }
+  // True if the entry is about another process than the one that is known: it moved or started anew.
+  bool is_replaced_by(const core::ListedHost& endpoint) const;
+  bool is_ready() const { return endpoint_.entry.state == core::HostState::ready; }
+  // True if an open connection has room for an attempt.
+  bool has_open_connection() const;
+  bool is_reachable() const { return is_ready() && has_open_connection(); }
+  // True once nothing needs the record any more.
+  bool may_be_forgotten(Millis now) const;
+
+  // A call was sent, and may run there for at most `attempt_timeout`.
+  void record_call(Millis now, Millis attempt_timeout);
+  // A call was cancelled or its connection lost: it may go on until its time has run out.
+  void record_unfinished_call() { has_unfinished_calls_ = true; }
+  bool may_run_unfinished_calls(Millis now) const { return has_unfinished_calls_ && calls_expire_at_ > now; }
+
+  const std::vector<std::shared_ptr<HostConnection>>& connections() const { return connections_; }
+  HostConnection& add(std::shared_ptr<HostConnection> connection);
+  // Removes the connection and returns what owns it.
+  std::shared_ptr<HostConnection> remove(const HostConnection& connection);
+  void retire_connections(UnsentRequests unsent);
+
+ private:
+  core::ListedHost endpoint_;
+  std::vector<std::shared_ptr<HostConnection>> connections_;
+  Millis calls_expire_at_{0};
+  bool has_unfinished_calls_ = false;
+};
+
+}  // namespace lotusyard::hosts
--- /dev/null
+++ b/src/hosts/silence_monitor.h
@@ -0,0 +1,44 @@
+// Decides whether a connection that is silent, or broke off within an answer, is still worth waiting for.
+#pragma once
+
+#include "core/types.h"
+
+namespace lotusyard::hosts {
+
+using core::Millis;
+
+// A connection over which nothing arrives any more, or never the rest of an answer, would hold its calls to
+// their deadlines though its host serves other connections well. A liveness probe tells it from a busy host.
+// Decides only: the connection does the I/O and passes the time in.
+class SilenceMonitor {
+ public:
+  enum class Action { none, send_probe, close_unresponsive, close_incomplete };
+
+  void record_sent(Millis now) { last_sent_at_ = now; }
+  void record_received(Millis now) { last_received_at_ = now; }
+  // After received bytes were parsed: whether an incomplete answer is buffered, and whether any was
+  // completed.
+  void record_parsed(bool has_partial_answer, bool completed_answers);
+  // An attempt was answered: the host works.
+  void record_attempt_answered() { probes_since_answer_ = 0; }
+  void record_probe(Millis now);
+  // The probe that was recorded last was not sent after all.
+  void discard_probe() { probed_at_ = Millis(0); }
+
+  Millis last_received_at() const { return last_received_at_; }
+  // What to do with an open connection that has something in flight. `max_silence`: how long it may be silent
+  // before the first probe; a probe is sent for attempts only.
+  Action check(Millis now, Millis max_silence, bool has_attempts) const;
+
+ private:
+  bool is_answer_broken_off(Millis now) const;
+  bool is_probe_outstanding() const { return probed_at_ > last_received_at_; }
+
+  Millis last_received_at_{0};
+  Millis last_sent_at_{0};
+  Millis partial_answer_since_{0};  // 0: no incomplete answer
+  Millis probed_at_{0};
+  int probes_since_answer_ = 0;
+};
+
+}  // namespace lotusyard::hosts
--- /dev/null
+++ b/src/hosts/tag_sequence.h
@@ -0,0 +1,23 @@
+// Tags of load requests, probes and health checks.
+#pragma once
+
+#include <cstdint>
+#include <string>
+
+namespace lotusyard::hosts {
+
+// Makes tags that are unique in this process. One sequence serves all connections.
+class TagSequence {
+ public:
+  std::string next_load_tag() { return next('t'); }
+  std::string next_probe_tag() { return next('p'); }
+  std::string next_liveness_tag() { return next('s'); }
+
+ private:
+  // The prefix keeps a tag apart from the ref of an attempt, which is 16 hexadecimal digits.
+  std::string next(char prefix) { return prefix + std::to_string(++last_); }
+
+  std::uint64_t last_ = 0;
+};
+
+}  // namespace lotusyard::hosts
