--- /dev/null
+++ b/src/core/call_validation.h
@@ -0,0 +1,15 @@
+// Whether a call can be admitted by what it says of itself, whichever front end it came through.
+#pragma once
+
+#include <optional>
+
+#include "core/call.h"
+#include "core/rejection_reason.h"
+
+namespace lotusyard::core {
+
+// Returns nothing if the call is valid. An invalid call must not reach a host: it could run nowhere, would
+// use up the quota of loads, and a host may close the connection on which other calls wait.
+std::optional<RejectionReason> validate_call(const Call& call, const Settings& settings);
+
+}  // namespace lotusyard::core
--- a/src/core/fault_injection.h
+++ b/src/core/fault_injection.h
@@ -1,9 +1,10 @@
-// A build for the tests breaks the rule that it is told to, so that their checkers are checked. Every other
-// build keeps all of them, and holds no trace of this.
+// Fault injection points. Tests that check other tests' checkers have a rule broken on purpose; every other
+// build keeps all rules and contains no trace of this.
 #pragma once
 
 namespace lotusyard {
 
+// Whether the code that keeps the rule has to break it now.
 #ifdef LOTUSYARD_FAULT_INJECTION
 bool fault_injected(const char* rule);  // defined by the tests
 #else
--- a/src/core/idempotency_keys.cpp
+++ b/src/core/idempotency_keys.cpp
@@ -5,113 +5,149 @@
 #include <utility>
 
 namespace lotusyard::core {
+namespace {
 
-bool IdempotencyKeys::is_valid(const std::string& key) {
-  const auto plain = [](char c) { return c > ' ' && c <= '~' && c != ',' && c != '='; };
-  return !key.empty() && key.size() <= max_key_bytes && std::all_of(key.begin(), key.end(), plain);
-}
+std::uint64_t body_hash(const Call& call) { return std::hash<std::string>()(call.body); }
 
-std::optional<Millis> IdempotencyKeys::first_send(const Record& record) {
-  std::optional<Millis> out = record.before;
-  for (const auto& sent : record.sent)
-    out = out ? std::min(*out, sent.when) : sent.when;
-  return out;
-}
+// In a host's line, commas and equals signs separate fields.
+bool is_plain(char c) { return c > ' ' && c <= '~' && c != ',' && c != '='; }
 
-// Bounds the memory of keys; the one place where it shrinks.
-void IdempotencyKeys::expire(Millis now) {
-  while (!ends_.empty() && ends_.front().first <= now) {
-    const auto found = records_.find(ends_.front().second);
-    if (found != records_.end() && found->second.open == 0 && found->second.kept_until <= now)
-      records_.erase(found);
-    ends_.pop_front();
+bool shares_keys(policy::KeyScope scope, const HostLocation& one, const HostLocation& other) {
+  switch (scope) {
+    case policy::KeyScope::all:
+      return true;
+    case policy::KeyScope::zone:
+      return one.zone == other.zone;
+    case policy::KeyScope::cell:
+      break;
   }
+  return one.cell == other.cell;
+}
+
+}  // namespace
+
+bool IdempotencyKeys::is_valid(const std::string& key) {
+  return !key.empty() && key.size() <= kMaxKeyBytes && std::all_of(key.begin(), key.end(), is_plain);
 }
 
 IdempotencyKeys::KeyDecision IdempotencyKeys::begin(const Call& call, const KeyRule& rule, Millis now) {
   expire(now);
-  const std::uint64_t body = std::hash<std::string>()(call.body);
-  const std::string name = name_of(call);
-  const auto found = records_.find(name);
-  if (found == records_.end()) {
-    if (records_.size() >= max_keys)
-      return KeyDecision::full;
-    // After a restart, or with another invoker, the first try is not known here. A client waits for
-    // all of its tries together no longer than the class's limit, and this one ends it.
-    std::optional<Millis> before = call.may_have_run_since;
-    if (!before && call.retry)
-      before = now + std::min(call.timeout - rule.hard_limit, Millis(0));
-    if (before && now - *before >= rule.window)
-      return KeyDecision::window_over;
-    Record& fresh = records_[name];
-    fresh.function = call.function;
-    fresh.body = body;
-    fresh.open = 1;
-    fresh.before = before;
-    return KeyDecision::accepted;
-  }
-  Record& record = found->second;
-  if (record.function != call.function || record.body != body)
+  Record* record = find(call);
+  return record == nullptr ? begin_new_key(call, rule, now) : begin_known_key(*record, call, rule, now);
+}
+
+IdempotencyKeys::KeyDecision IdempotencyKeys::begin_new_key(const Call& call, const KeyRule& rule,
+                                                            Millis now) {
+  if (records_.size() >= kMaxKeys)
+    return KeyDecision::full;
+  const auto since = may_have_run_since(call, rule, now);
+  if (since && now - *since >= rule.window)
+    return KeyDecision::window_over;
+  Record& record = records_[record_name(call)];
+  record.function = call.function;
+  record.body_hash = body_hash(call);
+  record.open_calls = 1;
+  record.may_have_run_since = since;
+  return KeyDecision::accepted;
+}
+
+IdempotencyKeys::KeyDecision IdempotencyKeys::begin_known_key(Record& record, const Call& call,
+                                                              const KeyRule& rule, Millis now) {
+  if (record.function != call.function || record.body_hash != body_hash(call))
     return KeyDecision::other_request;
   const auto since = first_send(record);
   if (since && now - *since >= rule.window)
     return KeyDecision::window_over;
-  ++record.open;
+  ++record.open_calls;
   return KeyDecision::accepted;
 }
 
-bool IdempotencyKeys::may_send_to(const Call& call, const KeyRule& rule, const HostLocation& to,
+// After a restart, or if another invoker had it, the client's first attempt is not known here. A client waits
+// at most `hard_limit` over all of its retries, and the time-out of this call is what is left of that.
+std::optional<Millis> IdempotencyKeys::may_have_run_since(const Call& call, const KeyRule& rule, Millis now) {
+  if (call.may_have_run_since || !call.retry)
+    return call.may_have_run_since;
+  return now + std::min(call.timeout - rule.hard_limit, Millis(0));
+}
+
+bool IdempotencyKeys::may_send_to(const Call& call, const KeyRule& rule, const HostLocation& location,
                                   Millis now) const {
-  const auto found = records_.find(name_of(call));
-  if (found == records_.end())
+  const Record* record = find(call);
+  if (record == nullptr)
     return false;
-  const auto since = first_send(found->second);
+  const auto since = first_send(*record);
   if (!since)
     return true;
-  if (now - *since >= rule.window || found->second.sent.size() >= max_sends_per_key)
+  if (now - *since >= rule.window || record->sent.size() >= kMaxSendsPerKey)
     return false;
-  if (rule.scope == policy::KeyScope::all)
-    return true;
-  if (found->second.before)
-    return false;  // nobody knows where that was
-  return std::all_of(found->second.sent.begin(), found->second.sent.end(), [&](const Sent& sent) {
-    return rule.scope == policy::KeyScope::zone ? sent.at.zone == to.zone : sent.at.cell == to.cell;
+  // It is not known where an attempt of another invoker was sent.
+  if (record->may_have_run_since && rule.scope != policy::KeyScope::all)
+    return false;
+  return std::all_of(record->sent.begin(), record->sent.end(), [&](const SentAttempt& sent) {
+    return shares_keys(rule.scope, sent.location, location);
   });
 }
 
-void IdempotencyKeys::record_send(const Call& call, const Attempt& attempt, const HostLocation& to,
+void IdempotencyKeys::record_send(const Call& call, const Attempt& attempt, const HostLocation& location,
                                   Millis now) {
-  const auto found = records_.find(name_of(call));
-  if (found != records_.end())
-    found->second.sent.push_back({attempt, to, now});
+  if (Record* record = find(call))
+    record->sent.push_back({attempt, location, now});
 }
 
 void IdempotencyKeys::record_not_run(const Call& call, const Attempt& attempt) {
-  const auto found = records_.find(name_of(call));
-  if (found == records_.end())
+  Record* record = find(call);
+  if (record == nullptr)
     return;
-  auto& sent = found->second.sent;
-  const auto same = [&](const Sent& s) { return s.attempt == attempt; };
-  sent.erase(std::remove_if(sent.begin(), sent.end(), same), sent.end());
+  auto& sent = record->sent;
+  const auto is_same = [&](const SentAttempt& other) { return other.attempt == attempt; };
+  sent.erase(std::remove_if(sent.begin(), sent.end(), is_same), sent.end());
 }
 
 void IdempotencyKeys::end(const Call& call, const KeyRule& rule, Millis now) {
-  const auto found = records_.find(name_of(call));
-  if (found == records_.end())
+  Record* record = find(call);
+  if (record == nullptr || --record->open_calls > 0)
     return;
-  Record& record = found->second;
-  if (--record.open > 0)
-    return;
-  // Hosts drop repeats for a window from when each of them ran it. Forgotten sooner, the key would be
-  // taken for a new one while some still do and others do not.
-  Millis last = record.before.value_or(Millis(0));
+  // Each host recognises the key for one window after it has run an attempt. If the record were dropped
+  // earlier, the key would count as new while some hosts still recognise it and others do not.
+  const Millis until = last_send(*record) + rule.window * 2;
+  if (!first_send(*record) || until <= now) {
+    records_.erase(record_name(call));
+  } else if (std::exchange(record->retained_until, until) != until) {
+    expirations_.push_back({until, record_name(call)});
+  }
+}
+
+std::optional<Millis> IdempotencyKeys::first_send(const Record& record) {
+  std::optional<Millis> first = record.may_have_run_since;
   for (const auto& sent : record.sent)
-    last = std::max(last, sent.when);
-  const Millis until = last + rule.window * 2;
-  if (!first_send(record) || until <= now) {
-    records_.erase(found);
-  } else if (std::exchange(record.kept_until, until) != until) {
-    ends_.emplace_back(until, found->first);
+    first = first ? std::min(*first, sent.sent_at) : sent.sent_at;
+  return first;
+}
+
+Millis IdempotencyKeys::last_send(const Record& record) {
+  Millis last = record.may_have_run_since.value_or(Millis(0));
+  for (const auto& sent : record.sent)
+    last = std::max(last, sent.sent_at);
+  return last;
+}
+
+IdempotencyKeys::Record* IdempotencyKeys::find(const Call& call) {
+  const auto found = records_.find(record_name(call));
+  return found == records_.end() ? nullptr : &found->second;
+}
+
+const IdempotencyKeys::Record* IdempotencyKeys::find(const Call& call) const {
+  const auto found = records_.find(record_name(call));
+  return found == records_.end() ? nullptr : &found->second;
+}
+
+// Records are dropped here, and in end() if there is nothing to retain.
+void IdempotencyKeys::expire(Millis now) {
+  while (!expirations_.empty() && expirations_.front().due <= now) {
+    const auto found = records_.find(expirations_.front().record_name);
+    if (found != records_.end() && found->second.open_calls == 0 && found->second.retained_until <= now)
+      records_.erase(found);
+    expirations_.pop_front();
   }
 }
 
--- a/src/core/idempotency_keys.h
+++ b/src/core/idempotency_keys.h
@@ -1,8 +1,8 @@
-// What is known of idempotency keys: which calls have one, when something under it may first have run, and
-// where. No I/O; the clock is passed in. All of "a keyed call runs again only under its key, where the hosts
-// drop repeats, and while they do" is decided here.
+// Idempotency keys: a call with a key may run again only with the same key, at hosts that recognise it, and
+// for as long as they do.
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
 #include <deque>
 #include <optional>
@@ -10,61 +10,85 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/types.h"
+#include "core/attempt.h"
+#include "core/call.h"
+#include "core/host_locations.h"
 
 namespace lotusyard::core {
 
-struct HostLocation {  // of a host, as far as it says who drops a repeat
-  std::string zone;
-  int cell = 0;
-};
-
-struct KeyRule {  // of a class, as the settings give it
+// What the settings say of the keys of a class.
+struct KeyRule {
   policy::KeyScope scope = policy::KeyScope::all;
-  Millis window{0};      // from the send of the first attempt that may have run; 0: nothing drops repeats
-  Millis hard_limit{0};  // a client's longest wait over all of its tries
+  // How long hosts recognise a key, from the first attempt that may have run; 0: they recognise none.
+  Millis window{0};
+  // The longest that a client waits over all of its retries.
+  Millis hard_limit{0};
 };
 
-inline KeyRule key_rule(const policy::ClassSettings& c) { return {c.scope, c.key_window, c.deadline}; }
+inline KeyRule key_rule(const policy::ClassSettings& call_class) {
+  return {call_class.scope, call_class.key_window, call_class.deadline};
+}
 
+// Keeps for each key the attempts that may have run: when and where. Keys of different classes are different.
+// No I/O; the clock is passed in.
 class IdempotencyKeys {
  public:
-  static constexpr std::size_t max_keys = 8192;         // remembered at once; more are not taken
-  static constexpr std::size_t max_key_bytes = 128;     // bytes of a key
-  static constexpr std::size_t max_sends_per_key = 16;  // under one key that may have run; no more go out
-  static bool is_valid(const std::string& key);         // can stand in a host's line, unchanged
+  static constexpr std::size_t kMaxKeys = 8192;  // bounds the memory
+  static constexpr std::size_t kMaxKeyBytes = 128;
+  // Of attempts that may have run, over all calls with the key; bounds the memory.
+  static constexpr std::size_t kMaxSendsPerKey = 16;
+
+  // Whether the key can be passed on to hosts unchanged.
+  static bool is_valid(const std::string& key);
 
+  // other_request: the key belongs to another function or body; hosts would mistake this call for that one.
+  // window_over: an attempt with the key may have run so long ago that hosts do not recognise it any more.
+  // full: no more keys can be tracked.
   enum class KeyDecision { accepted, other_request, window_over, full };
-  // A call comes. It is joined to no other: each has an attempt of its own, and hosts drop what repeats.
-  // `other_request`: the key stands for another function or body; a host would drop this call for that one.
-  // `window_over`: something under the key may have run too long ago for a host to know.
+  // Begins a call with a key. Several calls with the same key may be open; each has attempts of its own, and
+  // hosts recognise the repeats. If the call is accepted, end() must follow.
   KeyDecision begin(const Call& call, const KeyRule& rule, Millis now);
-  // Whether an attempt may go out to a host there.
-  bool may_send_to(const Call& call, const KeyRule& rule, const HostLocation& to, Millis now) const;
-  void record_send(const Call& call, const Attempt& attempt, const HostLocation& to, Millis now);
-  void record_not_run(const Call& call, const Attempt& attempt);  // shown by how it ended
+  // Whether an attempt of a call that was begun may be sent to a host at that location.
+  bool may_send_to(const Call& call, const KeyRule& rule, const HostLocation& location, Millis now) const;
+  // An attempt is sent; it may have run until record_not_run() says otherwise.
+  void record_send(const Call& call, const Attempt& attempt, const HostLocation& location, Millis now);
+  void record_not_run(const Call& call, const Attempt& attempt);
+  // Ends a call that was begun.
   void end(const Call& call, const KeyRule& rule, Millis now);
+  // The number of keys that are tracked.
   std::size_t size() const { return records_.size(); }
 
  private:
-  struct Sent {
+  struct SentAttempt {
     Attempt attempt;
-    HostLocation at;
-    Millis when{0};
+    HostLocation location;
+    Millis sent_at{0};
   };
   struct Record {
-    std::uint64_t function = 0, body = 0;  // body: a digest
-    int open = 0;                          // calls
-    std::vector<Sent> sent;                // that may have run
-    std::optional<Millis> before;          // something may have run elsewhere, no sooner than this
-    Millis kept_until{0};
+    std::uint64_t function = 0;
+    std::uint64_t body_hash = 0;
+    int open_calls = 0;
+    std::vector<SentAttempt> sent;             // those that may have run
+    std::optional<Millis> may_have_run_since;  // the earliest time at which another invoker may have run one
+    Millis retained_until{0};                  // once no call is open
+  };
+  struct Expiration {
+    Millis due{0};
+    std::string record_name;
   };
-  std::unordered_map<std::string, Record> records_;  // by class and key
-  std::deque<std::pair<Millis, std::string>> ends_;  // when each may be forgotten, in about that order
 
-  static std::string name_of(const Call& call) { return call.class_name + '\n' + call.key; }
+  static std::string record_name(const Call& call) { return call.class_name + '\n' + call.key; }
   static std::optional<Millis> first_send(const Record& record);
+  static Millis last_send(const Record& record);
+  static std::optional<Millis> may_have_run_since(const Call& call, const KeyRule& rule, Millis now);
+  KeyDecision begin_new_key(const Call& call, const KeyRule& rule, Millis now);
+  static KeyDecision begin_known_key(Record& record, const Call& call, const KeyRule& rule, Millis now);
+  Record* find(const Call& call);
+  const Record* find(const Call& call) const;
   void expire(Millis now);
+
+  std::unordered_map<std::string, Record> records_;  // by record_name()
+  std::deque<Expiration> expirations_;               // nearly in order of `due`
 };
 
 }  // namespace lotusyard::core
--- a/src/core/listed_host.h
+++ b/src/core/listed_host.h
@@ -1,20 +1,20 @@
-// One host as a list names it, whichever list that is: the change log or an operator's xDS file.
+// A host with its address, as the change log or an operator's xDS file lists it.
 #pragma once
 
 #include <string>
 #include <vector>
 
-#include "core/types.h"
+#include "core/policy_types.h"
 
 namespace lotusyard::core {
 
 struct ListedHost {
   HostEntry entry;
-  std::string address;
+  std::string address;  // numeric, as host:port or [host]:port
 };
 
 struct HostListUpdate {
-  bool complete = false;  // else only what has changed
+  bool complete = false;  // false: only the hosts that have changed
   std::vector<ListedHost> hosts;
 };
 
--- a/tests/core/client_disconnected_test.cpp
+++ b/tests/core/client_disconnected_test.cpp
@@ -1,5 +1,6 @@
-// A client that cancelled or closed: no attempt begins for it, whatever stands before that in its bytes, and
-// however long the turns are. Orders are forced by what stands in sockets before a turn.
+// No attempt is sent for a client that has cancelled or closed its connection, no matter how many bytes come
+// before the CANCEL and how long the iterations of the event loop take. The order of events is forced by what
+// is in sockets before an iteration.
 #include "support/raw_client.h"
 
 namespace lotusyard::test {
@@ -7,90 +8,91 @@
 
 using Kind = Reaction::Kind;
 
-constexpr std::size_t kLongBody = 16000;
-constexpr int kCalls = 28;  // with the longest bodies: more than three turns read
+constexpr std::size_t kLongBodyBytes = 16000;
+constexpr int kCalls = 28;  // with such bodies: more than three iterations read
 
-std::string long_calls(int first, int count) {
+std::string long_call_commands(int first, int count) {
   std::string out;
   for (int tag = first; tag < first + count; ++tag)
-    out += call_bytes(tag, std::string(kLongBody, 'x'));
+    out += call_bytes(tag, std::string(kLongBodyBytes, 'x'));
   return out;
 }
-std::string cancels(int first, int count) {
+std::string cancel_commands(int first, int count) {
   std::string out;
   for (int tag = first; tag < first + count; ++tag)
     out += cancel_bytes(tag);
   return out;
 }
 
-// Failure found in review: a call that was looked at once, with its client's bytes unread, went out in the
-// second turn whatever these bytes were: the CANCEL stood behind what two turns read.
-TEST_CASE("a CANCEL behind more bytes than two turns read is heard before a first attempt goes out") {
-  Platform p(1);
-  const auto usual = connect_host(p);
-  RawClient client(p);
-  client.say(long_calls(1, kCalls) + cancels(1, kCalls));
+// Found in review: a call that was checked once, with input of its client unread, was sent in the second
+// iteration, though the CANCEL was behind what two iterations read.
+TEST_CASE("a CANCEL behind more bytes than two iterations read is handled before a first attempt is sent") {
+  Platform platform(1);
+  const auto first_client = connect_host(platform);
+  RawClient client(platform);
+  client.say(long_call_commands(1, kCalls) + cancel_commands(1, kCalls));
   for (int i = 0; i < 10; ++i)
-    turn_with(p.world, [] { usleep(30000); });
-  CHECK(p.world.host[0]->execs == 1);  // the usual one
-  CHECK(p.world.dispatcher.open_calls() == 0);
+    turn_with(platform.world, [] { usleep(30000); });
+  CHECK(platform.world.host[0]->execs == 1);  // of the first client
+  CHECK(platform.world.dispatcher.open_calls() == 0);
 }
 
-TEST_CASE("a CANCEL behind more bytes than two turns read is heard before a retry goes out") {
-  Platform p(2);
-  for (auto& host : p.world.host)
+TEST_CASE("a CANCEL behind more bytes than two iterations read is handled before a retry is sent") {
+  Platform platform(2);
+  for (auto& host : platform.world.host)
     host->handler = [](const std::string&) { return Reaction{Kind::silence, ""}; };
-  const auto execs = [&] { return p.world.host[0]->execs + p.world.host[1]->execs; };
-  RawClient client(p);
+  const auto attempts = [&] { return platform.world.host[0]->execs + platform.world.host[1]->execs; };
+  RawClient client(platform);
   client.say(call_bytes(1));
-  REQUIRE(p.world.run_until([&] { return execs() == 1; }, 1000));
-  const auto& host = p.world.host[0]->execs == 1 ? p.world.host[0] : p.world.host[1];
+  REQUIRE(platform.world.run_until([&] { return attempts() == 1; }, 1000));
+  const auto& host = platform.world.host[0]->execs == 1 ? platform.world.host[0] : platform.world.host[1];
   const auto peer = host->server.peers.front();
-  // Between a turn's reads and its writes: the next turn reads the host's word and a part of the client's.
-  turn_with(p.world, [&] {
-    client.say(long_calls(2, kCalls) + cancels(1, kCalls + 1));
+  // Between the reads and the writes of an iteration: the next one reads the host's answer and a part of the
+  // client's input.
+  turn_with(platform.world, [&] {
+    client.say(long_call_commands(2, kCalls) + cancel_commands(1, kCalls + 1));
     peer->write(net::hex16(1) + " full - 0\r\n\r\n");
     peer->flush_now();
   });
-  run_turns(p);
-  CHECK(p.world.counters.value("hosts.answers.full") == 1);
-  CHECK(execs() == 1);
-  CHECK(p.world.dispatcher.open_calls() == 0);
+  run_turns(platform);
+  CHECK(platform.world.counters.value("hosts.answers.full") == 1);
+  CHECK(attempts() == 1);
+  CHECK(platform.world.dispatcher.open_calls() == 0);
 }
 
-// Failure found in review: once a tag was repeated, nothing that came behind was heard, a CANCEL neither.
-TEST_CASE("a CANCEL behind a fault of its client is heard, while the connection to the host comes up") {
-  Platform p(1);
-  RawClient client(p);
+// Found in review: after a repeated tag no input of the client was handled, not even a CANCEL.
+TEST_CASE("a CANCEL behind a wrong tag is handled while the connection to the host is being established") {
+  Platform platform(1);
+  RawClient client(platform);
   client.say(call_bytes(1));
-  p.world.turn();
-  REQUIRE(p.world.counters.value("hosts.links_opened") == 1);
-  REQUIRE(p.world.counters.value("hosts.links_up") == 0);
+  platform.world.turn();
+  REQUIRE(platform.world.counters.value("hosts.links_opened") == 1);
+  REQUIRE(platform.world.counters.value("hosts.links_up") == 0);
   std::string without_tag;
   resp::write_array(without_tag, {"CALL", "0"});
   client.say((GENERATE(true, false) ? call_bytes(1) : without_tag) + cancel_bytes(1));
-  turn_with(p.world, [] { usleep(1000); });
-  run_turns(p);
-  CHECK(p.world.counters.value("hosts.links_up") == 1);
-  CHECK(p.world.host[0]->execs == 0);
-  CHECK(p.world.dispatcher.open_calls() == 0);
+  turn_with(platform.world, [] { usleep(1000); });
+  run_turns(platform);
+  CHECK(platform.world.counters.value("hosts.links_up") == 1);
+  CHECK(platform.world.host[0]->execs == 0);
+  CHECK(platform.world.dispatcher.open_calls() == 0);
 }
 
-// A client that goes on sending is not kept from its attempts: what it sent is read at once, not a part a
-// turn.
-TEST_CASE("a client that sends more in each turn is served") {
-  Platform p(1);
-  const auto usual = connect_host(p);
-  RawClient client(p);
+// All input of a client is read before its attempt is sent, not only a part in each iteration; otherwise such
+// a client would never be served.
+TEST_CASE("a client that sends more input in each iteration is served") {
+  Platform platform(1);
+  const auto first_client = connect_host(platform);
+  RawClient client(platform);
   client.say(call_bytes(1));
-  for (int tag = 2; tag < 200 && p.world.host[0]->execs < 2; ++tag) {
-    turn_with(p.world, [&] {
+  for (int tag = 2; tag < 200 && platform.world.host[0]->execs < 2; ++tag) {
+    turn_with(platform.world, [&] {
       std::string check;
       resp::write_array(check, {"CHECK", std::to_string(tag)});
       client.say(check);
     });
   }
-  CHECK(p.world.host[0]->execs == 2);
+  CHECK(platform.world.host[0]->execs == 2);
 }
 
 }  // namespace
