--- a/src/amqp/channel.h
+++ b/src/amqp/channel.h
@@ -1,95 +1,114 @@
-// One connection to a broker with one channel on it: handshake, consumers, confirmed publishing, heartbeats.
+// A connection to a broker with one channel: receives deliveries, and publishes messages that the broker
+// confirms.
 #pragma once
 
-#include <functional>
+#include <cstdint>
+#include <optional>
 #include <string>
-#include <vector>
+#include <string_view>
 
-#include "amqp/recovery.h"
-#include "amqp/topology.h"
-#include "amqp/wire.h"
+#include "amqp/broker.h"
+#include "amqp/channel_setup.h"
+#include "amqp/content_assembler.h"
+#include "amqp/heartbeat.h"
+#include "amqp/method_sender.h"
+#include "amqp/protocol_error.h"
+#include "amqp/queue_consumers.h"
+#include "amqp/reconnect_policy.h"
 #include "metrics/counters.h"
 #include "net/buffered_connection.h"
 
 namespace lotusyard::amqp {
 
-struct Broker {
-  std::vector<std::string> addresses;  // tried in turn
-  std::string user = "guest", password = "guest", vhost = "/";
-  std::vector<std::string> queues;
-  Topology topology;  // declared before the queues are consumed
-  std::uint16_t prefetch = 32, heartbeat_s = 10;
-  std::size_t longest_body = 16 * 1024;
-};
+// Whether the broker has taken a published message.
+enum class ConfirmKind { ack, nack };
 
-struct Delivery {
-  std::uint64_t tag = 0;
-  bool redelivered = false, oversized = false;  // oversized: the body was passed over
-  Properties properties;
-  std::string body;
+// The broker's answer to published messages: to the one with this number, or to all up to it.
+struct Confirmation {
+  ConfirmKind kind = ConfirmKind::ack;
+  std::uint64_t number = 0;
+  bool multiple = false;
 };
 
-// Who is told of what comes from the broker.
-class Consumer {
+// The user of a Channel.
+class ChannelHandler {
  public:
-  virtual ~Consumer() = default;
+  virtual ~ChannelHandler() = default;
+  // Messages can be published: the handshake is complete, or a pause that the broker asked for has ended.
   virtual void on_channel_open() = 0;
-  virtual void delivered(Delivery&& delivery) = 0;
-  virtual void confirmed(std::uint64_t number, bool multiple, bool taken) = 0;  // of publishings
-  virtual void on_channel_closed(const Ending& ending) = 0;                     // once
+  virtual void on_delivery(Delivery&& delivery) = 0;
+  virtual void on_confirmation(const Confirmation& confirmation) = 0;
+  // Called once, last.
+  virtual void on_channel_closed(const CloseReason& reason) = 0;
 };
 
+// `broker` and `handler` must outlive it.
 class Channel final : public net::BufferedConnection {
  public:
+  // `socket` may still be connecting.
   Channel(net::EventLoop& loop, net::BufferPool& pool, metrics::Counters& counters, const Broker& broker,
-          Consumer& consumer, net::Socket socket);
+          ChannelHandler& handler, net::Socket socket);
   ~Channel() override;
 
-  bool up() const { return state_ == State::up && !is_closing(); }
-  bool may_publish() const { return up() && flowing_ && !blocked_; }
+  bool is_up() const { return setup_.is_complete() && !is_closing(); }
+  bool may_publish() const { return is_up() && flow_active_ && !blocked_; }
+  // Publishes to a queue and returns the number under which the broker will confirm the message.
   std::uint64_t publish(const std::string& queue, const Properties& properties, std::string_view body);
-  void ack(std::uint64_t tag);
-  void reject(std::uint64_t tag);  // not to be delivered again
+  void acknowledge(std::uint64_t delivery_tag);
+  // The delivery is discarded by the broker and not delivered again.
+  void reject(std::uint64_t delivery_tag);
   void stop_consuming();
-  void close();  // says goodbye; ends once the broker has answered
+  // Closes the connection in an orderly way: it ends once the broker has answered.
+  void close();
 
  private:
-  enum class State { start, tune, open, channel, confirm, qos, declare, consume, up, closing };
-  metrics::Counters& counters_;
-  const Broker& broker_;
-  Consumer& consumer_;
-  State state_ = State::start;
-  FrameParser parser_;
-  std::size_t frame_most_ = 4096;
-  std::size_t consumers_ = 0, declared_ = 0;
-  std::uint64_t published_ = 0;
-  bool flowing_ = true, blocked_ = false;
-  Ending ending_;
-  net::Millis up_since_{0};
-  // The content that is coming in.
-  enum class Content { none, delivery, returned } content_ = Content::none;
-  bool header_seen_ = false;
-  Delivery delivery_;
-  std::uint64_t body_left_ = 0;
-  net::EventLoop::TimerId beat_{}, quiet_{}, setup_{};
-  net::Millis interval_{0};
+  struct TrafficHandler {
+    std::uint32_t method;
+    void (Channel::*handle)(Reader& arguments);
+  };
 
-  void on_connected() override;
+  void on_connected() override { sender_.send_protocol_header(); }
   void on_received(std::string_view bytes) override;
   void on_closed() override;
-  bool take(Frame&& frame);
-  bool method(Reader& in, std::uint32_t id);
-  bool content(Frame&& frame);
-  void content_done();
-  void say(std::uint32_t id, std::uint16_t channel, const Writer& arguments);
-  void declare_next();
-  void consume_all();
-  void consume(std::size_t queue);
-  void consume_again(const std::string& tag);
-  void beat();
-  void watch_quiet();
-  bool lost(const metrics::Counter& why);
-  bool closed_by(Reader& in, const metrics::Counter& why);
+
+  // These return false if the connection ends: the frames that follow are ignored.
+  bool handle_frame(const Frame& frame);
+  bool handle_method(const Frame& frame);
+  bool handle_content(const Frame& frame);
+  bool abort(ProtocolError error);
+
+  std::optional<ProtocolError> dispatch(std::uint32_t method, Reader& arguments);
+  std::optional<ProtocolError> handle_setup(std::uint32_t method, Reader& arguments);
+  static const TrafficHandler* find_traffic_handler(std::uint32_t method);
+  void handle_deliver(Reader& arguments);
+  void handle_return(Reader& arguments);
+  void handle_ack(Reader& arguments);
+  void handle_nack(Reader& arguments);
+  void handle_confirmation(ConfirmKind kind, Reader& arguments);
+  void handle_cancel(Reader& arguments);
+  void handle_cancel_ok(Reader&) {}
+  void handle_flow(Reader& arguments);
+  void handle_blocked(Reader& arguments);
+  void handle_unblocked(Reader& arguments);
+
+  static bool is_close_method(std::uint32_t method);
+  void handle_close(std::uint32_t method, Reader& arguments);
+  void close_for_broker(Reader& arguments, const metrics::Counter& counter);
+
+  metrics::Counters& counters_;
+  ChannelHandler& handler_;
+  FrameParser parser_;
+  MethodSender sender_{*this};
+  Heartbeat heartbeat_;
+  QueueConsumers consumers_;
+  ChannelSetup setup_;
+  ContentAssembler content_;
+  net::EventLoop::TimerId setup_timer_{};
+  std::optional<net::Millis> up_since_;
+  std::uint64_t published_ = 0;
+  bool flow_active_ = true;  // the broker may pause publishing with channel.flow
+  bool blocked_ = false;     // or with connection.blocked
+  CloseReason close_reason_;
 };
 
 }  // namespace lotusyard::amqp
--- /dev/null
+++ b/src/amqp/delivery_admission.cpp
@@ -0,0 +1,51 @@
+#include "amqp/delivery_admission.h"
+
+#include "metrics/amqp_counters.h"
+
+namespace lotusyard::amqp {
+
+using core::CallStatus;
+using policy::Semantics;
+
+RejectionResult result_of(Rejection rejection) {
+  switch (rejection) {
+    case Rejection::malformed:
+      break;
+    case Rejection::expired:
+      return {CallStatus::rejected, metrics::kAmqpExpired};
+    case Rejection::may_have_run:
+      return {CallStatus::failed, metrics::kAmqpMayHaveRun};
+    case Rejection::unrecorded:
+      return {CallStatus::rejected, metrics::kAmqpUnrecorded};
+    case Rejection::too_many_open:
+      return {CallStatus::rejected, metrics::kAmqpTooManyOpen};
+  }
+  return {CallStatus::failed, metrics::kAmqpBadCall};
+}
+
+bool is_safe_to_retry(const CachedDelivery& cached) {
+  switch (cached.answer->status) {
+    case CallStatus::rejected:
+      return true;
+    case CallStatus::failed:
+      return !cached.non_idempotent;
+    case CallStatus::succeeded:
+      break;
+  }
+  return false;
+}
+
+bool may_have_run(Semantics semantics, const std::optional<core::Millis>& max_age) {
+  switch (semantics) {
+    case Semantics::non_idempotent:
+      return true;
+    case Semantics::idempotent_with_key:
+      // It may run again as long as hosts know its key, which only the time of its publication can show.
+      return !max_age;
+    case Semantics::idempotent:
+      break;
+  }
+  return false;
+}
+
+}  // namespace lotusyard::amqp
--- /dev/null
+++ b/src/amqp/delivery_admission.h
@@ -0,0 +1,35 @@
+// Decisions on whether a delivery may become a call. No I/O.
+#pragma once
+
+#include <optional>
+
+#include "amqp/delivery_cache.h"
+#include "core/types.h"
+#include "metrics/counter.h"
+
+namespace lotusyard::amqp {
+
+// Why a delivery does not become a call.
+enum class Rejection {
+  malformed,     // see DeliveryError
+  expired,       // nobody waits for the answer any more
+  may_have_run,  // an earlier delivery may have run, and the call must not run twice
+  unrecorded,    // the durable store cannot record the call
+  too_many_open
+};
+
+// How a rejected delivery is answered and counted.
+struct RejectionResult {
+  core::CallStatus status;
+  const metrics::Counter& counter;
+};
+RejectionResult result_of(Rejection rejection);
+
+// Whether a message that was sent anew may be treated as a retry of its call, which has ended.
+bool is_safe_to_retry(const CachedDelivery& cached);
+
+// Whether a redelivered call may have run in another process, or in this one before a restart or before it
+// was evicted from the cache. `max_age` is the greatest age that the message can have, if it is known.
+bool may_have_run(policy::Semantics semantics, const std::optional<core::Millis>& max_age);
+
+}  // namespace lotusyard::amqp
--- /dev/null
+++ b/src/amqp/delivery_cache.cpp
@@ -0,0 +1,63 @@
+#include "amqp/delivery_cache.h"
+
+#include <utility>
+
+namespace lotusyard::amqp {
+namespace {
+
+// What an entry takes besides its key and body, estimated.
+constexpr std::size_t kEntryBytes = 512;
+// The key is held by the map and by the list.
+constexpr std::size_t kKeyCopies = 2;
+
+std::size_t size_of(const std::string& call_key, const core::Answer& answer) {
+  return kEntryBytes + kKeyCopies * call_key.size() + answer.body.size();
+}
+
+}  // namespace
+
+CachedDelivery* DeliveryCache::find(const std::string& call_key) {
+  const auto found = entries_.find(call_key);
+  return found == entries_.end() ? nullptr : &found->second.delivery;
+}
+
+CachedDelivery& DeliveryCache::insert(const std::string& call_key, bool non_idempotent) {
+  erase(call_key);
+  CachedDelivery& delivery = entries_[call_key].delivery;
+  delivery.non_idempotent = non_idempotent;
+  return delivery;
+}
+
+void DeliveryCache::complete(const std::string& call_key, core::Answer&& answer) {
+  const auto found = entries_.find(call_key);
+  if (found == entries_.end() || found->second.delivery.answer)
+    return;
+  bytes_ += size_of(call_key, answer);
+  found->second.delivery.answer = std::make_shared<const core::Answer>(std::move(answer));
+  found->second.completed_position = completed_.insert(completed_.end(), call_key);
+  while (is_over_limit())
+    erase(std::string(completed_.front()));
+}
+
+// The newest answer is never evicted: its waiters have not been answered yet.
+bool DeliveryCache::is_over_limit() const {
+  return completed_.size() > 1 && (completed_.size() > max_answers_ || bytes_ > max_bytes_);
+}
+
+void DeliveryCache::erase(const std::string& call_key) {
+  const auto found = entries_.find(call_key);
+  if (found == entries_.end())
+    return;
+  if (const auto& answer = found->second.delivery.answer) {
+    bytes_ -= size_of(call_key, *answer);
+    completed_.erase(found->second.completed_position);
+  }
+  entries_.erase(found);
+}
+
+void DeliveryCache::clear_waiters() {
+  for (auto& [call_key, entry] : entries_)
+    entry.delivery.waiters.clear();
+}
+
+}  // namespace lotusyard::amqp
--- /dev/null
+++ b/src/amqp/delivery_parser.h
@@ -0,0 +1,40 @@
+// Parses deliveries into calls. No I/O; times are passed in.
+#pragma once
+
+#include <optional>
+#include <string>
+#include <variant>
+
+#include "amqp/delivery.h"
+#include "amqp/reply_address.h"
+#include "core/types.h"
+
+namespace lotusyard::amqp {
+
+// Why a delivery is not a valid call.
+enum class DeliveryError {
+  oversized,
+  no_message_id,
+  unknown_class,
+  invalid_function,
+  invalid_timeout,
+  invalid_memory,
+  invalid_lanes
+};
+
+// Returns where the answer to a message goes, or nothing if the message does not say. Without a correlation
+// id its message id is used.
+std::optional<ReplyAddress> reply_address(const Properties& properties);
+
+// The key under which a message's call is known. Every delivery of a message has the same key: its message id
+// or, if it has none, its reply address.
+std::string call_key(const Properties& properties);
+// Whether the key is a message id.
+bool is_message_id(const std::string& call_key);
+
+// Parses the message's headers; the body and the reference of the call are left empty. `arrived` is when the
+// delivery arrived; the call's timeout counts from there.
+std::variant<core::Call, DeliveryError> parse_call(const Delivery& delivery, const core::Settings& settings,
+                                                   core::Millis arrived);
+
+}  // namespace lotusyard::amqp
--- a/src/amqp/front_end.h
+++ b/src/amqp/front_end.h
@@ -1,14 +1,18 @@
-// The second front: deliveries of a broker are calls, and their answers are published to where they say.
+// The front end for AMQP: deliveries of a broker are calls, and their answers are published to the queue that
+// each delivery names.
 #pragma once
 
-#include <deque>
-#include <map>
-#include <memory>
+#include <cstdint>
 #include <string>
 #include <unordered_map>
 
+#include "amqp/broker.h"
 #include "amqp/channel.h"
-#include "amqp/memory.h"
+#include "amqp/connection_supervisor.h"
+#include "amqp/delivery_admission.h"
+#include "amqp/delivery_cache.h"
+#include "amqp/reply_publisher.h"
+#include "amqp/result_recorder.h"
 #include "core/dispatcher.h"
 #include "idempotency/result_store.h"
 #include "metrics/counters.h"
@@ -16,22 +20,29 @@
 
 namespace lotusyard::amqp {
 
-class FrontEnd final : public core::FrontEnd, private Consumer {
+// The services that it is given must outlive it. It must outlive its calls in the dispatcher.
+class FrontEnd final : public core::FrontEnd, private ChannelHandler {
  public:
   struct Limits {
-    std::size_t open_calls = 256, remembered = 10000, remembered_bytes = 16U << 20;
-    bool sole_consumer = false;  // nobody else consumes these queues
+    std::size_t open_calls = 256;              // further calls are rejected
+    std::size_t remembered = 10000;            // answers in the cache
+    std::size_t remembered_bytes = 16U << 20;  // of the answers in the cache
+    bool sole_consumer = false;                // no other process consumes these queues
   };
+  // `store` holds the results of calls that must not run twice. Without one they are known only to this
+  // process, and a redelivered call that it does not know is failed.
   FrontEnd(net::EventLoop& loop, net::BufferPool& pool, core::Dispatcher& dispatcher,
            metrics::Counters& counters, const core::Settings& settings, Broker broker, Limits limits,
            idempotency::ResultStore* store = nullptr);
-  ~FrontEnd() override;
 
-  void start() { connect(); }
+  void start() { connection_.connect(); }
+  // For the deliveries that follow; calls that are running keep their settings.
   void apply_settings(const core::Settings& settings) { settings_ = settings; }
-  void drain();       // nothing new; what was taken is answered
-  bool done() const;  // all answers that can be given on this connection are confirmed
-  void close();
+  // Consumes nothing more; the calls that are running are answered.
+  void drain() { connection_.drain(); }
+  // Whether all answers that can be given on this connection are confirmed.
+  bool done() const { return open_calls_.empty() && (!connection_.is_up() || publisher_.is_idle()); }
+  void close() { connection_.close(); }
 
   void answer(core::CallId call, core::Answer&& answer) override;
   bool before_attempt(core::CallId call) override;
@@ -39,49 +50,39 @@
   ClientState client_state(core::CallId call, core::Millis heard_since) override;
 
  private:
-  struct Running {
-    std::string id;
-    bool once = false, recorded = false;  // recorded: the store knows of an attempt
-  };
-  struct Publishing {
-    std::string id;  // of the call, in the memory
-    Address address;
-    std::shared_ptr<const core::Answer> answer;
-    std::vector<std::uint64_t> tags;  // deliveries that are acknowledged once the broker has it
+  struct OpenCall {
+    std::string call_key;
+    bool non_idempotent = false;
+    bool recorded = false;  // the store knows of an attempt
   };
+
+  void on_channel_open() override;
+  void on_channel_closed(const CloseReason& reason) override;
+  void on_delivery(Delivery&& delivery) override;
+  void on_confirmation(const Confirmation& confirmation) override;
+
+  // Returns true if the cache knows the call, so that the delivery waits for its answer or has got it.
+  bool handle_by_cache(const PendingDelivery& pending);
+  // Returns true if the delivery was answered by the durable record of its call, so that it must not run.
+  bool answer_by_record(const PendingDelivery& pending, const Delivery& delivery);
+  void handle_call(core::Call&& call, Delivery&& delivery, const PendingDelivery& pending);
+  bool limit_timeout(const Properties& properties, core::Call& call);
+  void begin_call(core::Call&& call, const PendingDelivery& pending, bool non_idempotent);
+  void reject(const PendingDelivery& pending, Rejection rejection, bool non_idempotent);
+  OpenCall* find_open_call(core::CallId call);
+
   net::EventLoop& loop_;
-  net::BufferPool& pool_;
   core::Dispatcher& dispatcher_;
   metrics::Counters& counters_;
-  core::Settings settings_;  // for what is read from now on
-  Broker broker_;
-  Limits limits_;
-  Memory memory_;
-  std::shared_ptr<Channel> channel_;
-  idempotency::ResultStore*
-      store_;  // of calls that must not run twice; none: this process's memory is all there is
-  std::unordered_map<core::CallId, Running> running_;
-  std::map<std::uint64_t, Publishing> unconfirmed_;
-  std::deque<Publishing> unsent_;  // refused by the broker, or it has asked for a pause
-  net::EventLoop::TimerId reconnect_{}, resend_{}, prune_{};
-  Recovery recovery_;
+  core::Settings settings_;
+  const Broker broker_;
+  const Limits limits_;
+  DeliveryCache delivery_cache_;
+  ResultRecorder recorder_;
+  ConnectionSupervisor connection_;
+  ReplyPublisher publisher_;
+  std::unordered_map<core::CallId, OpenCall> open_calls_;
   std::uint64_t last_ref_ = 0;
-  bool draining_ = false;
-
-  void connect();
-  void on_channel_open() override;
-  void on_channel_closed(const Ending& ending) override;
-  void delivered(Delivery&& delivery) override;
-  void confirmed(std::uint64_t number, bool multiple, bool taken) override;
-  bool read_call(const Delivery& delivery, core::Call& out) const;
-  bool settled_by_store(const std::string& id, const Delivery& delivery, const Address& address);
-  bool out_of_time(const Properties& properties, core::Call& call);
-  void prune_later();
-  bool record(const std::string& id, idempotency::ResultStage stage, const core::Answer& answer);
-  void refuse_call(const std::string& id, bool once, core::CallStatus status, const metrics::Counter& why);
-  void answer_delivery(const std::string& id, std::uint64_t tag, const Address& address, bool redelivered);
-  void publish(Publishing&& publishing);
-  void resend();
 };
 
 }  // namespace lotusyard::amqp
--- a/src/amqp/message_times.cpp
+++ b/src/amqp/message_times.cpp
@@ -9,10 +9,12 @@
 namespace {
 
 constexpr Millis kTimestampUnit{1000};
-constexpr Millis kPublisherAhead{1000};  // by so much a publisher's clock may be ahead of this one
+// How far the clock of a publisher may be ahead of this one.
+constexpr Millis kMaxPublisherAhead{1000};
 
-// Timestamps are cut to whole seconds, so this is when the message was published at the earliest.
-std::optional<Millis> published(const Properties& properties) {
+// Returns the earliest time at which the message can have been published: timestamps are rounded down to
+// whole seconds.
+std::optional<Millis> earliest_publication(const Properties& properties) {
   const auto& timestamp = properties.timestamp;
   if (!timestamp || *timestamp > UINT32_MAX)
     return std::nullopt;
@@ -22,19 +24,20 @@
 }  // namespace
 
 std::optional<Millis> time_left(const Properties& properties, const WallTime& wall) {
-  const auto from = published(properties);
-  const auto expiration = net::parse_whole(properties.expiration, UINT32_MAX);
-  if (!from || properties.expiration.empty() || !expiration)
+  const auto earliest = earliest_publication(properties);
+  const auto expiration_ms = net::parse_whole(properties.expiration, UINT32_MAX);
+  if (!earliest || properties.expiration.empty() || !expiration_ms)
     return std::nullopt;
-  const Millis waited = wall.current - (*from + kTimestampUnit);
-  return Millis(static_cast<double>(*expiration)) - std::max(waited, Millis(0));
+  const Millis latest = *earliest + kTimestampUnit;
+  const Millis waited = std::max(wall.current - latest, Millis(0));
+  return Millis(static_cast<double>(*expiration_ms)) - waited;
 }
 
 std::optional<Millis> age_at_most(const Properties& properties, const WallTime& wall) {
-  const auto from = published(properties);
-  if (!from || *from > wall.earliest + kPublisherAhead)
+  const auto earliest = earliest_publication(properties);
+  if (!earliest || *earliest > wall.earliest + kMaxPublisherAhead)
     return std::nullopt;
-  return std::max(wall.latest - *from, Millis(0));
+  return std::max(wall.latest - *earliest, Millis(0));
 }
 
 }  // namespace lotusyard::amqp
--- /dev/null
+++ b/src/amqp/result_recorder.h
@@ -0,0 +1,48 @@
+// Records in a durable store how far calls have come that must not run twice, and decides by these records
+// what to do with a delivery.
+#pragma once
+
+#include <optional>
+#include <string>
+
+#include "amqp/delivery.h"
+#include "amqp/reply_address.h"
+#include "core/types.h"
+#include "idempotency/result_store.h"
+#include "net/event_loop.h"
+
+namespace lotusyard::amqp {
+
+// What the store's record of a call means for a delivery of it.
+struct RecordedDecision {
+  idempotency::Decision decision = idempotency::Decision::run;
+  std::optional<idempotency::ResultRecord> record;
+};
+
+// Without a store it is disabled: only record_answer_confirmed() may be called then. What it is given must
+// outlive it.
+class ResultRecorder {
+ public:
+  // `sole_consumer`: no other process consumes the same queues. Begins to prune the store regularly.
+  ResultRecorder(net::EventLoop& loop, idempotency::ResultStore* store, bool sole_consumer);
+  ~ResultRecorder() { loop_.cancel(prune_timer_); }
+  ResultRecorder(const ResultRecorder&) = delete;
+  ResultRecorder& operator=(const ResultRecorder&) = delete;
+
+  bool is_enabled() const { return store_ != nullptr; }
+  RecordedDecision decide(const std::string& call_key, const Delivery& delivery);
+  // Returns false if the record could not be stored.
+  bool record(const std::string& call_key, idempotency::ResultStage stage, const core::Answer& answer);
+  // The broker holds the call's answer for the address. Ignored if the store has no answer of the call.
+  void record_answer_confirmed(const std::string& call_key, const ReplyAddress& address);
+
+ private:
+  void prune();
+
+  net::EventLoop& loop_;
+  idempotency::ResultStore* const store_;
+  const bool sole_consumer_;
+  net::EventLoop::TimerId prune_timer_{};
+};
+
+}  // namespace lotusyard::amqp
--- a/src/amqp/topology.cpp
+++ b/src/amqp/topology.cpp
@@ -5,42 +5,69 @@
 #include "amqp/methods.h"
 
 namespace lotusyard::amqp {
+namespace {
 
-Declared declare(const Declaration& wanted) {
-  Declared out;
-  const auto bit = [](bool on, int place) { return on ? 1U << place : 0U; };
-  switch (wanted.kind) {
+constexpr std::uint16_t kReserved = 0;
+constexpr std::uint8_t kNoFlags = 0;
+
+// The flags of a method share one octet; the first one is the lowest bit.
+std::uint8_t pack_flags(std::initializer_list<bool> flags) {
+  unsigned packed = 0;
+  unsigned position = 0;
+  for (const bool flag : flags) {
+    packed |= (flag ? 1U : 0U) << position;
+    ++position;
+  }
+  return static_cast<std::uint8_t>(packed);
+}
+
+DeclareMethod declare_exchange(const Declaration& exchange) {
+  DeclareMethod out{method::exchange_declare, method::exchange_declare_ok, {}};
+  out.arguments.u16(kReserved).short_text(exchange.name).short_text(exchange.type);
+  out.arguments.u8(pack_flags({exchange.passive, exchange.durable, exchange.auto_delete}));
+  return out;
+}
+
+DeclareMethod declare_queue(const Declaration& queue) {
+  DeclareMethod out{method::queue_declare, method::queue_declare_ok, {}};
+  out.arguments.u16(kReserved).short_text(queue.name);
+  out.arguments.u8(pack_flags({queue.passive, queue.durable, queue.exclusive, queue.auto_delete}));
+  return out;
+}
+
+DeclareMethod bind_queue(const Declaration& binding) {
+  DeclareMethod out{method::queue_bind, method::queue_bind_ok, {}};
+  out.arguments.u16(kReserved);
+  out.arguments.short_text(binding.queue).short_text(binding.exchange).short_text(binding.routing_key);
+  out.arguments.u8(kNoFlags);
+  return out;
+}
+
+DeclareMethod without_table(const Declaration& declaration) {
+  switch (declaration.kind) {
     case Declaration::Kind::exchange:
-      out.method = method::exchange_declare;
-      out.ok = method::exchange_declare_ok;
-      out.arguments.u16(0).short_text(wanted.name).short_text(wanted.type);
-      out.arguments.u8(bit(wanted.passive, 0) | bit(wanted.durable, 1) | bit(wanted.auto_delete, 2));
-      break;
+      return declare_exchange(declaration);
     case Declaration::Kind::queue:
-      out.method = method::queue_declare;
-      out.ok = method::queue_declare_ok;
-      out.arguments.u16(0).short_text(wanted.name);
-      out.arguments.u8(bit(wanted.passive, 0) | bit(wanted.durable, 1) | bit(wanted.exclusive, 2) |
-                       bit(wanted.auto_delete, 3));
-      break;
+      return declare_queue(declaration);
     case Declaration::Kind::binding:
-      out.method = method::queue_bind;
-      out.ok = method::queue_bind_ok;
-      out.arguments.u16(0)
-          .short_text(wanted.queue)
-          .short_text(wanted.exchange)
-          .short_text(wanted.routing_key);
-      out.arguments.u8(0);
-      break;
+      return bind_queue(declaration);
   }
-  out.arguments.table(wanted.arguments);
+  return {};
+}
+
+}  // namespace
+
+DeclareMethod declare_method(const Declaration& declaration) {
+  DeclareMethod out = without_table(declaration);
+  out.arguments.table(declaration.arguments);
   return out;
 }
 
-const Declaration* maker_of(const Topology& topology, const std::string& queue) {
-  const auto found = std::find_if(topology.begin(), topology.end(), [&](const Declaration& one) {
-    return one.kind == Declaration::Kind::queue && one.name == queue && !one.passive;
-  });
+const Declaration* find_queue_declaration(const Topology& topology, const std::string& queue) {
+  const auto creates_queue = [&](const Declaration& declaration) {
+    return declaration.kind == Declaration::Kind::queue && declaration.name == queue && !declaration.passive;
+  };
+  const auto found = std::find_if(topology.begin(), topology.end(), creates_queue);
   return found == topology.end() ? nullptr : &*found;
 }
 
