--- a/src/idempotency/result_ledger.cpp
+++ b/src/idempotency/result_ledger.cpp
@@ -3,6 +3,42 @@
 #include <algorithm>
 
 namespace lotusyard::idempotency {
+namespace {
+
+Decision decide_by_record(const ResultRecord& record, const DeliveryFacts& arrival) {
+  switch (record.stage) {
+    case ResultStage::sent:
+      return Decision::fail_may_have_run;
+    case ResultStage::cleared:
+      return Decision::run;
+    case ResultStage::answered:
+    case ResultStage::confirmed:
+      break;
+  }
+  // A redelivery gets the recorded answer. A message that was sent anew after a rejection is a retry.
+  return proves_not_run(record) && !arrival.redelivered ? Decision::run : Decision::answer;
+}
+
+// Whether the store would have a record of the call if it had been sent. A time of publication in the future
+// shows that this clock is behind; then the mark, which is bounded by this clock, may be too early.
+bool is_covered(const DeliveryFacts& arrival, const StoreTrust& trust) {
+  if (!arrival.published)
+    return false;
+  const Millis earliest_publication = *arrival.published - kClockSkew;
+  return earliest_publication >= trust.complete_from && earliest_publication <= trust.now;
+}
+
+// How many records are over the limits.
+std::size_t records_over_limits(const Size& size, const Bounds& bounds) {
+  const std::size_t bytes_per_record = size.records == 0 ? 0 : size.bytes / size.records;
+  const std::size_t over_count = size.records > bounds.most ? size.records - bounds.most : 0;
+  std::size_t over_bytes = 0;
+  if (size.bytes > bounds.most_bytes && bytes_per_record > 0)
+    over_bytes = (size.bytes - bounds.most_bytes) / bytes_per_record + 1;
+  return std::max(over_count, over_bytes);
+}
+
+}  // namespace
 
 bool proves_not_run(const ResultRecord& record) {
   if (record.stage == ResultStage::cleared)
@@ -12,55 +48,39 @@
 
 Decision decide(const std::optional<ResultRecord>& known, const DeliveryFacts& arrival,
                 const StoreTrust& trust) {
-  // A store that cannot be read may hold that it ran. Sent anew, the same id may be a tablet's
-  // repeat.
+  // A store that cannot be read may hold a record of a run.
   if (!trust.healthy)
     return arrival.redelivered ? Decision::fail_may_have_run : Decision::refuse_unrecorded;
-  if (known) {
-    if (known->stage == ResultStage::sent)
-      return Decision::fail_may_have_run;
-    if (known->stage == ResultStage::cleared)
-      return Decision::run;
-    // A redelivery gets the answer that stands; a message sent anew after a refusal is a further try.
-    return proves_not_run(*known) && !arrival.redelivered ? Decision::run : Decision::answer;
-  }
+  if (known)
+    return decide_by_record(*known, arrival);
   if (!arrival.redelivered)
     return Decision::run;
-  // Not in the store may mean not yet, no more, or at another consumer. Only a call younger than
-  // everything the store has forgotten, at the only consumer there is, is known not to have gone out.
-  // Published in the future, it shows that this clock is behind, and the mark bounded by it may be too.
-  const bool covered = arrival.published && *arrival.published - kClockSkew >= trust.complete_from &&
-                       *arrival.published - kClockSkew <= trust.now;
-  return trust.sole_consumer && covered ? Decision::run : Decision::fail_may_have_run;
+  // An unknown call may have been pruned, or have run at another consumer.
+  return trust.sole_consumer && is_covered(arrival, trust) ? Decision::run : Decision::fail_may_have_run;
 }
 
 bool may_follow(const std::optional<ResultStage>& from, ResultStage to) {
   switch (to) {
     case ResultStage::sent:
-      return !from || *from == ResultStage::cleared || *from == ResultStage::answered ||
-             *from == ResultStage::confirmed;  // the last two: a further try after a refusal
+      return from != ResultStage::sent;  // after `answered` and `confirmed`: a retry after a rejection
     case ResultStage::cleared:
-      return from && *from == ResultStage::sent;
+      return from == ResultStage::sent;
     case ResultStage::answered:
-      return true;  // a refusal may come before anything was sent
+      return true;  // a call may be rejected before it is sent
     case ResultStage::confirmed:
-      return from && (*from == ResultStage::answered || *from == ResultStage::confirmed);
+      return from == ResultStage::answered || from == ResultStage::confirmed;
   }
   return false;
 }
 
-// Whatever goes out from now on is recorded, so that a mark at the present would do. The step is for a clock
-// that has been set back since, wrongly.
+// Whatever is sent from now on is recorded, so a mark at `now` would do. The step allows for a clock that has
+// been set back wrongly.
 Millis bounded_mark(Millis mark, Millis now) { return std::min(mark, now + kClockStep); }
 
 Pruning prune(const Size& size, std::size_t answered, const Bounds& bounds, Millis now) {
+  const std::size_t wanted = records_over_limits(size, bounds);
   Pruning out;
   out.older_than = now - bounds.longest;
-  const std::size_t each = size.records == 0 ? 0 : size.bytes / size.records;
-  const std::size_t over_count = size.records > bounds.most ? size.records - bounds.most : 0;
-  const std::size_t over_bytes =
-      size.bytes > bounds.most_bytes && each > 0 ? (size.bytes - bounds.most_bytes) / each + 1 : 0;
-  const std::size_t wanted = std::max(over_count, over_bytes);
   out.excess = std::min(wanted, answered);
   out.full = wanted > answered;
   return out;
--- a/src/idempotency/result_ledger.h
+++ b/src/idempotency/result_ledger.h
@@ -1,5 +1,5 @@
-// What may be done with a delivery of a call that must not run twice, by what a store tells of it. No I/O;
-// the clock is passed in. All of "never booked twice" is decided here.
+// Decides what to do with a delivery of a call that must not run twice, by the durable record of the call. No
+// I/O; times are passed in. The guarantee that no such call runs twice rests on these functions.
 #pragma once
 
 #include <optional>
@@ -11,68 +11,78 @@
 
 using core::Millis;
 
-// How far a call is known to have come. `sent` is written before its first byte can leave.
-enum class ResultStage { sent = 1, cleared = 2, answered = 3, confirmed = 4 };
+// How far a call has come. The values are stored: do not change them.
+enum class ResultStage {
+  sent = 1,      // an attempt may have run; recorded before its first byte is sent
+  cleared = 2,   // no attempt that was sent has run
+  answered = 3,  // the call has ended
+  confirmed = 4  // and the broker holds its answer
+};
 
 struct ResultRecord {
   ResultStage stage = ResultStage::sent;
-  core::Answer answer;  // from `answered` on
-  Millis at{0};         // of the last change
-  std::string address;  // where the broker holds the answer, from `confirmed` on
+  core::Answer answer;  // from stage `answered` on
+  Millis at{0};         // wall-clock time of the last change
+  std::string address;  // the reply address for which the broker holds the answer, from stage `confirmed` on
 };
 
 struct DeliveryFacts {
   bool redelivered = false;
-  std::optional<Millis> published;  // as its publisher says; absent: not said
+  std::optional<Millis> published;  // by the publisher's clock, if it says so
 };
 
+// What can be concluded from a call that is not in the store.
 struct StoreTrust {
-  bool healthy = false;        // what was asked of the store was answered
-  bool sole_consumer = false;  // the operator says that no other process consumes these queues
-  Millis complete_from{0};     // all calls that went out since then stand in the store
-  Millis now = Millis::max();  // by the clock that bounded this mark
+  bool healthy = false;        // the lookup of the call succeeded
+  bool sole_consumer = false;  // by configuration, no other process consumes these queues
+  Millis complete_from{0};     // the store has a record of every call that was sent since then
+  Millis now = Millis::max();  // by the clock that bounded complete_from
 };
 
 enum class Decision {
-  run,                // it has not run, and may go out
-  answer,             // as the record says
-  fail_may_have_run,  // nobody can show that it did not
-  refuse_unrecorded   // the store cannot take what must be written first; trying again is harmless
+  run,                // it has not run
+  answer,             // with the recorded answer
+  fail_may_have_run,  // it cannot be shown that it has not run
+  refuse_unrecorded   // the store cannot record it; retrying is safe
 };
 
-// A clock may be set forwards or back by so much between two processes without a call running twice.
+// A wall clock may be set by up to this much between two processes without a call running twice.
 constexpr Millis kClockStep{3600e3};
-// A publisher's clock and this store's may differ by so much before a publisher's word counts.
+// The difference between a publisher's clock and the store's clock that is tolerated.
 constexpr Millis kClockSkew = kClockStep + Millis(60000);
 
+// `known` is the record of the delivery's call, if the store has one.
 Decision decide(const std::optional<ResultRecord>& known, const DeliveryFacts& arrival,
                 const StoreTrust& trust);
 
-// Whether a change of stage keeps what the store has promised; one that does not is a fault of ours.
+// Whether a record may change from one stage to another; `from` is empty for a new record. A change that may
+// not happen is a programming error, and must not be stored.
 bool may_follow(const std::optional<ResultStage>& from, ResultStage to);
 
-// The stage that a call has come to once its answer is known: a refusal proves that nothing ran.
+// Whether the record proves that the call has not run.
 bool proves_not_run(const ResultRecord& record);
 
-// Bounds of a store, and what goes first when they are reached. What is `sent` is what the store is for: it
-// goes last, and by age only.
+// Limits of a store.
 struct Bounds {
-  Millis longest{7 * 24 * 3600e3};
-  std::size_t most = 100000;
-  std::size_t most_bytes = 64U << 20;
+  Millis longest{7 * 24 * 3600e3};     // the greatest age of a record
+  std::size_t most = 100000;           // records
+  std::size_t most_bytes = 64U << 20;  // estimated
 };
 struct Size {
   std::size_t records = 0, bytes = 0;
 };
+// What has to be removed from a store. Records of stage `sent` protect calls from running twice: they are
+// removed by age only.
 struct Pruning {
-  Millis older_than{0};    // these go, whatever their stage
-  std::size_t excess = 0;  // and so many of the oldest that have been answered
-  bool full = false;       // what is left is too much all the same: nothing new is recorded
+  Millis older_than{0};    // all records that were last changed before
+  std::size_t excess = 0;  // and this many of the oldest that have an answer
+  bool full = false;       // the store is over its limits even then: no new call may be recorded
 };
-// From when on a store is complete that is told to be so from `mark` on. A clock that was ahead, and has been
-// set right, may have written a mark that lies years ahead: until then no call could be shown not to have
-// run.
-Millis bounded_mark(Millis mark, Millis now);
+// `answered` is the number of records with an answer.
 Pruning prune(const Size& size, std::size_t answered, const Bounds& bounds, Millis now);
 
+// Bounds a mark such as StoreTrust::complete_from that was written earlier. A clock that was ahead may have
+// written one that lies years ahead, so that no call could be shown not to have run until then.
+Millis bounded_mark(Millis mark, Millis now);
+
 }  // namespace lotusyard::idempotency
--- a/src/idempotency/result_store.h
+++ b/src/idempotency/result_store.h
@@ -1,9 +1,8 @@
-// Where records of calls that must not run twice are kept. A call to it that returns has been made safe.
+// The interface of a durable store for the records of calls that must not run twice.
 #pragma once
 
-#include <functional>
+#include <optional>
 #include <string>
-#include <vector>
 
 #include "idempotency/result_ledger.h"
 
@@ -12,11 +11,15 @@
 class ResultStore {
  public:
   virtual ~ResultStore() = default;
-  // Whether the record could be looked for; `out` is empty if there is none.
+  // Looks up the record of a call; `out` is empty if there is none. Returns false if the store could not be
+  // read.
   virtual bool find(const std::string& id, std::optional<ResultRecord>& out) = 0;
-  // False: it does not stand, and what it was to precede must not be done.
+  // Stores the record and returns once it is durable. Returns false if it is not stored: whatever it had to
+  // precede must not be done then.
   virtual bool put(const std::string& id, const ResultRecord& record) = 0;
+  // See StoreTrust::complete_from.
   virtual Millis complete_from() const = 0;
+  // Removes records that are too old or too many, by the wall clock's time `now`.
   virtual void prune(Millis now) = 0;
 };
 
