--- a/src/amqp/connection_supervisor.h
+++ b/src/amqp/connection_supervisor.h
@@ -12,7 +12,7 @@
 
 namespace lotusyard::amqp {
 
-// What it is given must outlive it. The handler is also told, by on_channel_closed(), of each connection that
+// What it is given must outlive it. The handler's on_channel_closed() is also called for each connection that
 // could not be made; it must pass every end on to reconnect_later().
 class ConnectionSupervisor {
  public:
