--- a/src/config/replacement.cpp
+++ b/src/config/replacement.cpp
@@ -41,9 +41,15 @@
 
 void check(const json& outline, const json& next, const std::string& path);
 
+std::string join(const std::string& path, const std::string& name) {
+  if (path.empty())
+    return name;
+  return path + "." + name;
+}
+
 void check_members(const json& outline, const json& next, const std::string& path) {
   for (const auto& [name, member] : outline.items()) {
-    const std::string member_path = path.empty() ? name : path + "." + name;
+    const std::string member_path = join(path, name);
     if (!next.contains(name))
       throw ConfigError(member_path, "is missing");
     check(member, next.at(name), member_path);
--- a/src/config/section.cpp
+++ b/src/config/section.cpp
@@ -61,7 +61,7 @@
   const json& value = (*this)[name];
   if (!value.is_null() && !value.is_string())
     fail(name, "a text is needed");
-  const std::string read = value.is_string() ? value.get<std::string>() : fallback;
+  std::string read = value.is_string() ? value.get<std::string>() : fallback;
   check_address(path_of(name), read);
   return read;
 }
