--- a/src/hosts/connection_pool.h
+++ b/src/hosts/connection_pool.h
@@ -21,8 +21,8 @@
 namespace lotusyard::hosts {
 
 // Ends are reported to the dispatcher from the event loop, never from within a call to the pool. What cannot
-// be sent because this machine can make no connection waits for one; whatever else cannot be sent ends as a
-// failed connect.
+// be sent because this machine can make no connection waits for one; what cannot be sent for another reason
+// ends as a failed connect.
 class HostConnectionPool final : public core::HostTransport, private HostConnectionListener {
  public:
   // All references have to outlive the pool.
--- a/src/hosts/connection_pool_listener.cpp
+++ b/src/hosts/connection_pool_listener.cpp
@@ -8,7 +8,7 @@
 
 using core::Outcome;
 
-// Whatever was decided before, the host has to be ready now.
+// The host may have been ready when this was decided, and not be now.
 bool HostConnectionPool::may_send(const std::string& id, const core::Call* call,
                                   std::uint64_t function) const {
   const auto found = hosts_.find(id);
--- a/src/hosts/line_parser.cpp
+++ b/src/hosts/line_parser.cpp
@@ -47,8 +47,8 @@
 
 void LineParser::read_line(std::string_view& bytes, std::vector<Reply>& out) {
   const auto end = bytes.find('\n');
-  line_.append(bytes.substr(0, std::min(end, longest_line + 1)));
-  const bool is_too_long = line_.size() > longest_line;
+  line_.append(bytes.substr(0, std::min(end, kMaxLineLength + 1)));
+  const bool is_too_long = line_.size() > kMaxLineLength;
   if (is_too_long)
     state_ = State::malformed;
   if (end == std::string_view::npos) {
--- a/src/hosts/line_parser.h
+++ b/src/hosts/line_parser.h
@@ -17,7 +17,8 @@
 // line and the longest body.
 class LineParser {
  public:
-  static constexpr std::size_t longest_line = 2048;
+  // Bytes. Guards memory against a line without an end.
+  static constexpr std::size_t kMaxLineLength = 2048;
   explicit LineParser(std::size_t longest_body = 1U << 20) : longest_body_(longest_body) {}
 
   // Consumes all bytes and appends the completed messages to `out`. Returns false once the stream is
--- a/tests/golden/hosts_golden.cpp
+++ b/tests/golden/hosts_golden.cpp
@@ -1,4 +1,4 @@
-// The hosts' protocol: what goes to a host, byte for byte, and its replies as they are read.
+// The host protocol: what is sent to a host, byte for byte, and its replies as they are parsed.
 #include <regex>
 
 #include "golden/golden_part.h"
@@ -8,9 +8,10 @@
 namespace {
 
 constexpr std::uint64_t kFunction = 0xa2;
-constexpr int kTurnsMost = 1000;  // each waits for 20 ms at most
+// Iterations of the event loop, of at most 20 ms each, within which the host has its bytes.
+constexpr int kMaxIterations = 1000;
 
-// A host that keeps what it is sent, and never answers.
+// A host that records what it is sent, and never answers.
 class SilentHost {
  public:
   class Peer final : public net::BufferedConnection {
@@ -28,7 +29,8 @@
   std::string received;
 };
 
-class NoFront final : public core::FrontEnd {
+// A front end for calls that are never answered.
+class DiscardingFrontEnd final : public core::FrontEnd {
   void answer(core::CallId, core::Answer&&) override {}
 };
 
@@ -42,11 +44,11 @@
  public:
   explicit Connection(hosts::LivenessProbe liveness = hosts::LivenessProbe::none)
       : world(0, plain_settings(), limits(liveness)), host_(world.loop, world.pool) {
-    core::ListedHost member;
-    member.entry.host = "h0";
-    member.address = host_.server.address();
-    world.fleet.update_endpoints({true, {member}});
-    world.dispatcher.update_endpoints({core::ListKind::full, {member.entry}});
+    core::ListedHost endpoint;
+    endpoint.entry.host = "h0";
+    endpoint.address = host_.server.address();
+    world.fleet.update_endpoints({true, {endpoint}});
+    world.dispatcher.update_endpoints({core::ListKind::full, {endpoint.entry}});
   }
   test::InvokerFixture world;
 
@@ -63,22 +65,23 @@
     call.timeout = core::Millis(60000);
     call.body = std::string("bo\0dy", 5);
     const core::CallId id = world.dispatcher.allocate_call_id();
-    REQUIRE_FALSE(world.dispatcher.admit(id, std::move(call), front_).has_value());
+    REQUIRE_FALSE(world.dispatcher.admit(id, std::move(call), front_end_).has_value());
     return id;
   }
-  // What the host was sent up to `end`; the time that a call has left differs from run to run.
+  // What the host was sent up to `end`. The timeout of a call differs from run to run, so it is replaced.
   std::string sent(const std::string& end) {
-    const std::string& got = host_.received;
-    const bool in_time = world.run_until([&] { return got.find(end) != std::string::npos; }, kTurnsMost);
-    INFO(got);
+    const std::string& received = host_.received;
+    const auto has_end = [&] { return received.find(end) != std::string::npos; };
+    const bool in_time = world.run_until(has_end, kMaxIterations);
+    INFO(received);
     REQUIRE(in_time);
-    const std::string whole = got.substr(0, got.find(end) + end.size());
-    return std::regex_replace(whole, std::regex("patience=[0-9]+"), "patience=N");
+    const std::string complete = received.substr(0, received.find(end) + end.size());
+    return std::regex_replace(complete, std::regex("patience=[0-9]+"), "patience=N");
   }
 
  private:
   SilentHost host_;
-  NoFront front_;
+  DiscardingFrontEnd front_end_;
 
   static hosts::Limits limits(hosts::LivenessProbe liveness) {
     hosts::Limits out = test::InvokerFixture::limits();
@@ -87,13 +90,13 @@
   }
 };
 
-std::string attempt(const std::string& key) {
+std::string send_attempt(const std::string& key) {
   Connection connection;
   connection.call(key);
   return connection.sent("dy\r\n");
 }
 
-std::string cancelled_attempt() {
+std::string cancel_attempt() {
   Connection connection;
   const core::CallId id = connection.call("");
   connection.sent("dy\r\n");
@@ -101,24 +104,25 @@
   return connection.sent("drop 00000000000000a1\r\n");
 }
 
-std::string liveness_check(hosts::LivenessProbe kind, const std::string& end) {
+std::string send_liveness_probe(hosts::LivenessProbe kind, const std::string& end) {
   Connection connection(kind);
   connection.call("");
   return connection.sent(end);
 }
 
-std::string without_call(const std::function<void(hosts::HostConnectionPool&)>& order) {
+// What the host is sent by a request that is no call.
+std::string send_request(const std::function<void(hosts::HostConnectionPool&)>& request) {
   Connection connection;
-  order(connection.world.fleet);
+  request(connection.world.fleet);
   return connection.sent("\r\n");
 }
 
 std::string reencode_reply(const std::string& bytes) {
   hosts::LineParser parser;
-  std::vector<hosts::Reply> out;
-  if (!parser.parse(bytes, out) || out.size() != 1)
-    throw std::runtime_error("it isn't one whole reply");
-  const hosts::Reply& reply = out.front();
+  std::vector<hosts::Reply> replies;
+  if (!parser.parse(bytes, replies) || replies.size() != 1)
+    throw std::runtime_error("it isn't one complete reply");
+  const hosts::Reply& reply = replies.front();
   return reply.id + ' ' + reply.word + ' ' + (reply.fields.empty() ? "-" : reply.fields) + ' ' +
          std::to_string(reply.body.size()) + "\r\n" + reply.body + "\r\n";
 }
@@ -127,21 +131,21 @@
 
 Part hosts_part() {
   using hosts::LivenessProbe;
-  const auto ensure = [](int copies) {
-    return without_call(
-        [copies](hosts::HostConnectionPool& fleet) { fleet.load_copies("h0", kFunction, copies); });
+  const auto load_copies = [](int copies) {
+    return send_request(
+        [copies](hosts::HostConnectionPool& pool) { pool.load_copies("h0", kFunction, copies); });
   };
   return {
       "hosts",
-      {{"exec", attempt(""), {}},
-       {"exec with a key", attempt("key-1"), {}},
-       {"exec and drop", cancelled_attempt(), {}},
-       {"ensure", ensure(2), {}},
-       {"ensure asks", ensure(0), {}},
-       {"load", without_call([](hosts::HostConnectionPool& fleet) { fleet.probe("h0"); }), {}},
-       {"release", without_call([](hosts::HostConnectionPool& fleet) { fleet.unload("h0", kFunction); }), {}},
-       {"exec and health", liveness_check(LivenessProbe::health, "health s1\r\n"), {}},
-       {"exec and liveness order", liveness_check(LivenessProbe::order, "count=0\r\n"), {}},
+      {{"exec", send_attempt(""), {}},
+       {"exec with a key", send_attempt("key-1"), {}},
+       {"exec and drop", cancel_attempt(), {}},
+       {"ensure", load_copies(2), {}},
+       {"ensure asks", load_copies(0), {}},
+       {"load", send_request([](hosts::HostConnectionPool& pool) { pool.probe("h0"); }), {}},
+       {"release", send_request([](hosts::HostConnectionPool& pool) { pool.unload("h0", kFunction); }), {}},
+       {"exec and health", send_liveness_probe(LivenessProbe::health, "health s1\r\n"), {}},
+       {"exec and liveness order", send_liveness_probe(LivenessProbe::order, "count=0\r\n"), {}},
        {"reply", "00000000000000a1 data l=inflight:1;util:0.5 5\r\nbo\x01\xff\n\r\n", reencode_reply},
        {"reply without fields", "p1 well - 0\r\n\r\n", reencode_reply}}};
 }
