--- a/src/hosts/host_connection_read.cpp
+++ b/src/hosts/host_connection_read.cpp
@@ -149,6 +149,7 @@
   const auto attempts = std::exchange(attempts_, {});
   const auto queries = std::exchange(queries_, {});
   std::vector<HostConnectionListener::LostAttempt> lost;
+  lost.reserve(attempts.size());
   for (const auto& [ref, sent] : attempts)
     lost.push_back({sent.attempt, lost_outcome(sent.progress)});
   services_.listener.on_attempts_lost(host_, lost);
