--- a/tests/gossip/gossip_measure.cpp
+++ b/tests/gossip/gossip_measure.cpp
@@ -1,4 +1,4 @@
-// Figures of the view in its pure form, by hand: lotusyard_fleet_tests "[view-measure]".
+// Figures of the SWIM protocol on a simulated network, by hand: lotusyard_fleet_tests "[view-measure]".
 #include <iostream>
 
 #include "gossip/gossip_network.h"
@@ -24,30 +24,30 @@
   for (const std::size_t n : {3, 30, 100, 300}) {
     Spread join, crash, heal, sent, bytes;
     for (std::uint64_t seed = 1; seed <= (n > 100 ? 3 : 10); ++seed) {
-      ViewNet net(seed, n);
+      GossipNetwork network(seed, n);
       for (std::size_t i = 0; i + 1 < n; ++i)
-        net.start(i);
-      net.run(20000);
-      net.start(n - 1);
-      join.all.push_back(net.settles(60000));
-      net.run(5000);
-      net.crash(n / 2);
-      crash.all.push_back(net.settles(60000));
-      net.run(10000);
+        network.start(i);
+      network.run(20000);
+      network.start(n - 1);
+      join.all.push_back(network.time_until_settled(60000));
+      network.run(5000);
+      network.crash(n / 2);
+      crash.all.push_back(network.time_until_settled(60000));
+      network.run(10000);
       std::set<std::size_t> side;
       for (std::size_t i = 0; i < n / 2; ++i)
         side.insert(i);
-      net.part(side);
-      net.run(30000);
-      net.heal();
-      heal.all.push_back(net.settles(60000));
-      net.run(20000);
-      net.measure_bytes = true;
+      network.cut_off(side);
+      network.run(30000);
+      network.heal();
+      heal.all.push_back(network.time_until_settled(60000));
+      network.run(20000);
+      network.measure_bytes = true;
       std::uint64_t before = 0, after = 0, weight = 0;
-      for (const auto& node : net.nodes)
+      for (const auto& node : network.nodes)
         before += node.sent;
-      net.run(30000);
-      for (const auto& node : net.nodes) {
+      network.run(30000);
+      for (const auto& node : network.nodes) {
         after += node.sent;
         weight += node.bytes;
       }
@@ -64,23 +64,23 @@
   for (const std::size_t n : {30, 100}) {
     for (const double loss : {0.0, 0.05, 0.2}) {
       for (const bool stalls : {false, true}) {
-        ViewNet net(11, n);
-        net.start_all();
-        net.run(10000);
-        net.loss = loss;
-        net.false_deaths = 0;
+        GossipNetwork network(11, n);
+        network.start_all();
+        network.run(10000);
+        network.loss = loss;
+        network.false_deaths = 0;
         for (int minute = 0; minute < 60; ++minute) {
           for (int second = 0; second < 60; second += 5) {
             for (std::size_t i = 0; stalls && i < n; i += 10)
-              net.stall((i + static_cast<std::size_t>(minute)) % n, 1000);
-            net.run(5000);
+              network.stall((i + static_cast<std::size_t>(minute)) % n, 1000);
+            network.run(5000);
           }
         }
         std::uint64_t suspected = 0;
-        for (const auto& node : net.nodes)
+        for (const auto& node : network.nodes)
           suspected += node.swim->counts().suspected;
-        std::cout << n << ' ' << loss << ' ' << (stalls ? "stalls" : "-") << ": " << net.false_deaths << ' '
-                  << suspected << std::endl;
+        std::cout << n << ' ' << loss << ' ' << (stalls ? "stalls" : "-") << ": " << network.false_deaths
+                  << ' ' << suspected << std::endl;
       }
     }
   }
--- /dev/null
+++ b/tests/maintenance/maintenance_safety_test.cpp
@@ -0,0 +1,39 @@
+// Operators get a host only once nobody calls it, whatever happens to the group (SimulatedGroup).
+#include <catch2/catch.hpp>
+
+#include "maintenance/simulated_group.h"
+
+namespace lotusyard::test {
+namespace {
+
+TEST_CASE("no host is released while a member's call is there, whoever is killed, cut off or elected") {
+  int released_hosts = 0;
+  for (std::uint64_t seed = 1; seed <= 60; ++seed) {
+    SimulatedGroup group(seed, 3 + static_cast<int>(seed % 3) * 2, 8);
+    INFO("seed " << seed);
+    REQUIRE(group.run(3000) == "");
+    REQUIRE(group.max_hosts_out() <= 2);
+    released_hosts += group.released_hosts();
+  }
+  CHECK(released_hosts > 100);
+}
+
+TEST_CASE("the check of released hosts finds a member that ignores its lease, and one that does not drain") {
+  int found_without_lease = 0;
+  int found_without_drain = 0;
+  for (std::uint64_t seed = 1; seed <= 60; ++seed) {
+    SimulatedGroup without_lease(seed, 3, 8);
+    without_lease.faults.ignores_lease = true;
+    if (!without_lease.run(3000).empty())
+      ++found_without_lease;
+    SimulatedGroup without_drain(seed, 3, 8);
+    without_drain.faults.ignores_drain = true;
+    if (!without_drain.run(3000).empty())
+      ++found_without_drain;
+  }
+  CHECK(found_without_lease > 0);
+  CHECK(found_without_drain > 0);
+}
+
+}  // namespace
+}  // namespace lotusyard::test
