--- a/tests/raft/replica_restart_test.cpp
+++ b/tests/raft/replica_restart_test.cpp
@@ -1,4 +1,4 @@
-// One replica whose instance starts again, with a leader that is played by hand.
+// One replica whose instance restarts, with a leader that the test plays.
 #include <catch2/catch.hpp>
 #include <string>
 #include <vector>
@@ -11,12 +11,15 @@
 namespace lotusyard::test {
 namespace {
 
-constexpr std::uint64_t kTerm = 1, kLeader = 2;
-constexpr Millis kElection{60000};  // never in this test
+constexpr std::uint64_t kTerm = 1;
+constexpr std::uint64_t kLeader = 2;
+constexpr Millis kElectionTimeout{60000};  // longer than any test
 
-struct Follower final : raft::RaftCore::Delegate {
+class Follower final : public raft::RaftCore::Delegate {
+ public:
   std::vector<std::uint64_t> indexes;
-  int unavailable_times = 0, available_times = 0;
+  int unavailable_count = 0;
+  int available_count = 0;
   std::string failure;
 
   void apply(std::uint64_t index, const std::string&) override { indexes.push_back(index); }
@@ -27,13 +30,14 @@
     if (message.type == RAFT_IO_APPEND_ENTRIES_RESULT)
       answers.push_back(message.append_entries_result);
   }
-  void on_store_failure(const std::string& why) override { failure = why; }
-  void on_store_unavailable(sqlite::ResultKind, const std::string&) override { ++unavailable_times; }
-  void on_store_available() override { ++available_times; }
+  void on_store_failure(const std::string& reason) override { failure = reason; }
+  void on_store_unavailable(sqlite::ResultKind, const std::string&) override { ++unavailable_count; }
+  void on_store_available() override { ++available_count; }
 };
 
-TEST_CASE("replicas: no snapshot is taken of a state that is ahead of the instance that started again") {
-  constexpr std::uint64_t kEntries = 1100, kBehind = 1050;  // both past what a snapshot is taken after
+TEST_CASE("replicas: no snapshot is taken of a state that is ahead of the restarted instance") {
+  constexpr std::uint64_t kEntries = 1100;  // both are beyond the length of a log that triggers a snapshot
+  constexpr std::uint64_t kBehind = 1050;
   FaultVfs vfs;
   FaultDisk& disk = vfs.make_disk("d", 1);
   VirtualScheduler scheduler;
@@ -42,8 +46,8 @@
   raft::RaftCore::bootstrap(store, {{1, "a", RAFT_VOTER}, {kLeader, "b", RAFT_VOTER}});
   std::vector<raft::StoredEntry> entries(kEntries - 1, {kTerm, RAFT_COMMAND, "entry"});
   store.append(entries);
-  Follower user;
-  raft::RaftCore replica(scheduler, store, user, 1, "a", kElection, 1);
+  Follower delegate;
+  raft::RaftCore replica(scheduler, store, delegate, 1, "a", kElectionTimeout, 1);
   const auto run = [&](Millis span) {
     const Millis until = scheduler.now() + span;
     while (scheduler.run_next(until)) {
@@ -59,24 +63,24 @@
   disk.rates.full = 1000;
   heartbeat(kEntries);
   run(Millis(1));
-  REQUIRE(user.indexes.size() == kEntries - 1);  // the first is the group's configuration
-  REQUIRE(user.unavailable_times == 1);          // its snapshot could not be stored
+  REQUIRE(delegate.indexes.size() == kEntries - 1);  // the first is the group's configuration
+  REQUIRE(delegate.unavailable_count == 1);          // its snapshot could not be stored
   CHECK_FALSE(replica.is_available());
   disk.rates.full = 0;
   run(Millis(1000));
-  REQUIRE(user.available_times == 1);
+  REQUIRE(delegate.available_count == 1);
 
   heartbeat(kBehind);
   CHECK(store.snapshot_index() == 0);
   heartbeat(kEntries);
   CHECK(store.snapshot_index() == kEntries);
   CHECK(store.snapshot().data == std::to_string(kEntries));
-  CHECK(user.indexes.size() == kEntries - 1);
-  CHECK(user.failure == "");
+  CHECK(delegate.indexes.size() == kEntries - 1);
+  CHECK(delegate.failure == "");
 }
 
 // The library alone answers with 3, which the leader of term 3 takes for an entry of its own at that index.
-TEST_CASE("replicas: a follower does not vouch for entries that its leader never had") {
+TEST_CASE("replicas: a follower does not acknowledge entries that its leader never had") {
   FaultVfs vfs;
   VirtualScheduler scheduler;
   raft::LogStore store("d:log");
@@ -84,15 +88,15 @@
   raft::RaftCore::bootstrap(store, {{1, "a", RAFT_VOTER}, {kLeader, "b", RAFT_VOTER}});
   store.set_term(2);
   store.append({{1, RAFT_COMMAND, "agreed"}, {2, RAFT_COMMAND, "of a leader that is gone"}});
-  Follower user;
-  raft::RaftCore replica(scheduler, store, user, 1, "a", kElection, 1);
+  Follower delegate;
+  raft::RaftCore replica(scheduler, store, delegate, 1, "a", kElectionTimeout, 1);
   raft_message message{};
   message.type = RAFT_IO_APPEND_ENTRIES;
   message.append_entries = {3, 2, 1, 1, nullptr, 0};
   replica.receive(kLeader, "b", std::move(message));
-  REQUIRE(user.answers.size() == 1);
-  CHECK(user.answers[0].rejected == 0);
-  CHECK(user.answers[0].last_log_index == 2);
+  REQUIRE(delegate.answers.size() == 1);
+  CHECK(delegate.answers[0].rejected == 0);
+  CHECK(delegate.answers[0].last_log_index == 2);
 }
 
 }  // namespace
