--- a/tests/maintenance/maintenance_measure.cpp
+++ b/tests/maintenance/maintenance_measure.cpp
@@ -1,6 +1,8 @@
-// Figures of works on machines, by whole members. By hand: lotusyard_tests "[works-measure]".
+// Figures of maintenance by whole members. By hand: lotusyard_tests "[works-measure]".
 #include <unistd.h>
 
+#include <algorithm>
+#include <cmath>
 #include <iostream>
 
 #include "support/cluster.h"
@@ -84,66 +86,91 @@
   print("from the leader's death to the next agreed step, ms", after_death);
 }
 
-// Half of the hosts by a work, by hand one after the other, and by hand all at once; each host is away for
+void wait(Cluster& cluster, double duration_ms) {
+  const double until = cluster.world.loop.now().count() + duration_ms;
+  cluster.until([&] { return cluster.world.loop.now().count() >= until; }, 30);
+}
+
+// Through the admin endpoints of all members; `verb` is `disable` or `enable`.
+void change_by_hand(Cluster& cluster, const std::string& verb, int host) {
+  for (auto& member : cluster.members)
+    cluster.s.post(member->admin_endpoint, "/-/hosts/h" + std::to_string(host) + "/" + verb);
+}
+
+// By a job over h0, h1 and h2, one at a time.
+void take_out_by_job(Cluster& cluster) {
+  const nlohmann::json job = {{"t", "add"},
+                              {"id", "x"},
+                              {"added",
+                               {{"id", "w"},
+                                {"select", {{"hosts", {"h0", "h1", "h2"}}}},
+                                {"bounds", {{"out", 1}, {"usable", 0.5}}}}}};
+  REQUIRE(cluster.propose(*cluster.members[0], job) == 202);
+  const auto all_returned = [&] {
+    cluster.give_back(400);
+    const auto entries = maintenance::parse_timeline(cluster.lines()).entries;
+    return std::count_if(entries.begin(), entries.end(),
+                         [](const auto& entry) { return entry.what == "back"; }) == 3;
+  };
+  cluster.until(all_returned, 40);
+}
+
+void take_out_by_hand_one_by_one(Cluster& cluster) {
+  for (int host = 0; host < 3; ++host) {
+    change_by_hand(cluster, "disable", host);
+    wait(cluster,
+         400 + 400);  // the longest time-out, after which calls have ended, and the maintenance itself
+    change_by_hand(cluster, "enable", host);
+  }
+}
+
+void take_out_by_hand_all_at_once(Cluster& cluster) {
+  for (int host = 0; host < 3; ++host)
+    change_by_hand(cluster, "disable", host);
+  wait(cluster, 800);
+  for (int host = 0; host < 3; ++host)
+    change_by_hand(cluster, "enable", host);
+}
+
+// Returns the percentage of all calls between the two counts that was not served.
+double percentage_lost(const std::map<std::string, int>& before, const std::map<std::string, int>& after) {
+  double all = 0;
+  double served = 0;
+  for (const auto& [word, count] : after) {
+    const auto earlier = before.find(word);
+    const int more = count - (earlier == before.end() ? 0 : earlier->second);
+    all += more;
+    served += word == "OK" ? more : 0;
+  }
+  return all > 0 ? std::round((all - served) / all * 10000) / 100 : 0;
+}
+
+void take_out(Cluster& cluster, const std::string& how) {
+  if (how == "work")
+    return take_out_by_job(cluster);
+  if (how == "one")
+    return take_out_by_hand_one_by_one(cluster);
+  if (how == "all")
+    return take_out_by_hand_all_at_once(cluster);
+  wait(cluster, 800);
+}
+
+// Half of the hosts by a job, by hand one after the other, and by hand all at once; each host is away for
 // 0.4 s.
 TEST_CASE("calls lost while half of the hosts are away", "[.][works-measure]") {
   for (const std::string how : {"nothing", "work", "one", "all"}) {
-    std::vector<double> lost, took;
+    std::vector<double> lost;
+    std::vector<double> took;
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
       Cluster cluster(seed, 3, 6);
       REQUIRE(cluster.all_ready(20));
       const double began = cluster.world.loop.now().count();
-      const auto wait = [&](double ms) {
-        const double until = cluster.world.loop.now().count() + ms;
-        cluster.until([&] { return cluster.world.loop.now().count() >= until; }, 30);
-      };
-      const auto by_hand = [&](const std::string& verb, int host) {
-        for (auto& m : cluster.members)
-          cluster.s.post(m->admin_endpoint, "/-/hosts/h" + std::to_string(host) + "/" + verb);
-      };
-      wait(1000);
+      wait(cluster, 1000);
       const auto before = answers(cluster);
-      if (how == "work") {
-        nlohmann::json work = {{"t", "add"},
-                               {"id", "x"},
-                               {"added",
-                                {{"id", "w"},
-                                 {"select", {{"hosts", {"h0", "h1", "h2"}}}},
-                                 {"bounds", {{"out", 1}, {"usable", 0.5}}}}}};
-        REQUIRE(cluster.propose(*cluster.members[0], work) == 202);
-        cluster.until(
-            [&] {
-              cluster.give_back(400);
-              int back = 0;
-              for (const auto& h : maintenance::parse_timeline(cluster.lines()).entries)
-                back += h.what == "back";
-              return back == 3;
-            },
-            40);
-      } else if (how == "one") {
-        for (int host = 0; host < 3; ++host) {
-          by_hand("disable", host);
-          wait(400 + 400);  // the longest limit, by which calls have ended, and the work itself
-          by_hand("enable", host);
-        }
-      } else {
-        for (int host = 0; host < 3 && how == "all"; ++host)
-          by_hand("disable", host);
-        wait(800);
-        for (int host = 0; host < 3 && how == "all"; ++host)
-          by_hand("enable", host);
-      }
+      take_out(cluster, how);
       took.push_back(cluster.world.loop.now().count() - began - 1000);
-      wait(1000);
-      auto after = answers(cluster);
-      double all = 0, served = 0;
-      for (const auto& [word, count] : after) {
-        const auto was = before.find(word);
-        const int more = count - (was == before.end() ? 0 : was->second);
-        all += more;
-        served += word == "OK" ? more : 0;
-      }
-      lost.push_back(all > 0 ? std::round((all - served) / all * 10000) / 100 : 0);
+      wait(cluster, 1000);
+      lost.push_back(percentage_lost(before, answers(cluster)));
     }
     print(how + ": % of calls not served", lost);
     print(how + ": ms", took);
--- a/tests/support/fault_vfs.h
+++ b/tests/support/fault_vfs.h
@@ -1,5 +1,6 @@
-// A VFS for SQLite in memory, with disks that fail as they are told: full, I/O errors, syncs that fail or
-// lie, and a crash at any one write or sync. Deterministic: every choice comes from the disk's seed.
+// A VFS for SQLite in memory, with disks that fail as a test says: full, I/O errors, syncs that fail or
+// report success wrongly, and a crash at any one write or sync. Deterministic: every choice comes from the
+// disk's seed.
 #pragma once
 
 #include <sqlite3.h>
@@ -13,7 +14,8 @@
 
 namespace lotusyard::test {
 
-enum class Crash { process_killed, power_lost };  // what is written stays; only what is synced stays for sure
+// Of a killed process all that was written survives; after a loss of power only what was synced is sure to.
+enum class Crash { process_killed, power_lost };
 
 struct FaultRates {  // chances in a thousand, for each call
   unsigned full = 0, write_error = 0, sync_error = 0, read_error = 0, open_error = 0, no_memory = 0;
@@ -33,16 +35,17 @@
   explicit FaultDisk(std::uint64_t seed = 1) : random_(seed) {}
 
   FaultRates rates;
-  bool is_read_only = false;   // what is opened is opened for reading alone
-  bool is_full = false;        // nothing grows
-  bool sync_lies = false;      // the planted fault: sync says that it is done, and nothing is
+  bool is_read_only = false;   // files are opened for reading only
+  bool is_full = false;        // no file can grow
+  bool sync_lies = false;      // the planted fault: sync reports success and does nothing
   std::uint64_t crash_at = 0;  // the change (write, truncate, sync, delete) at which it crashes; 0: none
   Crash crash_kind = Crash::process_killed;
 
   std::uint64_t changes() const { return changes_; }
   bool crashed() const { return crashed_; }
   void crash() { crashed_ = true; }
-  void restart();  // after a crash, once all that had it open is closed: what was not durable is gone
+  // After a crash, once all files are closed: what was not durable is lost.
+  void restart();
   bool has_open_files() const;
 
  private:
