--- a/tests/raft/replica_restart_test.cpp
+++ b/tests/raft/replica_restart_test.cpp
@@ -14,6 +14,9 @@
 constexpr std::uint64_t kTerm = 1;
 constexpr std::uint64_t kLeader = 2;
 constexpr Millis kElectionTimeout{60000};  // longer than any test
+// Both are beyond the length of a log that triggers a snapshot.
+constexpr std::uint64_t kEntries = 1100;
+constexpr std::uint64_t kBehind = 1050;
 
 class Follower final : public raft::RaftCore::Delegate {
  public:
@@ -36,8 +39,6 @@
 };
 
 TEST_CASE("replicas: no snapshot is taken of a state that is ahead of the restarted instance") {
-  constexpr std::uint64_t kEntries = 1100;  // both are beyond the length of a log that triggers a snapshot
-  constexpr std::uint64_t kBehind = 1050;
   FaultVfs vfs;
   FaultDisk& disk = vfs.make_disk("d", 1);
   VirtualScheduler scheduler;
