--- a/src/resp/arrival_clock.h
+++ b/src/resp/arrival_clock.h
@@ -1,20 +1,23 @@
-// When something that is read now can have come at the earliest.
+// Bounds the time at which something that is read now can have arrived.
 #pragma once
 
 #include "net/event_loop.h"
 
 namespace lotusyard::resp {
 
-// Of one descriptor. A client's time counts from when it sent, and its bytes may stand unread: through a long
-// turn, behind more than a turn reads, or while the process was stopped. What is not known counts as waited.
+// The clock of one descriptor. The time-out of a call counts from when its client sent it, and its bytes may
+// stay unread: through a long iteration, behind more than one iteration reads, or while the process is
+// stopped. Where the time of arrival is not known, the earliest possible one is taken.
 class ArrivalClock {
  public:
-  ArrivalClock(net::Millis opened_since, net::Millis now) : earliest_arrival_(opened_since), read_at_(now) {}
+  // Nothing can have arrived before `opened_at`.
+  ArrivalClock(net::Millis opened_at, net::Millis now) : earliest_arrival_(opened_at), read_at_(now) {}
 
-  // To be asked at each read: what is read now has come no sooner than this.
+  // To be called at each read; what is read now has arrived no sooner than the time returned.
   net::Millis earliest_arrival(const net::EventLoop& loop) {
-    if (!unwatched_ && loop.earliest_arrival() > read_at_) {
-      earliest_arrival_ = loop.earliest_arrival();  // a poll(2) after the last read found nothing
+    const bool polled_since_read = !paused_ && loop.earliest_arrival() > read_at_;
+    if (polled_since_read) {
+      earliest_arrival_ = loop.earliest_arrival();  // poll(2) found nothing after the last read
     } else if (all_read_) {
       earliest_arrival_ = read_at_;
     }
@@ -22,17 +25,21 @@
     read_at_ = loop.now();
     return earliest_arrival_;
   }
+
   // The last read has left nothing.
-  void all_read() {
+  void mark_all_read() {
     all_read_ = true;
-    unwatched_ = false;
+    paused_ = false;
   }
-  // The loop does not look at it for a while, though something stands there.
-  void unwatched() { unwatched_ = true; }
+
+  // The descriptor is not polled until the next read, though input waits there.
+  void mark_paused() { paused_ = true; }
 
  private:
-  net::Millis earliest_arrival_, read_at_;
-  bool all_read_ = false, unwatched_ = false;
+  net::Millis earliest_arrival_;
+  net::Millis read_at_;
+  bool all_read_ = false;
+  bool paused_ = false;
 };
 
 }  // namespace lotusyard::resp
--- a/src/resp/client_connection.h
+++ b/src/resp/client_connection.h
@@ -1,123 +1,129 @@
-// One connection of a client: which of its bytes are requests, and when it has to be whole.
+// One connection of a client: splits its input into commands, and bounds the time that each may take to
+// arrive.
 #pragma once
 
-#include <algorithm>
+#include <list>
+#include <memory>
+#include <optional>
 #include <string>
 #include <unordered_map>
-#include <unordered_set>
 #include <vector>
 
-#include "metrics/client_counters.h"
+#include "core/types.h"
+#include "net/buffered_connection.h"
 #include "resp/arrival_clock.h"
-#include "resp/front_end.h"
+#include "resp/parser.h"
 
 namespace lotusyard::resp {
 
-// What is read at one go of what a client has sent; 32 calls with the longest bodies are less.
-inline constexpr int kReadsAtOnce = 6;
+class ClientConnection;
 
-// From connecting, or a request's first byte, to its last. Some clients write one over 2 s and more; whoever
-// sends none is owed an end within 3 s.
-inline constexpr core::Millis kWholeMost{2800};
+// What makes the input of a connection useless from some point on.
+enum class InputError {
+  malformed,           // it is no RESP
+  incomplete_request,  // a request did not arrive whole in time
+  no_request,          // a new connection has sent no whole request in time
+};
 
-class FrontEnd::ClientConnection final : public net::BufferedConnection {
+// Handles the input of a connection. A call may close the connection, which is deleted later.
+class ClientConnectionListener {
  public:
-  ClientConnection(FrontEnd& front, net::Socket socket, core::Millis connected_since)
-      : BufferedConnection(front.loop_, front.pool_, std::move(socket), false),
-        front_(front),
-        arrivals_(connected_since, front.loop_.now()) {
-    expect_whole();
-  }
-  ~ClientConnection() override { loop().cancel(whole_by_); }
-  std::unordered_map<std::string, core::CallId> open_calls;
-  Clients::iterator place;
-  bool asked = false;      // stands among the clients, else among the newcomers
-  bool malformed = false;  // nothing more that it sends can be understood
-  bool refuses = false;    // each further call is refused, and it ends once it owes no answer
-  bool no_place = false, parting = false;
-  std::size_t faults = 0, pieces = 0;  // pieces: that came before its first request was whole
-
-  std::uint64_t unread() const { return is_closing() ? 0 : send_queue().appended() - send_queue().written(); }
-  bool idle() const { return open_calls.empty() && send_queue().empty(); }
-  bool at_rest() const { return asked && idle() && !parser_.begun() && !is_closing(); }
-  // The time no later than which what was read last can have come.
+  virtual ~ClientConnectionListener() = default;
+  // Input was read; called before its commands are passed on.
+  virtual void on_input(ClientConnection& client, bool has_command) = 0;
+  // Calls were left out, because the same input cancels them.
+  virtual void on_calls_left_out(std::size_t count) = 0;
+  virtual void on_command(ClientConnection& client, Words&& command) = 0;
+  // All commands of the input were passed on.
+  virtual void on_input_handled(ClientConnection& client) = 0;
+  virtual void on_input_error(ClientConnection& client, InputError error) = 0;
+  // The connection is closed; called once.
+  virtual void on_disconnected(ClientConnection& client) = 0;
+};
+
+using ClientList = std::list<std::shared_ptr<ClientConnection>>;
+
+enum class ClientStage {
+  no_request,       // has sent nothing
+  partial_request,  // has sent a part of its first request
+  established,      // has sent a request
+};
+constexpr std::size_t kClientStages = 3;
+
+// Where the ClientTable has a connection. Only the table changes it.
+struct ClientPosition {
+  ClientStage stage = ClientStage::no_request;
+  ClientList::iterator iterator;
+  std::size_t reads_before_request = 0;
+};
+
+class ClientConnection final : public net::BufferedConnection,
+                               public std::enable_shared_from_this<ClientConnection> {
+ public:
+  // The client connected no sooner than `connected_since`.
+  ClientConnection(net::EventLoop& loop, net::BufferPool& pool, net::Socket socket,
+                   core::Millis connected_since, ClientConnectionListener& listener);
+  ~ClientConnection() override;
+
+  ClientPosition& position() { return position_; }
+  const ClientPosition& position() const { return position_; }
+  bool has_sent_request() const { return position_.stage == ClientStage::established; }
+
+  // The calls of this connection without an answer, by tag.
+  void add_open_call(const std::string& tag, core::CallId id) { open_calls_[tag] = id; }
+  void remove_open_call(const std::string& tag) { open_calls_.erase(tag); }
+  std::optional<core::CallId> find_open_call(const std::string& tag) const;
+  std::size_t open_call_count() const { return open_calls_.size(); }
+  std::vector<core::CallId> open_call_ids() const;  // in ascending order
+
+  // True from a fault on: further calls are rejected, and the connection is closed once no call is open.
+  bool rejects_calls() const { return rejects_calls_; }
+  void reject_calls() { rejects_calls_ = true; }
+  // Counts a call that was rejected for its form; after too many of them, calls are rejected.
+  void count_faulty_call();
+  // Input is ignored from now on, and calls are rejected.
+  void stop_parsing();
+  // There are too many clients for this one: calls are rejected.
+  void mark_excess();
+  bool is_excess() const { return excess_; }
+  // True for the first caller, which is to close the connection.
+  bool begin_close();
+
+  // The bytes of responses that were not written to the socket yet.
+  std::uint64_t unwritten_bytes() const;
+  // Nothing is open and nothing has to be written.
+  bool is_idle() const { return open_calls_.empty() && send_queue().empty(); }
+  // Idle, after a whole request: closing it now loses nothing that was read.
+  bool is_at_rest() const;
+
+  // No sooner than this can what was read last have arrived.
   core::Millis earliest_arrival() const { return earliest_arrival_; }
-  // All that had been sent by then has been read.
-  core::Millis heard_at() const { return heard_at_; }
-  // To the last byte that has come, within bounds.
-  void drain_socket() {
-    for (int i = 0; i < kReadsAtOnce && !is_closing(); ++i) {
-      const core::Millis now = loop().now();
-      if (peer_state() == net::PeerState::idle) {
-        heard_at_ = now;
-        return;
-      }
-      ready(POLLIN);
-    }
-  }
+  // All input that had arrived by then was read.
+  core::Millis all_read_at() const { return all_read_at_; }
+  // Reads all input that has arrived, up to a limit.
+  void drain_socket();
 
  private:
-  FrontEnd& front_;
+  void start_request_timer();
+  void update_request_timer(bool has_command);
+  void remove_cancelled_calls(std::vector<Words>& commands);
+  void on_received(std::string_view bytes) override;
+  void on_closed() override;
+
+  ClientConnectionListener& listener_;
   Parser parser_;
   ArrivalClock arrivals_;
-  core::Millis earliest_arrival_{0}, heard_at_{0};
-  net::EventLoop::TimerId whole_by_{};
-  bool request_begun_ = true;  // a newcomer owes its first request from the start
-
-  // Half a request, or none, would hold a descriptor for good.
-  void expect_whole() {
-    whole_by_ = loop().schedule_at(loop().now() + kWholeMost, [this] {
-      front_.close_malformed(*this, asked ? metrics::kRespHalfRequest : metrics::kRespNoRequest);
-    });
-  }
-  void on_received(std::string_view bytes) override {
-    earliest_arrival_ = arrivals_.earliest_arrival(loop());
-    if (bytes.size() < net::BufferPool::block_size)
-      arrivals_.all_read();
-    if (malformed)
-      return;
-    std::vector<Words> commands;
-    const bool sound = parser_.parse(bytes, commands);
-    if (!commands.empty() && !no_place && !front_.promote(*this))
-      refuses = no_place = true;
-    if (!asked)
-      front_.heard(*this);
-    // A timer a begun request: the next one's time starts with its own first byte.
-    if (request_begun_ && (!commands.empty() || !parser_.begun()))
-      loop().cancel(whole_by_);
-    if (parser_.begun() && (!request_begun_ || !commands.empty()))
-      expect_whole();
-    request_begun_ = parser_.begun() || !asked;
-    leave_out_taken_back(commands);
-    for (auto& words : commands) {
-      if (is_closing())
-        return;
-      front_.handle_command(*this, std::move(words));
-    }
-    if (!sound)
-      return front_.close_malformed(*this, metrics::kRespMalformed);
-    front_.close_if_drained(*this);
-  }
-  // Hundreds of calls that are taken back in the bytes they came in would each cost a host something.
-  void leave_out_taken_back(std::vector<Words>& commands) {
-    std::unordered_set<std::string> cancelled;
-    const auto taken_back = [&](const Words& words) {
-      if (words.size() < 2)
-        return false;
-      if (words[0] == "CANCEL")
-        cancelled.insert(words[1]);
-      return words[0] == "CALL" && open_calls.count(words[1]) == 0 && cancelled.count(words[1]) != 0;
-    };
-    const auto kept = std::remove_if(commands.rbegin(), commands.rend(), taken_back);
-    if (kept == commands.rend())
-      return;
-    front_.counters_.add(metrics::kRespTakenBack, static_cast<std::uint64_t>(commands.rend() - kept));
-    commands.erase(commands.begin(), kept.base());
-  }
-  void on_closed() override {
-    loop().cancel(whole_by_);
-    front_.on_disconnected(*this);
-  }
+  ClientPosition position_;
+  std::unordered_map<std::string, core::CallId> open_calls_;
+  core::Millis earliest_arrival_{0};
+  core::Millis all_read_at_{0};
+  net::EventLoop::TimerId request_timer_{};
+  bool request_begun_ = true;  // on a new connection the first request is due from the start
+  bool malformed_ = false;
+  bool rejects_calls_ = false;
+  bool excess_ = false;
+  bool close_begun_ = false;
+  std::size_t faulty_calls_ = 0;
 };
 
 }  // namespace lotusyard::resp
--- /dev/null
+++ b/src/resp/client_table.cpp
@@ -0,0 +1,148 @@
+#include "resp/client_table.h"
+
+#include <poll.h>
+
+#include <algorithm>
+#include <utility>
+
+#include "metrics/client_counters.h"
+
+namespace lotusyard::resp {
+namespace {
+
+const metrics::Counter& counter_of(EvictionReason reason) {
+  switch (reason) {
+    case EvictionReason::idle:
+      return metrics::kRespIdleClosed;
+    case EvictionReason::no_request:
+      return metrics::kRespSilentClosed;
+    case EvictionReason::unread_responses:
+      break;
+  }
+  return metrics::kRespUnreadClosed;
+}
+
+// A request that has arrived and was not read yet would be lost with its connection.
+bool is_evictable(const std::shared_ptr<ClientConnection>& client) {
+  return client->is_idle() && client->peer_state() != net::PeerState::readable;
+}
+
+bool is_evictable_at_rest(const std::shared_ptr<ClientConnection>& client) {
+  return client->is_at_rest() && is_evictable(client);
+}
+
+}  // namespace
+
+// To the end of the list, as the most recently active one.
+void ClientTable::move_to(ClientConnection& client, ClientStage stage) {
+  ClientPosition& position = client.position();
+  ClientList& target = list(stage);
+  target.splice(target.end(), list(position.stage), position.iterator);
+  position.stage = stage;
+}
+
+void ClientTable::add(std::shared_ptr<ClientConnection> client) {
+  ClientList& new_connections = list(ClientStage::no_request);
+  new_connections.push_back(std::move(client));
+  new_connections.back()->position().iterator = std::prev(new_connections.end());
+  limit_new_connections();
+}
+
+void ClientTable::remove(ClientConnection& client) {
+  const ClientPosition& position = client.position();
+  list(position.stage).erase(position.iterator);
+}
+
+void ClientTable::record_partial_request(ClientConnection& client) {
+  move_to(client, ClientStage::partial_request);
+  ++client.position().reads_before_request;
+}
+
+bool ClientTable::establish(ClientConnection& client) {
+  const bool was_established = client.has_sent_request();
+  move_to(client, ClientStage::established);
+  const ClientList& established = list(ClientStage::established);
+  if (established.size() <= limits_.clients)
+    return true;
+  if (evict_idle_client(std::prev(established.end())))
+    return true;
+  // Limits shrink while another process of this invoker lives. A client that was established before may have
+  // calls open, and has to get their answers.
+  if (was_established)
+    return true;
+  counters_.add(metrics::kRespNoPlace);
+  return false;
+}
+
+// Evicts one of the clients before `end`; if possible one that has not sent a part of its next request.
+bool ClientTable::evict_idle_client(ClientList::const_iterator end) {
+  const ClientList& candidates = list(ClientStage::established);
+  auto found = std::find_if(candidates.begin(), end, is_evictable_at_rest);
+  if (found == end)
+    found = std::find_if(candidates.begin(), end, is_evictable);
+  if (found == end)
+    return false;
+  evict(*found, EvictionReason::idle);
+  return true;
+}
+
+void ClientTable::limit_new_connections() {
+  const std::size_t new_connections =
+      list(ClientStage::no_request).size() + list(ClientStage::partial_request).size();
+  if (new_connections <= limits_.new_connections)
+    return;
+  const std::shared_ptr<ClientConnection> client = new_connection_to_evict();
+  client->ready(POLLIN);
+  if (!client->has_sent_request() && !client->is_closing())
+    evict(client, EvictionReason::no_request);
+}
+
+// Thousands of connections may send nothing, or stop in the middle of a request. From the larger list the
+// least recently active one goes; connections that send a request piece by piece go last.
+const std::shared_ptr<ClientConnection>& ClientTable::new_connection_to_evict() const {
+  const ClientList& no_request = list(ClientStage::no_request);
+  const ClientList& partial_request = list(ClientStage::partial_request);
+  const ClientList& candidates = no_request.size() >= partial_request.size() ? no_request : partial_request;
+  const auto stalled = std::find_if(candidates.begin(), candidates.end(), [](const auto& client) {
+    return client->position().reads_before_request < 2;
+  });
+  return stalled != candidates.end() ? *stalled : candidates.front();
+}
+
+void ClientTable::evict_until_free(std::size_t bytes) {
+  while (pool_.bytes_available() < bytes + net::BufferPool::block_size) {
+    const ClientList& established = list(ClientStage::established);
+    const auto largest =
+        std::max_element(established.begin(), established.end(), [](const auto& left, const auto& right) {
+          return left->unwritten_bytes() < right->unwritten_bytes();
+        });
+    if (largest == established.end() || (*largest)->unwritten_bytes() < net::BufferPool::block_size)
+      return;
+    evict(*largest, EvictionReason::unread_responses);
+  }
+}
+
+// Closes the connection at once, so that its descriptor and its buffers are free.
+void ClientTable::evict(const std::shared_ptr<ClientConnection>& client, EvictionReason reason) {
+  const std::shared_ptr<ClientConnection> kept_alive = client;
+  counters_.add(counter_of(reason));
+  kept_alive->close_later();
+  kept_alive->flush();
+}
+
+bool ClientTable::empty() const {
+  return std::all_of(lists_.begin(), lists_.end(), [](const ClientList& clients) { return clients.empty(); });
+}
+
+bool ClientTable::all_written() const {
+  const ClientList& established = list(ClientStage::established);
+  return std::all_of(established.begin(), established.end(),
+                     [](const auto& client) { return client->send_queue().empty(); });
+}
+
+std::vector<std::shared_ptr<ClientConnection>> ClientTable::connections(ClientStage stage) const {
+  const ClientList& of_stage = list(stage);
+  return {of_stage.begin(), of_stage.end()};
+}
+
+}  // namespace lotusyard::resp
--- a/src/resp/front_end.h
+++ b/src/resp/front_end.h
@@ -1,100 +1,85 @@
-// The platform's front: clients that CALL, CANCEL and CHECK over RESP.
+// The RESP front end: clients connect over TCP and send CALL, CANCEL and CHECK.
 #pragma once
 
-#include <list>
-#include <memory>
 #include <string>
-#include <unordered_map>
 
 #include "core/dispatcher.h"
 #include "metrics/counters.h"
-#include "net/buffered_connection.h"
 #include "net/event_loop.h"
 #include "net/socket.h"
-#include "resp/arrival_clock.h"
-#include "resp/parser.h"
+#include "resp/client_connection.h"
+#include "resp/client_limits.h"
+#include "resp/client_listener.h"
+#include "resp/client_table.h"
+#include "resp/command_handler.h"
+#include "resp/open_call_table.h"
+#include "resp/response_writer.h"
 
 namespace lotusyard::resp {
 
-class FrontEnd final : public core::FrontEnd, private net::EventHandler {
+// Joins the parts. A request counts as taken once its last byte has arrived on an accepted connection; from
+// then on it gets an answer, however its connection ends, unless its client closes it.
+class FrontEnd final : public core::FrontEnd, private ClientConnectionListener {
  public:
-  struct Limits {
-    std::size_t clients = 256, new_connections = 64;  // connections that have asked something, and not yet
-    std::size_t calls_a_client = 32;
-    std::size_t body_bytes = 48U << 20;   // of all open calls
-    std::size_t unread_bytes = 8U << 20;  // answers that one client has not read
-  };
+  using Limits = ClientLimits;
+
   FrontEnd(net::EventLoop& loop, net::BufferPool& pool, core::Dispatcher& dispatcher,
            metrics::Counters& counters, Limits limits);
-  ~FrontEnd() override;
+  FrontEnd(const FrontEnd&) = delete;
+  FrontEnd& operator=(const FrontEnd&) = delete;
 
-  bool listen(const std::string& address);
-  void listen(net::Socket listener);  // one that was inherited, and is never shut down
-  bool listening() const { return static_cast<bool>(listener_); }
-  std::string address() const { return net::bound_address(listener_); }
-  void drain() { draining_ = true; }  // CHECK says DOWN from now on; calls are still taken
-  void stop_listening();              // whoever has connected by now is taken first
-  // Another process takes clients now: none are accepted here, and each connection ends once nothing is open
-  // on it. To be called again in each turn; true once all have ended.
-  bool hand_off_connections();
-  // New calls are refused, and those that only wait, so that what is open on a busy connection ends.
+  // Listens on an address; false if that is not possible.
+  bool listen(const std::string& address) { return listener_.listen(address); }
+  // Listens on an inherited socket, which other processes may have, too.
+  void listen(net::Socket listener) { listener_.listen_on_inherited(std::move(listener)); }
+  bool listening() const { return listener_.is_listening(); }
+  std::string address() const { return listener_.address(); }
+  void set_limits(const Limits& limits) { limits_ = limits; }
+
+  // CHECK is answered with DOWN from now on; calls are still admitted.
+  void drain() { commands_.report_not_serving(); }
+  // Closes the listener. Clients that have connected by now are accepted first, unless the socket was
+  // inherited.
+  void stop_listening() { listener_.stop(); }
+  // Rejects new calls, and those that were never sent to a host, so that a busy connection comes to rest.
   void stop_admitting();
-  // All calls get their answers now, and new ones are refused: the process is about to end.
+  // Answers all open calls at once and rejects new ones: the process is about to exit.
   void answer_open_calls();
-  // True if clients have sent something that has not been read; it is read now.
+  // Another process serves clients from now on: accepts none, and closes each connection once nothing is open
+  // on it. To be called in each iteration; true once no connection is left.
+  bool hand_off_connections();
+  // Reads what clients have sent by now; returns false if there was nothing.
   bool drain_sockets();
-  void set_limits(const Limits& limits) { limits_ = limits; }
-  std::size_t open_calls() const { return by_call_.size(); }
-  bool written() const;  // nothing waits to be written
+
+  std::size_t open_calls() const { return open_calls_.size(); }
+  bool written() const { return clients_.all_written(); }  // no response waits to be written
 
   void answer(core::CallId call, core::Answer&& answer) override;
-  ClientState client_state(core::CallId call, core::Millis heard_since) override;
+  ClientState client_state(core::CallId call, core::Millis read_since) override;
   void read_client_input(core::CallId call) override;
 
  private:
-  class ClientConnection;
-  struct OpenTag {
-    ClientConnection* client;
-    std::string tag;
-    std::size_t body_bytes;
-  };
+  void on_accepted(net::Socket socket, core::Millis connected_since);
+  void on_input(ClientConnection& client, bool has_command) override;
+  void on_calls_left_out(std::size_t count) override;
+  void on_command(ClientConnection& client, Words&& command) override;
+  void on_input_handled(ClientConnection& client) override;
+  void on_input_error(ClientConnection& client, InputError error) override;
+  void on_disconnected(ClientConnection& client) override;
+
+  void abort_calls(core::Dispatcher::CallSelection selection);
+  void close_if_drained(ClientConnection& client);
+
   net::EventLoop& loop_;
   net::BufferPool& pool_;
   core::Dispatcher& dispatcher_;
   metrics::Counters& counters_;
-  Limits limits_;
-  net::Socket listener_;
-  ArrivalClock connects_{core::Millis(0), core::Millis(0)};
-  using Clients = std::list<std::shared_ptr<ClientConnection>>;
-  Clients clients_, idle_without_request_,
-      partial_request_;  // those that asked, or sent nothing, or a part; longest unheard first
-  std::unordered_map<core::CallId, OpenTag> by_call_;
-  std::size_t bodies_ = 0;
-  net::EventLoop::TimerId resume_{};
-  bool draining_ = false, paused_ = false, admitting_ = true, inherited_ = false;
-
-  void ready(short events) override;
-  bool accept_some();
-  void abort_calls(core::Dispatcher::CallSelection which);
-  void close_listener();
-  bool promote(ClientConnection& client);
-  Clients& list_of(const ClientConnection& client);
-  void heard(ClientConnection& client);
-  void bound_new_connections();
-  void close_malformed(ClientConnection& client, const metrics::Counter& why);
-  void evict(const std::shared_ptr<ClientConnection>& client, const metrics::Counter& why);
-  void pause_listening();
-  void resume_listening();
-  void handle_command(ClientConnection& client, Words&& words);
-  void call(ClientConnection& client, Words&& words);
-  void reject(ClientConnection& client, const std::string& tag, const metrics::Counter& why,
-              core::CallStatus status = core::CallStatus::failed);
-  void write_response(ClientConnection& client, const std::string& tag, core::CallStatus status,
-                      core::Millis retry_after, std::string_view body);
-  void forget_call(core::CallId call);
-  void close_if_drained(ClientConnection& client);
-  void evict_until_free(std::size_t bytes);
-  void on_disconnected(ClientConnection& client);
+  Limits limits_;  // the parts below refer to it
+  ClientTable clients_;
+  OpenCallTable open_calls_;
+  ResponseWriter responses_;
+  CommandHandler commands_;
+  ClientListener listener_;
 };
 
 }  // namespace lotusyard::resp
--- a/src/resp/parser.cpp
+++ b/src/resp/parser.cpp
@@ -1,84 +1,107 @@
 #include "resp/parser.h"
 
 #include <algorithm>
+#include <utility>
 
 #include "net/fields.h"
 
 namespace lotusyard::resp {
 namespace {
 
-constexpr std::size_t kLongestHeader = 12;  // a sign and more digits than any length allowed here has
+// The type and more digits than any length allowed here has.
+constexpr std::size_t kMaxHeaderLength = 12;
 
 }  // namespace
 
-bool Parser::header(char sign, std::size_t most, std::size_t& value) const {
-  if (line_.empty() || line_[0] != sign)
-    return false;
-  const auto read = net::parse_whole(std::string_view(line_).substr(1), most);
-  value = read.value_or(0);
-  return read.has_value();
+bool Parser::parse(std::string_view bytes, std::vector<Words>& arrays) {
+  while (!bytes.empty() && state_ != State::malformed) {
+    if (state_ == State::word) {
+      parse_word_part(bytes);
+    } else {
+      parse_line_character(bytes.front(), arrays);
+      bytes.remove_prefix(1);
+    }
+  }
+  return state_ != State::malformed;
 }
 
-bool Parser::header_line(std::vector<Words>& out) {
-  if (state_ == State::array) {
-    if (!header('*', most_words, words_left_) || words_left_ == 0)
-      return false;
-    words_.clear();
-    message_left_ = longest_message;
-    state_ = State::bulk;
-  } else if (state_ == State::bulk) {
-    if (!header('$', std::min(longest_word, message_left_), bytes_left_))
-      return false;
-    message_left_ -= bytes_left_;
-    words_.emplace_back();
-    state_ = State::data;
+void Parser::parse_word_part(std::string_view& bytes) {
+  const std::size_t length = std::min(word_bytes_left_, bytes.size());
+  words_.back().append(bytes.substr(0, length));
+  bytes.remove_prefix(length);
+  word_bytes_left_ -= length;
+  if (word_bytes_left_ == 0)
+    state_ = State::word_end;
+}
+
+void Parser::parse_line_character(char character, std::vector<Words>& arrays) {
+  if (return_seen_) {
+    return_seen_ = false;
+    if (character != '\n' || !finish_line(arrays))
+      state_ = State::malformed;
+    line_.clear();
+  } else if (character == '\r') {
+    return_seen_ = true;
+  } else if (state_ == State::word_end || line_.size() >= kMaxHeaderLength) {
+    state_ = State::malformed;  // a word is longer than its header says, or a header would grow without limit
   } else {
-    if (!line_.empty())
-      return false;
-    return next_word(out);
+    line_.push_back(character);
+  }
+}
+
+// Returns false if the line is malformed.
+bool Parser::finish_line(std::vector<Words>& arrays) {
+  switch (state_) {
+    case State::array_header:
+      return begin_array();
+    case State::word_header:
+      return begin_word();
+    case State::word_end:
+      return finish_word(arrays);
+    case State::word:
+    case State::malformed:
+      break;
   }
+  return false;
+}
+
+bool Parser::begin_array() {
+  words_left_ = header_value('*', most_words).value_or(0);
+  if (words_left_ == 0)
+    return false;
+  words_.clear();
+  message_bytes_left_ = longest_message;
+  state_ = State::word_header;
   return true;
 }
 
-bool Parser::next_word(std::vector<Words>& out) {
-  state_ = State::bulk;
-  if (--words_left_ > 0)
-    return true;
-  out.push_back(std::move(words_));
-  words_ = Words();
-  state_ = State::array;
+bool Parser::begin_word() {
+  const auto length = header_value('$', std::min(longest_word, message_bytes_left_));
+  if (!length)
+    return false;
+  word_bytes_left_ = *length;
+  message_bytes_left_ -= *length;
+  words_.emplace_back();
+  state_ = word_bytes_left_ > 0 ? State::word : State::word_end;
   return true;
 }
 
-bool Parser::parse(std::string_view bytes, std::vector<Words>& out) {
-  while (!bytes.empty() && state_ != State::malformed) {
-    if (state_ == State::data) {
-      const std::size_t part = std::min(bytes_left_, bytes.size());
-      words_.back().append(bytes.substr(0, part));
-      bytes.remove_prefix(part);
-      bytes_left_ -= part;
-      if (bytes_left_ == 0)
-        state_ = State::data_end;
-      continue;
-    }
-    const char c = bytes.front();
-    bytes.remove_prefix(1);
-    if (return_seen_) {
-      return_seen_ = false;
-      if (c != '\n' || !header_line(out))
-        state_ = State::malformed;
-      line_.clear();
-      if (state_ == State::data && bytes_left_ == 0)
-        state_ = State::data_end;
-    } else if (c == '\r') {
-      return_seen_ = true;
-    } else if (state_ == State::data_end || line_.size() >= kLongestHeader) {
-      state_ = State::malformed;  // a word past its length, or a header that would grow without end
-    } else {
-      line_.push_back(c);
-    }
+bool Parser::finish_word(std::vector<Words>& arrays) {
+  --words_left_;
+  if (words_left_ > 0) {
+    state_ = State::word_header;
+    return true;
   }
-  return state_ != State::malformed;
+  arrays.push_back(std::exchange(words_, Words()));
+  state_ = State::array_header;
+  return true;
+}
+
+// Returns nothing if the line is no header of this type, or its value is above `max`.
+std::optional<std::size_t> Parser::header_value(char type, std::size_t max) const {
+  if (line_.empty() || line_[0] != type)
+    return std::nullopt;
+  return net::parse_whole(std::string_view(line_).substr(1), max);
 }
 
 void write_array(std::string& out, const std::vector<std::string_view>& words) {
--- a/tests/app/descriptors_test.cpp
+++ b/tests/app/descriptors_test.cpp
@@ -6,42 +6,64 @@
 namespace lotusyard::test {
 namespace {
 
-TEST_CASE("idle clients that fill the descriptors while the change log is down keep nobody else out") {
-  Service s(false);
-  auto file = platform_file(s.listen, s.log.server.address());
-  file["limits"]["sockets"] = 96;
-  s.write(file);
-  Process& process = s.start();
-  const std::string console = s.consoles.back(), log = s.log.server.address();
-  REQUIRE(s.ready(console));
-  REQUIRE(s.until([&] { return s.log.asked == 1; }));
-  const rlimit least{96, 96};
+constexpr std::size_t kDescriptors = 96;
+constexpr int kClients = 300;
+
+Process& start_with_few_descriptors(Service& service) {
+  auto file = platform_file(service.listen, service.log.server.address());
+  file["limits"]["sockets"] = kDescriptors;
+  service.write(file);
+  Process& process = service.start();
+  REQUIRE(service.ready(service.consoles.back()));
+  REQUIRE(service.until([&] { return service.log.asked == 1; }));
+  const rlimit least{kDescriptors, kDescriptors};
   REQUIRE(prlimit(process.pid(), RLIMIT_NOFILE, &least, nullptr) == 0);
-  s.log.server.stop();
-  for (const auto& peer : s.log.server.peers)
+  return process;
+}
+
+void stop_change_log(Service& service) {
+  service.log.server.stop();
+  for (const auto& peer : service.log.server.peers)
     peer->close_later();
-  process.signal(SIGSTOP);  // all of them stand before it in one turn
-  std::list<Tablet> idle;
-  for (int i = 0; i < 300; ++i) {  // every second one has asked something once
-    idle.emplace_back(s.world, s.listen);
+}
+
+// All of them wait for the process in one iteration. Every second client has sent a call once.
+std::list<Tablet> connect_idle_clients(Service& service, Process& process) {
+  process.signal(SIGSTOP);
+  std::list<Tablet> clients;
+  for (int i = 0; i < kClients; ++i) {
+    clients.emplace_back(service.world, service.listen);
     if (i % 2 == 0)
-      idle.back().call(1, "bin-check", "idle" + std::to_string(i));
-    s.world.turn();
+      clients.back().call(1, "bin-check", "idle" + std::to_string(i));
+    service.world.turn();
   }
   process.signal(SIGCONT);
-  const bool all = s.until([&] {
+  return clients;
+}
+
+bool all_were_accepted(Service& service, Process& process) {
+  return service.until([&] {
     process.signal(SIGUSR1);
-    return process.counter("resp.connections") >= 300;
+    return process.counter("resp.connections") >= kClients;
   });
+}
+
+TEST_CASE("idle clients that fill the descriptors while the change log is down keep nobody else out") {
+  Service service(false);
+  Process& process = start_with_few_descriptors(service);
+  const std::string console = service.consoles.back(), log = service.log.server.address();
+  stop_change_log(service);
+  const std::list<Tablet> idle = connect_idle_clients(service, process);
+  const bool all = all_were_accepted(service, process);
   INFO(process.log().substr(process.log().size() > 3000 ? process.log().size() - 3000 : 0));
   REQUIRE(all);
   CHECK(process.counter("resp.silent_closed") + process.counter("resp.idle_closed") > 0);
-  s.tell(1, "draining");
-  Server<ChangeLog::Peer, ChangeLog> again(s.world.loop, s.world.pool, s.log, log);
-  CHECK(s.until([&] { return s.log.asked >= 2; }));
-  CHECK(s.until([&] { return s.serve(3)[1] == 0; }));  // what was told meanwhile holds
-  CHECK(s.post(console, "/-/hosts/h0/disable") == 200);
-  CHECK(s.post(console, "/-/hosts/h0/enable") == 200);
+  service.tell(1, "draining");
+  Server<ChangeLog::Peer, ChangeLog> again(service.world.loop, service.world.pool, service.log, log);
+  CHECK(service.until([&] { return service.log.asked >= 2; }));
+  CHECK(service.until([&] { return service.serve(3)[1] == 0; }));  // the event is in force
+  CHECK(service.post(console, "/-/hosts/h0/disable") == 200);
+  CHECK(service.post(console, "/-/hosts/h0/enable") == 200);
   CHECK(process.counter("resp.no_descriptor") == 0);
   CHECK(process.status() == -1);
 }
--- a/tests/app/service_test.cpp
+++ b/tests/app/service_test.cpp
@@ -1,4 +1,4 @@
-// Whole processes in service: the admin endpoint, hosts out by hand, settings at SIGHUP and replacement,
+// Whole processes in service: the admin endpoint, hosts disabled by hand, settings at SIGHUP and replacement,
 // with stand-in hosts, a stand-in change log and clients on loopback.
 #include "support/service.h"
 
@@ -9,167 +9,242 @@
 namespace lotusyard::test {
 namespace {
 
+void disable_first_host(Service& service, const std::string& console) {
+  CHECK(service.post(console, "/-/hosts/nobody/disable") == 404);
+  CHECK(service.post(console, "/-/hosts/h0/disable") == 200);
+  CHECK(service.post(console, "/-/hosts/h0/disable") == 200);
+}
+
+// Starts the second process, which knows of the first one's disabled host, whether that is killed or
+// replaced.
+void replace_first_process(Service& service, bool killed) {
+  Process& first = service.processes.front();
+  if (killed)
+    first.signal(SIGKILL);
+  service.start();
+  REQUIRE(service.ready(service.consoles.back()));
+  if (first.status() >= 0)
+    return;
+  first.signal(SIGTERM);
+  REQUIRE(service.until([&] { return first.status() >= 0; }));
+  CHECK(first.status() == 0);
+}
+
 TEST_CASE("a host is out by hand across an upgrade, seen by both processes, until one call puts it back") {
   const bool inherited = GENERATE(true, false);
-  Service s(inherited);
-  s.start();
-  const std::string first = s.consoles.back();
-  REQUIRE(s.ready(first));
-  REQUIRE(s.until([&] { return s.log.asked == 1; }));
-  s.serve(5);
-  CHECK(s.post(first, "/-/hosts/nobody/disable") == 404);
-  CHECK(s.post(first, "/-/hosts/h0/disable") == 200);
-  CHECK(s.post(first, "/-/hosts/h0/disable") == 200);
-  const int orders = s.world.host[0]->orders;
-  CHECK(s.serve(10)[0] == 0);
-  s.tell(0, "draining");
-  s.tell(0, "ready", 5);
-  CHECK(s.serve(10)[0] == 0);
-  if (inherited) {  // killed, or replaced: the next one knows
-    if (GENERATE(true, false))
-      s.processes.front().signal(SIGKILL);
-    s.start();
-    const std::string second = s.consoles.back();
-    REQUIRE(s.ready(second));
-    if (s.processes.front().status() < 0) {
-      s.processes.front().signal(SIGTERM);
-      REQUIRE(s.until([&] { return s.processes.front().status() >= 0; }));
-      CHECK(s.processes.front().status() == 0);
-    }
-    CHECK(s.serve(10)[0] == 0);
-    CHECK(s.world.host[0]->orders == orders);
-    CHECK(s.post(second, "/-/hosts/h0/enable") == 200);
-  } else {
-    CHECK(s.post(first, "/-/hosts/h0/enable") == 200);
+  Service service(inherited);
+  service.start();
+  const std::string first = service.consoles.back();
+  REQUIRE(service.ready(first));
+  REQUIRE(service.until([&] { return service.log.asked == 1; }));
+  service.serve(5);
+  disable_first_host(service, first);
+  const int orders = service.world.host[0]->orders;
+  CHECK(service.serve(10)[0] == 0);
+  service.tell(0, "draining");
+  service.tell(0, "ready", 5);
+  CHECK(service.serve(10)[0] == 0);
+  if (inherited) {
+    replace_first_process(service, GENERATE(true, false));
+    CHECK(service.serve(10)[0] == 0);
+    CHECK(service.world.host[0]->orders == orders);
   }
-  // Not one of the two is in need of the other: the module has to want it used.
-  const bool used = s.until([&] { return s.serve(3)[0] > 0; });
-  s.processes.back().signal(SIGUSR1);
-  s.until([&] { return s.processes.back().counter("calls.taken") > 0; });
-  INFO(s.processes.back().log());
+  CHECK(service.post(service.consoles.back(), "/-/hosts/h0/enable") == 200);
+  // One host is enough for so few calls: the scheduler has to choose to use the other one again.
+  const bool used = service.until([&] { return service.serve(3)[0] > 0; });
+  service.processes.back().signal(SIGUSR1);
+  service.until([&] { return service.processes.back().counter("calls.taken") > 0; });
+  INFO(service.processes.back().log());
   CHECK(used);
 }
 
 TEST_CASE("what one process is told by hand holds for the other one before long") {
-  Service s;
-  s.start();
-  s.start();
-  const std::string one = s.consoles.front(), other = s.consoles.back();
-  REQUIRE((s.ready(one) && s.ready(other)));
-  CHECK(s.post(one, "/-/hosts/h1/disable") == 200);
-  s.processes.front().signal(SIGTERM);
-  REQUIRE(s.until([&] { return s.processes.front().status() == 0; }));
-  CHECK(s.serve(10)[1] == 0);
+  Service service;
+  service.start();
+  service.start();
+  const std::string one = service.consoles.front(), other = service.consoles.back();
+  REQUIRE((service.ready(one) && service.ready(other)));
+  CHECK(service.post(one, "/-/hosts/h1/disable") == 200);
+  service.processes.front().signal(SIGTERM);
+  REQUIRE(service.until([&] { return service.processes.front().status() == 0; }));
+  CHECK(service.serve(10)[1] == 0);
+}
+
+// The configuration with one more class, bin-weigh.
+nlohmann::json file_with_new_class(const Service& service) {
+  auto file = platform_file(service.listen, service.log.server.address());
+  auto& classes = file["settings"]["Classes"];
+  classes.push_back(classes[1]);
+  classes[2]["Name"] = "bin-weigh";
+  return file;
+}
+
+// Faulty in one setting, with another one that would be taken on its own.
+nlohmann::json faulty_file(const Service& service) {
+  auto file = file_with_new_class(service);
+  file["changelog"] = free_address();
+  file["settings"]["Classes"][0]["HardLimit"] = -5;
+  return file;
 }
 
 TEST_CASE("SIGHUP takes a whole good file, and nothing of a faulty one") {
-  Service s(false);
-  Process& process = s.start();
-  REQUIRE(s.ready(s.consoles.back()));
-  s.serve(3);
-  auto next = platform_file(s.listen, s.log.server.address());
-  next["settings"]["Classes"].push_back(next["settings"]["Classes"][1]);
-  next["settings"]["Classes"][2]["Name"] = "bin-weigh";
-  auto faulty = next;
-  faulty["changelog"] = free_address();
-  faulty["settings"]["Classes"][0]["HardLimit"] = -5;
-  s.write(faulty);
+  Service service(false);
+  Process& process = service.start();
+  REQUIRE(service.ready(service.consoles.back()));
+  service.serve(3);
+  service.write(faulty_file(service));
   process.signal(SIGHUP);
-  REQUIRE(s.until([&] { return process.says("HardLimit"); }));
-  std::ofstream(s.config, std::ios::trunc).flush();
+  REQUIRE(service.until([&] { return process.says("HardLimit"); }));
+  std::ofstream(service.config, std::ios::trunc).flush();
   process.signal(SIGHUP);
-  REQUIRE(s.until([&] { return process.says("holds no JSON object"); }));
-  Tablet early(s.world, s.listen);
+  REQUIRE(service.until([&] { return process.says("holds no JSON object"); }));
+  Tablet early(service.world, service.listen);
   early.call(1, "bin-weigh", "early");
-  REQUIRE(s.until([&] { return early.open.empty(); }));
+  REQUIRE(service.until([&] { return early.open.empty(); }));
   CHECK(early.got.at(0).first == "FAILED");
-  s.write(next);
+  service.write(file_with_new_class(service));
   process.signal(SIGHUP);
-  REQUIRE(s.until([&] {
+  REQUIRE(service.until([&] {
     process.signal(SIGUSR1);
     return process.counter("config.reread") == 1;
   }));
   CHECK(process.counter("config.faulty") == 2);
   CHECK(process.counter("feed.moves") == 0);
-  s.serve(3, "bin-weigh");
+  service.serve(3, "bin-weigh");
   CHECK(process.status() == -1);
 }
 
 TEST_CASE("a descriptor that is no listening socket is a fault that names it") {
-  Service s(false);
-  Process& process = s.start({{"BALANCER_LISTEN_FD", "2"}});
-  REQUIRE(s.until([&] { return process.status() >= 0; }));
+  Service service(false);
+  Process& process = service.start({{"BALANCER_LISTEN_FD", "2"}});
+  REQUIRE(service.until([&] { return process.status() >= 0; }));
   CHECK(process.status() == 1);
   CHECK(process.says("BALANCER_LISTEN_FD"));
 }
 
-// Clients keep calling while one process replaces the other, three times. A call that crosses the close of
-// its connection is sent once more, as the platform's front does; all others must get their answer.
-TEST_CASE("a process is replaced under clients: no call is lost, and no bin-record runs twice") {
-  Service s;
-  for (auto& host : s.world.host)
-    host->handler = [](const std::string&) { return Reaction(); };
-  s.start();
-  REQUIRE(s.ready(s.consoles.back()));
-  std::vector<std::unique_ptr<Tablet>> tablets(8);
-  std::vector<Millis> next_call(tablets.size());
-  std::set<std::string> crossed;  // bodies of calls whose connection ended with no answer
-  Random random(3);
-  int number = 0, upgrades = 0, answered = 0, refused_connections = 0;
-  bool under_way = false;
-  Millis next_step{s.world.loop.now() + Millis(300)};
-  while (upgrades < 3 || under_way) {
-    s.world.turn();
-    const Millis now = s.world.loop.now();
-    for (std::size_t i = 0; i < tablets.size(); ++i) {
-      auto& tablet = tablets[i];
-      if (tablet && tablet->closed) {
-        if (tablet->open.empty() && tablet->asked_at.count() == 0)
-          ++refused_connections;
-        for (const auto& call : tablet->open)
-          crossed.insert(call.second);
-        tablet.reset();
-      }
-      if (!tablet)
-        tablet = std::make_unique<Tablet>(s.world, s.listen);
-      if (!tablet->open.empty())
-        continue;
-      for (const auto& answer : tablet->got) {
-        ++answered;
-        next_call[i] = now + Millis(static_cast<double>(below(random, 30)));
-        CHECK((answer.first == "OK" || answer.first == "BUSY"));
-        if (answer.first == "BUSY")
-          CHECK(s.runs(answer.second) == 0);
-      }
-      tablet->got.clear();
-      if (now < next_call[i])
+// Clients that each send a call, wait for its answer and pause. A client whose connection ends connects
+// again.
+class BusyClients {
+ public:
+  BusyClients(Service& service, std::size_t count)
+      : service_(service), clients_(count), next_call_at_(count) {}
+
+  void step() {
+    for (std::size_t i = 0; i < clients_.size(); ++i) {
+      if (clients_[i] && clients_[i]->closed)
+        forget_closed(i);
+      if (!clients_[i])
+        clients_[i] = std::make_unique<Tablet>(service_.world, service_.listen);
+      if (!clients_[i]->open.empty())
         continue;
-      ++number;
-      tablet->call(number, number % 2 == 0 ? "bin-record" : "bin-check", std::to_string(number), 800);
+      check_answers(i);
+      if (service_.world.loop.now() >= next_call_at_[i])
+        call(*clients_[i]);
+    }
+  }
+
+  int calls() const { return calls_; }
+  int answered() const { return answered_; }
+  int refused_connections() const { return refused_connections_; }
+  // The bodies of calls whose connection ended without an answer.
+  const std::set<std::string>& unanswered_bodies() const { return unanswered_bodies_; }
+
+ private:
+  void forget_closed(std::size_t i) {
+    const Tablet& client = *clients_[i];
+    if (client.open.empty() && client.asked_at.count() == 0)
+      ++refused_connections_;
+    for (const auto& [tag, body] : client.open)
+      unanswered_bodies_.insert(body);
+    clients_[i].reset();
+  }
+  void check_answers(std::size_t i) {
+    for (const auto& [status, body] : clients_[i]->got) {
+      ++answered_;
+      next_call_at_[i] = service_.world.loop.now() + Millis(static_cast<double>(below(random_, 30)));
+      CHECK((status == "OK" || status == "BUSY"));
+      if (status == "BUSY")
+        CHECK(service_.runs(body) == 0);
     }
-    if (now < next_step)
-      continue;
-    if (!under_way) {
-      s.start();
-      under_way = true;
-      REQUIRE(s.ready(s.consoles.back()));
-      s.processes.front().signal(SIGTERM);
-    } else if (s.processes.front().status() >= 0) {
-      CHECK(s.processes.front().status() == 0);
-      CHECK(s.processes.front().counter("calls.overdue") == 0);
-      s.processes.pop_front();
-      ++upgrades;
-      under_way = false;
+    clients_[i]->got.clear();
+  }
+  void call(Tablet& client) {
+    ++calls_;
+    client.call(calls_, calls_ % 2 == 0 ? "bin-record" : "bin-check", std::to_string(calls_), 800);
+  }
+
+  Service& service_;
+  std::vector<std::unique_ptr<Tablet>> clients_;
+  std::vector<Millis> next_call_at_;
+  std::set<std::string> unanswered_bodies_;
+  Random random_{3};
+  int calls_ = 0, answered_ = 0, refused_connections_ = 0;
+};
+
+// Replaces the process again and again: starts a second one, then ends the first one.
+class RollingUpgrade {
+ public:
+  explicit RollingUpgrade(Service& service)
+      : service_(service), next_step_at_(service.world.loop.now() + Millis(300)) {}
+
+  int finished() const { return finished_; }
+  bool under_way() const { return under_way_; }
+
+  void step() {
+    const Millis now = service_.world.loop.now();
+    if (now < next_step_at_)
+      return;
+    if (!under_way_) {
+      begin();
+    } else if (service_.processes.front().status() >= 0) {
+      finish();
     }
-    next_step = now + Millis(100);
+    next_step_at_ = now + Millis(100);
+  }
+
+ private:
+  void begin() {
+    service_.start();
+    under_way_ = true;
+    REQUIRE(service_.ready(service_.consoles.back()));
+    service_.processes.front().signal(SIGTERM);
+  }
+  void finish() {
+    CHECK(service_.processes.front().status() == 0);
+    CHECK(service_.processes.front().counter("calls.overdue") == 0);
+    service_.processes.pop_front();
+    ++finished_;
+    under_way_ = false;
+  }
+
+  Service& service_;
+  Millis next_step_at_;
+  int finished_ = 0;
+  bool under_way_ = false;
+};
+
+// A call that crosses the close of its connection is sent once more, as the platform's front does; all others
+// must get their answer.
+TEST_CASE("a process is replaced under clients: no call is lost, and no bin-record runs twice") {
+  Service service;
+  for (auto& host : service.world.host)
+    host->handler = [](const std::string&) { return Reaction(); };
+  service.start();
+  REQUIRE(service.ready(service.consoles.back()));
+  BusyClients clients(service, 8);
+  RollingUpgrade upgrade(service);
+  while (upgrade.finished() < 3 || upgrade.under_way()) {
+    service.world.turn();
+    clients.step();
+    upgrade.step();
   }
-  INFO("answered " << answered << ", crossed " << crossed.size());
-  CHECK(answered > 50);
-  CHECK(refused_connections == 0);
-  for (const auto& body : crossed)
-    CHECK(s.runs(body) == 0);  // it may be sent once more
-  for (int i = 2; i <= number; i += 2)
-    CHECK(s.runs(std::to_string(i)) <= 1);
+  INFO("answered " << clients.answered() << ", crossed " << clients.unanswered_bodies().size());
+  CHECK(clients.answered() > 50);
+  CHECK(clients.refused_connections() == 0);
+  for (const auto& body : clients.unanswered_bodies())
+    CHECK(service.runs(body) == 0);  // it may be sent once more
+  for (int call = 2; call <= clients.calls(); call += 2)
+    CHECK(service.runs(std::to_string(call)) <= 1);
 }
 
 }  // namespace
--- a/tests/app/shutdown_test.cpp
+++ b/tests/app/shutdown_test.cpp
@@ -1,5 +1,5 @@
-// What comes in the last moments of a process: calls that are open, bytes that are in sockets already. Orders
-// are forced by stopping the process and by limits, not by waiting for luck.
+// What arrives in the last moments of a process: calls that are open, bytes that are in sockets already. The
+// order of events is forced by stopping the process and by limits, not by waiting for luck.
 #include "support/service.h"
 
 namespace lotusyard::test {
@@ -7,75 +7,86 @@
 
 using Kind = Reaction::Kind;
 
-void pass(Service& s, double ms) {
-  const Millis until = s.world.loop.now() + Millis(ms);
-  while (s.world.loop.now() < until)
-    s.world.turn();
+void run_for(Service& service, double ms) {
+  const Millis until = service.world.loop.now() + Millis(ms);
+  while (service.world.loop.now() < until)
+    service.world.turn();
 }
 
-// Failure found: the process ended 3.6 s after SIGTERM with calls open, and they were lost: a call that came
-// in the last moment, or one of a class with a longer limit, is still out then.
-TEST_CASE(
-    "a process that has to end answers what is still open, and a bin-record only as what may have run") {
-  Service s(false);
-  auto file = platform_file(s.listen, s.log.server.address());
+// All classes have a longer deadline than the process may live after SIGTERM.
+void write_long_deadlines(Service& service) {
+  auto file = platform_file(service.listen, service.log.server.address());
   for (auto& call_class : file["settings"]["Classes"])
     call_class["HardLimit"] = 9000;
-  s.write(file);
-  Process& process = s.start();
-  REQUIRE(s.ready(s.consoles.back()));
-  REQUIRE(s.until([&] { return s.log.asked == 1; }));
-  for (auto& host : s.world.host)
-    host->handler = [](const std::string&) { return Reaction{Kind::silence, ""}; };
-  Tablet tablet(s.world, s.listen);
-  tablet.call(1, "bin-record", "out", 8000);
-  REQUIRE(s.until([&] { return s.runs("out") == 1; }));
-  s.tell(0, "draining");
-  s.tell(1, "draining");
-  REQUIRE(s.until([&] {
+  service.write(file);
+}
+
+// No call can be sent to a host any more.
+void drain_all_hosts(Service& service, Process& process) {
+  service.tell(0, "draining");
+  service.tell(1, "draining");
+  REQUIRE(service.until([&] {
     process.signal(SIGUSR1);
     return process.counter("feed.events") == 4;
   }));
-  tablet.call(2, "bin-check", "held", 8000);
+}
+
+std::map<std::string, std::string> status_by_body(const Tablet& client) {
+  std::map<std::string, std::string> statuses;
+  for (const auto& [status, body] : client.got)
+    statuses[body] = status;
+  return statuses;
+}
+
+// Failure found: the process ended 3.6 s after SIGTERM with calls open, and they were lost: a call that came
+// in the last moment, or one of a class with a longer limit, is still out then.
+TEST_CASE(
+    "a process that has to end answers what is still open, and a bin-record only as what may have run") {
+  Service service(false);
+  write_long_deadlines(service);
+  Process& process = service.start();
+  REQUIRE(service.ready(service.consoles.back()));
+  REQUIRE(service.until([&] { return service.log.asked == 1; }));
+  for (auto& host : service.world.host)
+    host->handler = [](const std::string&) { return Reaction{Kind::silence, ""}; };
+  Tablet client(service.world, service.listen);
+  client.call(1, "bin-record", "out", 8000);
+  REQUIRE(service.until([&] { return service.runs("out") == 1; }));
+  drain_all_hosts(service, process);
+  client.call(2, "bin-check", "held", 8000);
   process.signal(SIGTERM);
-  REQUIRE(s.until([&] { return process.status() >= 0; }));
-  REQUIRE(s.until([&] { return tablet.closed; }));
+  REQUIRE(service.until([&] { return process.status() >= 0; }));
+  REQUIRE(service.until([&] { return client.closed; }));
   CHECK(process.status() == 0);
-  CHECK(tablet.open.empty());
-  const std::map<std::string, std::string> words = [&] {
-    std::map<std::string, std::string> out;
-    for (const auto& [word, body] : tablet.got)
-      out[body] = word;
-    return out;
-  }();
-  CHECK(words == std::map<std::string, std::string>{{"out", "FAILED"}, {"held", "BUSY"}});
-  CHECK(s.runs("out") + s.runs("held") == 1);
+  CHECK(client.open.empty());
+  CHECK(status_by_body(client) == std::map<std::string, std::string>{{"out", "FAILED"}, {"held", "BUSY"}});
+  CHECK(service.runs("out") + service.runs("held") == 1);
 }
 
 // Failure found in review: the listener was closed with connections in its queue, and what their clients had
 // sent was reset unread.
 TEST_CASE(
     "whoever connected and asked before the listener closes is served, however late the process wakes") {
-  Service s(false);
-  Process& process = s.start();
-  REQUIRE(s.ready(s.consoles.back()));
-  REQUIRE(s.until([&] { return s.log.asked == 1; }));
+  Service service(false);
+  Process& process = service.start();
+  REQUIRE(service.ready(service.consoles.back()));
+  REQUIRE(service.until([&] { return service.log.asked == 1; }));
   process.signal(SIGTERM);
-  pass(s, 50);
+  run_for(service, 50);
   process.signal(SIGSTOP);
-  std::list<Tablet> tablets;
-  for (int i = 1; i <= 100; ++i) {  // more than are accepted in one turn
-    tablets.emplace_back(s.world, s.listen);
-    tablets.back().call(i, "bin-check", "late" + std::to_string(i));
+  std::list<Tablet> clients;
+  for (int i = 1; i <= 100; ++i) {  // more than are accepted in one iteration
+    clients.emplace_back(service.world, service.listen);
+    clients.back().call(i, "bin-check", "late" + std::to_string(i));
   }
-  pass(s, 650);  // longer than new connections are taken
+  run_for(service, 650);  // longer than new connections are taken
   process.signal(SIGCONT);
-  REQUIRE(s.until([&] { return process.status() >= 0; }));
+  REQUIRE(service.until([&] { return process.status() >= 0; }));
   CHECK(process.status() == 0);
-  pass(s, 50);
-  for (const auto& tablet : tablets) {
-    REQUIRE(tablet.got.size() == 1);
-    CHECK((tablet.got[0].first == "OK" || tablet.got[0].first == "BUSY"));
+  run_for(service, 50);
+  for (const auto& client : clients) {
+    REQUIRE(client.got.size() == 1);
+    CHECK((client.got[0].first == "OK" || client.got[0].first == "BUSY"));
   }
 }
 
--- a/tests/golden/resp_golden.cpp
+++ b/tests/golden/resp_golden.cpp
@@ -1,4 +1,4 @@
-// The RESP front: its replies, byte for byte, and arrays as they are read and written.
+// The RESP front end: its replies, byte for byte, and arrays as they are read and written.
 #include "golden/golden_part.h"
 #include "golden/recording_client.h"
 #include "resp/front_end.h"
@@ -25,22 +25,25 @@
 
 class Service {
  public:
-  test::InvokerFixture world;
   explicit Service(std::size_t hosts = 1)
-
       : world(hosts, patient_settings()),
         front_(world.loop, world.pool, world.dispatcher, world.counters, {}) {
     REQUIRE(front_.listen("127.0.0.1:0"));
   }
+
+  test::InvokerFixture world;
   resp::FrontEnd& front() { return front_; }
+
+  // Returns the reply to `bytes`. Calls `when_sent` once they have opened a call.
   std::string reply(
       const std::string& bytes, const std::function<void()>& when_sent = [] {}) {
     RecordingClient client(world, front_.address(), bytes);
-    bool done = false;
+    bool was_sent = false;
     REQUIRE(world.run_until([&] {
-      if (!done && front_.open_calls() > 0)
+      if (!was_sent && front_.open_calls() > 0) {
+        was_sent = true;
         when_sent();
-      done = done || front_.open_calls() > 0;
+      }
       return !client.received_bytes().empty();
     }));
     return client.received_bytes();
