--- a/src/app/invoker.h
+++ b/src/app/invoker.h
@@ -70,7 +70,7 @@
   void watch_endpoint_list();
   discovery::Log replay_known_events();
   void watch_host_file();
-  void watch_change_log(discovery::Log log);
+  void watch_change_log(const discovery::Log& log);
   void listen();
   void listen_on_inherited();
   void start_amqp_consumer(const ResultStoreFactory& make_store);
--- a/src/app/invoker_startup.cpp
+++ b/src/app/invoker_startup.cpp
@@ -41,11 +41,11 @@
 }
 
 void Invoker::watch_endpoint_list() {
-  discovery::Log log = replay_known_events();
+  const discovery::Log log = replay_known_events();
   if (config().xds) {
     watch_host_file();
   } else {
-    watch_change_log(std::move(log));
+    watch_change_log(log);
   }
 }
 
@@ -72,8 +72,8 @@
     throw config::ConfigError("configuration: xds.file: " + fault);
 }
 
-void Invoker::watch_change_log(discovery::Log log) {
-  discovery_.emplace(loop_, pool_, counters_, config().changelog, std::move(log),
+void Invoker::watch_change_log(const discovery::Log& log) {
+  discovery_.emplace(loop_, pool_, counters_, config().changelog, log,
                      [this](const core::HostListUpdate& list) {
                        endpoint_states_.apply_list(list, list_kind(list, core::ListKind::full));
                      });
--- a/src/app/resource_limits.cpp
+++ b/src/app/resource_limits.cpp
@@ -45,7 +45,7 @@
 // Hosts may answer with what they were sent, so an answer may be as long as any call.
 std::size_t longest_answer(const config::Config& config, const hot_restart::ResourceShares& shares) {
   const std::size_t longest_delivery = config.amqp ? kilobytes(config.amqp->body_kb) : 0;
-  const std::size_t longest_call = std::max(longest_delivery, resp::Parser::longest_word);
+  const std::size_t longest_call = std::max(longest_delivery, resp::Parser::kMaxWordBytes);
   return std::max({shares.incoming / kMinAnswersInMemory, kMinLongestAnswer, longest_call});
 }
 
--- a/src/resp/client_table.cpp
+++ b/src/resp/client_table.cpp
@@ -124,6 +124,8 @@
 
 // Closes the connection at once, so that its descriptor and its buffers are free.
 void ClientTable::evict(const std::shared_ptr<ClientConnection>& client, EvictionReason reason) {
+  // `client` may refer into a list from which it is erased meanwhile, so the copy is needed.
+  // NOLINTNEXTLINE(performance-unnecessary-copy-initialization)
   const std::shared_ptr<ClientConnection> kept_alive = client;
   counters_.add(counter_of(reason));
   kept_alive->close_later();
--- a/src/resp/parser.cpp
+++ b/src/resp/parser.cpp
@@ -70,13 +70,13 @@
   if (words_left_ == 0)
     return false;
   words_.clear();
-  message_bytes_left_ = longest_message;
+  message_bytes_left_ = kMaxMessageBytes;
   state_ = State::word_header;
   return true;
 }
 
 bool Parser::begin_word() {
-  const auto length = header_value('$', std::min(longest_word, message_bytes_left_));
+  const auto length = header_value('$', std::min(kMaxWordBytes, message_bytes_left_));
   if (!length)
     return false;
   word_bytes_left_ = *length;
--- a/src/resp/parser.h
+++ b/src/resp/parser.h
@@ -13,10 +13,12 @@
 
 class Parser {
  public:
-  static constexpr std::size_t most_words = 8;  // of one array
+  // The words of one array.
+  // NOLINTNEXTLINE(readability-identifier-naming): kMaxWords, once tests/net/parsers_test.cpp is renamed, too
+  static constexpr std::size_t most_words = 8;
   // Only one word of an array may be long: the body of a call.
-  static constexpr std::size_t longest_word = 16 * 1024;
-  static constexpr std::size_t longest_message = longest_word + 2048;  // all words of an array
+  static constexpr std::size_t kMaxWordBytes = 16 * 1024;
+  static constexpr std::size_t kMaxMessageBytes = kMaxWordBytes + 2048;  // all words of an array
 
   // Parses all bytes and appends the arrays that are complete to `arrays`. Returns false once the stream is
   // malformed; from then on it ignores all bytes.
