--- a/src/control/change.cpp
+++ b/src/control/change.cpp
@@ -1,109 +1,111 @@
 #include "control/change.h"
 
-#include "raft/bytes.h"
+#include <utility>
+
+#include "control/field_codec.h"
 
 namespace lotusyard::control {
 namespace {
 
-using raft::put32;
-using raft::put8;
-using raft::put_bytes;
-using raft::Reader;
-
 enum class Operation : std::uint8_t { set = 1, remove = 2 };
 
-void put_text(std::string& out, const std::string& text) { put_bytes(out, text.data(), text.size()); }
+void write(FieldWriter& out, const RecordChange& change) {
+  out.u8(static_cast<unsigned>(change.value ? Operation::set : Operation::remove));
+  out.text(change.key);
+  if (change.value)
+    out.text(*change.value);
+}
+void read(FieldReader& in, RecordChange& change) {
+  const auto operation = static_cast<Operation>(in.u8());
+  if (operation != Operation::set && operation != Operation::remove)
+    return in.reject();
+  change.key = in.text();
+  if (operation == Operation::set)
+    change.value = in.text();
+}
 
 }  // namespace
 
 std::string encode_change(const Change& change) {
-  std::string out;
-  put32(out, static_cast<std::uint32_t>(change.size()));
-  for (const RecordChange& one : change) {
-    put8(out, static_cast<unsigned>(one.value ? Operation::set : Operation::remove));
-    put_text(out, one.key);
-    if (one.value)
-      put_text(out, *one.value);
-  }
-  return out;
+  std::string bytes;
+  FieldWriter out(bytes);
+  out.u32(static_cast<std::uint32_t>(change.size()));
+  for (const RecordChange& record : change)
+    write(out, record);
+  return bytes;
 }
 
 std::optional<Change> decode_change(const std::string& bytes) {
-  if (bytes.size() > longest_change)
+  if (bytes.size() > kMaxChangeBytes)
     return std::nullopt;
-  Reader reader(bytes);
-  const std::uint64_t count = reader.number(4);
-  Change out;
-  for (std::uint64_t i = 0; reader.sound() && i < count; ++i) {
-    const auto operation = static_cast<Operation>(reader.number(1));
-    if (operation != Operation::set && operation != Operation::remove)
-      return std::nullopt;
-    RecordChange one;
-    one.key = reader.bytes();
-    if (operation == Operation::set)
-      one.value = std::string(reader.bytes());
-    out.push_back(std::move(one));
-  }
-  if (!reader.ended())
+  FieldReader in(bytes);
+  const std::uint32_t count = in.u32();
+  Change change;
+  // The count is not to be trusted: memory grows only with what is read.
+  for (std::uint32_t i = 0; in.sound() && i < count; ++i)
+    read(in, change.emplace_back());
+  if (!in.finished())
     return std::nullopt;
-  return out;
+  return change;
 }
 
 std::string encode_records(const Records& records) {
-  std::string out;
-  put32(out, static_cast<std::uint32_t>(records.size()));
+  std::string bytes;
+  FieldWriter out(bytes);
+  out.u32(static_cast<std::uint32_t>(records.size()));
   for (const auto& [key, value] : records) {
-    put_text(out, key);
-    put_text(out, value);
+    out.text(key);
+    out.text(value);
   }
-  return out;
+  return bytes;
 }
 
 std::optional<Records> decode_records(const std::string& bytes) {
-  if (bytes.size() > longest_snapshot)
+  if (bytes.size() > kMaxSnapshotBytes)
     return std::nullopt;
-  Reader reader(bytes);
-  const std::uint64_t count = reader.number(4);
-  Records out;
-  for (std::uint64_t i = 0; reader.sound() && i < count; ++i) {
-    std::string key(reader.bytes());
-    std::string value(reader.bytes());
-    if (reader.sound())
-      out.emplace_hint(out.end(), std::move(key), std::move(value));
+  FieldReader in(bytes);
+  const std::uint32_t count = in.u32();
+  Records records;
+  for (std::uint32_t i = 0; in.sound() && i < count; ++i) {
+    std::string key = in.text();
+    std::string value = in.text();
+    if (in.sound())
+      records.emplace_hint(records.end(), std::move(key), std::move(value));
   }
-  if (!reader.ended() || out.size() != count)
+  const bool has_duplicate_keys = records.size() != count;
+  if (!in.finished() || has_duplicate_keys)
     return std::nullopt;
-  return out;
+  return records;
 }
 
 Change difference(const Records& before, const Records& after) {
-  Change out;
-  auto old_one = before.begin();
-  auto new_one = after.begin();
-  while (old_one != before.end() || new_one != after.end()) {
-    const bool removed =
-        new_one == after.end() || (old_one != before.end() && old_one->first < new_one->first);
-    if (removed) {
-      out.push_back({old_one->first, std::nullopt});
-      ++old_one;
+  Change change;
+  auto old_record = before.begin();
+  auto new_record = after.begin();
+  while (old_record != before.end() || new_record != after.end()) {
+    const bool has_old = old_record != before.end();
+    const bool is_removed = new_record == after.end() || (has_old && old_record->first < new_record->first);
+    if (is_removed) {
+      change.push_back({old_record->first, std::nullopt});
+      ++old_record;
       continue;
     }
-    const bool added = old_one == before.end() || new_one->first < old_one->first;
-    if (added || old_one->second != new_one->second)
-      out.push_back({new_one->first, new_one->second});
-    if (!added)
-      ++old_one;
-    ++new_one;
+    const bool is_added = !has_old || new_record->first < old_record->first;
+    if (is_added || old_record->second != new_record->second)
+      change.push_back({new_record->first, new_record->second});
+    if (!is_added)
+      ++old_record;
+    ++new_record;
   }
-  return out;
+  return change;
 }
 
 void apply(Records& records, const Change& change) {
-  for (const RecordChange& one : change) {
-    if (one.value) {
-      records[one.key] = *one.value;
+  for (const RecordChange& record : change) {
+    if (record.value) {
+      records[record.key] = *record.value;
     } else {
-      records.erase(one.key);
+      records.erase(record.key);
     }
   }
 }
--- a/src/control/change_log.cpp
+++ b/src/control/change_log.cpp
@@ -2,12 +2,14 @@
 
 #include <algorithm>
 
+#include "control/message_codec.h"
+
 namespace lotusyard::control {
 
 void ChangeLog::reset(Index index, Records records) {
   records_ = std::move(records);
   applied_ = index;
-  begin_at(index);
+  restart_at(index);
 }
 
 void ChangeLog::append(Index index, const Change& change) {
@@ -18,8 +20,8 @@
     return;
   apply(records_, change);
   std::string encoded = encode_change(change);
-  if (encoded.size() > longest_change) {
-    begin_at(index);
+  if (encoded.size() > kMaxChangeBytes) {
+    restart_at(index);
     return;
   }
   const Index after = entries_.empty() ? first_ : entries_.back().index;
@@ -45,25 +47,27 @@
 }
 
 std::shared_ptr<const ChangeLog::Snapshot> ChangeLog::snapshot() {
-  if (!snapshot_serves()) {
+  if (!is_snapshot_usable()) {
     snapshot_ = std::make_shared<const Snapshot>(Snapshot{applied_, encode_records(records_)});
-    changes_since_snapshot_ = bytes_since_snapshot_ = 0;
+    changes_since_snapshot_ = 0;
+    bytes_since_snapshot_ = 0;
   }
   return snapshot_;
 }
 
-// The changes behind it must also stay in the log for a while.
-bool ChangeLog::snapshot_serves() const {
+// The changes after it must also remain in the log for a while.
+bool ChangeLog::is_snapshot_usable() const {
   if (snapshot_ == nullptr || snapshot_->index == 0)
     return false;
   if (changes_since_snapshot_ == 0)
     return true;
-  return changes_since_snapshot_ <= limits_.changes / 2 && bytes_since_snapshot_ <= limits_.bytes / 2 &&
-         bytes_since_snapshot_ < snapshot_->bytes.size();
+  const bool is_log_half_free =
+      changes_since_snapshot_ <= limits_.changes / 2 && bytes_since_snapshot_ <= limits_.bytes / 2;
+  return is_log_half_free && bytes_since_snapshot_ < snapshot_->bytes.size();
 }
 
-// A log without any change, and without a snapshot from before.
-void ChangeLog::begin_at(Index index) {
+// Drops all changes and the snapshot.
+void ChangeLog::restart_at(Index index) {
   entries_.clear();
   bytes_ = 0;
   first_ = index;
--- a/src/control/change_log.h
+++ b/src/control/change_log.h
@@ -1,4 +1,5 @@
-// The changes that a control node can still pass on, and its state for those that need it whole. No I/O.
+// The latest changes of the records at a control node, and its whole state for sessions that are too far
+// behind. No I/O.
 #pragma once
 
 #include <deque>
@@ -16,10 +17,11 @@
     std::size_t changes = 4096;
     std::size_t bytes = 8U << 20;
   };
-  // One change; `after` is the index of the change before it, or of the state that the log began with.
+  // One change. `after` is the index of the change before it, or of the state that the log started with.
   struct Entry {
-    Index after = 0, index = 0;
-    std::string frame;  // the `Delta`, encoded once for all who get it
+    Index after = 0;
+    Index index = 0;
+    std::string frame;  // the Delta, serialized once for all sessions
   };
   struct Snapshot {
     Index index = 0;
@@ -28,39 +30,41 @@
 
   explicit ChangeLog(Limits limits) : limits_(limits) {}
 
-  // The whole state as of an index, not below `applied()`, from the group's own snapshot: earlier changes are
-  // not known.
+  // Replaces everything by the whole state as of `index`, which is not below applied().
   void reset(Index index, Records records);
-  // An entry of the agreed log was applied here; indexes grow from call to call, and one that was applied
-  // already is ignored. An empty change is no change. A change that is too long for a delta makes the log
-  // begin anew at its index, so that every replica takes a snapshot.
+  // Applies an entry of the replicated log. Indexes ascend; one that was applied before is ignored. A change
+  // that is too long for a delta restarts the log at its index, so that every session needs a snapshot.
   void append(Index index, const Change& change);
 
-  Index applied() const { return applied_; }  // everything up to here was applied
-  Index first() const { return first_; }      // a replica that holds less than this needs a snapshot
+  // Everything up to this index has been applied.
+  Index applied() const { return applied_; }
+  // A session at a position below this one needs a snapshot.
+  Index first() const { return first_; }
   const Records& records() const { return records_; }
-  // The first change behind `position`, which must not be below `first()`; null: there is none yet. It stays
-  // valid until the log changes.
+  // The first change after `position`, which must not be below first(). Null: there is none yet. It is valid
+  // until the log changes.
   const Entry* next_after(Index position) const;
-  // How far a replica at `position` is up to date: the largest index up to `applied()` without any change
-  // between the two. A position that is below `first()` or beyond `applied()` covers only itself.
+  // The largest index up to applied() with no change between it and `position`: a replica at `position` is up
+  // to date with it. A position below first() or beyond applied() covers only itself.
   Index covered(Index position) const;
-  // A state from which the log leads on to `applied()`; shared. An earlier one is given out again for as long
-  // as the changes behind it are smaller than itself, so that few are alive at a time.
+  // A state from which the log leads to applied(). Sessions share it: an earlier one is returned again as
+  // long as the changes after it are smaller than itself, so that few exist at a time.
   std::shared_ptr<const Snapshot> snapshot();
 
  private:
   Limits limits_;
   Records records_;
   std::deque<Entry> entries_;
-  std::size_t bytes_ = 0;
-  Index applied_ = 0, first_ = 0;
+  std::size_t bytes_ = 0;  // of all frames
+  Index applied_ = 0;
+  Index first_ = 0;
   std::shared_ptr<const Snapshot> snapshot_;
-  std::size_t changes_since_snapshot_ = 0, bytes_since_snapshot_ = 0;
+  std::size_t changes_since_snapshot_ = 0;
+  std::size_t bytes_since_snapshot_ = 0;
 
-  void begin_at(Index index);
+  void restart_at(Index index);
   void trim();
-  bool snapshot_serves() const;
+  bool is_snapshot_usable() const;
 };
 
 }  // namespace lotusyard::control
--- a/src/control/known_nodes.cpp
+++ b/src/control/known_nodes.cpp
@@ -1,7 +1,9 @@
 #include "control/known_nodes.h"
 
 #include <algorithm>
+#include <iterator>
 #include <limits>
+#include <utility>
 
 namespace lotusyard::control {
 
@@ -9,20 +11,20 @@
     : zone_(std::move(zone)), region_(std::move(region)) {
   for (const NodeAddress& seed : seeds) {
     Node node;
-    node.at = seed;
+    node.address = seed;
     node.seed = true;
     nodes_[seed.address] = std::move(node);
   }
 }
 
-void KnownNodes::learn(const std::vector<NodeAddress>& told) {
+void KnownNodes::learn(const std::vector<NodeAddress>& nodes) {
   ++lists_;
-  for (const NodeAddress& one : told) {
-    if (one.address.empty())
+  for (const NodeAddress& address : nodes) {
+    if (address.address.empty())
       continue;
-    Node& node = nodes_[one.address];
-    node.at = one;
-    node.told = lists_;
+    Node& node = nodes_[address.address];
+    node.address = address;
+    node.last_named_by = lists_;
   }
   forget_oldest();
 }
@@ -31,17 +33,17 @@
   std::vector<std::pair<std::uint64_t, std::string>> learnt;
   for (const auto& [address, node] : nodes_) {
     if (!node.seed)
-      learnt.emplace_back(node.told, address);
+      learnt.emplace_back(node.last_named_by, address);
   }
-  if (learnt.size() <= most_learnt)
+  if (learnt.size() <= kMaxLearntNodes)
     return;
   std::sort(learnt.begin(), learnt.end());
-  learnt.resize(learnt.size() - most_learnt);
-  for (const auto& [told, address] : learnt)
+  learnt.resize(learnt.size() - kMaxLearntNodes);
+  for (const auto& [list, address] : learnt)
     nodes_.erase(address);
 }
 
-void KnownNodes::failed(const std::string& address) {
+void KnownNodes::on_failure(const std::string& address) {
   last_failed_ = address;
   const auto found = nodes_.find(address);
   if (found != nodes_.end())
@@ -60,70 +62,68 @@
 }
 
 const NodeAddress* KnownNodes::choose(Millis now, std::mt19937_64& random) {
-  const Candidates open = available(now);
-  if (open.empty())
+  const Candidates all = available(now);
+  if (all.empty())
     return nullptr;
-  Candidates candidates = untried(open);
-  if (candidates.empty()) {
-    forget_failures();  // a new round
-    candidates = without_last_failed(open);
+  Candidates candidates = untried(all);
+  const bool all_have_failed = candidates.empty();
+  if (all_have_failed) {
+    forget_failures();
+    candidates = without_last_failed(all);
   }
   candidates = nearest(candidates);
-  std::uniform_int_distribution<std::size_t> any(0, candidates.size() - 1);
-  return &candidates[any(random)]->at;
+  std::uniform_int_distribution<std::size_t> position(0, candidates.size() - 1);
+  return &candidates[position(random)]->address;
 }
 
 Millis KnownNodes::next_available() const {
-  Millis out(std::numeric_limits<double>::infinity());
+  Millis earliest(std::numeric_limits<double>::infinity());
   for (const auto& [address, node] : nodes_)
-    out = std::min(out, node.not_before);
-  return out;
+    earliest = std::min(earliest, node.not_before);
+  return earliest;
 }
 
-int KnownNodes::distance(const NodeAddress& node) const {
+KnownNodes::Distance KnownNodes::distance(const NodeAddress& node) const {
   if (!zone_.empty() && node.zone == zone_)
-    return 0;
-  return !region_.empty() && node.region == region_ ? 1 : 2;
+    return Distance::same_zone;
+  const bool is_same_region = !region_.empty() && node.region == region_;
+  return is_same_region ? Distance::same_region : Distance::elsewhere;
 }
 
-KnownNodes::Candidates KnownNodes::nearest(const Candidates& from) const {
-  int least = std::numeric_limits<int>::max();
-  for (const Node* node : from)
-    least = std::min(least, distance(node->at));
-  Candidates out;
-  for (const Node* node : from) {
-    if (distance(node->at) == least)
-      out.push_back(node);
+KnownNodes::Candidates KnownNodes::nearest(const Candidates& candidates) const {
+  Distance least = Distance::elsewhere;
+  for (const Node* node : candidates)
+    least = std::min(least, distance(node->address));
+  Candidates nearest;
+  for (const Node* node : candidates) {
+    if (distance(node->address) == least)
+      nearest.push_back(node);
   }
-  return out;
+  return nearest;
 }
 
 KnownNodes::Candidates KnownNodes::available(Millis now) const {
-  Candidates out;
+  Candidates available;
   for (const auto& [address, node] : nodes_) {
     if (node.not_before <= now)
-      out.push_back(&node);
+      available.push_back(&node);
   }
-  return out;
+  return available;
 }
 
-KnownNodes::Candidates KnownNodes::untried(const Candidates& from) const {
-  Candidates out;
-  for (const Node* node : from) {
-    if (!node->failed)
-      out.push_back(node);
-  }
-  return out;
+KnownNodes::Candidates KnownNodes::untried(const Candidates& candidates) {
+  Candidates untried;
+  std::copy_if(candidates.begin(), candidates.end(), std::back_inserter(untried),
+               [](const Node* node) { return !node->failed; });
+  return untried;
 }
 
-// All of them, if that is the only one.
-KnownNodes::Candidates KnownNodes::without_last_failed(const Candidates& from) const {
-  Candidates out;
-  for (const Node* node : from) {
-    if (node->at.address != last_failed_)
-      out.push_back(node);
-  }
-  return out.empty() ? from : out;
+// All candidates, if the last one that failed is the only one.
+KnownNodes::Candidates KnownNodes::without_last_failed(const Candidates& candidates) const {
+  Candidates others;
+  std::copy_if(candidates.begin(), candidates.end(), std::back_inserter(others),
+               [this](const Node* node) { return node->address.address != last_failed_; });
+  return others.empty() ? candidates : others;
 }
 
 }  // namespace lotusyard::control
--- a/src/control/message.h
+++ b/src/control/message.h
@@ -1,13 +1,10 @@
-// Messages between an invoker and the control node that holds its session, and their binary encoding.
-//
-// Every message is one frame: a 32-bit length, an 8-bit kind, the body. Integers are big-endian, texts stand
-// behind their length. The reader is bounded and accepts nothing that is incomplete or malformed.
+// The messages between an invoker and the control node that holds its session. message_codec.h has their form
+// on the wire.
 #pragma once
 
 #include <cstdint>
 #include <optional>
 #include <string>
-#include <string_view>
 #include <variant>
 #include <vector>
 
@@ -17,15 +14,13 @@
 
 using policy::Millis;
 
-// An index of the agreed log. A replica at index N has every change up to N and none after it.
+// An index of the replicated log. A replica at index N has every change up to N and none after it.
 using Index = std::uint64_t;
 
-constexpr std::uint32_t protocol_version = 1;
-// The bounds of one frame's body, by the direction in which it travels.
-constexpr std::size_t longest_to_node = 300U << 10;
-constexpr std::size_t longest_to_invoker = 600U << 10;
-constexpr std::size_t longest_name = 128;
-constexpr std::size_t most_nodes_told = 64;
+constexpr std::uint32_t kProtocolVersion = 1;
+// Bounds of fields; a message that breaks one is malformed.
+constexpr std::size_t kMaxNameBytes = 128;
+constexpr std::size_t kMaxNodesInMessage = 64;
 
 // Where a control node listens for sessions.
 struct NodeAddress {
@@ -35,19 +30,19 @@
   return a.name == b.name && a.address == b.address && a.zone == b.zone && a.region == b.region;
 }
 
-// Invoker to node, first on each connection: asks for a session that continues at `position`.
+// Invoker to node, the first message of each connection: asks for a session that continues at `position`.
 struct Open {
-  std::uint32_t version = protocol_version;
+  std::uint32_t version = kProtocolVersion;
   std::string cluster, invoker, zone;
   std::uint64_t incarnation = 0;  // chosen anew by each process; the same on all its connections
   Index position = 0;             // what its replica holds; 0: nothing
   raft::LeaseTerms terms;         // must equal the node's
 };
 
-// Node to invoker: the session is open. `nodes` are others that it may move to.
+// Node to invoker: the session is open. `nodes` are the other nodes, to which it may reconnect.
 struct Welcome {
   std::string node;
-  std::uint64_t node_life = 0;
+  std::uint64_t node_incarnation = 0;
   std::vector<NodeAddress> nodes;
 };
 
@@ -55,14 +50,15 @@
   other_version = 1,
   other_cluster,
   other_terms,
-  full,         // the node holds as many sessions as it may
-  busy,         // too many opened at once; try again after `retry_after`
+  full,         // the node has its maximum of sessions
+  busy,         // too many sessions are opening at once; retry after `retry_after`
   node_behind,  // the node's own state is older than the invoker's
-  leaving       // the node is going to end
+  draining      // the node is shutting down
 };
+// The reason as it appears in the names of counters.
 const char* name_of(RefusalReason reason);
 
-// Node to invoker: there is no session, or none any more. The connection ends.
+// Node to invoker: there is no session, or it has ended. The connection is closed.
 struct Refusal {
   RefusalReason reason = RefusalReason::full;
   Millis retry_after{0};
@@ -72,62 +68,50 @@
 // Invoker to node: renews the lease and reports progress.
 struct Renew {
   std::uint64_t sequence = 0;  // grows by one with each renewal on a connection
-  Index applied = 0;           // the replica's index
-  Index settled = 0;  // nothing that a change up to here forbids is still under way; never above `applied`
+  Index applied = 0;           // the index of the replica
+  // No call that a change up to here forbids is in flight any more; at most `applied`.
+  Index quiesced_index = 0;
 };
 
 // Node to invoker: the lease lasts for `duration` from the moment at which the invoker sent the renewal of
-// that sequence number, by the invoker's own clock. 0: no lease. `share`: what this invoker may use, for as
-// long, of what the group divides among all; absent: the node divides nothing.
+// that sequence number, by the invoker's own clock. 0: no lease.
 struct Grant {
   std::uint64_t sequence = 0;
   Millis duration{0};
+  // What this invoker may use, for as long, of a budget of the whole fleet. Nothing: the node divides none.
   std::optional<double> share = std::nullopt;
 };
 
-// Node to invoker: a piece of the encoded state as of `index`. Pieces come in order, from offset 0 on.
+// Node to invoker: a part of the serialized state as of `index`. Chunks come in order, from offset 0 on.
 struct SnapshotChunk {
   Index index = 0;
-  std::uint64_t offset = 0, total = 0;
+  std::uint64_t offset = 0;
+  std::uint64_t total = 0;
   std::string bytes;
 };
 
-// Node to invoker: one change. There is no other change behind `after` and before `index`.
+// Node to invoker: one change. There is no other change after `after` and before `index`.
 struct Delta {
-  Index after = 0, index = 0;
-  std::string change;  // encoded, see change.h
+  Index after = 0;
+  Index index = 0;
+  std::string change;  // serialized, see change.h
 };
 
-// Invoker to node: a delta was missing; continue behind `position`.
+// Invoker to node: a delta was missing; the node continues after `position`.
 struct Resume {
   Index position = 0;
 };
 
-// Invoker to node: the session ends on purpose, and its lease is given up.
+// Invoker to node: the process ends, and the invoker has stopped using its lease.
 struct Close {};
 
-// Invoker to node: a word for the group's leader, from the part of that kind.
+// Invoker to node: a message for the replicated state machine of that name.
 struct Forward {
-  std::string part, word;
+  std::string state_machine;
+  std::string payload;
 };
 
 using Message =
     std::variant<Open, Welcome, Refusal, Renew, Grant, SnapshotChunk, Delta, Resume, Close, Forward>;
 
-// The message as one frame.
-std::string encode(const Message& message);
-
-// Splits a byte stream into messages. Once a frame is malformed or too long everything after it is refused.
-class MessageReader {
- public:
-  explicit MessageReader(std::size_t longest_frame) : longest_frame_(longest_frame) {}
-  // Appends whole messages to `out`; false: the stream is malformed.
-  bool parse(std::string_view bytes, std::vector<Message>& out);
-
- private:
-  std::size_t longest_frame_;
-  std::string held_;
-  bool sound_ = true;
-};
-
 }  // namespace lotusyard::control
--- a/src/control/replica.cpp
+++ b/src/control/replica.cpp
@@ -1,46 +1,47 @@
 #include "control/replica.h"
 
+#include <utility>
+
 #include "core/fault_injection.h"
 
 namespace lotusyard::control {
 
-Replica::Outcome Replica::take(const SnapshotChunk& chunk) {
+Replica::Outcome Replica::apply(const SnapshotChunk& chunk) {
   if (chunk.index <= position_)
     return Outcome::duplicate;
   if (chunk.offset == 0) {
     abandon_snapshot();
-    piecing_ = chunk.index;
-    total_ = chunk.total;
+    snapshot_index_ = chunk.index;
+    snapshot_size_ = chunk.total;
   }
-  if (!fits(chunk)) {
+  if (!is_next_chunk(chunk)) {
     abandon_snapshot();
     return Outcome::malformed;
   }
-  pieces_ += chunk.bytes;
-  return pieces_.size() == total_ ? complete_snapshot() : Outcome::incomplete;
+  buffered_ += chunk.bytes;
+  return buffered_.size() == snapshot_size_ ? complete_snapshot() : Outcome::incomplete;
 }
 
-// Whether the chunk is the next one of the snapshot under way.
-bool Replica::fits(const SnapshotChunk& chunk) const {
-  const bool continues = chunk.index == piecing_ && chunk.total == total_ && chunk.offset == pieces_.size();
-  const bool bounded = total_ <= longest_snapshot && chunk.bytes.size() <= total_ - pieces_.size();
-  return continues && bounded && !chunk.bytes.empty();
+bool Replica::is_next_chunk(const SnapshotChunk& chunk) const {
+  const bool is_same_snapshot = chunk.index == snapshot_index_ && chunk.total == snapshot_size_;
+  if (!is_same_snapshot || chunk.offset != buffered_.size() || chunk.bytes.empty())
+    return false;
+  return snapshot_size_ <= kMaxSnapshotBytes && chunk.bytes.size() <= snapshot_size_ - buffered_.size();
 }
 
 Replica::Outcome Replica::complete_snapshot() {
-  auto records = decode_records(pieces_);
-  const Index index = piecing_;
+  auto records = decode_records(buffered_);
+  const Index index = snapshot_index_;
   abandon_snapshot();
   if (!records)
     return Outcome::malformed;
   records_ = std::move(*records);
   position_ = index;
-  if (moved_)
-    moved_(nullptr);
+  notify(nullptr);
   return Outcome::applied;
 }
 
-Replica::Outcome Replica::take(const Delta& delta) {
+Replica::Outcome Replica::apply(const Delta& delta) {
   if (delta.after >= delta.index)
     return Outcome::malformed;
   if (!complete())
@@ -52,19 +53,24 @@
   const auto change = decode_change(delta.change);
   if (!change)
     return Outcome::malformed;
-  apply(records_, *change);
+  control::apply(records_, *change);
   position_ = delta.index;
-  if (piecing_ <= position_)
-    abandon_snapshot();  // it was overtaken
-  if (moved_)
-    moved_(&*change);
+  const bool is_snapshot_obsolete = snapshot_index_ <= position_;
+  if (is_snapshot_obsolete)
+    abandon_snapshot();
+  notify(&*change);
   return Outcome::applied;
 }
 
 void Replica::abandon_snapshot() {
-  std::string().swap(pieces_);  // gives its memory back; an assignment would keep it
-  piecing_ = 0;
-  total_ = 0;
+  std::string().swap(buffered_);  // releases the memory; an assignment would keep it
+  snapshot_index_ = 0;
+  snapshot_size_ = 0;
+}
+
+void Replica::notify(const Change* change) const {
+  if (update_listener_)
+    update_listener_(change);
 }
 
 }  // namespace lotusyard::control
--- a/src/control/replica.h
+++ b/src/control/replica.h
@@ -1,7 +1,7 @@
-// An invoker's copy of the records: a snapshot, then numbered changes, each applied once and in order. No
-// I/O.
+// An invoker's copy of the records: a snapshot, then deltas, each applied once and in order. No I/O.
 #pragma once
 
+#include <cstdint>
 #include <functional>
 #include <string>
 
@@ -13,38 +13,42 @@
 class Replica {
  public:
   enum class Outcome {
-    applied,     // the replica has moved on
-    incomplete,  // a snapshot's chunk was taken, more are to come
-    duplicate,   // it was there already, and changes nothing
-    gap,         // something before it is missing: it was not applied
-    malformed    // it cannot be read, or contradicts itself: it was not applied
+    applied,     // the position has advanced
+    incomplete,  // a chunk was buffered, and more of the snapshot are to come
+    duplicate,   // it was applied before, and changes nothing
+    gap,         // something before it is missing; it was not applied
+    malformed    // it cannot be read, or contradicts itself; it was not applied
   };
-  // Called after the replica has moved on; `change` is null after a snapshot.
-  using Moved = std::function<void(const Change* change)>;
-
-  void when_moved(Moved moved) { moved_ = std::move(moved); }
-  // Chunks come strictly in order; one at offset 0 begins a snapshot anew. A snapshot that is not newer than
-  // the replica is a duplicate. After a malformed chunk the next one must begin anew.
-  Outcome take(const SnapshotChunk& chunk);
-  // Accepted if after <= position < index. Before the first whole snapshot every delta is a gap.
-  Outcome take(const Delta& delta);
-  // The connection has ended: a snapshot that was not complete begins anew on the next one.
+  // Called after the position has advanced; `change` is null after a snapshot.
+  using UpdateListener = std::function<void(const Change* change)>;
+
+  void set_update_listener(UpdateListener listener) { update_listener_ = std::move(listener); }
+
+  // Chunks must come in order; one at offset 0 starts a snapshot anew. A snapshot that is not newer than the
+  // replica is a duplicate. After a malformed chunk the snapshot must be started anew.
+  Outcome apply(const SnapshotChunk& chunk);
+  // Applied if after <= position < index. Before the first complete snapshot every delta is a gap.
+  Outcome apply(const Delta& delta);
+  // The connection has ended: an incomplete snapshot is started anew on the next one.
   void abandon_snapshot();
 
   Index position() const { return position_; }
-  bool complete() const { return position_ > 0; }  // it has held a whole state at least once
+  // Whether it has ever held a whole state.
+  bool complete() const { return position_ > 0; }
   const Records& records() const { return records_; }
 
  private:
   Records records_;
   Index position_ = 0;
-  Moved moved_;
-  std::string pieces_;  // of a snapshot under way; empty: there is none
-  Index piecing_ = 0;
-  std::uint64_t total_ = 0;
+  UpdateListener update_listener_;
+  // The snapshot in progress; `buffered_` is empty if there is none.
+  std::string buffered_;
+  Index snapshot_index_ = 0;
+  std::uint64_t snapshot_size_ = 0;
 
-  bool fits(const SnapshotChunk& chunk) const;
+  bool is_next_chunk(const SnapshotChunk& chunk) const;
   Outcome complete_snapshot();
+  void notify(const Change* change) const;
 };
 
 }  // namespace lotusyard::control
--- a/src/control/session.cpp
+++ b/src/control/session.cpp
@@ -1,20 +1,23 @@
 #include "control/session.h"
 
 #include <algorithm>
-#include <cmath>
 #include <limits>
+#include <utility>
 
+#include "control/message_codec.h"
 #include "metrics/control_counters.h"
 
 namespace lotusyard::control {
 namespace {
 
-constexpr std::size_t kMostOutstanding = 4;  // renewals without an answer
-constexpr Millis kShortestWait{1};           // whatever the configuration says, so that nothing spins
-constexpr int kMostDoublings = 30;
-constexpr std::size_t kForwardHead = 8;  // the lengths of the two texts in a frame's body
+constexpr std::size_t kForwardOverhead = 8;  // the sizes of the two texts in a frame's body
 const Millis kNever(std::numeric_limits<double>::infinity());
 
+bool fits_in_frame(const std::string& state_machine, const std::string& payload) {
+  const std::size_t body_size = state_machine.size() + payload.size() + kForwardOverhead;
+  return state_machine.size() <= kMaxNameBytes && body_size <= kMaxFrameBytesToNode;
+}
+
 }  // namespace
 
 Session::Session(Config config, Transport& transport, Replica& replica, metrics::Counters& counters,
@@ -25,65 +28,74 @@
       counters_(counters),
       random_(seed),
       nodes_(config_.zone, config_.region, config_.nodes),
-      next_attempt_(now),
-      state_since_(now) {}
+      backoff_(config_.pacing.max_initial_backoff, config_.pacing.max_backoff, random_),
+      lease_(config_.terms),
+      state_since_(now),
+      next_attempt_(now) {}
 
 void Session::tick(Millis now) {
   switch (state_) {
     case State::waiting:
       if (now >= next_attempt_)
-        attempt(now);
+        connect(now);
       break;
     case State::connecting:
     case State::opening:
-      if (now >= state_since_ + config_.pacing.connect_timeout)
-        leave(now, metrics::kControlSessionTimedOut);
+      if (now >= connect_deadline())
+        disconnect(now, metrics::kControlSessionTimedOut);
       break;
     case State::open:
-      if (now >= silent_at()) {
-        leave(now, metrics::kControlSessionSilent);
-      } else if (now >= next_renewal_) {
-        renew(now);
-      }
+      tick_open(now);
       break;
     case State::closed:
       break;
   }
 }
 
+void Session::tick_open(Millis now) {
+  if (now >= lease_.silence_deadline()) {
+    disconnect(now, metrics::kControlSessionSilent);
+  } else if (lease_.is_renewal_due(now)) {
+    renew(now);
+  }
+}
+
 Millis Session::due() const {
   switch (state_) {
     case State::waiting:
       return next_attempt_;
     case State::connecting:
     case State::opening:
-      return state_since_ + config_.pacing.connect_timeout;
+      return connect_deadline();
     case State::open:
-      return std::min(next_renewal_, silent_at());
+      return std::min(lease_.next_renewal(), lease_.silence_deadline());
     case State::closed:
       break;
   }
   return kNever;
 }
 
-void Session::attempt(Millis now) {
+void Session::enter(State state, Millis now) {
+  state_ = state;
+  state_since_ = now;
+}
+
+void Session::connect(Millis now) {
   const NodeAddress* const chosen = nodes_.choose(now, random_);
   if (chosen == nullptr) {
     next_attempt_ = nodes_.next_available();
     return;
   }
   node_ = *chosen;
-  state_ = State::connecting;
-  state_since_ = now;
+  enter(State::connecting, now);
   counters_.add(metrics::kControlSessionAttempts);
   transport_.connect(node_);
 }
 
-void Session::connected(Millis now) {
+void Session::on_connected(Millis now) {
   if (state_ != State::connecting)
     return;
-  state_ = State::opening;
-  state_since_ = now;
+  enter(State::opening, now);
   Open open;
   open.cluster = config_.cluster;
   open.invoker = config_.invoker;
@@ -94,89 +106,64 @@
   transport_.send(encode(open));
 }
 
-void Session::disconnected(Millis now) {
-  if (state_ == State::waiting || state_ == State::closed)
+void Session::on_disconnected(Millis now) {
+  if (!has_connection())
     return;
   counters_.add(metrics::kControlSessionDisconnected);
-  move_on(now);
+  reconnect(now);
 }
 
-void Session::malformed(Millis now) {
-  if (state_ == State::waiting || state_ == State::closed)
-    return;
-  leave(now, metrics::kControlSessionMalformed);
+void Session::on_malformed(Millis now) {
+  if (has_connection())
+    disconnect(now, metrics::kControlSessionMalformed);
 }
 
-void Session::leave(Millis now, const metrics::Counter& counter) {
+void Session::disconnect(Millis now, const metrics::Counter& counter) {
   counters_.add(counter);
-  move_on(now);
+  reconnect(now);
   transport_.disconnect();
 }
 
-// The lease runs on until its own end.
-void Session::move_on(Millis now) {
+void Session::reconnect(Millis now) {
   state_ = State::waiting;
   replica_.abandon_snapshot();
-  outstanding_.clear();
-  refused_since_.reset();
-  resuming_ = false;
-  nodes_.failed(node_.address);
-  next_attempt_ = now + next_wait();
-}
-
-Millis Session::next_wait() {
-  const Pacing& pacing = config_.pacing;
-  const Millis bound = std::min(pacing.first_wait * std::exp2(failures_), pacing.most_wait);
-  failures_ = std::min(failures_ + 1, kMostDoublings);
-  return std::max(bound * chance(0, 1), kShortestWait);
-}
-
-double Session::chance(double low, double high) {
-  return std::uniform_real_distribution<double>(low, high)(random_);
+  lease_.on_disconnected();
+  is_resuming_ = false;
+  nodes_.on_failure(node_.address);
+  next_attempt_ = now + backoff_.next_wait();
 }
 
 void Session::close(Millis now) {
   if (state_ == State::closed)
     return;
-  const State before = state_;
-  move_on(now);
+  const bool was_open = state_ == State::open;
+  const bool had_connection = has_connection();
+  reconnect(now);
   state_ = State::closed;
-  lease_until_ = Millis(0);
-  if (before == State::waiting)
-    return;
-  if (before == State::open)
+  lease_.release();
+  if (was_open)
     transport_.send(encode(Close{}));
-  transport_.disconnect();
+  if (had_connection)
+    transport_.disconnect();
 }
 
-Millis Session::silent_at() const {
-  return outstanding_.empty() ? kNever : outstanding_.front().sent + config_.terms.lease / 2;
-}
-
-Millis Session::renewal_interval() const {
-  return std::max(config_.terms.heartbeat_interval(), kShortestWait);
-}
-
-// The lease counts from this moment. It must be taken before the renewal goes out.
+// The lease counts from this moment, so it is taken before the renewal is sent.
 void Session::renew(Millis now) {
-  next_renewal_ = now + renewal_interval();
-  if (outstanding_.size() >= kMostOutstanding)
+  const auto sequence = lease_.start_renewal(now);
+  if (!sequence)
     return;
-  outstanding_.push_back({++sequence_, now});
   Renew renewal;
-  renewal.sequence = sequence_;
+  renewal.sequence = *sequence;
   renewal.applied = replica_.position();
-  renewal.settled = std::min(settled_, renewal.applied);
+  renewal.quiesced_index = std::min(quiesced_index_, renewal.applied);
   counters_.add(metrics::kControlSessionRenewals);
   transport_.send(encode(renewal));
 }
 
-bool Session::forward(const std::string& part, const std::string& word) {
-  if (state_ != State::open)
-    return false;
-  if (part.size() > longest_name || part.size() + word.size() + kForwardHead > longest_to_node)
+bool Session::forward(const std::string& state_machine, const std::string& payload) {
+  if (state_ != State::open || !fits_in_frame(state_machine, payload))
     return false;
-  transport_.send(encode(Forward{part, word}));
+  transport_.send(encode(Forward{state_machine, payload}));
   return true;
 }
 
--- a/src/control/session.h
+++ b/src/control/session.h
@@ -1,109 +1,129 @@
-// An invoker's session with a control node: which node it goes to, when it moves, and until when its lease
-// holds. One connection at a time. No I/O; the time, chance and the transport are passed in.
+// An invoker's session with a control node: to which node it connects, when it reconnects, and until when its
+// lease lasts. No I/O; the time, randomness and the transport are passed in.
+//
+//   waiting ----> connecting ----> opening ----> open
+//      ^    tick      |    connected   |  Welcome  |
+//      |              |                |           |
+//      +--------------+----------------+-----------+
+//        time-out, connection lost, Refusal, malformed message, silence, no lease, second gap
+//
+//   close() leads from any state to `closed`, which is final.
 #pragma once
 
-#include <deque>
+#include <cstdint>
 #include <optional>
 #include <random>
 #include <string>
 #include <vector>
 
 #include "control/known_nodes.h"
+#include "control/reconnect_backoff.h"
 #include "control/replica.h"
+#include "control/session_lease.h"
 #include "metrics/counters.h"
 
 namespace lotusyard::control {
 
 class Session {
  public:
+  // One connection at a time.
   class Transport {
    public:
     virtual ~Transport() = default;
-    virtual void connect(const NodeAddress& node) = 0;  // `connected` or `disconnected` follows
+    virtual void connect(const NodeAddress& node) = 0;  // on_connected() or on_disconnected() follows
     virtual void send(const std::string& frame) = 0;
-    virtual void disconnect() = 0;  // at once; `disconnected` is not called for it
+    virtual void disconnect() = 0;  // at once; on_disconnected() is not called for it
   };
-  // How fast a session moves from node to node. Every wait is drawn at random up to its bound, so that many
-  // sessions that lose their node together do not arrive together.
   struct Pacing {
-    Millis connect_timeout{1000};
-    Millis first_wait{500};  // at most so long before the first attempt after a session was lost
-    Millis most_wait{5000};  // the bound doubles with each further failure, up to this
+    Millis connect_timeout{1000};     // also for the opening of the session
+    Millis max_initial_backoff{500};  // see ReconnectBackoff
+    Millis max_backoff{5000};
   };
   struct Config {
-    std::string cluster, invoker, zone, region;
-    std::uint64_t incarnation = 0;
-    std::vector<NodeAddress> nodes;  // where to begin; more are learnt from the nodes
+    std::string cluster;
+    std::string invoker;
+    std::string zone;
+    std::string region;
+    std::uint64_t incarnation = 0;   // chosen anew by each process
+    std::vector<NodeAddress> nodes;  // the seeds; nodes name others
     raft::LeaseTerms terms;
     Pacing pacing;
   };
 
+  // The references must outlive the session. It connects at the first tick().
   Session(Config config, Transport& transport, Replica& replica, metrics::Counters& counters,
           std::uint64_t seed, Millis now);
+  Session(const Session&) = delete;
+  Session& operator=(const Session&) = delete;
 
   void tick(Millis now);
-  Millis due() const;  // when `tick` wants to be called, at the latest; infinite once closed
-  void connected(Millis now);
-  void disconnected(Millis now);
-  void received(Message&& message, Millis now);
-  void malformed(Millis now);  // what came cannot be read: counted, and the session moves
-  void close(Millis now);      // the process ends: the lease is given up, and nothing is connected again
+  // The time of the next tick(); infinite once the session is closed.
+  Millis due() const;
 
-  // Nothing that a change up to there forbids is under way here; reported with the next renewal.
-  void set_settled(Index settled) { settled_ = settled; }
-  // False: there is no session now, or the word is longer than a node takes.
-  bool forward(const std::string& part, const std::string& word);
+  // From the transport. A malformed message is counted, and the session reconnects.
+  void on_connected(Millis now);
+  void on_disconnected(Millis now);
+  void on_message(Message&& message, Millis now);
+  void on_malformed(Millis now);
 
-  bool holds(Millis now) const { return now < lease_until_; }
-  Millis lease_until() const { return lease_until_; }
-  bool ever_held() const { return lease_until_.count() > 0; }
-  // What this invoker may use of what the group divides, while the lease holds; nothing: nothing is divided.
-  const std::optional<double>& share() const { return share_; }
+  // The process ends: the lease is released, and the session does not connect again.
+  void close(Millis now);
+
+  // No call that a change up to `index` forbids is in flight here; reported with the next renewal.
+  void set_quiesced_index(Index index) { quiesced_index_ = index; }
+  // Sends a message to a replicated state machine. Returns false if there is no open session, or if the
+  // message is longer than a node accepts.
+  bool forward(const std::string& state_machine, const std::string& payload);
+
+  bool holds_lease(Millis now) const { return lease_.is_held(now); }
+  bool has_held_lease() const { return lease_.has_been_held(); }
+  Millis lease_until() const { return lease_.until(); }
+  // What this invoker may use, while it holds a lease, of a budget of the whole fleet. Nothing: none is
+  // divided.
+  const std::optional<double>& share() const { return lease_.share(); }
   bool open() const { return state_ == State::open; }
-  const NodeAddress& node() const { return node_; }  // the one that it is at, or goes to
+  // The node of the current connection, or of the last one.
+  const NodeAddress& node() const { return node_; }
 
  private:
   enum class State { waiting, connecting, opening, open, closed };
-  struct Renewal {
-    std::uint64_t sequence = 0;
-    Millis sent{0};
-  };
+
   Config config_;
   Transport& transport_;
   Replica& replica_;
   metrics::Counters& counters_;
   std::mt19937_64 random_;
-  State state_ = State::waiting;
   KnownNodes nodes_;
+  ReconnectBackoff backoff_;
+  SessionLease lease_;
+  State state_ = State::waiting;
+  Millis state_since_;
+  Millis next_attempt_;
   NodeAddress node_;
-  Millis next_attempt_, state_since_, next_renewal_{0}, lease_until_{0};
-  std::deque<Renewal> outstanding_;  // renewals without an answer, oldest first
-  std::uint64_t sequence_ = 0;       // of the last renewal on this connection
-  Index settled_ = 0;
-  std::optional<double> share_;
-  int failures_ = 0;                     // on end
-  std::optional<Millis> refused_since_;  // only grants of 0 have come for renewals from then on
-  bool resuming_ = false;                // a gap was reported, and nothing was applied since
+  Index quiesced_index_ = 0;
+  bool is_resuming_ = false;  // a gap was reported, and nothing was applied since
 
-  void attempt(Millis now);
-  void leave(Millis now, const metrics::Counter& counter);  // ends the connection and moves
-  void move_on(Millis now);                                 // the connection has ended
-  Millis next_wait();
-  double chance(double low, double high);
-  Millis silent_at() const;  // when an answer will have been outstanding for too long
-  Millis renewal_interval() const;
+  bool has_connection() const { return state_ != State::waiting && state_ != State::closed; }
+  Millis connect_deadline() const { return state_since_ + config_.pacing.connect_timeout; }
+  void enter(State state, Millis now);
+  void connect(Millis now);
+  void tick_open(Millis now);
   void renew(Millis now);
+  // Ends the connection, for a reason that is counted, and reconnects.
+  void disconnect(Millis now, const metrics::Counter& counter);
+  // The connection has ended: schedules the next one.
+  void reconnect(Millis now);
 
-  void take(const Welcome& welcome, Millis now);
-  void take(const Refusal& refusal, Millis now);
-  void take(const Grant& grant, Millis now);
-  void take(const SnapshotChunk& chunk, Millis now);
-  void take(const Delta& delta, Millis now);
-  template <typename Other>
-  void take(const Other&, Millis now) {  // only a node receives these
-    malformed(now);
+  void on(const Welcome& welcome, Millis now);
+  void on(const Refusal& refusal, Millis now);
+  void on(const Grant& grant, Millis now);
+  void on(const SnapshotChunk& chunk, Millis now);
+  void on(const Delta& delta, Millis now);
+  template <typename MessageToNode>
+  void on(const MessageToNode& /*message*/, Millis now) {
+    on_malformed(now);
   }
-  void granted(const Renewal& renewal, const Grant& grant, Millis now);
+  void on_granted();
   void on_replicated(Replica::Outcome outcome, Millis now);
   void on_gap(Millis now);
 };
--- a/src/control/session_client.cpp
+++ b/src/control/session_client.cpp
@@ -2,25 +2,26 @@
 
 #include <algorithm>
 
+#include "control/message_codec.h"
 #include "net/buffered_connection.h"
 
 namespace lotusyard::control {
 namespace {
 
-constexpr std::size_t kBlocks = 128;  // of 16 KB: what may wait unsent
+constexpr std::size_t kMaxUnsentBlocks = 128;  // of 16 KB
 
 }  // namespace
 
 class SessionClient::Connection final : public net::BufferedConnection {
  public:
-  // Urgent: a lease must be renewed whatever the load of calls is.
+  // Urgent: a lease must be renewed also under a high load of calls.
   Connection(SessionClient& client, net::Socket socket)
       : BufferedConnection(client.loop_, client.pool_, std::move(socket), true,
                            net::EventLoop::Priority::urgent),
         client_(client) {}
 
-  // The session is done with it, perhaps while it is inside `received`.
-  void let_go() {
+  // Ends the connection for the session, which may be inside of a call from on_received().
+  void close_after_flush() {
     flush_now();
     if (send_queue().empty()) {
       shutdown_after_flush();
@@ -31,27 +32,27 @@
 
  private:
   SessionClient& client_;
-  MessageReader reader_{longest_to_invoker};
+  MessageReader reader_{kMaxFrameBytesToInvoker};
 
-  bool current() const { return client_.connection_.get() == this; }
+  bool is_current() const { return client_.connection_.get() == this; }
   void on_connected() override {
-    if (!current())
+    if (!is_current())
       return;
-    client_.session_.connected(loop().now());
+    client_.session_.on_connected(loop().now());
     client_.arm_timer();
   }
   void on_received(std::string_view bytes) override {
-    if (!current())
+    if (!is_current())
       return;
     std::vector<Message> messages;
-    const bool sound = reader_.parse(bytes, messages);
+    const bool is_sound = reader_.parse(bytes, messages);
     for (auto& message : messages) {
-      client_.session_.received(std::move(message), loop().now());
-      if (!current())
+      client_.session_.on_message(std::move(message), loop().now());
+      if (!is_current())
         break;
     }
-    if (!sound && current())
-      client_.session_.malformed(loop().now());
+    if (!is_sound && is_current())
+      client_.session_.on_malformed(loop().now());
     client_.arm_timer();
   }
   void on_closed() override { client_.connection_ended(*this); }
@@ -59,7 +60,9 @@
 
 SessionClient::SessionClient(net::EventLoop& loop, metrics::Counters& counters, Session::Config config,
                              std::uint64_t seed)
-    : loop_(loop), pool_(kBlocks), session_(std::move(config), *this, replica_, counters, seed, loop.now()) {
+    : loop_(loop),
+      pool_(kMaxUnsentBlocks),
+      session_(std::move(config), *this, replica_, counters, seed, loop.now()) {
   arm_timer();
 }
 
@@ -90,7 +93,7 @@
 }
 
 void SessionClient::connection_failed() {
-  session_.disconnected(loop_.now());
+  session_.on_disconnected(loop_.now());
   arm_timer();
 }
 
@@ -104,17 +107,17 @@
   if (!connection_)
     return;
   closing_.push_back(std::exchange(connection_, nullptr));
-  closing_.back()->let_go();
+  closing_.back()->close_after_flush();
 }
 
 void SessionClient::connection_ended(Connection& connection) {
   if (connection_.get() == &connection) {
     loop_.delete_later(std::exchange(connection_, nullptr));
-    session_.disconnected(loop_.now());
+    session_.on_disconnected(loop_.now());
     return arm_timer();
   }
-  const auto same = [&](const auto& other) { return other.get() == &connection; };
-  const auto found = std::find_if(closing_.begin(), closing_.end(), same);
+  const auto is_same = [&connection](const auto& other) { return other.get() == &connection; };
+  const auto found = std::find_if(closing_.begin(), closing_.end(), is_same);
   if (found == closing_.end())
     return;
   loop_.delete_later(*found);
--- a/src/control/session_client.h
+++ b/src/control/session_client.h
@@ -1,5 +1,5 @@
-// The socket and the timer of an invoker's session: one connection at a time to the node that the session
-// chooses, on the program's own loop.
+// The socket and the timer of an invoker's session: one connection at a time, to the node that the session
+// chooses.
 #pragma once
 
 #include <cstdint>
@@ -14,9 +14,10 @@
 
 class SessionClient final : public Session::Transport {
  public:
+  // `loop` and `counters` must outlive the client.
   SessionClient(net::EventLoop& loop, metrics::Counters& counters, Session::Config config,
                 std::uint64_t seed);
-  ~SessionClient() override;  // never from inside a call of the session or the replica
+  ~SessionClient() override;  // must not run inside of a call of the session or the replica
   SessionClient(const SessionClient&) = delete;
   SessionClient& operator=(const SessionClient&) = delete;
 
@@ -28,7 +29,7 @@
   // For the session.
   void connect(const NodeAddress& node) override;
   void send(const std::string& frame) override;
-  // What was sent goes out first where the kernel takes it at once: a Close must reach the node.
+  // What was sent before is written first if the kernel accepts it at once: a Close must reach the node.
   void disconnect() override;
 
  private:
@@ -36,8 +37,9 @@
   net::EventLoop& loop_;
   net::BufferPool pool_;
   std::shared_ptr<Connection> connection_;
-  std::vector<std::shared_ptr<Connection>> closing_;  // the session is done with them; they end by themselves
-  net::EventLoop::TimerId session_timer_{}, failure_timer_{};
+  std::vector<std::shared_ptr<Connection>> closing_;  // the session has ended them; they delete themselves
+  net::EventLoop::TimerId session_timer_{};
+  net::EventLoop::TimerId failure_timer_{};
   Replica replica_;
   Session session_;
 
--- a/src/control/session_table.cpp
+++ b/src/control/session_table.cpp
@@ -1,15 +1,19 @@
 #include "control/session_table.h"
 
 #include <algorithm>
+#include <iterator>
 
 #include "core/fault_injection.h"
 
 namespace lotusyard::control {
 namespace {
 
-constexpr Millis kShortestLease{20};      // a shorter one is over before it arrives
-constexpr Millis kShortestRetry{200};     // after a refusal for too many at once
-constexpr double kSecondInMillis = 1000;  // rates are by the second
+constexpr Millis kMinLease{20};        // a shorter one would have ended before it arrives
+constexpr Millis kMinRetryAfter{200};  // after a refusal because too many sessions open at once
+
+SessionTable::Admission refused(RefusalReason reason, Millis retry_after) {
+  return {SessionTable::Admission::Status::refused, 0, reason, retry_after};
+}
 
 }  // namespace
 
@@ -19,52 +23,65 @@
       log_(log),
       started_(started),
       offline_floor_(terms, started + terms.presumed_dead_after()),
-      tokens_(limits.opens_at_once),
-      filled_at_(started) {}
+      open_tokens_(limits.opens_per_second, limits.open_burst, started) {}
 
 SessionTable::Admission SessionTable::open(const std::string& invoker, std::uint64_t incarnation,
                                            Index position, Millis now) {
-  const auto refused = [](RefusalReason reason, Millis retry_after) {
-    return Admission{0, false, reason, retry_after};
-  };
+  const InvokerKey key(invoker, incarnation);
+  if (const auto reason = reason_not_to_admit(key, position, now))
+    return *reason;
+  Admission admission;
+  admission.session = connect(key, position);
+  return admission;
+}
+
+std::optional<SessionTable::Admission> SessionTable::reason_not_to_admit(const InvokerKey& key,
+                                                                         Index position, Millis now) {
   if (position > log_.applied())
     return refused(RefusalReason::node_behind, terms_.heartbeat_interval());
-  const auto key = std::make_pair(invoker, incarnation);
   const auto known = by_invoker_.find(key);
   const bool is_new = known == by_invoker_.end();
   if (!is_new && position < sessions_.at(known->second).applied)
-    return {0, true, {}, Millis(0)};
-  if (is_new && sessions_.size() >= limits_.sessions)
-    expire(now);
-  if (is_new && sessions_.size() >= limits_.sessions)
+    return Admission{Admission::Status::malformed};
+  if (is_new && is_full(now))
     return refused(RefusalReason::full, terms_.presumed_dead_after());
-  const Millis wait = take_token(now);
-  if (wait.count() > 0)
-    return refused(RefusalReason::busy, wait);
+  if (!open_tokens_.take(now))
+    return refused(RefusalReason::busy, std::max(open_tokens_.time_to_next(), kMinRetryAfter));
+  return std::nullopt;
+}
 
-  const SessionId id = is_new ? ++last_id_ : known->second;
-  by_invoker_[key] = id;
-  Session& session = sessions_[id];
+bool SessionTable::is_full(Millis now) {
+  if (sessions_.size() >= limits_.max_sessions)
+    expire(now);
+  return sessions_.size() >= limits_.max_sessions;
+}
+
+// Adds the session, or continues it on its new connection.
+SessionTable::SessionId SessionTable::connect(const InvokerKey& key, Index position) {
+  const auto [entry, is_new] = by_invoker_.try_emplace(key, last_id_ + 1);
+  if (is_new)
+    ++last_id_;
+  Session& session = sessions_[entry->second];
   if (!session.connected)
     ++connected_;
-  session.invoker = invoker;
-  session.incarnation = incarnation;
+  session.invoker = key.first;
+  session.incarnation = key.second;
   session.connected = true;
   session.closed = false;
   session.applied = position;
-  return {id, false, {}, Millis(0)};
+  return entry->second;
 }
 
-bool SessionTable::report(SessionId id, Index applied, Index settled) {
+bool SessionTable::report(SessionId id, Index applied, Index quiesced_index) {
   const auto found = sessions_.find(id);
   if (found == sessions_.end())
     return false;
   Session& session = found->second;
-  const bool goes_back = applied < session.applied || settled < session.settled;
-  if (goes_back || applied > log_.applied() || settled > applied)
+  const bool goes_back = applied < session.applied || quiesced_index < session.quiesced_index;
+  if (goes_back || applied > log_.applied() || quiesced_index > applied)
     return false;
   session.applied = applied;
-  session.settled = settled;
+  session.quiesced_index = quiesced_index;
   return true;
 }
 
@@ -72,30 +89,41 @@
   const auto found = sessions_.find(id);
   if (found == sessions_.end())
     return Millis(0);
-  require_present(node_lease_until, now);
+  note_node_lease(node_lease_until, now);
   Session& session = found->second;
-  const bool holds_nothing = session.applied == 0;
-  const bool is_behind = log_.covered(session.applied) < reported_;
-  if ((holds_nothing || is_behind) && !fault_injected("grant-behind"))
+  if (!may_hold_lease(session) && !fault_injected("grant-behind"))
     return Millis(0);
-
-  const bool ignores_node = fault_injected("session-outlasts-node");
-  const Millis left = (node_lease_until - now) / (1 + terms_.clock_drift);
-  const Millis duration = ignores_node ? terms_.lease : std::min(terms_.lease, left);
-  if (duration < kShortestLease)
+  const Millis duration = lease_duration(node_lease_until, now);
+  if (duration < kMinLease)
     return Millis(0);
   Millis until = now + duration * (1 + terms_.clock_drift);
-  if (!ignores_node)
-    until = std::min(until, node_lease_until);  // rounding must not pass it either
+  if (!fault_injected("session-outlasts-node"))
+    until = std::min(until, node_lease_until);  // rounding must not exceed it either
   session.lease_until = std::max(session.lease_until.value_or(until), until);
   return duration;
 }
 
-// No session holds a lease when the node's own had lapsed, so that any index may be taken for reported.
-void SessionTable::require_present(Millis node_lease_until, Millis now) {
+// Rule 2: the session has applied everything that was reported as applied by all.
+bool SessionTable::may_hold_lease(const Session& session) const {
+  const bool is_empty = session.applied == 0;
+  const bool is_behind = log_.covered(session.applied) < reported_;
+  return !is_empty && !is_behind;
+}
+
+// Rule 1: by the session's clock, which may be slower than the node's.
+Millis SessionTable::lease_duration(Millis node_lease_until, Millis now) const {
+  if (fault_injected("session-outlasts-node"))
+    return terms_.lease;
+  const Millis left = (node_lease_until - now) / (1 + terms_.clock_drift);
+  return std::min(terms_.lease, left);
+}
+
+// If the node's lease had lapsed, no session holds one now, so any index may be treated as reported.
+void SessionTable::note_node_lease(Millis node_lease_until, Millis now) {
   if (node_lease_until <= now || fault_injected("group-went-on"))
     return;
-  if (now >= granted_under_)
+  const bool had_lapsed = now >= granted_under_;
+  if (had_lapsed)
     reported_ = std::max(reported_, log_.applied());
   granted_under_ = std::max(granted_under_, node_lease_until);
 }
@@ -124,48 +152,50 @@
 void SessionTable::expire(Millis now) {
   for (auto session = sessions_.begin(); session != sessions_.end();) {
     const auto next = std::next(session);
-    if (!session->second.connected && !counts_for_settled(session->second, now))
+    if (!session->second.connected && !counts_for_quiesced(session->second, now))
       forget(session);
     session = next;
   }
 }
 
-void SessionTable::forget(std::map<SessionId, Session>::iterator session) {
+void SessionTable::forget(Sessions::iterator session) {
   if (session->second.lease_until && !session->second.closed)
-    offline_floor_.vanished(*session->second.lease_until);
+    offline_floor_.on_session_lost(*session->second.lease_until);
   by_invoker_.erase({session->second.invoker, session->second.incarnation});
   sessions_.erase(session);
 }
 
 Floors SessionTable::floors(Millis now) {
   Index applied = log_.applied();
-  Index settled = log_.applied();
+  Index quiesced_index = log_.applied();
   for (const auto& [id, session] : sessions_) {
     if (counts_for_applied(session, now))
       applied = std::min(applied, log_.covered(session.applied));
-    if (counts_for_settled(session, now))
-      settled = std::min(settled, log_.covered(session.settled));
+    if (counts_for_quiesced(session, now))
+      quiesced_index = std::min(quiesced_index, log_.covered(session.quiesced_index));
   }
-  // What was reported stays true, also where the log has lost the changes that showed it.
+  // What was reported remains true even after the log has dropped the changes that prove it.
   reported_ = std::max(reported_, applied);
-  // An earlier process of this node may have granted leases until shortly before this one started.
-  const bool may_have_earlier =
-      now < started_ + terms_.presumed_dead_after() && !fault_injected("early-report");
-  if (may_have_earlier)
+  if (earlier_process_may_count(now))
     return {0, 0, 0, connected_};
-  offline_floor_.reported(reported_, now);
+  offline_floor_.on_reported(reported_, now);
   const Index followed = std::min(reported_, offline_floor_.followed(known_floor(), now));
-  return {reported_, std::min(settled, reported_), followed, connected_};
+  return {reported_, std::min(quiesced_index, reported_), followed, connected_};
 }
 
-// Sessions that never had a lease use no host.
+// An earlier process of this node may have granted leases until shortly before this one started.
+bool SessionTable::earlier_process_may_count(Millis now) const {
+  return now < started_ + terms_.presumed_dead_after() && !fault_injected("early-report");
+}
+
+// Sessions that have had no lease use no host.
 Index SessionTable::known_floor() const {
-  Index out = log_.applied();
+  Index floor = log_.applied();
   for (const auto& [id, session] : sessions_) {
     if (session.lease_until && !session.closed)
-      out = std::min(out, log_.covered(session.applied));
+      floor = std::min(floor, log_.covered(session.applied));
   }
-  return out;
+  return floor;
 }
 
 Millis SessionTable::lease_until(SessionId id) const {
@@ -179,23 +209,11 @@
   return session.lease_until && now < *session.lease_until;
 }
 
-bool SessionTable::counts_for_settled(const Session& session, Millis now) const {
+bool SessionTable::counts_for_quiesced(const Session& session, Millis now) const {
   if (!session.connected && fault_injected("forget-disconnected"))
     return false;
-  const Millis calls = fault_injected("forget-calls") ? Millis(0) : last_call();
+  const Millis calls = fault_injected("forget-calls") ? Millis(0) : max_call_duration();
   return session.lease_until && now < *session.lease_until + calls;
 }
 
-Millis SessionTable::take_token(Millis now) {
-  const double gained = (now - filled_at_).count() / kSecondInMillis * limits_.opens_per_second;
-  tokens_ = std::min(limits_.opens_at_once, tokens_ + gained);
-  filled_at_ = now;
-  if (tokens_ >= 1) {
-    --tokens_;
-    return Millis(0);
-  }
-  const Millis next((1 - tokens_) / limits_.opens_per_second * kSecondInMillis);
-  return std::max(next, kShortestRetry);
-}
-
 }  // namespace lotusyard::control
--- a/src/control/session_table.h
+++ b/src/control/session_table.h
@@ -1,107 +1,132 @@
-// The sessions that a control node holds: admission, leases, and what all of them together have applied.
+// The sessions that a control node holds: their admission, their leases, and the log indexes that all of them
+// together have reached.
 //
-// The safety argument rests on three rules that are kept here:
-//   1. a session's lease ends, by any clock within the stated drift, before the node's own lease does;
-//   2. once the node has reported that all its sessions applied index N, no session that has applied less is
-//      ever granted a lease;
-//   3. a session counts until its lease is over, and for what is settled until the longest call that it can
-//      have begun under that lease is over as well, whatever became of its connection.
+// The safety of the group relies on three rules that are kept here:
+//   1. a session's lease ends, by any clock within the configured drift, before the node's own lease does;
+//   2. once the node has reported that all its sessions have applied index N, no session that has applied
+//   less
+//      is granted a lease;
+//   3. a session counts until its lease has ended, and for quiescence until the longest call that it can have
+//      started under that lease has ended as well, whatever happened to its connection.
 // No I/O; the time is passed in.
 #pragma once
 
+#include <cstdint>
 #include <map>
 #include <optional>
 #include <string>
+#include <utility>
 
 #include "control/change_log.h"
 #include "control/message.h"
 #include "control/offline_floor.h"
+#include "control/token_bucket.h"
 
 namespace lotusyard::control {
 
-// What a node tells the group of all its sessions.
+// What a node reports to the group about all its sessions.
 struct Floors {
-  Index applied = 0;   // every session that can hold a lease has applied everything up to here
-  Index settled = 0;   // and nothing that a change up to here forbids is under way at any of them
-  Index followed = 0;  // every invoker that may use hosts, with a lease or without, has applied this much
-  std::size_t sessions = 0;  // connected ones
+  Index applied = 0;         // every session that can hold a lease has applied everything up to here
+  Index quiesced_index = 0;  // none of them has a call in flight that a change up to here forbids
+  // Every invoker that may use hosts, with a lease or without one, has applied everything up to here.
+  Index followed = 0;
+  std::size_t sessions = 0;  // with a connection
 };
 
 class SessionTable {
  public:
+  using SessionId = std::uint64_t;  // 0: none
   struct Limits {
-    std::size_t sessions = 1200;    // open ones, and closed ones that still count
-    double opens_per_second = 200;  // admission, as a token bucket
-    double opens_at_once = 100;
+    std::size_t max_sessions = 1200;  // with a connection, or without one as long as they count
+    double opens_per_second = 200;
+    double open_burst = 100;
   };
-  using SessionId = std::uint64_t;  // 0: none
+  // The result of open(). The fields beside `status` are set as it says.
   struct Admission {
-    SessionId session = 0;
-    bool malformed = false;  // the position is older than what the same incarnation reported before
-    RefusalReason refusal = RefusalReason::full;  // holds where there is no session, and nothing malformed
-    Millis retry_after{0};
+    enum class Status {
+      admitted,
+      refused,
+      malformed  // the position is older than one that the same incarnation has reported
+    };
+    Status status = Status::admitted;
+    SessionId session = 0;                        // if admitted
+    RefusalReason refusal = RefusalReason::full;  // if refused
+    Millis retry_after{0};                        // if refused
   };
 
-  // `started`: when this process did. Sessions of an earlier process of this node may hold leases until
-  // (lease + last call) later, so that nothing is reported before.
+  // `log` must outlive the table. `started` is the time of the process's start: sessions of an earlier
+  // process of this node may hold leases for terms.presumed_dead_after() from then on, and nothing is
+  // reported before.
   SessionTable(const raft::LeaseTerms& terms, Limits limits, const ChangeLog& log, Millis started);
 
-  // A connection asks for a session. The same incarnation of an invoker continues its earlier one; if that
-  // has a connection still, the caller ends it without a call of `disconnected`.
+  // Opens a session for a connection. The same incarnation of an invoker continues its session; if that still
+  // has another connection, the caller closes it without a call of disconnected().
   Admission open(const std::string& invoker, std::uint64_t incarnation, Index position, Millis now);
-  // False: the report is malformed (it goes back, is ahead of the node, or settled exceeds applied); nothing
-  // has changed.
-  bool report(SessionId session, Index applied, Index settled);
-  // How long a lease may last that begins before `now`; `node_lease_until`: the end of the node's own. 0: no
-  // lease, for the node has none, or the session is behind what the node has reported.
+  // Records the progress of a session. Returns false, and changes nothing, if the report is malformed: it
+  // goes back, is ahead of the node, or `quiesced_index` exceeds `applied`.
+  bool report(SessionId session, Index applied, Index quiesced_index);
+  // Grants a lease that begins before `now`, and returns its longest duration. 0: no lease, because the node
+  // has none, or because the session is behind what the node has reported. `node_lease_until` is the end of
+  // the node's own lease.
   //
-  // While the node's own lease had lapsed, and before its first one, the group may have gone on without this
-  // node, up to any index below that of the entry that gave it its new lease. So the first grant under a new
-  // lease of the node takes all that was applied here for reported; the caller applies that entry first.
+  // While the node had no lease, the group may have continued without it, up to any index below that of the
+  // entry that renewed the lease. The first grant under a new lease of the node therefore treats everything
+  // that was applied here as reported; the caller applies that entry first.
   Millis grant(SessionId session, Millis node_lease_until, Millis now);
-  void disconnected(SessionId session);        // its lease runs on
-  void closed(SessionId session, Millis now);  // the invoker has given its lease up
-  void expire(Millis now);                     // forgets sessions that count no more
+  // The connection has ended; the lease continues.
+  void disconnected(SessionId session);
+  // The invoker's process has ended and does not use its lease any more.
+  void closed(SessionId session, Millis now);
+  // Forgets the sessions that do not count any more.
+  void expire(Millis now);
 
-  // For the next sign of life of the node. Binding: see rule 2.
+  // For the node's next heartbeat. Binding, see rule 2.
   Floors floors(Millis now);
   std::size_t connected() const { return connected_; }
   std::size_t size() const { return sessions_.size(); }
   bool known(SessionId session) const { return sessions_.count(session) != 0; }
-  Millis lease_until(SessionId session) const;  // by the node's clock, drift included; 0: none
+  // By the node's clock, with the drift included. 0: it has had no lease.
+  Millis lease_until(SessionId session) const;
 
  private:
   struct Session {
     std::string invoker;
     std::uint64_t incarnation = 0;
     bool connected = false;
-    bool closed = false;  // its invoker has ended
-    Index applied = 0, settled = 0;
-    std::optional<Millis> lease_until;  // nothing: it never had one
+    bool closed = false;  // the invoker's process has ended
+    Index applied = 0;
+    Index quiesced_index = 0;
+    std::optional<Millis> lease_until;  // nothing: it has had no lease
   };
+  using Sessions = std::map<SessionId, Session>;
+  using InvokerKey = std::pair<std::string, std::uint64_t>;  // name and incarnation
+
   raft::LeaseTerms terms_;
   Limits limits_;
   const ChangeLog& log_;
   Millis started_;
-  std::map<SessionId, Session> sessions_;
-  std::map<std::pair<std::string, std::uint64_t>, SessionId> by_invoker_;
+  Sessions sessions_;
+  std::map<InvokerKey, SessionId> by_invoker_;
   SessionId last_id_ = 0;
   std::size_t connected_ = 0;
-  Index reported_ = 0;
-  Millis granted_under_{0};  // the latest end of the node's own lease under which `grant` was asked
+  Index reported_ = 0;       // the largest `applied` that floors() has returned
+  Millis granted_under_{0};  // the latest end of the node's lease that was passed to grant()
   OfflineFloor offline_floor_;
-  double tokens_ = 0;
-  Millis filled_at_{0};
+  TokenBucket open_tokens_;
 
-  bool counts_for_applied(const Session& session, Millis now) const;
+  std::optional<Admission> reason_not_to_admit(const InvokerKey& key, Index position, Millis now);
+  bool is_full(Millis now);
+  SessionId connect(const InvokerKey& key, Index position);
+  bool may_hold_lease(const Session& session) const;
+  Millis lease_duration(Millis node_lease_until, Millis now) const;
   Index known_floor() const;
-  bool counts_for_settled(const Session& session, Millis now) const;
-  Millis take_token(Millis now);  // 0: one was to be had; else when to try again
-  void forget(std::map<SessionId, Session>::iterator session);
-  void require_present(Millis node_lease_until, Millis now);
-  Millis last_call() const {
-    return terms_.max_attempt_time * (1 + terms_.clock_drift);
-  }  // by any member's clock
+  bool counts_for_applied(const Session& session, Millis now) const;
+  bool counts_for_quiesced(const Session& session, Millis now) const;
+  bool earlier_process_may_count(Millis now) const;
+  void forget(Sessions::iterator session);
+  void note_node_lease(Millis node_lease_until, Millis now);
+  // The longest time that a call stays in flight, by any member's clock.
+  Millis max_call_duration() const { return terms_.max_attempt_time * (1 + terms_.clock_drift); }
 };
 
 }  // namespace lotusyard::control
--- a/src/node/cluster_member.cpp
+++ b/src/node/cluster_member.cpp
@@ -176,11 +176,11 @@
 }
 
 std::unique_ptr<InvokerExtension> make_extension(const InvokerServices& services, const json& file) {
-  const auto longest_deadline = core::longest_deadline(services.settings());
-  if (const auto config = raft::parse_config(file, services.name, longest_deadline)) {
+  const auto max_deadline = core::longest_deadline(services.settings());
+  if (const auto config = raft::parse_config(file, services.name, max_deadline)) {
     return std::make_unique<ClusterMember>(services, *config, control::read_node_config(file, *config));
   }
-  if (const auto config = control::read_invoker_config(file, longest_deadline)) {
+  if (const auto config = control::read_invoker_config(file, max_deadline)) {
     return std::make_unique<SessionInvoker>(services, *config);
   }
   return nullptr;
--- a/src/node/control_role.h
+++ b/src/node/control_role.h
@@ -37,7 +37,7 @@
   // Sets this node's share of the slow-start budget, which it divides among its sessions.
   void set_share(double share);
   // Tells sessions to move to other nodes, because the process ends.
-  void shut_down() { server_.node().leave(); }
+  void shut_down() { server_.node().shut_down(); }
   // For the admin endpoint's `/-/group`.
   nlohmann::json status_to_json() const;
 
--- a/src/node/session_invoker.cpp
+++ b/src/node/session_invoker.cpp
@@ -48,7 +48,7 @@
           [this](const std::string& text) { log_event("compliance", text); }),
       quiescence_(config.terms.max_attempt_time),
       client_(services.loop, services.counters, session_config(services, config), random_number()) {
-  client_.replica().when_moved([this](const control::Change*) { apply_records(); });
+  client_.replica().set_update_listener([this](const control::Change*) { apply_records(); });
   update_host_access();
   send_report();
 }
@@ -56,7 +56,7 @@
 SessionInvoker::~SessionInvoker() {
   services_.loop.cancel(report_timer_);
   services_.loop.cancel(lease_timer_);
-  client_.replica().when_moved({});
+  client_.replica().set_update_listener({});
   client_.session().close(now());
 }
 
@@ -92,9 +92,9 @@
 maintenance::StateFreshness SessionInvoker::freshness() const {
   const control::Session& session = client_.session();
   maintenance::StateFreshness freshness;
-  freshness.is_leased = is_leased() || (fault_injected("lease") && session.ever_held());
+  freshness.is_leased = is_leased() || (fault_injected("lease") && session.has_held_lease());
   const bool too_old = now() >= session.lease_until() + config_.terms.max_offline;
-  freshness.must_suspend = failed_ || !session.ever_held() || too_old;
+  freshness.must_suspend = failed_ || !session.has_held_lease() || too_old;
   return freshness;
 }
 
@@ -165,7 +165,7 @@
     update_host_access();
   const auto host_is_free = [this](const std::string& host) { return is_free(host); };
   const control::Index position = client_.replica().position();
-  client_.session().set_settled(
+  client_.session().set_quiesced_index(
       quiescence_.quiesced_index(maintenance_, certificates_, position, host_is_free, now()));
   send_observations();
 }
--- a/src/node/session_invoker.h
+++ b/src/node/session_invoker.h
@@ -23,7 +23,7 @@
   ~SessionInvoker() override;
 
   // Whether it has held a lease and can read the records.
-  bool ready() const override { return client_.session().ever_held() && !failed_; }
+  bool ready() const override { return client_.session().has_held_lease() && !failed_; }
   bool may_send(const std::string& host, const core::Call* call, std::uint64_t function) override;
   policy::HostFilter* host_filter() override { return this; }
   bool allows(const std::string& tenant, std::uint64_t function, const std::string& host) override;
@@ -50,7 +50,7 @@
   bool suspended_ = true;  // no calls are made
 
   maintenance::Millis now() const { return services_.loop.now(); }
-  bool is_leased() const { return !failed_ && client_.session().holds(now()); }
+  bool is_leased() const { return !failed_ && client_.session().holds_lease(now()); }
   maintenance::StateFreshness freshness() const;
   void apply_records();
   void update_host_access();
--- a/tests/control/allotment_test.cpp
+++ b/tests/control/allotment_test.cpp
@@ -11,7 +11,7 @@
 
 TEST_CASE("a part is divided evenly once earlier, larger shares are over") {
   Allotment allotment;
-  allotment.set_part(0.4, 1);
+  allotment.set_budget(0.4, 1);
   CHECK(allotment.grant(1, 1, Millis(100), Millis(0)) == Approx(0.4));
   CHECK(allotment.grant(2, 2, Millis(150), Millis(10)) == Approx(0));  // the first one has all of it
   CHECK(allotment.grant(1, 2, Millis(160), Millis(60)) == Approx(0.2));
@@ -23,10 +23,10 @@
 
 TEST_CASE("a smaller part is followed only once no session holds more than it") {
   Allotment allotment;
-  allotment.set_part(0.5, 5);
+  allotment.set_budget(0.5, 5);
   allotment.grant(1, 1, Millis(100), Millis(0));
   CHECK(allotment.respected(9, Millis(1)) == 9);
-  allotment.set_part(0.2, 10);
+  allotment.set_budget(0.2, 10);
   CHECK(allotment.respected(12, Millis(1)) == 9);
   CHECK(allotment.grant(1, 1, Millis(300), Millis(50)) == Approx(0.2));
   CHECK(allotment.respected(12, Millis(99)) == 9);
@@ -35,9 +35,9 @@
 
 TEST_CASE("a part that is given up in whole is followed once the last share is over") {
   Allotment allotment;
-  allotment.set_part(0.5, 5);
+  allotment.set_budget(0.5, 5);
   allotment.grant(1, 1, Millis(100), Millis(0));
-  allotment.set_part(0, 8);
+  allotment.set_budget(0, 8);
   CHECK(allotment.grant(2, 2, Millis(200), Millis(10)) == 0);
   CHECK(allotment.respected(20, Millis(99)) == 7);
   CHECK(allotment.respected(20, Millis(100)) == 20);
@@ -65,7 +65,7 @@
         part = static_cast<double>(below(100)) / 100;
         largest_part = std::max(largest_part, part);
         larger_until = now + Millis(300);
-        allotment.set_part(part, ++index);
+        allotment.set_budget(part, ++index);
       }
       const std::uint64_t session = below(8);
       const Millis until = now + Millis(below(300));
--- a/tests/control/change_log_test.cpp
+++ b/tests/control/change_log_test.cpp
@@ -2,6 +2,7 @@
 #include "control/change_log.h"
 
 #include "catch2/catch.hpp"
+#include "control/message_codec.h"
 #include "control/property.h"
 
 namespace lotusyard::test {
@@ -16,7 +17,7 @@
 Change set(const std::string& key, const std::string& value) { return {{key, value}}; }
 
 Delta delta_of(const ChangeLog::Entry& entry) {
-  control::MessageReader reader(control::longest_to_invoker);
+  control::MessageReader reader(control::kMaxFrameBytesToInvoker);
   std::vector<control::Message> messages;
   REQUIRE(reader.parse(entry.frame, messages));
   REQUIRE(messages.size() == 1);
@@ -95,7 +96,7 @@
   ChangeLog log({});
   log.append(1, set("a", "1"));
   const auto before = log.snapshot();
-  const std::string value(control::longest_change, 'x');
+  const std::string value(control::kMaxChangeBytes, 'x');
   log.append(2, set("b", value));
   CHECK(log.records().at("b") == value);
   CHECK(log.first() == 2);
@@ -110,7 +111,7 @@
   ChangeLog log({});
   log.append(1, set("a", "1"));
   const std::size_t frame = control::encode_change(set("b", "")).size();
-  log.append(2, set("b", std::string(control::longest_change - frame, 'x')));
+  log.append(2, set("b", std::string(control::kMaxChangeBytes - frame, 'x')));
   CHECK(log.first() == 0);
   CHECK(control::decode_change(delta_of(*log.next_after(1)).change));
 }
--- a/tests/control/config_test.cpp
+++ b/tests/control/config_test.cpp
@@ -70,7 +70,7 @@
   CHECK(least->listen == "127.0.0.1:7100");
   CHECK(least->self == NodeAddress{"a", "127.0.0.1:7100", "", ""});
   CHECK(least->nodes.empty());
-  CHECK(least->sessions.sessions == 1200);
+  CHECK(least->sessions.max_sessions == 1200);
   CHECK(least->sessions.opens_per_second == 200);
 
   json file = node_file();
@@ -80,7 +80,7 @@
   REQUIRE(whole);
   CHECK(whole->self == NodeAddress{"a", "10.0.0.1:7100", "z1", "r1"});
   CHECK(whole->nodes == std::vector<NodeAddress>{{"b", "10.0.0.2:7100", "z2", ""}});
-  CHECK(whole->sessions.sessions == 300);
+  CHECK(whole->sessions.max_sessions == 300);
   CHECK(whole->sessions.opens_per_second == 20);
 }
 
--- a/tests/control/control_node_data_test.cpp
+++ b/tests/control/control_node_data_test.cpp
@@ -24,7 +24,7 @@
         position = std::get<Delta>(message).index;
       }
     }
-    rig.node.writable(1);
+    rig.node.on_writable(1);
   }
   CHECK(position == 11);
   CHECK(decode_records(bytes) == Records{{"k", "10"}});
@@ -40,12 +40,12 @@
     rig.change(index);
   CHECK(rig.transport.waiting[1].size() == 1);
   CHECK(rig.transport.next<Delta>(1).index == 11);
-  rig.node.writable(1);
+  rig.node.on_writable(1);
   CHECK(rig.transport.next<Delta>(1).index == 12);
   for (Index index = 15; index <= 18; ++index)
     rig.change(index);  // the first of them goes out
   CHECK(rig.transport.next<Delta>(1).index == 13);
-  rig.node.writable(1);
+  rig.node.on_writable(1);
   CHECK(rig.transport.next<SnapshotChunk>(1).index == 18);
   CHECK(rig.count("snapshots") == 1);
 }
@@ -53,7 +53,7 @@
 TEST_CASE("a change that is too long for a delta reaches everybody in a snapshot") {
   NodeRig rig;
   rig.welcome(1, NodeRig::opening(10));
-  rig.node.applied(11, {{"long", std::string(longest_change, 'x')}});
+  rig.node.apply(11, {{"long", std::string(kMaxChangeBytes, 'x')}});
   CHECK(rig.transport.next<SnapshotChunk>(1).index == 11);
 }
 
@@ -80,7 +80,7 @@
   NodeRig rig;
   rig.transport.room = 1;
   rig.welcome(1, NodeRig::opening(0));
-  rig.node.writable(1);
+  rig.node.on_writable(1);
   CHECK(rig.transport.next<SnapshotChunk>(1).offset == 0);
   rig.receive(1, Resume{0});  // one piece is left
   CHECK(rig.transport.next<SnapshotChunk>(1).offset == 0);
--- a/tests/control/control_node_test.cpp
+++ b/tests/control/control_node_test.cpp
@@ -9,7 +9,7 @@
   rig.node.set_nodes({{"n1", "10.0.0.1:1", "z", "r"}, {"n2", "10.0.0.2:1", "y", "r"}});
   rig.open(1, NodeRig::opening(10));
   const auto welcome = rig.transport.next<Welcome>(1);
-  CHECK(welcome.node_life == 7);
+  CHECK(welcome.node_incarnation == 7);
   REQUIRE(welcome.nodes.size() == 1);
   CHECK(welcome.nodes[0].name == "n2");
   CHECK(rig.transport.waiting[1].empty());  // it holds everything
@@ -19,7 +19,7 @@
 TEST_CASE("openings of other versions, clusters and terms, and from ahead of the node, are refused") {
   NodeRig rig;
   Open other = NodeRig::opening(10);
-  other.version = protocol_version + 1;
+  other.version = kProtocolVersion + 1;
   rig.open(1, other);
   rig.check_refused(1, "other_version");
   other = NodeRig::opening(10);
@@ -37,7 +37,7 @@
 
 TEST_CASE("admission that is full or busy says when to try again") {
   auto config = NodeRig::default_config();
-  config.sessions.sessions = 1;
+  config.sessions.max_sessions = 1;
   NodeRig full(config);
   full.welcome(1, NodeRig::opening(10));
   full.open(2, NodeRig::opening(10, "b"));
@@ -45,7 +45,7 @@
   full.check_refused(2, "full");
 
   config = NodeRig::default_config();
-  config.sessions.opens_at_once = 1;
+  config.sessions.open_burst = 1;
   NodeRig busy(config);
   busy.welcome(1, NodeRig::opening(10));
   busy.open(2, NodeRig::opening(10, "b"));
@@ -55,23 +55,23 @@
 
 TEST_CASE("an opening comes first and once, and what only nodes send is malformed") {
   NodeRig rig;
-  rig.node.opened(1);
+  rig.node.on_connected(1);
   rig.receive(1, Renew{1, 10, 10});
   rig.check_fault(1, "malformed");
-  std::uint64_t link = 1;
+  std::uint64_t connection = 1;
   for (const Message& message : {Message(NodeRig::opening(10)), Message(Welcome{}), Message(Refusal{}),
                                  Message(Grant{}), Message(SnapshotChunk{}), Message(Delta{})}) {
-    rig.welcome(++link, NodeRig::opening(10));
-    rig.receive(link, message);
-    CHECK(rig.count("malformed") == link);
-    CHECK(rig.transport.ended(link));
+    rig.welcome(++connection, NodeRig::opening(10));
+    rig.receive(connection, message);
+    CHECK(rig.count("malformed") == connection);
+    CHECK(rig.transport.ended(connection));
   }
-  rig.welcome(++link, NodeRig::opening(10));
-  rig.node.malformed(link);
-  rig.node.malformed(link);  // once it has ended it is no more counted
-  CHECK(rig.count("malformed") == link);
-  rig.receive(link, Renew{1, 10, 10});
-  CHECK(rig.transport.waiting[link].empty());
+  rig.welcome(++connection, NodeRig::opening(10));
+  rig.node.on_malformed(connection);
+  rig.node.on_malformed(connection);  // once it has ended it is no more counted
+  CHECK(rig.count("malformed") == connection);
+  rig.receive(connection, Renew{1, 10, 10});
+  CHECK(rig.transport.waiting[connection].empty());
 }
 
 TEST_CASE("a renewal is answered with a lease, in order") {
@@ -114,7 +114,7 @@
   rig.welcome(2, NodeRig::opening(10));
   CHECK(rig.transport.ended(1));
   CHECK(rig.node.sessions().size() == 1);
-  rig.node.ended(1);  // the transport need not say so, but may
+  rig.node.on_disconnected(1);  // the transport need not say so, but may
   CHECK(rig.node.sessions().connected() == 1);
   rig.receive(2, Renew{1, 10, 10});
   CHECK(rig.transport.next<Grant>(2).sequence == 1);
@@ -128,7 +128,7 @@
   rig.change(11);
   rig.welcome(1, NodeRig::opening(11));
   rig.receive(1, Renew{1, 11, 11});
-  rig.node.ended(1);
+  rig.node.on_disconnected(1);
   rig.open(2, NodeRig::opening(10));
   rig.check_fault(2, "malformed");
   CHECK(rig.transport.waiting[2].empty());
@@ -139,14 +139,14 @@
   NodeRig rig;
   rig.welcome(1, NodeRig::opening(10));
   rig.receive(1, Renew{1, 10, 10});
-  rig.node.ended(1);
+  rig.node.on_disconnected(1);
   rig.change(11);
   CHECK(rig.node.floors(rig.now).applied == 10);
   rig.welcome(2, NodeRig::opening(10));
   rig.receive(2, Close{});
   CHECK(rig.transport.ended(2));
   CHECK(rig.node.floors(rig.now).applied == 11);
-  CHECK(rig.node.floors(rig.now).settled == 10);
+  CHECK(rig.node.floors(rig.now).quiesced_index == 10);
   rig.node.tick(rig.now + Millis(2020));
   CHECK(rig.node.sessions().size() == 0);
 }
@@ -155,7 +155,7 @@
   NodeRig rig;
   rig.welcome(1, NodeRig::opening(10));
   rig.receive(1, Renew{1, 10, 10});
-  rig.node.ended(1);
+  rig.node.on_disconnected(1);
   rig.welcome(2, NodeRig::opening(10));
   CHECK(rig.count("superseded") == 0);
   CHECK_FALSE(rig.transport.ended(1));  // its number may be another's by now
@@ -166,13 +166,13 @@
   rig.welcome(1, NodeRig::opening(10));
   rig.receive(1, Renew{1, 10, 10});
   rig.transport.take(1);
-  rig.node.opened(2);
-  rig.node.leave();
-  CHECK(rig.transport.next<Refusal>(1).reason == RefusalReason::leaving);
-  CHECK(rig.transport.next<Refusal>(2).reason == RefusalReason::leaving);
+  rig.node.on_connected(2);
+  rig.node.shut_down();
+  CHECK(rig.transport.next<Refusal>(1).reason == RefusalReason::draining);
+  CHECK(rig.transport.next<Refusal>(2).reason == RefusalReason::draining);
   CHECK((rig.transport.ended(1) && rig.transport.ended(2)));
   rig.open(3, NodeRig::opening(10));
-  CHECK(rig.transport.next<Refusal>(3).reason == RefusalReason::leaving);
+  CHECK(rig.transport.next<Refusal>(3).reason == RefusalReason::draining);
   CHECK(rig.count("refused.leaving") == 3);
   rig.change(11);
   CHECK(rig.node.floors(rig.now).applied == 10);  // its leases run on
@@ -180,7 +180,7 @@
 
 TEST_CASE("a grant carries the session's share where the node divides one, and no share without a lease") {
   NodeRig rig;
-  rig.node.divide_by([&](SessionTable::SessionId session, Millis until) -> std::optional<double> {
+  rig.node.set_share_source([&](SessionTable::SessionId session, Millis until) -> std::optional<double> {
     CHECK(until > rig.now);
     return static_cast<double>(session) / 4;
   });
@@ -199,8 +199,9 @@
 TEST_CASE("words are forwarded at a bounded rate by link") {
   NodeRig rig;
   std::vector<std::string> words;
-  rig.node.when_forwarded(
-      [&](SessionTable::SessionId, const Forward& forward) { words.push_back(forward.part + forward.word); });
+  rig.node.set_forward_handler([&](SessionTable::SessionId, const Forward& forward) {
+    words.push_back(forward.state_machine + forward.payload);
+  });
   rig.welcome(1, NodeRig::opening(10));
   rig.welcome(2, NodeRig::opening(10, "b"));
   for (int i = 0; i < 100; ++i)
--- a/tests/control/lease_rules.cpp
+++ b/tests/control/lease_rules.cpp
@@ -119,10 +119,10 @@
   double touched_at = 0;
 };
 
-std::vector<Taking> touched_takings(const maintenance::Timeline& course) {
+std::vector<Taking> touched_takings(const maintenance::Timeline& scenario) {
   std::map<std::string, std::uint64_t> taken;
   std::vector<Taking> out;
-  for (const auto& happening : course.entries) {
+  for (const auto& happening : scenario.entries) {
     if (happening.what == "take")
       taken[happening.host] = happening.index;
     if (happening.what == "touch")
@@ -147,10 +147,10 @@
 }  // namespace
 
 std::string broken_lease_rule(const std::vector<std::string>& lines, const std::vector<Absence>& absences) {
-  const maintenance::Timeline course = maintenance::parse_timeline(lines);
+  const maintenance::Timeline scenario = maintenance::parse_timeline(lines);
   std::vector<TouchedSpan> spans;
-  touched_spans(course, std::numeric_limits<int>::max(), spans);
-  const std::vector<Taking> takings = touched_takings(course);
+  touched_spans(scenario, std::numeric_limits<int>::max(), spans);
+  const std::vector<Taking> takings = touched_takings(scenario);
   for (const auto& [process, written] : lines_by_process(lines)) {
     const History history = history_of(process, written, absences);
     std::string broken = leased_while_behind(written, takings);
--- a/tests/control/message_test.cpp
+++ b/tests/control/message_test.cpp
@@ -1,8 +1,7 @@
 // Frames and encodings: what was put in comes out, however it is cut, and what is spoilt is refused.
-#include "control/message.h"
-
 #include "catch2/catch.hpp"
 #include "control/change.h"
+#include "control/message_codec.h"
 #include "control/property.h"
 
 namespace lotusyard::test {
@@ -82,7 +81,7 @@
   CHECK(property_holds("any cut gives the same messages", 500, [] {
     const auto frames = some_frames();
     const std::string stream = joined(frames);
-    MessageReader reader(longest_to_invoker);
+    MessageReader reader(kMaxFrameBytesToInvoker);
     std::vector<Message> messages;
     for (std::size_t at = 0; at < stream.size();) {
       const std::size_t size = *rc::gen::inRange<std::size_t>(1, 40);
@@ -103,16 +102,16 @@
   open.incarnation = 1ULL << 63;
   open.position = 17;
   open.terms = {Millis(1234.5), 0.02, Millis(777)};
-  MessageReader reader(longest_to_node);
+  MessageReader reader(kMaxFrameBytesToNode);
   std::vector<Message> messages;
   REQUIRE(reader.parse(encode(open) + encode(Forward{"part", "word"}), messages));
   REQUIRE(messages.size() == 2);
   const auto& read = std::get<Open>(messages[0]);
-  CHECK((read.version == protocol_version && read.cluster == "c" && read.invoker == "i" && read.zone == "z"));
+  CHECK((read.version == kProtocolVersion && read.cluster == "c" && read.invoker == "i" && read.zone == "z"));
   CHECK((read.incarnation == 1ULL << 63 && read.position == 17));
   CHECK((read.terms.lease == Millis(1234.5) && read.terms.max_attempt_time == Millis(777)));
   CHECK(read.terms.clock_drift == Approx(0.02));
-  CHECK(std::get<Forward>(messages[1]).word == "word");
+  CHECK(std::get<Forward>(messages[1]).payload == "word");
 }
 
 TEST_CASE("spoilt bits and garbage are read or refused, and after a refusal nothing more is read") {
@@ -123,7 +122,7 @@
       const auto at = *rc::gen::inRange<std::size_t>(0, stream.size());
       stream[at] = static_cast<char>(stream[at] ^ (1 << *rc::gen::inRange(0, 8)));
     }
-    MessageReader reader(longest_to_invoker);
+    MessageReader reader(kMaxFrameBytesToInvoker);
     std::vector<Message> messages;
     if (reader.parse(stream, messages))
       return;
@@ -133,7 +132,7 @@
   }));
   CHECK(property_holds("garbage is survived", 1000, [] {
     const std::string garbage = some_text(400);
-    MessageReader reader(longest_to_invoker);
+    MessageReader reader(kMaxFrameBytesToInvoker);
     std::vector<Message> messages;
     reader.parse(garbage, messages);
     decode_change(garbage);
@@ -146,18 +145,18 @@
     std::string head = encode(Forward{"", ""}).substr(0, kHeadLength);
     for (int i = 0; i < 4; ++i)
       head[3 - i] = static_cast<char>(length >> (8 * i) & 0xff);
-    MessageReader reader(longest_to_node);
+    MessageReader reader(kMaxFrameBytesToNode);
     std::vector<Message> messages;
     return reader.parse(head, messages);
   };
-  CHECK(takes(longest_to_node));
-  CHECK_FALSE(takes(longest_to_node + 1));
+  CHECK(takes(kMaxFrameBytesToNode));
+  CHECK_FALSE(takes(kMaxFrameBytesToNode + 1));
   CHECK_FALSE(takes(0xffffffff));
 }
 
 TEST_CASE("frames that are longer or shorter than their body, and unknown kinds, are refused") {
   const auto takes = [](const std::string& stream) {
-    MessageReader reader(longest_to_node);
+    MessageReader reader(kMaxFrameBytesToNode);
     std::vector<Message> messages;
     return reader.parse(stream, messages);
   };
@@ -174,8 +173,8 @@
     unknown[4] = kind;
     CHECK_FALSE(takes(unknown));
   }
-  CHECK_FALSE(takes(encode(Forward{std::string(longest_name + 1, 'x'), ""})));
-  CHECK(takes(encode(Forward{std::string(longest_name, 'x'), ""})));
+  CHECK_FALSE(takes(encode(Forward{std::string(kMaxNameBytes + 1, 'x'), ""})));
+  CHECK(takes(encode(Forward{std::string(kMaxNameBytes, 'x'), ""})));
   CHECK_FALSE(takes(encode(Refusal{static_cast<RefusalReason>(0), Millis(0), {}})));
   CHECK_FALSE(takes(encode(Refusal{static_cast<RefusalReason>(99), Millis(0), {}})));
   CHECK_FALSE(takes(encode(Grant{1, Millis(1e12)})));
@@ -218,7 +217,7 @@
     RC_ASSERT(!decode_records(state + "x"));
     RC_ASSERT(!decode_change(change + "x"));
   }));
-  CHECK_FALSE(decode_change(std::string(longest_change + 1, '\0')));
+  CHECK_FALSE(decode_change(std::string(kMaxChangeBytes + 1, '\0')));
   const std::string huge_count("\xff\xff\xff\xff", 4);
   CHECK_FALSE(decode_change(huge_count));
   CHECK_FALSE(decode_records(huge_count));
--- a/tests/control/node_rig.h
+++ b/tests/control/node_rig.h
@@ -25,7 +25,7 @@
     ControlNode::Config out;
     out.cluster = "c";
     out.self = {"n1", "10.0.0.1:1", "z", "r"};
-    out.life = 7;
+    out.incarnation = 7;
     out.snapshot_chunk = 8;
     return out;
   }
@@ -37,26 +37,28 @@
     out.position = position;
     return out;
   }
-  void open(std::uint64_t link, const Open& message) {
-    node.opened(link);
-    node.received(link, message, now);
+  void open(std::uint64_t connection, const Open& message) {
+    node.on_connected(connection);
+    node.on_message(connection, message, now);
   }
-  void welcome(std::uint64_t link, const Open& message) {
-    open(link, message);
-    REQUIRE(transport.next<Welcome>(link).node == "n1");
+  void welcome(std::uint64_t connection, const Open& message) {
+    open(connection, message);
+    REQUIRE(transport.next<Welcome>(connection).node == "n1");
+  }
+  void change(Index index) { node.apply(index, {{"k", std::to_string(index)}}); }
+  void receive(std::uint64_t connection, Message message) {
+    node.on_message(connection, std::move(message), now);
   }
-  void change(Index index) { node.applied(index, {{"k", std::to_string(index)}}); }
-  void receive(std::uint64_t link, Message message) { node.received(link, std::move(message), now); }
   std::uint64_t count(const std::string& name) const { return counters.value("control." + name); }
-  void check_refused(std::uint64_t link, const std::string& reason) {
-    const auto refusal = transport.next<Refusal>(link);
+  void check_refused(std::uint64_t connection, const std::string& reason) {
+    const auto refusal = transport.next<Refusal>(connection);
     CHECK(name_of(refusal.reason) == reason);
     CHECK(count("refused." + reason) == 1);
-    CHECK(transport.ended(link));
+    CHECK(transport.ended(connection));
   }
-  void check_fault(std::uint64_t link, const std::string& counter) {
+  void check_fault(std::uint64_t connection, const std::string& counter) {
     CHECK(count(counter) == 1);
-    CHECK(transport.ended(link));
+    CHECK(transport.ended(connection));
     CHECK(node.sessions().connected() == 0);
   }
 };
--- a/tests/control/node_scenario_test.cpp
+++ b/tests/control/node_scenario_test.cpp
@@ -1,5 +1,5 @@
-// Whatever the course of a control node's sessions, what it reports is true; and the model finds each rule
-// that is broken on purpose.
+// In any scenario of a control node's sessions, what it reports is true; and the model finds each rule that
+// is broken on purpose.
 #include "control/node_scenario.h"
 
 #include "catch2/catch.hpp"
@@ -8,23 +8,23 @@
 namespace lotusyard::test {
 namespace {
 
-// What the first course with an untrue report showed; empty: there was none in so many.
-std::string found_in(int cases, CourseCounts& counts) {
-  std::string found;
+// Returns the violation that the first failing scenario showed, or an empty string if all of them passed.
+std::string first_violation(int cases, ScenarioCounts& counts) {
+  std::string violation;
   const bool held = property_holds("what a node reports is true", cases, [&] {
     const auto steps = rc::gen::container<std::vector<int>>(rc::gen::inRange(0, kStepKinds * 4000));
-    const std::string wrong = Course(counts).run(*rc::gen::resize(400, steps));
-    if (wrong.empty())
+    const std::string found = NodeScenario(counts).run(*rc::gen::resize(400, steps));
+    if (found.empty())
       return;
-    found = wrong;
-    RC_FAIL(wrong);
+    violation = found;
+    RC_FAIL(found);
   });
-  return held || !found.empty() ? found : "a course that could not be run";
+  return held || !violation.empty() ? violation : "a scenario that could not be run";
 }
 
 TEST_CASE("whatever becomes of sessions, no report of the node is ever untrue") {
-  CourseCounts counts;
-  CHECK(found_in(3000, counts).empty());
+  ScenarioCounts counts;
+  CHECK(first_violation(3000, counts).empty());
   CHECK(counts.grants > 10000);
   CHECK(counts.floors > 10000);
   CHECK(counts.snapshots > 10000);
@@ -43,8 +43,8 @@
   for (const auto& [rule, finding] : findings) {
     INFO(rule);
     Breaks::Rule broken(rule.c_str());
-    CourseCounts counts;
-    CHECK(found_in(5000, counts) == finding);
+    ScenarioCounts counts;
+    CHECK(first_violation(5000, counts) == finding);
   }
 }
 
--- a/tests/control/node_transport.h
+++ b/tests/control/node_transport.h
@@ -1,4 +1,4 @@
-// A control node's transport for the tests: frames are read back into messages and wait by link.
+// A control node's transport for the tests: frames are read back into messages and wait by connection.
 #pragma once
 
 #include <deque>
@@ -7,38 +7,41 @@
 #include <stdexcept>
 
 #include "control/control_node.h"
+#include "control/message_codec.h"
 
 namespace lotusyard::test {
 
 class NodeTransport : public control::ControlNode::Transport {
  public:
-  using LinkId = control::ControlNode::LinkId;
+  using ConnectionId = control::ControlNode::ConnectionId;
 
-  std::size_t room = 1000;  // so many frames may wait on each link
-  std::map<LinkId, std::deque<control::Message>> waiting;
-  std::set<LinkId> ended_links;
+  std::size_t room = 1000;  // so many frames may wait on each connection
+  std::map<ConnectionId, std::deque<control::Message>> waiting;
+  std::set<ConnectionId> closed_connections;
 
-  void send(LinkId link, const std::string& frame) override {
-    control::MessageReader reader(control::longest_to_invoker);
+  void send(ConnectionId connection, const std::string& frame) override {
+    control::MessageReader reader(control::kMaxFrameBytesToInvoker);
     std::vector<control::Message> messages;
     const bool is_one = reader.parse(frame, messages) && messages.size() == 1;
-    if (!is_one || ended_links.count(link) != 0)
+    if (!is_one || closed_connections.count(connection) != 0)
       throw std::logic_error("a frame that must not be sent");
-    waiting[link].push_back(std::move(messages[0]));
+    waiting[connection].push_back(std::move(messages[0]));
   }
-  bool has_room(LinkId link) const override {
-    const auto found = waiting.find(link);
+  bool has_room(ConnectionId connection) const override {
+    const auto found = waiting.find(connection);
     return found == waiting.end() || found->second.size() < room;
   }
-  void end(LinkId link) override { ended_links.insert(link); }
+  void close(ConnectionId connection) override { closed_connections.insert(connection); }
 
-  bool ended(LinkId link) const { return ended_links.count(link) != 0; }
-  // All that waits on a link, taken from it.
-  std::deque<control::Message> take(LinkId link) { return std::exchange(waiting[link], {}); }
+  bool ended(ConnectionId connection) const { return closed_connections.count(connection) != 0; }
+  // All that waits on a connection, taken from it.
+  std::deque<control::Message> take(ConnectionId connection) {
+    return std::exchange(waiting[connection], {});
+  }
   // The next message, which must be of that kind.
   template <typename Kind>
-  Kind next(LinkId link) {
-    auto& queue = waiting[link];
+  Kind next(ConnectionId connection) {
+    auto& queue = waiting[connection];
     if (queue.empty())
       throw std::logic_error("nothing was sent");
     Kind out = std::get<Kind>(std::move(queue.front()));
--- a/tests/control/offline_floor_test.cpp
+++ b/tests/control/offline_floor_test.cpp
@@ -23,12 +23,12 @@
 
 TEST_CASE("until a node can account for all leases it goes by what it reported long ago") {
   OfflineFloor floor(terms_of_test(), Millis(2000));
-  floor.reported(50, Millis(1000));  // an earlier process's leases may still last
+  floor.on_reported(50, Millis(1000));  // an earlier process's leases may still last
   CHECK(floor.followed(80, Millis(11500)) == 0);
-  floor.reported(60, Millis(3000));
+  floor.on_reported(60, Millis(3000));
   CHECK(floor.followed(80, Millis(11999)) == 0);
   CHECK(floor.followed(80, Millis(12000)) == 80);  // nobody of an earlier process goes on any more
-  floor.vanished(Millis(12500));
+  floor.on_session_lost(Millis(12500));
   CHECK(floor.followed(90, Millis(12500)) == 0);
   CHECK(floor.followed(90, Millis(13000)) == 60);  // reported offline ago
   CHECK(floor.followed(90, Millis(22500)) == 90);
--- a/tests/control/replica_test.cpp
+++ b/tests/control/replica_test.cpp
@@ -20,25 +20,25 @@
 Outcome take_all(Replica& replica, const std::vector<SnapshotChunk>& chunks) {
   Outcome out = Outcome::malformed;
   for (const SnapshotChunk& chunk : chunks)
-    out = replica.take(chunk);
+    out = replica.apply(chunk);
   return out;
 }
 
 TEST_CASE("replica: a delta is a gap until a whole snapshot has come, then is applied once and in order") {
   const History history(1, 8);
   Replica replica;
-  CHECK(replica.take(history.delta(0)) == Outcome::gap);
+  CHECK(replica.apply(history.delta(0)) == Outcome::gap);
   const auto chunks = history.snapshot(history.steps[3].index, kChunk);
   REQUIRE(chunks.size() > 2);
-  CHECK(replica.take(chunks[0]) == Outcome::incomplete);
-  CHECK(replica.take(history.delta(4)) == Outcome::gap);
+  CHECK(replica.apply(chunks[0]) == Outcome::incomplete);
+  CHECK(replica.apply(history.delta(4)) == Outcome::gap);
   CHECK_FALSE(replica.complete());
   CHECK(take_all(replica, chunks) == Outcome::applied);
   CHECK(replica.complete());
-  CHECK(replica.take(history.delta(3)) == Outcome::duplicate);
-  CHECK(replica.take(history.delta(5)) == Outcome::gap);
-  CHECK(replica.take(history.delta(4)) == Outcome::applied);
-  CHECK(replica.take(history.delta(4)) == Outcome::duplicate);
+  CHECK(replica.apply(history.delta(3)) == Outcome::duplicate);
+  CHECK(replica.apply(history.delta(5)) == Outcome::gap);
+  CHECK(replica.apply(history.delta(4)) == Outcome::applied);
+  CHECK(replica.apply(history.delta(4)) == Outcome::duplicate);
   CHECK(replica.position() == history.steps[4].index);
   CHECK(replica.records() == history.at(replica.position()));
 }
@@ -49,7 +49,7 @@
   take_all(replica, history.snapshot(history.steps[3].index, kChunk));
   Delta delta = history.delta(4);
   delta.after = 0;  // there is no change between 0 and it that the replica would not have
-  CHECK(replica.take(delta) == Outcome::applied);
+  CHECK(replica.apply(delta) == Outcome::applied);
   CHECK(replica.records() == history.at(delta.index));
 }
 
@@ -59,20 +59,20 @@
   const auto newer = history.snapshot(history.steps[29].index, kChunk);
   REQUIRE(newer.size() > 2);
   Replica replica;
-  CHECK(replica.take(newer[1]) == Outcome::malformed);  // not from the start
-  CHECK(replica.take(newer[0]) == Outcome::incomplete);
-  CHECK(replica.take(newer[2]) == Outcome::malformed);  // one is missing
-  CHECK(replica.take(newer[1]) == Outcome::malformed);  // it has to begin anew after that
-  CHECK(replica.take(newer[0]) == Outcome::incomplete);
-  CHECK(replica.take(older[1]) == Outcome::malformed);  // of another index
+  CHECK(replica.apply(newer[1]) == Outcome::malformed);  // not from the start
+  CHECK(replica.apply(newer[0]) == Outcome::incomplete);
+  CHECK(replica.apply(newer[2]) == Outcome::malformed);  // one is missing
+  CHECK(replica.apply(newer[1]) == Outcome::malformed);  // it has to begin anew after that
+  CHECK(replica.apply(newer[0]) == Outcome::incomplete);
+  CHECK(replica.apply(older[1]) == Outcome::malformed);  // of another index
   SnapshotChunk other_total = newer[1];
   ++other_total.total;
-  CHECK(replica.take(newer[0]) == Outcome::incomplete);
-  CHECK(replica.take(other_total) == Outcome::malformed);
-  CHECK(replica.take(newer[0]) == Outcome::incomplete);
+  CHECK(replica.apply(newer[0]) == Outcome::incomplete);
+  CHECK(replica.apply(other_total) == Outcome::malformed);
+  CHECK(replica.apply(newer[0]) == Outcome::incomplete);
   replica.abandon_snapshot();
-  CHECK(replica.take(newer[1]) == Outcome::malformed);
-  CHECK(replica.take(newer[0]) == Outcome::incomplete);
+  CHECK(replica.apply(newer[1]) == Outcome::malformed);
+  CHECK(replica.apply(newer[0]) == Outcome::incomplete);
   CHECK(take_all(replica, older) == Outcome::applied);  // another one from its start
   CHECK(take_all(replica, newer) == Outcome::applied);
   CHECK(take_all(replica, older) == Outcome::duplicate);
@@ -86,15 +86,15 @@
   Replica replica;
   const std::string bytes = control::encode_records(history.at(history.last()));
   const Index index = history.last();
-  CHECK(replica.take(SnapshotChunk{index, 0, control::longest_snapshot + 1, bytes}) == Outcome::malformed);
-  CHECK(replica.take(SnapshotChunk{index, 0, bytes.size() - 1, bytes}) == Outcome::malformed);
-  CHECK(replica.take(SnapshotChunk{index, 0, 0, ""}) == Outcome::malformed);
-  CHECK(replica.take(SnapshotChunk{index, 0, bytes.size(), ""}) == Outcome::malformed);
-  CHECK(replica.take(SnapshotChunk{index, 0, bytes.size() + 1, bytes + "x"}) == Outcome::malformed);
+  CHECK(replica.apply(SnapshotChunk{index, 0, control::kMaxSnapshotBytes + 1, bytes}) == Outcome::malformed);
+  CHECK(replica.apply(SnapshotChunk{index, 0, bytes.size() - 1, bytes}) == Outcome::malformed);
+  CHECK(replica.apply(SnapshotChunk{index, 0, 0, ""}) == Outcome::malformed);
+  CHECK(replica.apply(SnapshotChunk{index, 0, bytes.size(), ""}) == Outcome::malformed);
+  CHECK(replica.apply(SnapshotChunk{index, 0, bytes.size() + 1, bytes + "x"}) == Outcome::malformed);
   CHECK_FALSE(replica.complete());
-  CHECK(replica.take(SnapshotChunk{index, 0, bytes.size(), bytes}) == Outcome::applied);
-  CHECK(replica.take(Delta{index, index, history.delta(0).change}) == Outcome::malformed);
-  CHECK(replica.take(Delta{index, index + 1, "spoilt"}) == Outcome::malformed);
+  CHECK(replica.apply(SnapshotChunk{index, 0, bytes.size(), bytes}) == Outcome::applied);
+  CHECK(replica.apply(Delta{index, index, history.delta(0).change}) == Outcome::malformed);
+  CHECK(replica.apply(Delta{index, index + 1, "spoilt"}) == Outcome::malformed);
   CHECK(replica.position() == index);
   CHECK(replica.records() == history.at(index));
 }
@@ -103,23 +103,23 @@
   const History history(4, 6);
   Replica replica;
   std::vector<std::pair<Index, bool>> moves;  // and whether by a snapshot
-  replica.when_moved([&](const control::Change* change) {
+  replica.set_update_listener([&](const control::Change* change) {
     moves.emplace_back(replica.position(), change == nullptr);
     if (change != nullptr)
       CHECK(*change == history.steps[4].change);
   });
   const Index first = history.steps[3].index;
   take_all(replica, history.snapshot(first, kChunk));
-  replica.take(history.delta(3));
-  replica.take(history.delta(5));
-  replica.take(history.delta(4));
+  replica.apply(history.delta(3));
+  replica.apply(history.delta(5));
+  replica.apply(history.delta(4));
   CHECK(moves == std::vector<std::pair<Index, bool>>{{first, true}, {history.steps[4].index, false}});
 }
 
 // ---- Random courses ----
 
 // A sender with faults, and beside the replica a model of what it must hold.
-struct Course {
+struct Scenario {
   History history;
   std::mt19937_64 random;
   Replica replica;
@@ -128,7 +128,7 @@
   std::size_t chunks = 0;  // of it that were taken
   std::size_t cursor = 0;  // the next step to send
 
-  explicit Course(std::uint64_t seed) : history(seed, 30), random(seed + 1) {}
+  explicit Scenario(std::uint64_t seed) : history(seed, 30), random(seed + 1) {}
 
   Outcome expected(const Delta& delta) {
     if (position == 0)
@@ -156,14 +156,14 @@
   }
   void send_delta(std::size_t number) {
     const Delta delta = history.delta(std::min(number, history.steps.size() - 1));
-    const Outcome outcome = replica.take(delta);
+    const Outcome outcome = replica.apply(delta);
     RC_ASSERT(outcome == expected(delta));
     check();
   }
   void send_chunks(Index index, std::size_t from, std::size_t most) {
     const auto all = history.snapshot(index, kChunk);
     for (std::size_t i = from; i < std::min(all.size(), from + most); ++i) {
-      const Outcome outcome = replica.take(all[i]);
+      const Outcome outcome = replica.apply(all[i]);
       RC_ASSERT(outcome == expected(index, i, all.size()));
       check();
     }
@@ -216,32 +216,32 @@
   }
 };
 
-bool courses_hold() {
+bool scenarios_hold() {
   return property_holds(
       "a replica holds exactly the state at its position", 2000,
       [] {
-        Course course(*rc::gen::inRange<std::uint64_t>(1, 1000000));
+        Scenario scenario(*rc::gen::inRange<std::uint64_t>(1, 1000000));
         const auto steps = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 12));
         for (const int step : steps)
-          course.step(step);
-        course.finish();
+          scenario.step(step);
+        scenario.finish();
       },
       kHistorySeed);
 }
 
 TEST_CASE(
     "replica: after any course of losses, repeats, disorder and reconnects it holds its position's state") {
-  CHECK(courses_hold());
+  CHECK(scenarios_hold());
 }
 
 TEST_CASE("replica: a change that is applied twice is found") {
   Breaks::Rule broken("apply-twice");
-  CHECK_FALSE(courses_hold());
+  CHECK_FALSE(scenarios_hold());
 }
 
 TEST_CASE("replica: a change that is applied behind a gap is found") {
   Breaks::Rule broken("accept-gap");
-  CHECK_FALSE(courses_hold());
+  CHECK_FALSE(scenarios_hold());
 }
 
 }  // namespace
--- a/tests/control/scenario_process.h
+++ b/tests/control/scenario_process.h
@@ -1,4 +1,4 @@
-// An invoker's process as a model sees it: its replica, its lease by the node's clock, and its calls.
+// The model of an invoker's process: its replica, its lease by the node's clock, and its calls.
 #pragma once
 
 #include <algorithm>
@@ -10,20 +10,20 @@
 using namespace control;  // the whole vocabulary of the tier
 
 constexpr double kRounding = 1e-6;
-constexpr double kCourseDrift = 0.01;
-inline const raft::LeaseTerms kCourseTerms{Millis(3000), kCourseDrift, Millis(2000)};
+constexpr double kScenarioDrift = 0.01;
+inline const raft::LeaseTerms kScenarioTerms{Millis(3000), kScenarioDrift, Millis(2000)};
 constexpr Index kEarlyPosition = 7;  // of the invokers that an earlier process of the node had
 
 struct Call {
-  Index position = 0;  // it heeds the changes up to here
+  Index position = 0;  // it obeys the changes up to here
   Millis until{0};
 };
 
-struct CourseCounts {
+struct ScenarioCounts {
   int grants = 0, floors = 0, snapshots = 0, deltas = 0;
 };
 
-// What was true when a renewal was sent, which the node takes at once.
+// What was true when a renewal was sent, which the node handles at once.
 struct Renewal {
   Millis sent{0}, node_lease_until{0};
 };
@@ -38,14 +38,14 @@
   Millis lease_until{0};
   bool granted = false;  // by this process of the node, not only by an earlier one
   std::vector<Call> calls;
-  NodeTransport::LinkId link = 0;  // 0: none
+  NodeTransport::ConnectionId connection = 0;  // 0: none
   bool welcomed = false;
   std::uint64_t sequence = 0;
   std::map<std::uint64_t, Renewal> renewals;  // by their sequence number
   std::string pieces;
 
-  bool holds(Millis now) const { return now < lease_until; }
-  Index settled(Millis now) const {
+  bool holds_lease(Millis now) const { return now < lease_until; }
+  Index quiesced_index(Millis now) const {
     Index out = position;
     for (const Call& call : calls) {
       if (now < call.until)
@@ -53,23 +53,23 @@
     }
     return out;
   }
-  // What was wrong with a message; empty: nothing.
-  std::string take(const Message& message, CourseCounts& counts) {
+  // Returns what the message violated, or an empty string.
+  std::string handle(const Message& message, ScenarioCounts& counts) {
     if (std::holds_alternative<Welcome>(message))
       welcomed = true;
     if (std::holds_alternative<Refusal>(message))
       return "a refusal without a reason";
     if (const auto* grant = std::get_if<Grant>(&message))
-      return take_grant(*grant, counts);
+      return on_grant(*grant, counts);
     if (const auto* chunk = std::get_if<SnapshotChunk>(&message))
-      return take_chunk(*chunk, counts);
+      return on_chunk(*chunk, counts);
     if (const auto* delta = std::get_if<Delta>(&message))
-      return take_delta(*delta, counts);
+      return on_delta(*delta, counts);
     return {};
   }
 
  private:
-  std::string take_grant(const Grant& grant, CourseCounts& counts) {
+  std::string on_grant(const Grant& grant, ScenarioCounts& counts) {
     const Renewal& renewal = renewals.at(grant.sequence);
     if (grant.duration.count() <= 0)
       return {};
@@ -81,7 +81,7 @@
     granted = true;
     return {};
   }
-  std::string take_chunk(const SnapshotChunk& chunk, CourseCounts& counts) {
+  std::string on_chunk(const SnapshotChunk& chunk, ScenarioCounts& counts) {
     if (chunk.offset == 0)
       pieces.clear();
     if (chunk.offset != pieces.size())
@@ -94,7 +94,7 @@
     records = decode_records(pieces).value();
     return {};
   }
-  std::string take_delta(const Delta& delta, CourseCounts& counts) {
+  std::string on_delta(const Delta& delta, ScenarioCounts& counts) {
     if (delta.index <= position)
       return {};
     if (delta.after > position)
--- a/tests/control/scenario_step.h
+++ b/tests/control/scenario_step.h
@@ -1,4 +1,4 @@
-// The steps of a made-up course.
+// The steps of random scenarios.
 #pragma once
 
 #include <array>
@@ -10,21 +10,21 @@
   wait_long,
   change,      // an entry of the log
   reset,       // a snapshot of the log
-  open,        // an invoker opens a session, at times while its earlier link stands
+  open,        // an invoker opens a session, sometimes while it has an earlier connection
   renew,       // its lease
   deliver,     // some of what waits for an invoker
-  disconnect,  // its link breaks
-  close,       // it gives its lease up
-  restart,     // the invoker has another process, while the old one lives on
+  disconnect,  // its connection breaks
+  close,       // it releases its lease
+  restart,     // the invoker has another process, while the old one continues
   beat,        // the node's own lease is renewed
   report,      // it reports
   tick,        // it forgets
   call,        // an invoker with a lease begins a call
-  resume       // an invoker asks for what it has not got
+  resume       // an invoker asks for what is missing
 };
 constexpr int kStepKinds = 32;
 
-// The step that a number stands for; each comes as often as it is to.
+// The step of a number; the table sets how often each step occurs.
 inline Step step_of(int number) {
   static const std::array<Step, kStepKinds> steps{
       Step::report,  Step::wait,    Step::wait,       Step::wait_long, Step::change,  Step::change,
--- a/tests/control/scripted_invoker.h
+++ b/tests/control/scripted_invoker.h
@@ -8,21 +8,21 @@
 #include <string>
 #include <vector>
 
-#include "control/message.h"
+#include "control/message_codec.h"
 #include "net/socket.h"
 
 namespace lotusyard::test {
 
-class RawInvoker {
+class ScriptedInvoker {
  public:
-  explicit RawInvoker(const std::string& address) : socket_(net::connect_to(address).socket) {
+  explicit ScriptedInvoker(const std::string& address) : socket_(net::connect_to(address).socket) {
     REQUIRE(static_cast<bool>(socket_));
     // Else the kernel takes in many megabytes for a reader that does not read.
     const int size = kReceiveBuffer;
     setsockopt(socket_.fd(), SOL_SOCKET, SO_RCVBUF, &size, sizeof size);
   }
-  void say(const control::Message& message) { say_bytes(control::encode(message)); }
-  void say_bytes(const std::string& bytes) {
+  void send(const control::Message& message) { send_bytes(control::encode(message)); }
+  void send_bytes(const std::string& bytes) {
     unsent_ += bytes;
     write();
   }
@@ -67,7 +67,7 @@
   static constexpr int kReceiveBuffer = 64 << 10;
   net::Socket socket_;
   std::string unsent_;
-  control::MessageReader reader_{control::longest_to_invoker};
+  control::MessageReader reader_{control::kMaxFrameBytesToInvoker};
 };
 
 }  // namespace lotusyard::test
--- a/tests/control/served.h
+++ b/tests/control/served.h
@@ -28,11 +28,11 @@
     CHECK(good.counters.value("control.session.opened") == 1);
   }
   // A connection with an open session that holds all records.
-  std::unique_ptr<RawInvoker> opened(std::uint64_t incarnation = 1) {
-    auto raw = std::make_unique<RawInvoker>(server.address());
+  std::unique_ptr<ScriptedInvoker> opened(std::uint64_t incarnation = 1) {
+    auto raw = std::make_unique<ScriptedInvoker>(server.address());
     control::Open open = tier.open_message();
     open.incarnation = incarnation;
-    raw->say(open);
+    raw->send(open);
     const bool served = tier.until(
         [&] {
           raw->read();
@@ -42,7 +42,7 @@
     REQUIRE(served);
     return raw;
   }
-  bool ends(RawInvoker& raw, Millis most = Millis(2000)) {
+  bool ends(ScriptedInvoker& raw, Millis most = Millis(2000)) {
     return tier.until(
         [&] {
           raw.read();
--- a/tests/control/session_moves_test.cpp
+++ b/tests/control/session_moves_test.cpp
@@ -20,7 +20,7 @@
     const NodeAddress* const chosen = nodes.choose(Millis(0), random);
     REQUIRE(chosen != nullptr);
     CHECK(chosen->name == name);
-    nodes.failed(chosen->address);  // and none comes again before the others were tried
+    nodes.on_failure(chosen->address);  // and none comes again before the others were tried
   }
 }
 
@@ -42,7 +42,7 @@
 TEST_CASE("known nodes: the one that failed last is not chosen at first, if another is available") {
   KnownNodes nodes("z1", "r1", kThreeRegions);
   std::mt19937_64 random(1);
-  nodes.failed("here:7000");
+  nodes.on_failure("here:7000");
   CHECK(nodes.choose(Millis(0), random)->name == "near");
   nodes.hold_back("near:7000", Millis(100));
   nodes.hold_back("far:7000", Millis(200));
@@ -67,19 +67,19 @@
   std::mt19937_64 random(1);
   for (int list = 0; list < 10; ++list) {
     std::vector<NodeAddress> told;
-    for (std::size_t i = 0; i < control::most_nodes_told; ++i)
+    for (std::size_t i = 0; i < control::kMaxNodesInMessage; ++i)
       told.push_back(node_at(std::to_string(list) + "." + std::to_string(i), "z2", "r1"));
     nodes.learn(told);
   }
-  CHECK(nodes.size() == KnownNodes::most_learnt + 1);
+  CHECK(nodes.size() == KnownNodes::kMaxLearntNodes + 1);
   nodes.learn({node_at("here", "z1", "r1"), {"nowhere", "", "z1", "r1"}});
-  CHECK(nodes.size() == KnownNodes::most_learnt + 1);
+  CHECK(nodes.size() == KnownNodes::kMaxLearntNodes + 1);
   CHECK(nodes.choose(Millis(0), random)->name == "here");
   bool seed_came = false;
   for (std::size_t i = 0; i < nodes.size(); ++i) {
     const NodeAddress chosen = *nodes.choose(Millis(0), random);
     seed_came = seed_came || chosen.name == "seed";
-    nodes.failed(chosen.address);
+    nodes.on_failure(chosen.address);
   }
   CHECK(seed_came);
 }
@@ -127,15 +127,15 @@
 TEST_CASE("session: a node that refused for a while is not asked again in that time, others are") {
   SessionRig rig;
   CHECK(rig.next_connect() == "a");
-  rig.session->connected(rig.now);
+  rig.session->on_connected(rig.now);
   const Millis refused = rig.now;
-  rig.session->received(control::Refusal{RefusalReason::busy, Millis(20000), {}}, rig.now);
-  CHECK_FALSE(rig.transport.linked);
+  rig.session->on_message(control::Refusal{RefusalReason::busy, Millis(20000), {}}, rig.now);
+  CHECK_FALSE(rig.transport.connected);
   CHECK(rig.count("refused.busy") == 1);
   CHECK(rig.next_connect() == "b");
   CHECK(rig.now - refused <= Millis(500));
-  rig.session->connected(rig.now);
-  rig.session->received(control::Refusal{RefusalReason::full, Millis(50000), {}}, rig.now);
+  rig.session->on_connected(rig.now);
+  rig.session->on_message(control::Refusal{RefusalReason::full, Millis(50000), {}}, rig.now);
   CHECK(rig.next_connect() == "a");  // both wait: the one whose wait ends first
   CHECK((rig.now - refused >= Millis(20000) && rig.now - refused <= Millis(40000)));
 }
@@ -145,8 +145,8 @@
   rig.open();
   rig.grant(1, rig.lease());
   const NodeAddress other = node_at("c", "z1", "r1");
-  rig.session->received(control::Refusal{RefusalReason::leaving, Millis(0), {other}}, rig.now);
-  CHECK(rig.session->holds(rig.now));
+  rig.session->on_message(control::Refusal{RefusalReason::draining, Millis(0), {other}}, rig.now);
+  CHECK(rig.session->holds_lease(rig.now));
   CHECK(rig.next_connect() == "c");
 }
 
@@ -154,16 +154,16 @@
   SessionRig rig;
   rig.next_connect();
   rig.run(Millis(999));
-  CHECK(rig.transport.linked);
+  CHECK(rig.transport.connected);
   rig.run(Millis(1));
-  CHECK_FALSE(rig.transport.linked);
+  CHECK_FALSE(rig.transport.connected);
   rig.next_connect();
   rig.now += Millis(600);
-  rig.session->connected(rig.now);
+  rig.session->on_connected(rig.now);
   rig.run(Millis(999));
-  CHECK(rig.transport.linked);
+  CHECK(rig.transport.connected);
   rig.run(Millis(1));
-  CHECK_FALSE(rig.transport.linked);
+  CHECK_FALSE(rig.transport.connected);
   CHECK(rig.count("timed_out") == 2);
 }
 
@@ -178,7 +178,7 @@
   rig.run(Millis(1));
   CHECK_FALSE(rig.session->open());
   CHECK(rig.count("silent") == 1);
-  CHECK(rig.session->holds(rig.now));
+  CHECK(rig.session->holds_lease(rig.now));
 }
 
 TEST_CASE("session: it leaves a node that grants nothing for a lease, and reaches one beyond its region") {
@@ -201,7 +201,8 @@
   const std::string bytes = control::encode_records({{"key", std::string(100, 'v')}});
   rig.grant(1, Millis(0));
   for (std::size_t offset = 0; offset < bytes.size(); offset += 4) {
-    rig.session->received(control::SnapshotChunk{9, offset, bytes.size(), bytes.substr(offset, 4)}, rig.now);
+    rig.session->on_message(control::SnapshotChunk{9, offset, bytes.size(), bytes.substr(offset, 4)},
+                            rig.now);
     rig.run_granting(rig.beat(), Millis(0));
   }
   CHECK(rig.session->open());
@@ -218,7 +219,7 @@
     for (const Millis end = rig.now + Millis(1000); rig.session->due() <= end; ++ticks) {
       rig.now = std::max(rig.now, rig.session->due());
       rig.session->tick(rig.now);
-      if (ticks % 3 == 0 && rig.transport.linked)
+      if (ticks % 3 == 0 && rig.transport.connected)
         rig.welcome();
       REQUIRE(ticks < 10000);
     }
--- a/tests/control/session_rig.h
+++ b/tests/control/session_rig.h
@@ -4,6 +4,7 @@
 #include <catch2/catch.hpp>
 #include <memory>
 
+#include "control/message_codec.h"
 #include "control/session.h"
 
 namespace lotusyard::test {
@@ -16,21 +17,21 @@
 class KeepingTransport final : public Session::Transport {
  public:
   void connect(const NodeAddress& node) override {
-    CHECK_FALSE(linked);  // one connection at a time
-    linked = true;
+    CHECK_FALSE(connected);  // one connection at a time
+    connected = true;
     connects.push_back(node);
   }
   void send(const std::string& frame) override {
-    CHECK(linked);
-    control::MessageReader reader(control::longest_to_node);
+    CHECK(connected);
+    control::MessageReader reader(control::kMaxFrameBytesToNode);
     REQUIRE(reader.parse(frame, sent));
   }
   void disconnect() override {
-    CHECK(linked);
-    linked = false;
+    CHECK(connected);
+    connected = false;
     ++disconnects;
   }
-  bool linked = false;
+  bool connected = false;
   int disconnects = 0;
   std::vector<NodeAddress> connects;
   std::vector<control::Message> sent;
@@ -84,8 +85,8 @@
     return transport.connects.back().name;
   }
   void welcome(std::vector<NodeAddress> nodes = {}) {
-    session->connected(now);
-    session->received(control::Welcome{transport.connects.back().name, 1, std::move(nodes)}, now);
+    session->on_connected(now);
+    session->on_message(control::Welcome{transport.connects.back().name, 1, std::move(nodes)}, now);
   }
   std::string open() {
     const std::string node = next_connect();
@@ -93,11 +94,11 @@
     return node;
   }
   void lose() {
-    transport.linked = false;
-    session->disconnected(now);
+    transport.connected = false;
+    session->on_disconnected(now);
   }
   void grant(std::uint64_t sequence, Millis duration) {
-    session->received(control::Grant{sequence, duration}, now);
+    session->on_message(control::Grant{sequence, duration}, now);
   }
   // Answers the last renewal.
   void grant_last(Millis duration) { grant(sent<control::Renew>().back().sequence, duration); }
@@ -114,11 +115,11 @@
   }
   void snapshot(Index index) {
     const std::string bytes = control::encode_records({{"k", "v" + std::to_string(index)}});
-    session->received(control::SnapshotChunk{index, 0, bytes.size(), bytes}, now);
+    session->on_message(control::SnapshotChunk{index, 0, bytes.size(), bytes}, now);
   }
   void delta(Index after, Index index) {
     const std::string bytes = control::encode_change({{"k", "v" + std::to_string(index)}});
-    session->received(control::Delta{after, index, bytes}, now);
+    session->on_message(control::Delta{after, index, bytes}, now);
   }
   template <typename Kind>
   std::vector<Kind> sent() const {
--- a/tests/control/session_storm_test.cpp
+++ b/tests/control/session_storm_test.cpp
@@ -51,7 +51,7 @@
     SessionRig& rig = *rigs[i];
     const bool fresh = rig.transport.connects.size() > connects_seen[i];
     connects_seen[i] = rig.transport.connects.size();
-    if (!rig.transport.linked)
+    if (!rig.transport.connected)
       return;
     const std::string& node = rig.session->node().name;
     if (down.count(node) != 0)
@@ -66,8 +66,8 @@
   static void open(SessionRig& rig, Millis retry_after) {
     if (retry_after.count() == 0)
       return rig.welcome();
-    rig.session->connected(rig.now);
-    rig.session->received(control::Refusal{control::RefusalReason::busy, retry_after, {}}, rig.now);
+    rig.session->on_connected(rig.now);
+    rig.session->on_message(control::Refusal{control::RefusalReason::busy, retry_after, {}}, rig.now);
   }
   void step() {
     now += kStep;
@@ -78,7 +78,7 @@
         rig.session->tick(now);
       if (rig.transport.connects.size() > connects_seen[i])
         connects.push_back(now);
-      if (rig.transport.linked && (!rig.transport.sent.empty() || !rig.session->open()))
+      if (rig.transport.connected && (!rig.transport.sent.empty() || !rig.session->open()))
         serve(i);
     }
   }
@@ -90,7 +90,7 @@
     down.insert(name);
     for (auto& rig : rigs) {
       rig->now = now;
-      if (rig->transport.linked && rig->session->node().name == name)
+      if (rig->transport.connected && rig->session->node().name == name)
         rig->lose();
     }
   }
@@ -99,8 +99,8 @@
         std::count_if(rigs.begin(), rigs.end(), [](const auto& rig) { return rig->session->open(); }));
   }
   std::size_t holding_now() const {
-    return static_cast<std::size_t>(
-        std::count_if(rigs.begin(), rigs.end(), [&](const auto& rig) { return rig->session->holds(now); }));
+    return static_cast<std::size_t>(std::count_if(
+        rigs.begin(), rigs.end(), [&](const auto& rig) { return rig->session->holds_lease(now); }));
   }
   // The most connects in any window that begins with one of them.
   std::size_t most_in_window(Millis from) const {
--- a/tests/control/session_table_test.cpp
+++ b/tests/control/session_table_test.cpp
@@ -100,11 +100,11 @@
   CHECK(table.sessions.floors(t + Millis(2000)).sessions == 2);
   table.sessions.disconnected(b);
   CHECK(table.sessions.floors(t + Millis(3000)).applied == 11);
-  CHECK(table.sessions.floors(t + Millis(3000)).settled == 11);
+  CHECK(table.sessions.floors(t + Millis(3000)).quiesced_index == 11);
   CHECK(table.sessions.floors(t + Millis(3030)).applied == 12);  // its lease is over, its calls are not
-  CHECK(table.sessions.floors(t + Millis(3030)).settled == 11);
-  CHECK(table.sessions.floors(t + Millis(5049)).settled == 11);
-  CHECK(table.sessions.floors(t + Millis(5050)).settled == 12);
+  CHECK(table.sessions.floors(t + Millis(3030)).quiesced_index == 11);
+  CHECK(table.sessions.floors(t + Millis(5049)).quiesced_index == 11);
+  CHECK(table.sessions.floors(t + Millis(5050)).quiesced_index == 12);
   CHECK(table.sessions.size() == 2);
   table.sessions.expire(t + Millis(5050));
   CHECK(table.sessions.size() == 1);
@@ -129,9 +129,9 @@
   CHECK(table.sessions.floors(Millis(1000)).applied == 0);
   const Millis last = Millis(1000) + kEarlierOver - Millis(1);
   CHECK(table.sessions.floors(last).applied == 0);
-  CHECK(table.sessions.floors(last).settled == 0);
+  CHECK(table.sessions.floors(last).quiesced_index == 0);
   CHECK(table.sessions.floors(last + Millis(1)).applied == 10);
-  CHECK(table.sessions.floors(last + Millis(1)).settled == 10);
+  CHECK(table.sessions.floors(last + Millis(1)).quiesced_index == 10);
 }
 
 TEST_CASE("a closed session gives its lease up, and its calls count until they are over") {
@@ -143,7 +143,7 @@
   table.sessions.closed(id, t + Millis(100));
   CHECK(table.sessions.connected() == 0);
   CHECK(table.sessions.floors(t + Millis(100)).applied == 12);
-  CHECK(table.sessions.floors(t + Millis(100)).settled == 11);
+  CHECK(table.sessions.floors(t + Millis(100)).quiesced_index == 11);
   table.sessions.expire(t + Millis(2119));
   CHECK(table.sessions.known(id));
   table.sessions.expire(t + Millis(2120));
@@ -180,7 +180,7 @@
   CHECK(table.open("a", 11, Millis(10)) == id);
   const auto older = table.sessions.open("a", 1, 10, Millis(10));  // it has reported 11
   CHECK(older.session == 0);
-  CHECK(older.malformed);
+  CHECK(older.status == SessionTable::Admission::Status::malformed);
   const auto other = table.sessions.open("a", 2, 10, Millis(10));
   CHECK((other.session != 0 && other.session != id));
   CHECK(table.sessions.connected() == 2);
@@ -190,9 +190,9 @@
 
 TEST_CASE("admission: a position ahead of the node, too many sessions, too many at once") {
   SessionTable::Limits limits;
-  limits.sessions = 3;
+  limits.max_sessions = 3;
   limits.opens_per_second = 2;
-  limits.opens_at_once = 3;
+  limits.open_burst = 3;
   Table table(limits);
   CHECK(table.sessions.open("a", 1, 11, Millis(0)).refusal == RefusalReason::node_behind);
   const auto a = table.open("a", 10, Millis(0)), b = table.open("b", 10, Millis(0));
--- a/tests/control/session_test.cpp
+++ b/tests/control/session_test.cpp
@@ -1,6 +1,7 @@
 // An invoker's session: its renewals and its lease, the replica's progress, and its end.
 #include "control/session.h"
 
+#include "control/message_codec.h"
 #include "control/session_rig.h"
 
 namespace lotusyard::test {
@@ -10,14 +11,14 @@
   SessionRig rig;
   rig.next_connect();
   CHECK(rig.transport.sent.empty());
-  rig.session->connected(rig.now);
+  rig.session->on_connected(rig.now);
   const auto opens = rig.sent<control::Open>();
   REQUIRE(opens.size() == 1);
   CHECK((opens[0].cluster == "blue" && opens[0].invoker == "i1" && opens[0].zone == "z1"));
   CHECK((opens[0].incarnation == 7 && opens[0].position == 0));
   CHECK(opens[0].terms.lease == rig.lease());
   CHECK_FALSE(rig.session->open());
-  rig.session->received(control::Welcome{"a", 1, {}}, rig.now);
+  rig.session->on_message(control::Welcome{"a", 1, {}}, rig.now);
   CHECK(rig.session->open());
   CHECK(rig.sent<control::Renew>().size() == 1);
   rig.grant_last(rig.lease());
@@ -26,20 +27,22 @@
   REQUIRE(renewals.size() == 5);
   for (std::size_t i = 0; i < 5; ++i)
     CHECK(renewals[i].sequence == i + 1);
-  CHECK((renewals[4].applied == 0 && renewals[4].settled == 0));
+  CHECK((renewals[4].applied == 0 && renewals[4].quiesced_index == 0));
 }
 
 TEST_CASE("session: renewals report what was applied, and as settled never more than that") {
   SessionRig rig;
   rig.open();
-  rig.session->set_settled(50);
+  rig.session->set_quiesced_index(50);
   rig.snapshot(20);
   rig.run(rig.beat());
-  CHECK((rig.sent<control::Renew>().back().applied == 20 && rig.sent<control::Renew>().back().settled == 20));
+  CHECK((rig.sent<control::Renew>().back().applied == 20 &&
+         rig.sent<control::Renew>().back().quiesced_index == 20));
   rig.grant_last(rig.lease());
   rig.delta(20, 60);
   rig.run(rig.beat());
-  CHECK((rig.sent<control::Renew>().back().applied == 60 && rig.sent<control::Renew>().back().settled == 50));
+  CHECK((rig.sent<control::Renew>().back().applied == 60 &&
+         rig.sent<control::Renew>().back().quiesced_index == 50));
   rig.lose();
   rig.open();
   CHECK(rig.sent<control::Open>().back().position == 60);
@@ -50,16 +53,16 @@
   SessionRig rig;
   rig.open();
   const Millis sent = rig.now;
-  CHECK_FALSE(rig.session->ever_held());
+  CHECK_FALSE(rig.session->has_held_lease());
   rig.now += Millis(400);
   rig.grant(1, rig.lease());
   CHECK(rig.session->lease_until() == sent + rig.lease());
-  CHECK(rig.session->holds(sent + rig.lease() - Millis(1)));
-  CHECK_FALSE(rig.session->holds(sent + rig.lease()));
+  CHECK(rig.session->holds_lease(sent + rig.lease() - Millis(1)));
+  CHECK_FALSE(rig.session->holds_lease(sent + rig.lease()));
   rig.run(rig.beat());
   rig.grant_last(Millis(100));
   CHECK(rig.session->lease_until() == sent + rig.lease());
-  CHECK(rig.session->ever_held());
+  CHECK(rig.session->has_held_lease());
 }
 
 TEST_CASE("session: a grant that answers nothing is counted, one of a renewal never sent ends the session") {
@@ -76,7 +79,7 @@
   CHECK(rig.session->lease_until() == until);
   CHECK(rig.count("malformed") == 1);
   CHECK_FALSE(rig.session->open());
-  CHECK_FALSE(rig.transport.linked);
+  CHECK_FALSE(rig.transport.connected);
 }
 
 TEST_CASE("session: a grant answers earlier renewals as well, and late answers to those change nothing") {
@@ -101,8 +104,8 @@
   CHECK(rig.session->lease_until() == until);
   rig.open();
   CHECK(rig.session->lease_until() == until);
-  CHECK(rig.session->holds(rig.now));
-  CHECK_FALSE(rig.session->holds(until));
+  CHECK(rig.session->holds_lease(rig.now));
+  CHECK_FALSE(rig.session->holds_lease(until));
 }
 
 TEST_CASE("session: after a long stop the lease is over, and a grant from before does not bring it back") {
@@ -112,10 +115,10 @@
   rig.run(rig.beat());
   const Millis sent = rig.now;
   rig.now += Millis(60000);  // it did not run in this time
-  CHECK_FALSE(rig.session->holds(rig.now));
+  CHECK_FALSE(rig.session->holds_lease(rig.now));
   rig.grant(2, rig.lease());
   CHECK(rig.session->lease_until() == sent + rig.lease());
-  CHECK_FALSE(rig.session->holds(rig.now));
+  CHECK_FALSE(rig.session->holds_lease(rig.now));
   rig.session->tick(rig.now);
   CHECK(rig.session->open());
   CHECK(rig.sent<control::Renew>().size() == 3);  // one, not all that were left out
@@ -123,7 +126,7 @@
   CHECK(rig.session->open());
   rig.run(rig.beat());
   rig.grant(4, rig.lease());
-  CHECK(rig.session->holds(rig.now));
+  CHECK(rig.session->holds_lease(rig.now));
 }
 
 TEST_CASE("session: a gap is reported once, and a second one without progress ends the session") {
@@ -155,10 +158,10 @@
   rig.delta(0, 3);
   CHECK(rig.sent<control::Resume>().size() == 1);
   const std::string bytes = control::encode_records({{"k", "v"}});
-  rig.session->received(control::SnapshotChunk{5, 0, bytes.size(), bytes.substr(0, 4)}, rig.now);
+  rig.session->on_message(control::SnapshotChunk{5, 0, bytes.size(), bytes.substr(0, 4)}, rig.now);
   rig.lose();
   rig.open();
-  rig.session->received(control::SnapshotChunk{5, 4, bytes.size(), bytes.substr(4)}, rig.now);
+  rig.session->on_message(control::SnapshotChunk{5, 4, bytes.size(), bytes.substr(4)}, rig.now);
   CHECK_FALSE(rig.session->open());
   CHECK(rig.count("malformed") == 1);
   CHECK_FALSE(rig.replica.complete());
@@ -171,16 +174,16 @@
   for (const control::Message& message : wrong) {
     SessionRig rig;
     rig.open();
-    rig.session->received(control::Message(message), rig.now);
+    rig.session->on_message(control::Message(message), rig.now);
     CHECK(rig.count("malformed") == 1);
-    CHECK_FALSE(rig.transport.linked);
+    CHECK_FALSE(rig.transport.connected);
   }
   for (const control::Message& early : {control::Message(control::Grant{1, Millis(100)}),
                                         control::Message(control::Delta{0, 1, control::encode_change({})})}) {
     SessionRig rig;
     rig.next_connect();
-    rig.session->connected(rig.now);
-    rig.session->received(control::Message(early), rig.now);
+    rig.session->on_connected(rig.now);
+    rig.session->on_message(control::Message(early), rig.now);
     CHECK(rig.count("malformed") == 1);
   }
 }
@@ -191,16 +194,16 @@
   rig.grant(1, rig.lease());
   rig.session->close(rig.now);
   CHECK(rig.sent<control::Close>().size() == 1);
-  CHECK_FALSE(rig.session->holds(rig.now));
-  CHECK_FALSE(rig.transport.linked);
+  CHECK_FALSE(rig.session->holds_lease(rig.now));
+  CHECK_FALSE(rig.transport.connected);
   CHECK(std::isinf(rig.session->due().count()));
-  rig.session->received(control::Grant{1, rig.lease()}, rig.now);
-  rig.session->disconnected(rig.now);
-  rig.session->malformed(rig.now);
+  rig.session->on_message(control::Grant{1, rig.lease()}, rig.now);
+  rig.session->on_disconnected(rig.now);
+  rig.session->on_malformed(rig.now);
   for (int i = 0; i < 100; ++i)
     rig.session->tick(rig.now += Millis(1000));
   rig.session->close(rig.now);
-  CHECK_FALSE(rig.session->holds(Millis(0)));
+  CHECK_FALSE(rig.session->holds_lease(Millis(0)));
   CHECK(rig.transport.connects.size() == 1);
   CHECK(rig.transport.disconnects == 1);
 }
@@ -221,10 +224,10 @@
   CHECK_FALSE(rig.session->forward("works", "word"));
   rig.open();
   CHECK(rig.session->forward("works", "word"));
-  CHECK_FALSE(rig.session->forward("works", std::string(control::longest_to_node, 'x')));
-  CHECK_FALSE(rig.session->forward(std::string(control::longest_name + 1, 'x'), "word"));
+  CHECK_FALSE(rig.session->forward("works", std::string(control::kMaxFrameBytesToNode, 'x')));
+  CHECK_FALSE(rig.session->forward(std::string(control::kMaxNameBytes + 1, 'x'), "word"));
   REQUIRE(rig.sent<control::Forward>().size() == 1);
-  CHECK(rig.sent<control::Forward>()[0].word == "word");
+  CHECK(rig.sent<control::Forward>()[0].payload == "word");
 }
 
 }  // namespace
--- a/tests/control/tier.h
+++ b/tests/control/tier.h
@@ -35,7 +35,7 @@
     config.cluster = "yard";
     config.self = {"n" + std::to_string(nodes.size()), "", "", ""};
     config.terms = terms;
-    config.sessions.sessions = sessions;
+    config.sessions.max_sessions = sessions;
     nodes.push_back(std::make_unique<control::NodeServer>(loop, counters, config, limits));
     REQUIRE(nodes.back()->listen("127.0.0.1:0"));
     nodes.back()->node().reset(index, records);
@@ -49,8 +49,8 @@
     config.invoker = "i" + std::to_string(invokers.size());
     config.incarnation = invokers.size();
     config.terms = terms;
-    config.pacing.first_wait = Millis(100);
-    config.pacing.most_wait = Millis(400);
+    config.pacing.max_initial_backoff = Millis(100);
+    config.pacing.max_backoff = Millis(400);
     for (const auto& node : nodes) {
       added.relays.push_back(std::make_unique<Relay>(loop, node->address(), invokers.size()));
       const std::string name = "n" + std::to_string(config.nodes.size());
@@ -74,7 +74,7 @@
     ++index;
     for (const auto& node : nodes) {
       if (node)
-        node->node().applied(index, change);
+        node->node().apply(index, change);
     }
   }
   void turn() {
@@ -98,7 +98,7 @@
     until([] { return false; }, time);
   }
   bool up_to_date(Invoker& invoker) {
-    return invoker.session().holds(loop.now()) && invoker.records() == records;
+    return invoker.session().holds_lease(loop.now()) && invoker.records() == records;
   }
   bool all_up_to_date() {
     return std::all_of(invokers.begin(), invokers.end(), [&](const auto& one) { return up_to_date(*one); });
--- a/tests/control/tier_faults_test.cpp
+++ b/tests/control/tier_faults_test.cpp
@@ -54,8 +54,8 @@
   REQUIRE(tier.add("w", kTaken));
   tier.wait(1000);
   const auto touched = [&] {
-    const auto course = maintenance::parse_timeline(tier.lines());
-    return std::count_if(course.entries.begin(), course.entries.end(),
+    const auto scenario = maintenance::parse_timeline(tier.lines());
+    return std::count_if(scenario.entries.begin(), scenario.entries.end(),
                          [](const auto& happening) { return happening.what == "touch"; });
   };
   REQUIRE(touched() == 0);
--- a/tests/control/transport_faults_test.cpp
+++ b/tests/control/transport_faults_test.cpp
@@ -1,8 +1,9 @@
 // What a control node's sockets do with peers that are silent, malformed or too many: each is counted, only
-// its own link ends, and an invoker that behaves notices nothing.
+// its own connection ends, and an invoker that behaves notices nothing.
 #include <sys/resource.h>
 #include <unistd.h>
 
+#include "control/message_codec.h"
 #include "control/served.h"
 
 namespace lotusyard::test {
@@ -25,23 +26,23 @@
   Served served;
   const std::string renew = control::encode(control::Renew{1, 0, 0});
   const std::vector<std::string> faulty = {
-      std::string(100, 'x'),                                              // a length beyond every bound
-      head(static_cast<std::uint32_t>(control::longest_to_node) + 1, 4),  // one beyond the bound
-      head(0, 77),                                                        // no such kind
-      head(3, 4) + "abc",                                                 // a body that is too short
-      head(25, 4) + std::string(25, '\0'),                                // and one that is too long
-      renew,                                                              // no Open before it
-      control::encode(control::Grant{1, Millis(100)})};                   // only nodes send it
+      std::string(100, 'x'),                                                   // a length beyond every bound
+      head(static_cast<std::uint32_t>(control::kMaxFrameBytesToNode) + 1, 4),  // one beyond the bound
+      head(0, 77),                                                             // no such kind
+      head(3, 4) + "abc",                                                      // a body that is too short
+      head(25, 4) + std::string(25, '\0'),                                     // and one that is too long
+      renew,                                                                   // no Open before it
+      control::encode(control::Grant{1, Millis(100)})};                        // only nodes send it
   for (std::size_t i = 0; i < faulty.size(); ++i) {
     INFO("fault " << i);
-    RawInvoker raw(served.server.address());
-    raw.say_bytes(faulty[i]);
+    ScriptedInvoker raw(served.server.address());
+    raw.send_bytes(faulty[i]);
     CHECK(served.ends(raw));
     CHECK(raw.messages.empty());
     CHECK(served.count("control.malformed") == i + 1);
   }
   const auto raw = served.opened();
-  raw->say(served.tier.open_message());
+  raw->send(served.tier.open_message());
   CHECK(served.ends(*raw));
   CHECK(served.count("control.malformed") == faulty.size() + 1);
   CHECK(served.tier.until([&] { return served.server.links() == 1; }, Millis(2000)));
@@ -52,10 +53,10 @@
   Served served;
   Random random(20);
   for (int i = 0; i < 60; ++i) {
-    RawInvoker raw(served.server.address());
+    ScriptedInvoker raw(served.server.address());
     if (below(random, 2) == 0)
-      raw.say(served.tier.open_message());
-    raw.say_bytes(garbage(random, std::string("\0\0\0\1\4\7", 6)));
+      raw.send(served.tier.open_message());
+    raw.send_bytes(garbage(random, std::string("\0\0\0\1\4\7", 6)));
     for (int turns = 0; turns < 3; ++turns) {
       served.tier.turn();
       raw.read();
@@ -67,10 +68,10 @@
 
 TEST_CASE("an invoker of another cluster is told so, and its link ends") {
   Served served;
-  RawInvoker raw(served.server.address());
+  ScriptedInvoker raw(served.server.address());
   control::Open open = served.tier.open_message();
   open.cluster = "other";
-  raw.say(open);
+  raw.send(open);
   CHECK(served.ends(raw));
   REQUIRE(raw.first<control::Refusal>() != nullptr);
   CHECK(raw.first<control::Refusal>()->reason == control::RefusalReason::other_cluster);
@@ -81,7 +82,7 @@
 TEST_CASE("a renewal that claims a position which the node has not reached ends the link") {
   Served served;
   const auto raw = served.opened();
-  raw->say(control::Renew{1, served.tier.index + 1, 0});
+  raw->send(control::Renew{1, served.tier.index + 1, 0});
   CHECK(served.ends(*raw));
   CHECK(raw->first<control::Grant>() == nullptr);
   CHECK(served.count("control.future_position") == 1);
@@ -91,12 +92,12 @@
 TEST_CASE("a hundred connections that say nothing, and one with half an Open, end within their time") {
   Served served;
   const Millis began = served.tier.loop.now();
-  std::vector<std::unique_ptr<RawInvoker>> silent;
+  std::vector<std::unique_ptr<ScriptedInvoker>> silent;
   for (int i = 0; i < 100; ++i)
-    silent.push_back(std::make_unique<RawInvoker>(served.server.address()));
-  RawInvoker half(served.server.address());
+    silent.push_back(std::make_unique<ScriptedInvoker>(served.server.address()));
+  ScriptedInvoker half(served.server.address());
   const std::string open = control::encode(served.tier.open_message());
-  half.say_bytes(open.substr(0, open.size() / 2));
+  half.send_bytes(open.substr(0, open.size() / 2));
   REQUIRE(served.tier.until([&] { return served.server.links() == 102; }, Millis(1000)));
   CHECK(served.ends(half, Millis(5000)));
   CHECK(served.tier.loop.now() - began >= Millis(3000));
@@ -120,8 +121,8 @@
 TEST_CASE("a node without a free descriptor goes on with what it has, and takes the rest later") {
   Served served;
   served.check_good();
-  RawInvoker raw(served.server.address());
-  raw.say(served.tier.open_message());
+  ScriptedInvoker raw(served.server.address());
+  raw.send(served.tier.open_message());
   rlimit before{};
   REQUIRE(getrlimit(RLIMIT_NOFILE, &before) == 0);
   rlimit full = before;
@@ -145,11 +146,11 @@
 
 TEST_CASE("connections beyond the bound close at once, and are counted") {
   NodeServer::Limits limits;
-  limits.spare_links = 2;
+  limits.spare_connections = 2;
   Served served(Millis(600), limits, 3);
-  std::vector<std::unique_ptr<RawInvoker>> others;
+  std::vector<std::unique_ptr<ScriptedInvoker>> others;
   for (int i = 0; i < 7; ++i)
-    others.push_back(std::make_unique<RawInvoker>(served.server.address()));
+    others.push_back(std::make_unique<ScriptedInvoker>(served.server.address()));
   const auto ended = [&] {
     for (const auto& one : others)
       one->read();
--- a/tests/control/transport_slow_test.cpp
+++ b/tests/control/transport_slow_test.cpp
@@ -1,4 +1,5 @@
 // What waits for a peer that reads slowly or not at all is bounded.
+#include "control/message_codec.h"
 #include "control/replica.h"
 #include "control/served.h"
 
@@ -11,13 +12,13 @@
 std::string large_value(int number) { return std::string(kValue, static_cast<char>('a' + number % 26)); }
 
 // Takes what has come; the messages are used up.
-void replicate(RawInvoker& raw, control::Replica& replica) {
+void replicate(ScriptedInvoker& raw, control::Replica& replica) {
   for (const auto& message : raw.messages) {
     if (const auto* chunk = std::get_if<control::SnapshotChunk>(&message)) {
-      CHECK(replica.take(*chunk) != control::Replica::Outcome::malformed);
+      CHECK(replica.apply(*chunk) != control::Replica::Outcome::malformed);
     }
     if (const auto* delta = std::get_if<control::Delta>(&message)) {
-      CHECK(replica.take(*delta) == control::Replica::Outcome::applied);
+      CHECK(replica.apply(*delta) == control::Replica::Outcome::applied);
     }
   }
   raw.messages.clear();
@@ -39,8 +40,8 @@
   }
   REQUIRE(served.tier.until([&] { return served.tier.up_to_date(served.good); }));
   CHECK(served.server.links() == 2);
-  CHECK(served.server.pooled() >= limits.unsent);  // else nothing was slow here
-  CHECK(most <= 2 * (limits.unsent + kFrames));    // of both links
+  CHECK(served.server.pooled() >= limits.connection.max_unsent_bytes);  // else nothing was slow here
+  CHECK(most <= 2 * (limits.connection.max_unsent_bytes + kFrames));    // of both connections
   CHECK(served.tier.until([&] {
     raw->read();
     replicate(*raw, replica);
@@ -53,19 +54,19 @@
 
 TEST_CASE("a link that takes nothing of what waits ends, although it renews") {
   NodeServer::Limits limits;
-  limits.stalled_after = Millis(700);
+  limits.connection.stall_timeout = Millis(700);
   Served served(Millis(8000), limits);
   const auto raw = served.opened();
   for (int i = 0; i < 2000; ++i) {
     served.tier.change("key" + std::to_string(i % 50), large_value(i));
     served.tier.turn();
   }
-  REQUIRE(served.server.pooled() >= limits.unsent);
+  REQUIRE(served.server.pooled() >= limits.connection.max_unsent_bytes);
   std::uint64_t sequence = 0;
   const bool ended = served.tier.until(
       [&] {
         if (sequence < 20)
-          raw->say(control::Renew{++sequence, 1, 0});
+          raw->send(control::Renew{++sequence, 1, 0});
         return served.count("control.stalled_links") == 1;
       },
       Millis(3000));
@@ -77,10 +78,10 @@
 
 TEST_CASE("links that take up all that may wait hold the others up only until they end") {
   NodeServer::Limits limits;
-  limits.pooled = 1U << 20;
-  limits.stalled_after = Millis(1500);
+  limits.max_pooled_bytes = 1U << 20;
+  limits.connection.stall_timeout = Millis(1500);
   Served served(Millis(8000), limits);
-  std::vector<std::unique_ptr<RawInvoker>> slow;
+  std::vector<std::unique_ptr<ScriptedInvoker>> slow;
   for (std::uint64_t i = 0; i < 10; ++i)
     slow.push_back(served.opened(i + 1));
   auto& late = served.tier.add_invoker();  // served after all of them
@@ -91,7 +92,7 @@
     served.tier.turn();
     most = std::max(most, served.server.pooled());
   }
-  CHECK(most <= limits.pooled);
+  CHECK(most <= limits.max_pooled_bytes);
   CHECK_FALSE(served.tier.up_to_date(late));
   CHECK(served.tier.until([&] { return served.tier.all_up_to_date(); }, Millis(4000)));
   CHECK(served.count("control.stalled_links") > 0);
@@ -108,7 +109,7 @@
         std::string renewals;
         for (int i = 0; raw->unsent() == 0 && i < 5000; ++i)
           renewals += control::encode(control::Renew{++sequence, 1, 0});
-        raw->say_bytes(renewals);
+        raw->send_bytes(renewals);
         most = std::max(most, served.server.pooled());
         return served.count("control.overflowed_links") == 1;
       },
--- a/tests/control/transport_test.cpp
+++ b/tests/control/transport_test.cpp
@@ -78,7 +78,7 @@
   REQUIRE(tier.until([&] { return tier.all_up_to_date(); }));
   cut.relays[0]->set(way, Mode::cut);
   tier.change("while", "cut");
-  REQUIRE(tier.until([&] { return !cut.session().holds(tier.loop.now()); }, Millis(1500)));
+  REQUIRE(tier.until([&] { return !cut.session().holds_lease(tier.loop.now()); }, Millis(1500)));
   CHECK(tier.until([&] { return tier.up_to_date(other); }, Millis(500)));
   cut.relays[0]->set(way, Mode::open);
   REQUIRE(tier.until([&] { return tier.all_up_to_date(); }));
@@ -129,7 +129,7 @@
   REQUIRE(tier.until([&] { return tier.all_up_to_date(); }));
   const std::size_t left = tier.nodes[0]->links() > 0 ? 0 : 1;
   const std::size_t moved = tier.nodes[left]->links();
-  tier.nodes[left]->node().leave();
+  tier.nodes[left]->node().shut_down();
   REQUIRE(tier.until([&] { return tier.nodes[1 - left]->node().sessions().connected() == 6; }));
   std::uint64_t told = 0;
   for (const auto& one : tier.invokers)
@@ -154,7 +154,7 @@
   tier.add_node();
   auto& invoker = tier.add_invoker();
   REQUIRE(tier.until([&] { return tier.all_up_to_date(); }));
-  invoker.client->replica().when_moved([&](const control::Change*) {
+  invoker.client->replica().set_update_listener([&](const control::Change*) {
     if (tier.records.count("end") != 0)
       invoker.session().close(tier.loop.now());
   });
@@ -173,7 +173,7 @@
   config.cluster = "yard";
   config.invoker = "other";
   config.terms = tier.terms;
-  config.pacing.first_wait = config.pacing.most_wait = Millis(50);
+  config.pacing.max_initial_backoff = config.pacing.max_backoff = Millis(50);
   config.nodes = {{"bad", "no address", "", ""}};
   invoker.client = std::make_unique<control::SessionClient>(tier.loop, invoker.counters, config, 5);
   const auto& counters = invoker.counters;
--- a/tests/golden/control_golden.cpp
+++ b/tests/golden/control_golden.cpp
@@ -1,6 +1,6 @@
 // Session frames of every kind between invokers and control nodes, and the changes that they carry.
 #include "control/change.h"
-#include "control/message.h"
+#include "control/message_codec.h"
 #include "golden/golden_part.h"
 
 namespace lotusyard::golden {
@@ -9,7 +9,7 @@
 using namespace control;
 
 std::string reencode_frame(const std::string& bytes) {
-  MessageReader reader(longest_to_invoker);
+  MessageReader reader(kMaxFrameBytesToInvoker);
   std::vector<Message> out;
   if (!reader.parse(bytes, out) || out.size() != 1)
     throw std::runtime_error("it isn't one whole frame");
@@ -33,7 +33,7 @@
 }
 
 void add_refusals(std::vector<Sample>& out) {
-  for (int reason = 1; reason <= static_cast<int>(RefusalReason::leaving); ++reason) {
+  for (int reason = 1; reason <= static_cast<int>(RefusalReason::draining); ++reason) {
     const auto typed = static_cast<RefusalReason>(reason);
     const Refusal refusal{typed, Millis(250.25), kNodes};
     out.push_back({"refusal " + std::string(name_of(typed)), encode(refusal), reencode_frame});
--- a/tests/scale/agreed_log.h
+++ b/tests/scale/agreed_log.h
@@ -17,7 +17,7 @@
 // A node's sign of life. Once it is in the log the node's lease lasts from its stamp on.
 struct NodeReport {
   std::size_t node = 0;
-  std::uint64_t life = 0;
+  std::uint64_t incarnation = 0;
   Millis stamp{0};  // by the node's clock
   control::Floors floors;
 };
--- a/tests/scale/hollow_fleet.cpp
+++ b/tests/scale/hollow_fleet.cpp
@@ -28,11 +28,11 @@
       log_(initial_records(options), options.keeps_states),
       leader_(options.terms),
       leader_clock_(draw_clock()) {
-  network_.when_arrived([this](Link& link, Direction direction, Packet&& packet) {
+  network_.when_arrived([this](HollowConnection& connection, Direction direction, Packet&& packet) {
     if (direction == Direction::to_node) {
-      arrived_at_node(link, std::move(packet));
+      arrived_at_node(connection, std::move(packet));
     } else {
-      arrived_at_invoker(link, std::move(packet));
+      arrived_at_invoker(connection, std::move(packet));
     }
   });
   for (std::size_t i = 0; i < options.nodes; ++i)
--- a/tests/scale/hollow_fleet.h
+++ b/tests/scale/hollow_fleet.h
@@ -65,7 +65,7 @@
   // Faults; see also `network()`.
   void start_node(std::size_t number);
   void kill_node(std::size_t number, bool resets = true);  // without resets: its machine is gone
-  void leave_node(std::size_t number);
+  void drain_node(std::size_t number);
   void stop_node(std::size_t number, double span);
   void start_invoker(std::size_t number);
   void kill_invoker(std::size_t number);
@@ -98,14 +98,14 @@
   template <typename Call>
   void call_node(HollowNode& node, const Call& call);
   void dispatch(HollowNode& node);
-  void beat(HollowNode& node);
-  void beat_by_turns(std::size_t number, std::uint64_t life);
-  void tick_by_turns(std::size_t number, std::uint64_t life);
+  void send_heartbeat(HollowNode& node);
+  void send_heartbeats_periodically(std::size_t number, std::uint64_t incarnation);
+  void tick_periodically(std::size_t number, std::uint64_t incarnation);
   void follow(HollowNode& node, Index until);
   void apply_entry(HollowNode& node, const LogEntry& entry);
-  void take_at_node(HollowNode& node, std::uint64_t link, const Packet& packet);
-  void arrived_at_node(Link& link, Packet&& packet);
-  void became_writable(std::size_t number, std::uint64_t link);
+  void handle_at_node(HollowNode& node, std::uint64_t connection, const Packet& packet);
+  void arrived_at_node(HollowConnection& connection, Packet&& packet);
+  void became_writable(std::size_t number, std::uint64_t connection);
 
   // Invokers.
   template <typename Call>
@@ -118,8 +118,8 @@
   void leave_calls(HollowInvoker& invoker, double lease_end);
   void schedule_tick(HollowInvoker& invoker);
   void tick(std::size_t number);
-  void take_at_invoker(HollowInvoker& invoker, std::uint64_t link, const Packet& packet);
-  void arrived_at_invoker(Link& link, Packet&& packet);
+  void handle_at_invoker(HollowInvoker& invoker, std::uint64_t connection, const Packet& packet);
+  void arrived_at_invoker(HollowConnection& connection, Packet&& packet);
 };
 
 }  // namespace lotusyard::test
--- a/tests/scale/hollow_fleet_invokers.cpp
+++ b/tests/scale/hollow_fleet_invokers.cpp
@@ -1,4 +1,5 @@
 // The invokers of a hollow fleet: a session and a replica each, and the calls that they have under way.
+#include "control/message_codec.h"
 #include "scale/hollow_fleet.h"
 
 namespace lotusyard::test {
@@ -58,9 +59,9 @@
   }
   for (const auto& calls : invoker.calls)
     settled_at = std::max(settled_at, calls.until);
-  const auto settle = [target = &invoker, life = invoker.life, position = invoker.position] {
-    if (target->up() && target->life == life)
-      target->session->set_settled(position);
+  const auto settle = [target = &invoker, incarnation = invoker.incarnation, position = invoker.position] {
+    if (target->up() && target->incarnation == incarnation)
+      target->session->set_quiesced_index(position);
   };
   if (settled_at <= now())
     return settle();
@@ -73,10 +74,10 @@
   if (when >= invoker.tick_at)
     return;
   invoker.tick_at = when;
-  at(when, [this, target = &invoker, life = invoker.life, when] {
-    if (!target->up() || target->life != life || target->tick_at != when)
+  at(when, [this, target = &invoker, incarnation = invoker.incarnation, when] {
+    if (!target->up() || target->incarnation != incarnation || target->tick_at != when)
       return;
-    target->tick_at = never;
+    target->tick_at = kNever;
     if (!target->stopped)
       tick(target->endpoint.number);
   });
@@ -91,42 +92,42 @@
 
 void HollowFleet::dispatch(HollowInvoker& invoker) {
   for (auto& out : std::exchange(invoker.outbox, {})) {
-    Link* link = network_.find(invoker.link);
+    HollowConnection* connection = network_.find(invoker.connection);
     if (out.kind == HollowInvoker::Outgoing::Kind::connect) {
       connect(invoker, out.text);
     } else if (out.kind == HollowInvoker::Outgoing::Kind::disconnect) {
-      if (link != nullptr)
-        network_.end(*link, Direction::to_node);
-      invoker.link = 0;
-    } else if (link != nullptr) {
+      if (connection != nullptr)
+        network_.end(*connection, Direction::to_node);
+      invoker.connection = 0;
+    } else if (connection != nullptr) {
       ++invoker.traffic.messages_sent;
       invoker.traffic.bytes_sent += out.text.size();
       Packet packet;
       packet.frame = std::move(out.text);
-      network_.send(*link, Direction::to_node, std::move(packet));
+      network_.send(*connection, Direction::to_node, std::move(packet));
     }
   }
 }
 
 void HollowFleet::connect(HollowInvoker& invoker, const std::string& address) {
   const HollowNode& node = *nodes_.at(node_by_address_.at(address));
-  Link& link = network_.open(invoker.endpoint, invoker.life, node.endpoint);
-  invoker.link = link.id;
-  invoker.reader = control::MessageReader(control::longest_to_invoker);
+  HollowConnection& connection = network_.open(invoker.endpoint, invoker.incarnation, node.endpoint);
+  invoker.connection = connection.id;
+  invoker.reader = control::MessageReader(control::kMaxFrameBytesToInvoker);
   Packet first;
   first.kind = Packet::Kind::connect;
-  network_.send(link, Direction::to_node, std::move(first));
+  network_.send(connection, Direction::to_node, std::move(first));
 }
 
 void HollowFleet::start_invoker(std::size_t number) {
   HollowInvoker& invoker = *invokers_[number];
   if (invoker.up())
     return;
-  ++invoker.life;
+  ++invoker.incarnation;
   invoker.stopped = invoker.was_open = false;
-  invoker.link = invoker.position = 0;
+  invoker.connection = invoker.position = 0;
   invoker.lease_until = Millis(0);
-  invoker.tick_at = never;
+  invoker.tick_at = kNever;
   control::Session::Config config;
   config.cluster = "hollow";
   config.invoker = "invoker-" + std::to_string(number);
@@ -138,7 +139,7 @@
   for (std::size_t i = 0; i < kFirstNodes; ++i)
     config.nodes.push_back(nodes_[below(nodes_.size())]->address);
   invoker.replica = std::make_unique<control::Replica>();
-  invoker.replica->when_moved([target = &invoker](const control::Change* change) {
+  invoker.replica->set_update_listener([target = &invoker](const control::Change* change) {
     target->moves.push_back({target->replica->position(), change == nullptr});
   });
   invoker.session = std::make_unique<control::Session>(config, invoker, *invoker.replica, invoker.counters,
@@ -159,10 +160,10 @@
   if (!invoker.up())
     return;
   leave_calls(invoker, invoker.lease_end());
-  Link* link = network_.find(invoker.link);
-  if (link != nullptr)
-    network_.end(*link, Direction::to_node);
-  invoker.link = 0;
+  HollowConnection* connection = network_.find(invoker.connection);
+  if (connection != nullptr)
+    network_.end(*connection, Direction::to_node);
+  invoker.connection = 0;
   invoker.session.reset();
   invoker.replica.reset();
   invoker.outbox.clear();
@@ -183,8 +184,8 @@
   if (!invoker.up() || invoker.stopped)
     return;
   invoker.stopped = true;
-  at(now() + span, [this, target = &invoker, number, life = invoker.life] {
-    if (target->life != life || !target->up())
+  at(now() + span, [this, target = &invoker, number, incarnation = invoker.incarnation] {
+    if (target->incarnation != incarnation || !target->up())
       return;
     target->stopped = false;
     const bool ticks_first = below(2) == 0;
@@ -197,40 +198,42 @@
   });
 }
 
-void HollowFleet::arrived_at_invoker(Link& link, Packet&& packet) {
-  HollowInvoker& invoker = *invokers_[link.invoker->number];
+void HollowFleet::arrived_at_invoker(HollowConnection& connection, Packet&& packet) {
+  HollowInvoker& invoker = *invokers_[connection.invoker->number];
   const std::size_t size = packet.frame.size(), send_buffer = network_.capacity().send_buffer;
-  if (link.unread < send_buffer && link.unread + size >= send_buffer) {
-    at(now() + link.latency, [this, node = link.node->number, id = link.id] { became_writable(node, id); });
+  if (connection.unread < send_buffer && connection.unread + size >= send_buffer) {
+    at(now() + connection.latency,
+       [this, node = connection.node->number, id = connection.id] { became_writable(node, id); });
   }
-  if (!invoker.up() || invoker.link != link.id || packet.kind == Packet::Kind::lost)
+  if (!invoker.up() || invoker.connection != connection.id || packet.kind == Packet::Kind::lost)
     return;
   if (!invoker.stopped)
-    return take_at_invoker(invoker, link.id, packet);
-  invoker.while_stopped.push_back([this, target = &invoker, id = link.id, late = std::move(packet)] {
-    take_at_invoker(*target, id, late);
+    return handle_at_invoker(invoker, connection.id, packet);
+  invoker.while_stopped.push_back([this, target = &invoker, id = connection.id, late = std::move(packet)] {
+    handle_at_invoker(*target, id, late);
   });
 }
 
-void HollowFleet::take_at_invoker(HollowInvoker& invoker, std::uint64_t link, const Packet& packet) {
-  if (invoker.link != link)
+void HollowFleet::handle_at_invoker(HollowInvoker& invoker, std::uint64_t connection, const Packet& packet) {
+  if (invoker.connection != connection)
     return;
   invoker.node_lease_end = packet.node_lease_end;
   if (packet.kind == Packet::Kind::accepted)
-    return call_invoker(invoker, [](control::Session& session, Millis local) { session.connected(local); });
+    return call_invoker(invoker,
+                        [](control::Session& session, Millis local) { session.on_connected(local); });
   if (packet.kind == Packet::Kind::end) {
-    invoker.link = 0;
+    invoker.connection = 0;
     return call_invoker(invoker,
-                        [](control::Session& session, Millis local) { session.disconnected(local); });
+                        [](control::Session& session, Millis local) { session.on_disconnected(local); });
   }
   ++invoker.traffic.messages_received;
   invoker.traffic.bytes_received += packet.frame.size();
   call_invoker(invoker, [&](control::Session& session, Millis local) {
     std::vector<control::Message> messages;
     if (!invoker.reader.parse(packet.frame, messages))
-      return session.malformed(local);
+      return session.on_malformed(local);
     for (auto& message : messages)
-      session.received(std::move(message), local);
+      session.on_message(std::move(message), local);
   });
 }
 
--- a/tests/scale/hollow_fleet_nodes.cpp
+++ b/tests/scale/hollow_fleet_nodes.cpp
@@ -1,12 +1,13 @@
 // The nodes of a hollow fleet: they follow the log, report to the leader and serve their connections.
+#include "control/message_codec.h"
 #include "scale/hollow_fleet.h"
 
 namespace lotusyard::test {
 namespace {
 
-constexpr double kTickEvery = 1000;
+constexpr double kTickInterval = 1000;
 constexpr Index kSnapshotAge = 40;  // a restarted node's own snapshot is so many entries older, at most
-constexpr double kLeavingTakes = 5000;
+constexpr double kDrainDuration = 5000;
 
 }  // namespace
 
@@ -21,17 +22,17 @@
 
 void HollowFleet::dispatch(HollowNode& node) {
   for (auto& out : std::exchange(node.outbox, {})) {
-    Link* link = network_.find(out.link);
-    if (link == nullptr)
+    HollowConnection* connection = network_.find(out.connection);
+    if (connection == nullptr)
       continue;
     if (out.packet.kind == Packet::Kind::end) {
-      node.readers.erase(out.link);
-      network_.end(*link, Direction::to_invoker);
+      node.readers.erase(out.connection);
+      network_.end(*connection, Direction::to_invoker);
       continue;
     }
     ++node.traffic.messages_sent;
     node.traffic.bytes_sent += out.packet.frame.size();
-    network_.send(*link, Direction::to_invoker, std::move(out.packet));
+    network_.send(*connection, Direction::to_invoker, std::move(out.packet));
   }
 }
 
@@ -42,14 +43,14 @@
   control::ControlNode::Config config;
   config.cluster = "hollow";
   config.self = node.address;
-  config.life = ++node.life;
+  config.incarnation = ++node.incarnation;
   config.terms = options_.terms;
   config.sessions = options_.sessions;
   config.changes = options_.changes;
-  node.gone = node.stopped = false;
+  node.unreachable = node.stopped = false;
   node.lease_end = 0;
   node.control = std::make_unique<control::ControlNode>(config, node, node.counters, node.clock.local(now()));
-  const Index age = node.life == 1 ? 0 : 1 + below(kSnapshotAge);
+  const Index age = node.incarnation == 1 ? 0 : 1 + below(kSnapshotAge);
   node.followed = std::max<Index>(AgreedLog::first_index, node.followed > age ? node.followed - age : 0);
   std::vector<control::NodeAddress> all;
   for (const auto& other : nodes_)
@@ -63,8 +64,8 @@
     const double delay = network_.latency(log_site_, node.endpoint);
     at(now() + delay, [this, target = &node, index = log_.last()] { follow(*target, index); });
   }
-  beat_by_turns(number, node.life);
-  tick_by_turns(number, node.life);
+  send_heartbeats_periodically(number, node.incarnation);
+  tick_periodically(number, node.incarnation);
 }
 
 void HollowFleet::kill_node(std::size_t number, bool resets) {
@@ -75,24 +76,24 @@
   node.outbox.clear();
   node.while_stopped.clear();
   node.readers.clear();
-  node.gone = !resets;
-  for (const std::uint64_t id : network_.links_of(node.endpoint)) {
-    Link& link = *network_.find(id);
+  node.unreachable = !resets;
+  for (const std::uint64_t id : network_.connections_of(node.endpoint)) {
+    HollowConnection& connection = *network_.find(id);
     if (resets) {
-      network_.end(link, Direction::to_invoker);
+      network_.end(connection, Direction::to_invoker);
     } else {
-      link.way(Direction::to_node).ended = true;
+      connection.way(Direction::to_node).ended = true;
     }
   }
 }
 
-void HollowFleet::leave_node(std::size_t number) {
+void HollowFleet::drain_node(std::size_t number) {
   HollowNode& node = *nodes_[number];
   if (!node.up() || node.stopped)
     return;
-  call_node(node, [](control::ControlNode& control, Millis) { control.leave(); });
-  at(now() + kLeavingTakes, [this, number, life = node.life] {
-    if (nodes_[number]->life == life)
+  call_node(node, [](control::ControlNode& control, Millis) { control.shut_down(); });
+  at(now() + kDrainDuration, [this, number, incarnation = node.incarnation] {
+    if (nodes_[number]->incarnation == incarnation)
       kill_node(number);
   });
 }
@@ -102,13 +103,13 @@
   if (!node.up() || node.stopped)
     return;
   node.stopped = true;
-  at(now() + span, [this, target = &node, life = node.life] {
-    if (target->life != life || !target->up())
+  at(now() + span, [this, target = &node, incarnation = node.incarnation] {
+    if (target->incarnation != incarnation || !target->up())
       return;
     target->stopped = false;
     const bool reports_first = below(2) == 0;
     if (reports_first)
-      beat(*target);
+      send_heartbeat(*target);
     for (auto& late : std::exchange(target->while_stopped, {}))
       late();
     if (network_.passes(log_site_, target->endpoint))
@@ -116,36 +117,36 @@
   });
 }
 
-void HollowFleet::beat(HollowNode& node) {
+void HollowFleet::send_heartbeat(HollowNode& node) {
   NodeReport report;
   report.node = node.endpoint.number;
-  report.life = node.life;
+  report.incarnation = node.incarnation;
   report.stamp = node.clock.local(now());
   call_node(node,
             [&](control::ControlNode& control, Millis local) { report.floors = control.floors(local); });
   if (!network_.passes(node.endpoint, log_site_))
     return;
   const double delay = network_.latency(node.endpoint, log_site_) + node.endpoint.extra_delay;
-  at(now() + delay, [this, report] { leader_.heard(report); });
+  at(now() + delay, [this, report] { leader_.on_report(report); });
 }
 
-void HollowFleet::beat_by_turns(std::size_t number, std::uint64_t life) {
+void HollowFleet::send_heartbeats_periodically(std::size_t number, std::uint64_t incarnation) {
   HollowNode& node = *nodes_[number];
-  if (node.life != life || !node.up())
+  if (node.incarnation != incarnation || !node.up())
     return;
   if (!node.stopped)
-    beat(node);
+    send_heartbeat(node);
   at(now() + options_.terms.heartbeat_interval().count(),
-     [this, number, life] { beat_by_turns(number, life); });
+     [this, number, incarnation] { send_heartbeats_periodically(number, incarnation); });
 }
 
-void HollowFleet::tick_by_turns(std::size_t number, std::uint64_t life) {
+void HollowFleet::tick_periodically(std::size_t number, std::uint64_t incarnation) {
   HollowNode& node = *nodes_[number];
-  if (node.life != life || !node.up())
+  if (node.incarnation != incarnation || !node.up())
     return;
   if (!node.stopped)
     call_node(node, [](control::ControlNode& control, Millis local) { control.tick(local); });
-  at(now() + kTickEvery, [this, number, life] { tick_by_turns(number, life); });
+  at(now() + kTickInterval, [this, number, incarnation] { tick_periodically(number, incarnation); });
 }
 
 void HollowFleet::follow(HollowNode& node, Index until) {
@@ -158,9 +159,9 @@
 }
 
 void HollowFleet::apply_entry(HollowNode& node, const LogEntry& entry) {
-  call_node(node, [&](control::ControlNode& control, Millis) { control.applied(entry.index, entry.change); });
+  call_node(node, [&](control::ControlNode& control, Millis) { control.apply(entry.index, entry.change); });
   for (const NodeReport& report : entry.reports) {
-    if (report.node != node.endpoint.number || report.life != node.life)
+    if (report.node != node.endpoint.number || report.incarnation != node.incarnation)
       continue;
     const Millis until = report.stamp + options_.terms.lease;
     if (node.clock.truth(until) <= node.lease_end)
@@ -170,58 +171,60 @@
   }
 }
 
-void HollowFleet::arrived_at_node(Link& link, Packet&& packet) {
-  HollowNode& node = *nodes_[link.node->number];
+void HollowFleet::arrived_at_node(HollowConnection& connection, Packet&& packet) {
+  HollowNode& node = *nodes_[connection.node->number];
   if (!node.up()) {
-    if (!node.gone)
-      network_.end(link, Direction::to_invoker);
+    if (!node.unreachable)
+      network_.end(connection, Direction::to_invoker);
     return;
   }
   if (packet.kind == Packet::Kind::connect) {
-    link.node_life = node.life;
+    connection.node_incarnation = node.incarnation;
     Packet accepted;  // by the kernel, also while the process is stopped
     accepted.kind = Packet::Kind::accepted;
-    network_.send(link, Direction::to_invoker, std::move(accepted));
+    network_.send(connection, Direction::to_invoker, std::move(accepted));
   }
-  if (link.node_life != node.life)
-    return network_.end(link, Direction::to_invoker);
+  if (connection.node_incarnation != node.incarnation)
+    return network_.end(connection, Direction::to_invoker);
   if (!node.stopped)
-    return take_at_node(node, link.id, packet);
-  node.while_stopped.push_back(
-      [this, target = &node, id = link.id, late = std::move(packet)] { take_at_node(*target, id, late); });
+    return handle_at_node(node, connection.id, packet);
+  node.while_stopped.push_back([this, target = &node, id = connection.id, late = std::move(packet)] {
+    handle_at_node(*target, id, late);
+  });
 }
 
-void HollowFleet::take_at_node(HollowNode& node, std::uint64_t link, const Packet& packet) {
+void HollowFleet::handle_at_node(HollowNode& node, std::uint64_t connection, const Packet& packet) {
   if (packet.kind == Packet::Kind::connect) {
-    node.readers.emplace(link, control::MessageReader(control::longest_to_node));
-    return call_node(node, [&](control::ControlNode& control, Millis) { control.opened(link); });
+    node.readers.emplace(connection, control::MessageReader(control::kMaxFrameBytesToNode));
+    return call_node(node, [&](control::ControlNode& control, Millis) { control.on_connected(connection); });
   }
-  const auto reader = node.readers.find(link);
+  const auto reader = node.readers.find(connection);
   if (reader == node.readers.end())
     return;  // the node has ended it
   if (packet.kind == Packet::Kind::end) {
     node.readers.erase(reader);
-    return call_node(node, [&](control::ControlNode& control, Millis) { control.ended(link); });
+    return call_node(node,
+                     [&](control::ControlNode& control, Millis) { control.on_disconnected(connection); });
   }
   ++node.traffic.messages_received;
   node.traffic.bytes_received += packet.frame.size();
   call_node(node, [&](control::ControlNode& control, Millis local) {
     std::vector<control::Message> messages;
     if (!reader->second.parse(packet.frame, messages))
-      return control.malformed(link);
+      return control.on_malformed(connection);
     for (auto& message : messages)
-      control.received(link, std::move(message), local);
+      control.on_message(connection, std::move(message), local);
   });
 }
 
-void HollowFleet::became_writable(std::size_t number, std::uint64_t link) {
+void HollowFleet::became_writable(std::size_t number, std::uint64_t connection) {
   HollowNode& node = *nodes_[number];
-  if (!node.up() || node.readers.count(link) == 0)
+  if (!node.up() || node.readers.count(connection) == 0)
     return;
-  const auto tell = [this, target = &node, link] {
-    if (target->readers.count(link) == 0)
+  const auto tell = [this, target = &node, connection] {
+    if (target->readers.count(connection) == 0)
       return;
-    call_node(*target, [&](control::ControlNode& control, Millis) { control.writable(link); });
+    call_node(*target, [&](control::ControlNode& control, Millis) { control.on_writable(connection); });
   };
   if (node.stopped) {
     node.while_stopped.push_back(tell);
--- a/tests/scale/hollow_network.cpp
+++ b/tests/scale/hollow_network.cpp
@@ -21,19 +21,20 @@
   return uniform(30, 120);
 }
 
-Link& HollowNetwork::open(const Endpoint& invoker, std::uint64_t invoker_life, const Endpoint& node) {
-  Link& link = links_[++last_id_];
-  link.id = last_id_;
-  link.invoker = &invoker;
-  link.node = &node;
-  link.invoker_life = invoker_life;
-  link.latency = latency(invoker, node);
-  return link;
+HollowConnection& HollowNetwork::open(const Endpoint& invoker, std::uint64_t invoker_incarnation,
+                                      const Endpoint& node) {
+  HollowConnection& connection = connections_[++last_id_];
+  connection.id = last_id_;
+  connection.invoker = &invoker;
+  connection.node = &node;
+  connection.invoker_incarnation = invoker_incarnation;
+  connection.latency = latency(invoker, node);
+  return connection;
 }
 
-Link* HollowNetwork::find(std::uint64_t id) {
-  const auto found = links_.find(id);
-  return found == links_.end() ? nullptr : &found->second;
+HollowConnection* HollowNetwork::find(std::uint64_t id) {
+  const auto found = connections_.find(id);
+  return found == connections_.end() ? nullptr : &found->second;
 }
 
 bool HollowNetwork::passes(const Endpoint& from, const Endpoint& to) const {
@@ -46,74 +47,77 @@
   return true;
 }
 
-void HollowNetwork::disturb(Link& link, Packet& packet) {
+void HollowNetwork::disturb(HollowConnection& connection, Packet& packet) {
   if (delta_loss <= 0 && delta_repeat <= 0)
     return;
   if (!is_delta(packet))
     return;
   if (uniform(0, 1) < delta_repeat) {
-    queue_.at(queue_.now() + uniform(0, kLongestRepeatDelay), [this, id = link.id, copy = packet]() mutable {
-      Link* same = find(id);
-      if (same == nullptr || !passes(*same->node, *same->invoker))
-        return;
-      same->unread += copy.frame.size();
-      launch(*same, Direction::to_invoker, std::move(copy));
-    });
+    queue_.at(queue_.now() + uniform(0, kLongestRepeatDelay),
+              [this, id = connection.id, copy = packet]() mutable {
+                HollowConnection* same = find(id);
+                if (same == nullptr || !passes(*same->node, *same->invoker))
+                  return;
+                same->unread += copy.frame.size();
+                launch(*same, Direction::to_invoker, std::move(copy));
+              });
   }
   if (uniform(0, 1) < delta_loss)
     packet.kind = Packet::Kind::lost;
 }
 
-void HollowNetwork::send(Link& link, Direction direction, Packet packet) {
+void HollowNetwork::send(HollowConnection& connection, Direction direction, Packet packet) {
   if (direction == Direction::to_invoker)
-    disturb(link, packet);
-  if (!link.way(direction).held.empty() || !passes(link.from(direction), link.to(direction))) {
-    link.way(direction).held.push_back(std::move(packet));
+    disturb(connection, packet);
+  if (!connection.way(direction).held.empty() ||
+      !passes(connection.from(direction), connection.to(direction))) {
+    connection.way(direction).held.push_back(std::move(packet));
     return;
   }
-  launch(link, direction, std::move(packet));
+  launch(connection, direction, std::move(packet));
 }
 
-void HollowNetwork::launch(Link& link, Direction direction, Packet packet) {
-  Link::Way& way = link.way(direction);
+void HollowNetwork::launch(HollowConnection& connection, Direction direction, Packet packet) {
+  HollowConnection::Way& way = connection.way(direction);
   const double size = static_cast<double>(packet.frame.size());
   way.free_at = std::max(way.free_at, queue_.now()) + size / capacity_.bytes_per_millisecond;
-  const double delay = link.latency * uniform(0.9, 1.3) + link.invoker->extra_delay + link.node->extra_delay;
+  const double delay =
+      connection.latency * uniform(0.9, 1.3) + connection.invoker->extra_delay + connection.node->extra_delay;
   way.arrival = std::max(way.arrival, way.free_at + delay);
-  queue_.at(way.arrival, [this, id = link.id, direction, packet = std::move(packet)]() mutable {
+  queue_.at(way.arrival, [this, id = connection.id, direction, packet = std::move(packet)]() mutable {
     arrive(id, direction, std::move(packet));
   });
 }
 
 void HollowNetwork::arrive(std::uint64_t id, Direction direction, Packet&& packet) {
-  Link* link = find(id);
-  if (link == nullptr)
+  HollowConnection* connection = find(id);
+  if (connection == nullptr)
     return;
   if (direction == Direction::to_invoker)
-    link->unread -= packet.frame.size();
+    connection->unread -= packet.frame.size();
   const bool last = packet.kind == Packet::Kind::end;
-  if (!link->way(direction).ended)
-    arrived_(*link, direction, std::move(packet));
-  link = find(id);
-  if (link == nullptr || !last)
+  if (!connection->way(direction).ended)
+    arrived_(*connection, direction, std::move(packet));
+  connection = find(id);
+  if (connection == nullptr || !last)
     return;
-  link->way(direction).ended = true;
-  // Whoever sent the end takes nothing more, so that the link is over when its end has arrived.
-  links_.erase(id);
+  connection->way(direction).ended = true;
+  // Whoever sent the end takes nothing more, so that the connection is over when its end has arrived.
+  connections_.erase(id);
 }
 
-void HollowNetwork::end(Link& link, Direction direction) {
+void HollowNetwork::end(HollowConnection& connection, Direction direction) {
   const Direction back = direction == Direction::to_node ? Direction::to_invoker : Direction::to_node;
-  link.way(back).ended = true;
+  connection.way(back).ended = true;
   Packet last;
   last.kind = Packet::Kind::end;
-  send(link, direction, std::move(last));
+  send(connection, direction, std::move(last));
 }
 
-std::vector<std::uint64_t> HollowNetwork::links_of(const Endpoint& endpoint) const {
+std::vector<std::uint64_t> HollowNetwork::connections_of(const Endpoint& endpoint) const {
   std::vector<std::uint64_t> out;
-  for (const auto& [id, link] : links_) {
-    if (link.invoker == &endpoint || link.node == &endpoint)
+  for (const auto& [id, connection] : connections_) {
+    if (connection.invoker == &endpoint || connection.node == &endpoint)
       out.push_back(id);
   }
   std::sort(out.begin(), out.end());
@@ -123,16 +127,16 @@
 void HollowNetwork::heal(int name) {
   cuts_.erase(name);
   std::vector<std::uint64_t> ids;
-  for (const auto& [id, link] : links_)
+  for (const auto& [id, connection] : connections_)
     ids.push_back(id);
   std::sort(ids.begin(), ids.end());
   for (const std::uint64_t id : ids) {
-    Link& link = links_.at(id);
+    HollowConnection& connection = connections_.at(id);
     for (const Direction direction : {Direction::to_node, Direction::to_invoker}) {
-      if (!passes(link.from(direction), link.to(direction)))
+      if (!passes(connection.from(direction), connection.to(direction)))
         continue;
-      for (Packet& packet : std::exchange(link.way(direction).held, {}))
-        launch(link, direction, std::move(packet));
+      for (Packet& packet : std::exchange(connection.way(direction).held, {}))
+        launch(connection, direction, std::move(packet));
     }
   }
 }
--- a/tests/scale/hollow_network.h
+++ b/tests/scale/hollow_network.h
@@ -44,7 +44,7 @@
 
 enum class Direction { to_node, to_invoker };
 
-struct Link {
+struct HollowConnection {
   struct Way {
     double arrival = 0;  // of the last packet
     double free_at = 0;  // the line has taken all earlier bytes
@@ -53,7 +53,7 @@
   };
   std::uint64_t id = 0;
   const Endpoint *invoker = nullptr, *node = nullptr;
-  std::uint64_t invoker_life = 0, node_life = 0;
+  std::uint64_t invoker_incarnation = 0, node_incarnation = 0;
   double latency = 0;
   Way ways[2];
   std::size_t unread = 0;  // bytes for the invoker that were queued and have not arrived
@@ -67,7 +67,7 @@
 
 class HollowNetwork {
  public:
-  using Arrived = std::function<void(Link&, Direction, Packet&&)>;
+  using Arrived = std::function<void(HollowConnection&, Direction, Packet&&)>;
 
   // Of every connection.
   struct Capacity {
@@ -80,13 +80,14 @@
   const Capacity& capacity() const { return capacity_; }
   void when_arrived(Arrived arrived) { arrived_ = std::move(arrived); }
 
-  Link& open(const Endpoint& invoker, std::uint64_t invoker_life, const Endpoint& node);
-  Link* find(std::uint64_t id);
+  HollowConnection& open(const Endpoint& invoker, std::uint64_t invoker_incarnation, const Endpoint& node);
+  HollowConnection* find(std::uint64_t id);
   // Bytes for the invoker are counted as unread by whoever queues them, before they are sent.
-  void send(Link& link, Direction direction, Packet packet);
-  void end(Link& link, Direction direction);  // the sending side is done; nothing reaches it any more
-  std::vector<std::uint64_t> links_of(const Endpoint& endpoint) const;
-  std::size_t links() const { return links_.size(); }
+  void send(HollowConnection& connection, Direction direction, Packet packet);
+  void end(HollowConnection& connection,
+           Direction direction);  // the sending side is done; nothing reaches it any more
+  std::vector<std::uint64_t> connections_of(const Endpoint& endpoint) const;
+  std::size_t connections() const { return connections_.size(); }
 
   void cut(int name, Cut cut) { cuts_[name] = std::move(cut); }
   void forget_cut(int name) { cuts_.erase(name); }  // without delivering what it held
@@ -103,14 +104,14 @@
   std::mt19937_64 random_;
   Arrived arrived_;
   std::map<int, Cut> cuts_;
-  std::unordered_map<std::uint64_t, Link> links_;
+  std::unordered_map<std::uint64_t, HollowConnection> connections_;
   std::uint64_t last_id_ = 0;
 
   double uniform(double least, double most) {
     return std::uniform_real_distribution<double>(least, most)(random_);
   }
-  void disturb(Link& link, Packet& packet);
-  void launch(Link& link, Direction direction, Packet packet);
+  void disturb(HollowConnection& connection, Packet& packet);
+  void launch(HollowConnection& connection, Direction direction, Packet packet);
   void arrive(std::uint64_t id, Direction direction, Packet&& packet);
 };
 
--- a/tests/scale/hollow_processes.cpp
+++ b/tests/scale/hollow_processes.cpp
@@ -27,28 +27,28 @@
   return cost;
 }
 
-void HollowNode::send(LinkId link, const std::string& frame) {
-  if (!CpuMeter::enabled && !sent_deltas[link].follows_on(frame))
+void HollowNode::send(ConnectionId connection, const std::string& frame) {
+  if (!CpuMeter::enabled && !sent_deltas[connection].follows_on(frame))
     ++skipped_deltas;
   Packet packet;
   packet.frame = frame;
   packet.node_lease_end = lease_end;
-  outbox.push_back({link, std::move(packet)});
-  Link* found = network.find(link);
+  outbox.push_back({connection, std::move(packet)});
+  HollowConnection* found = network.find(connection);
   if (found != nullptr)
     found->unread += frame.size();
 }
 
-bool HollowNode::has_room(LinkId link) const {
-  const Link* found = network.find(link);
+bool HollowNode::has_room(ConnectionId connection) const {
+  const HollowConnection* found = network.find(connection);
   return found != nullptr && found->unread < network.capacity().send_buffer;
 }
 
-void HollowNode::end(LinkId link) {
-  sent_deltas.erase(link);
+void HollowNode::close(ConnectionId connection) {
+  sent_deltas.erase(connection);
   Packet last;
   last.kind = Packet::Kind::end;
-  outbox.push_back({link, std::move(last)});
+  outbox.push_back({connection, std::move(last)});
 }
 
 }  // namespace lotusyard::test
--- a/tests/scale/hollow_processes.h
+++ b/tests/scale/hollow_processes.h
@@ -10,6 +10,7 @@
 #include <unordered_map>
 
 #include "control/control_node.h"
+#include "control/message_codec.h"
 #include "control/session.h"
 #include "scale/agreed_log.h"
 #include "scale/hollow_network.h"
@@ -17,7 +18,7 @@
 
 namespace lotusyard::test {
 
-constexpr double never = std::numeric_limits<double>::infinity();
+constexpr double kNever = std::numeric_limits<double>::infinity();
 
 struct Traffic {
   std::uint64_t bytes_sent = 0, messages_sent = 0, bytes_received = 0, messages_received = 0;
@@ -48,9 +49,9 @@
 };
 
 struct HollowNode : control::ControlNode::Transport {
-  using LinkId = control::ControlNode::LinkId;
+  using ConnectionId = control::ControlNode::ConnectionId;
   struct Outgoing {
-    LinkId link = 0;
+    ConnectionId connection = 0;
     Packet packet;
   };
   HollowNode(HollowNetwork& its_network, Endpoint where, DriftingClock its_clock)
@@ -62,13 +63,13 @@
   control::NodeAddress address;
   std::unique_ptr<control::ControlNode> control;  // none: it is down
   metrics::Counters counters;
-  std::uint64_t life = 0;
-  bool stopped = false;  // as by SIGSTOP
-  bool gone = false;     // with its machine: connections are not even refused
-  Index followed = 0;    // of the agreed log
-  double lease_end = 0;  // its own, true time
-  std::unordered_map<LinkId, control::MessageReader> readers;
-  std::unordered_map<LinkId, SentDeltas> sent_deltas;  // not kept while processor time is measured
+  std::uint64_t incarnation = 0;
+  bool stopped = false;      // as by SIGSTOP
+  bool unreachable = false;  // with its machine: connections are not even refused
+  Index followed = 0;        // of the agreed log
+  double lease_end = 0;      // its own, true time
+  std::unordered_map<ConnectionId, control::MessageReader> readers;
+  std::unordered_map<ConnectionId, SentDeltas> sent_deltas;  // not kept while processor time is measured
   std::uint64_t skipped_deltas = 0;
   std::vector<Outgoing> outbox;
   std::deque<std::function<void()>> while_stopped;
@@ -76,9 +77,9 @@
   CpuMeter cpu;
 
   bool up() const { return control != nullptr; }
-  void send(LinkId link, const std::string& frame) override;
-  bool has_room(LinkId link) const override;
-  void end(LinkId link) override;
+  void send(ConnectionId connection, const std::string& frame) override;
+  bool has_room(ConnectionId connection) const override;
+  void close(ConnectionId connection) override;
 };
 
 struct HollowInvoker : control::Session::Transport {
@@ -103,11 +104,11 @@
   std::unique_ptr<control::Replica> replica;
   std::unique_ptr<control::Session> session;  // none: it is down
   metrics::Counters counters;
-  std::uint64_t life = 0;
+  std::uint64_t incarnation = 0;
   bool stopped = false;
-  std::uint64_t link = 0;  // 0: none
-  control::MessageReader reader{control::longest_to_invoker};
-  double tick_at = never;
+  std::uint64_t connection = 0;  // 0: none
+  control::MessageReader reader{control::kMaxFrameBytesToInvoker};
+  double tick_at = kNever;
   std::vector<Move> moves;  // since the last look
   std::vector<Outgoing> outbox;
   std::deque<std::function<void()>> while_stopped;
@@ -123,7 +124,7 @@
 
   bool up() const { return session != nullptr; }
   double lease_end() const { return lease_until.count() > 0 ? clock.truth(lease_until) : 0; }
-  bool holds(double now) const { return up() && session->holds(clock.local(now)); }
+  bool holds_lease(double now) const { return up() && session->holds_lease(clock.local(now)); }
   void connect(const control::NodeAddress& node) override {
     outbox.push_back({Outgoing::Kind::connect, node.address});
   }
--- a/tests/scale/leader_stand_in.h
+++ b/tests/scale/leader_stand_in.h
@@ -11,7 +11,7 @@
 namespace lotusyard::test {
 
 struct Proof {
-  Index applied = 0, settled = 0;
+  Index applied = 0, quiesced_index = 0;
 };
 
 class LeaderStandIn {
@@ -19,7 +19,7 @@
   explicit LeaderStandIn(const raft::LeaseTerms& terms) : terms_(terms) {}
 
   // A report has arrived; it counts from when it is in the log.
-  void heard(const NodeReport& report) { waiting_.push_back(report); }
+  void on_report(const NodeReport& report) { waiting_.push_back(report); }
   std::vector<NodeReport> take_waiting() { return std::exchange(waiting_, {}); }
   void agreed(const std::vector<NodeReport>& reports, Millis now);
 
--- a/tests/scale/random_faults.cpp
+++ b/tests/scale/random_faults.cpp
@@ -27,7 +27,7 @@
     case 1:
       return kill_node(false);
     case 2:
-      return leave_node();
+      return drain_node();
     case 3:
       return stop_node();
     case 4:
@@ -80,9 +80,9 @@
   }
 }
 
-void RandomFaults::leave_node() {
+void RandomFaults::drain_node() {
   const std::size_t node = some_node();
-  fleet_.leave_node(node);
+  fleet_.drain_node(node);
   fleet_.at(fleet_.now() + fleet_.uniform(6000, kLongest), [this, node] { fleet_.start_node(node); });
 }
 
--- a/tests/scale/random_faults.h
+++ b/tests/scale/random_faults.h
@@ -18,7 +18,7 @@
   void strike();
   void kill_node(bool resets);
   void restart_all_nodes();
-  void leave_node();
+  void drain_node();
   void stop_node();
   void stop_invokers();
   void kill_invokers();
--- a/tests/scale/sent_deltas.h
+++ b/tests/scale/sent_deltas.h
@@ -6,7 +6,7 @@
 #include <optional>
 #include <vector>
 
-#include "control/message.h"
+#include "control/message_codec.h"
 
 namespace lotusyard::test {
 
@@ -15,7 +15,7 @@
   // False: the frame holds a delta that does not follow on.
   bool follows_on(const std::string& frame) {
     std::vector<control::Message> messages;
-    control::MessageReader reader(control::longest_to_invoker);
+    control::MessageReader reader(control::kMaxFrameBytesToInvoker);
     if (!reader.parse(frame, messages) || messages.size() != 1)
       return false;
     if (const auto* chunk = std::get_if<control::SnapshotChunk>(&messages[0]))
