--- a/tests/scale/tier_checker.cpp
+++ b/tests/scale/tier_checker.cpp
@@ -32,7 +32,7 @@
     return;
   violations_.push_back({rule, now,
                          "invoker " + std::to_string(invoker.endpoint.number) + " life " +
-                             std::to_string(invoker.life) + " at node " +
+                             std::to_string(invoker.incarnation) + " at node " +
                              (invoker.up() ? invoker.session->node().name : "-") + ": " + what});
 }
 
@@ -72,13 +72,13 @@
   if (end > invoker.node_lease_end + kRounding)
     violate(Rule::lease_outlasts_node, now, invoker,
             "by " + std::to_string(end - invoker.node_lease_end) + " ms");
-  if (!invoker.holds(now))
+  if (!invoker.holds_lease(now))
     return;
   const std::string where = "lease taken at " + std::to_string(invoker.position) + ", proved ";
   if (invoker.position < fleet_.log().last_change(proof_.applied))
     violate(Rule::lease_behind_proof, now, invoker, where + std::to_string(proof_.applied));
-  if (invoker.position < fleet_.log().last_change(proof_.settled))
-    violate(Rule::settled_behind_proof, now, invoker, where + std::to_string(proof_.settled));
+  if (invoker.position < fleet_.log().last_change(proof_.quiesced_index))
+    violate(Rule::settled_behind_proof, now, invoker, where + std::to_string(proof_.quiesced_index));
 }
 
 // Calls that began while the replica was below `needed`, or may begin there now.
@@ -95,17 +95,17 @@
 void TierChecker::proved(const Proof& proof, double now) {
   const Proof before = std::exchange(proof_, proof);
   const Index applied = fleet_.log().last_change(proof.applied);
-  const Index settled = fleet_.log().last_change(proof.settled);
+  const Index quiesced_index = fleet_.log().last_change(proof.quiesced_index);
   const bool applied_rose = applied > fleet_.log().last_change(before.applied);
-  const bool settled_rose = settled > fleet_.log().last_change(before.settled);
+  const bool settled_rose = quiesced_index > fleet_.log().last_change(before.quiesced_index);
   if (!applied_rose && !settled_rose)
     return;
   for (const auto& invoker : fleet_.invokers()) {
     const std::string where = "at " + std::to_string(invoker->position) + ", proved ";
-    if (applied_rose && invoker->position < applied && invoker->holds(now))
+    if (applied_rose && invoker->position < applied && invoker->holds_lease(now))
       violate(Rule::lease_behind_proof, now, *invoker, where + std::to_string(proof.applied));
-    if (settled_rose && busy_below(*invoker, settled, now))
-      violate(Rule::settled_behind_proof, now, *invoker, where + std::to_string(proof.settled));
+    if (settled_rose && busy_below(*invoker, quiesced_index, now))
+      violate(Rule::settled_behind_proof, now, *invoker, where + std::to_string(proof.quiesced_index));
   }
 }
 
@@ -120,7 +120,7 @@
     if (!invoker->up())
       continue;
     const std::string where = "at " + std::to_string(invoker->position);
-    if (!invoker->holds(now))
+    if (!invoker->holds_lease(now))
       violate(Rule::left_behind, now, *invoker, where + " without a lease");
     if (invoker->position < fleet_.log().last_change(agreed))
       violate(Rule::left_behind, now, *invoker, where + " of " + std::to_string(agreed));
--- a/tests/scale/tier_long.cpp
+++ b/tests/scale/tier_long.cpp
@@ -42,7 +42,7 @@
       continue;
     if (invoker->session->open())
       ++open, ++held[recorder.node_of(*invoker)];
-    if (invoker->holds(fleet.now()))
+    if (invoker->holds_lease(fleet.now()))
       ++leased;
   }
   Sample sessions;
--- a/tests/scale/tier_measure.cpp
+++ b/tests/scale/tier_measure.cpp
@@ -42,7 +42,7 @@
   out.change_bytes = 500;
   out.keeps_states = false;
   out.start_over = 10 * kSecond;
-  out.sessions.sessions = 2 * setting.invokers;  // also where few nodes hold all
+  out.sessions.max_sessions = 2 * setting.invokers;  // also where few nodes hold all
   return out;
 }
 
--- a/tests/scale/tier_memory.cpp
+++ b/tests/scale/tier_memory.cpp
@@ -21,7 +21,7 @@
  public:
   void send(std::uint64_t, const std::string&) override {}
   bool has_room(std::uint64_t) const override { return true; }
-  void end(std::uint64_t) override {}
+  void close(std::uint64_t) override {}
 };
 
 class InvokerWithoutNetwork : public control::Session::Transport {
@@ -60,16 +60,16 @@
 }
 
 void open_sessions(control::ControlNode& node) {
-  for (std::uint64_t link = 1; link <= kSessions; ++link) {
+  for (std::uint64_t connection = 1; connection <= kSessions; ++connection) {
     control::Open open;
     open.cluster = "hollow";
-    open.invoker = "invoker-" + std::to_string(link);
+    open.invoker = "invoker-" + std::to_string(connection);
     open.zone = "zone-1";
-    open.incarnation = link;
+    open.incarnation = connection;
     open.position = kIndex;
-    node.opened(link);
-    node.received(link, open, kNow);
-    node.received(link, control::Renew{1, kIndex, kIndex}, kNow);
+    node.on_connected(connection);
+    node.on_message(connection, open, kNow);
+    node.on_message(connection, control::Renew{1, kIndex, kIndex}, kNow);
   }
 }
 
@@ -79,7 +79,7 @@
   control::ControlNode::Config config;
   config.cluster = "hollow";
   config.self = nodes_of(1).front();
-  config.sessions.opens_at_once = kSessions;
+  config.sessions.open_burst = kSessions;
   const double empty = allocated();
   control::ControlNode node(config, transport, counters, kNow);
   node.set_nodes(nodes_of(28));
@@ -109,12 +109,12 @@
   out->session =
       std::make_unique<control::Session>(config, out->transport, out->replica, out->counters, 1, kNow);
   out->session->tick(out->session->due());
-  out->session->connected(kNow);
-  out->session->received(control::Welcome{"node-1", 1, nodes_of(28)}, kNow);
+  out->session->on_connected(kNow);
+  out->session->on_message(control::Welcome{"node-1", 1, nodes_of(28)}, kNow);
   control::SnapshotChunk chunk{kIndex, 0, snapshot.size(), {}};
   for (; chunk.offset < snapshot.size(); chunk.offset += chunk.bytes.size()) {
     chunk.bytes = snapshot.substr(chunk.offset, 32U << 10);
-    out->session->received(chunk, kNow);
+    out->session->on_message(chunk, kNow);
   }
   return out;
 }
--- a/tests/scale/tier_region.cpp
+++ b/tests/scale/tier_region.cpp
@@ -49,7 +49,7 @@
   const double began = fleet.now();
   const auto any_holds = [&fleet] {
     return std::any_of(fleet.invokers().begin(), fleet.invokers().end(), [&](const auto& invoker) {
-      return invoker->endpoint.region == kRegion && invoker->holds(fleet.now());
+      return invoker->endpoint.region == kRegion && invoker->holds_lease(fleet.now());
     });
   };
   while (any_holds() && fleet.now() < began + kMinute)
@@ -60,7 +60,7 @@
 std::size_t leases_outside(const HollowFleet& fleet) {
   std::size_t out = 0;
   for (const auto& invoker : fleet.invokers()) {
-    if (invoker->endpoint.region != kRegion && invoker->holds(fleet.now()))
+    if (invoker->endpoint.region != kRegion && invoker->holds_lease(fleet.now()))
       ++out;
   }
   return out;
--- a/tests/scale/tier_test.cpp
+++ b/tests/scale/tier_test.cpp
@@ -15,7 +15,8 @@
     scenario.fleet.seed = seed;
     const ScenarioResult result = run_scenario(scenario);
     std::cout << "seed " << seed << ": " << result.moves << " moves, " << result.leases << " leases, proved "
-              << result.proof.applied << " and " << result.proof.settled << " of " << result.last << "\n";
+              << result.proof.applied << " and " << result.proof.quiesced_index << " of " << result.last
+              << "\n";
     INFO("seed " << seed << ": " << result.text);
     CHECK(result.sound);
   }
