--- a/src/app/invoker.cpp
+++ b/src/app/invoker.cpp
@@ -24,7 +24,7 @@
 }
 
 std::size_t block_count(const hot_restart::ResourceShares& shares) {
-  return shares.unwritten / net::BufferPool::block_size;
+  return shares.unwritten / net::BufferPool::kBlockSize;
 }
 
 std::string comma_separated(const std::vector<std::string>& words) {
--- a/src/control/node_server.cpp
+++ b/src/control/node_server.cpp
@@ -24,7 +24,7 @@
       counters_(counters),
       limits_(with_silence_timeout(limits, config.terms)),
       max_connections_(config.sessions.max_sessions + limits.spare_connections),
-      pool_(limits.max_pooled_bytes / net::BufferPool::block_size),
+      pool_(limits.max_pooled_bytes / net::BufferPool::kBlockSize),
       node_(std::move(config), *this, counters, loop.now()) {
   check_timeouts();
   tick();
--- a/src/control/node_server.h
+++ b/src/control/node_server.h
@@ -43,7 +43,7 @@
   // The number of connections.
   std::size_t links() const { return connections_.size(); }
   // The bytes of buffers that all connections use.
-  std::size_t pooled() const { return pool_.blocks_in_use() * net::BufferPool::block_size; }
+  std::size_t pooled() const { return pool_.blocks_in_use() * net::BufferPool::kBlockSize; }
 
   // For the node.
   void send(ConnectionId id, const std::string& frame) override;
--- a/src/net/buffer.cpp
+++ b/src/net/buffer.cpp
@@ -37,7 +37,7 @@
 std::size_t BufferPool::bytes_available() const {
   if (blocks_in_use() >= max_blocks_)
     return 0;
-  return (max_blocks_ - blocks_in_use()) * block_size;
+  return (max_blocks_ - blocks_in_use()) * kBlockSize;
 }
 
 void BufferPool::set_max_blocks(std::size_t max_blocks) {
@@ -59,10 +59,10 @@
 
 bool SendQueue::append(std::string_view bytes) {
   while (!bytes.empty()) {
-    const bool needs_block = blocks_.empty() || tail_ == BufferPool::block_size;
+    const bool needs_block = blocks_.empty() || tail_ == BufferPool::kBlockSize;
     if (needs_block && !append_block())
       return false;
-    const std::size_t size = std::min(bytes.size(), BufferPool::block_size - tail_);
+    const std::size_t size = std::min(bytes.size(), BufferPool::kBlockSize - tail_);
     std::memcpy(blocks_.back()->data() + tail_, bytes.data(), size);
     tail_ += size;
     appended_ += size;
@@ -84,7 +84,7 @@
 
 SendQueue::WriteStatus SendQueue::write_to(int fd) {
   while (!blocks_.empty()) {
-    const std::size_t end = blocks_.size() == 1 ? tail_ : BufferPool::block_size;
+    const std::size_t end = blocks_.size() == 1 ? tail_ : BufferPool::kBlockSize;
     const char* unsent = blocks_.front()->data() + head_;
     const ssize_t sent = system_calls::send(fd, unsent, end - head_, MSG_NOSIGNAL);
     if (sent < 0 && errno == EINTR)
--- a/src/net/buffer.h
+++ b/src/net/buffer.h
@@ -14,8 +14,8 @@
 // Bounds the memory for unsent bytes of all connections that share the pool. Must outlive its leases.
 class BufferPool {
  public:
-  static constexpr std::size_t block_size = 16 * 1024;  // bytes
-  using Block = std::array<char, block_size>;
+  static constexpr std::size_t kBlockSize = 16 * 1024;  // bytes
+  using Block = std::array<char, kBlockSize>;
 
   // Returns a leased block to its pool.
   struct Returner {
--- a/src/net/wall_clock.cpp
+++ b/src/net/wall_clock.cpp
@@ -47,7 +47,7 @@
   const Millis current = steady + offset_;
   WallTime time{current, current, current};
   for (const auto& setting : earlier_) {
-    const Millis counts_for = std::min(setting.step + retention, doubt_most);
+    const Millis counts_for = std::min(setting.step + retention, kMaxDoubt);
     if (steady - setting.replaced_at >= counts_for)
       continue;
     time.earliest = std::min(time.earliest, steady + setting.offset);
--- a/src/net/wall_clock.h
+++ b/src/net/wall_clock.h
@@ -29,7 +29,7 @@
 class WallClock {
  public:
   static constexpr Millis kMinStep{100};           // a smaller change is slewing
-  static constexpr Millis doubt_most{2 * 3600e3};  // an earlier setting counts no longer than this
+  static constexpr Millis kMaxDoubt{2 * 3600e3};   // an earlier setting counts no longer than this
   static constexpr std::size_t kMaxSettings = 16;  // earlier settings that are kept
 
   WallClock(Millis steady, Millis wall) : offset_(wall - steady), start_offset_(offset_) {}
--- a/src/resp/client_connection.cpp
+++ b/src/resp/client_connection.cpp
@@ -100,7 +100,7 @@
 
 void ClientConnection::on_received(std::string_view bytes) {
   earliest_arrival_ = arrivals_.earliest_arrival(loop());
-  if (bytes.size() < net::BufferPool::block_size)
+  if (bytes.size() < net::BufferPool::kBlockSize)
     arrivals_.mark_all_read();
   if (malformed_)
     return;
--- a/src/resp/client_table.cpp
+++ b/src/resp/client_table.cpp
@@ -110,13 +110,13 @@
 }
 
 void ClientTable::evict_until_free(std::size_t bytes) {
-  while (pool_.bytes_available() < bytes + net::BufferPool::block_size) {
+  while (pool_.bytes_available() < bytes + net::BufferPool::kBlockSize) {
     const ClientList& established = list(ClientStage::established);
     const auto largest =
         std::max_element(established.begin(), established.end(), [](const auto& left, const auto& right) {
           return left->unwritten_bytes() < right->unwritten_bytes();
         });
-    if (largest == established.end() || (*largest)->unwritten_bytes() < net::BufferPool::block_size)
+    if (largest == established.end() || (*largest)->unwritten_bytes() < net::BufferPool::kBlockSize)
       return;
     evict(*largest, EvictionReason::unread_responses);
   }
--- a/src/resp/parser.cpp
+++ b/src/resp/parser.cpp
@@ -66,7 +66,7 @@
 }
 
 bool Parser::begin_array() {
-  words_left_ = header_value('*', most_words).value_or(0);
+  words_left_ = header_value('*', kMaxWords).value_or(0);
   if (words_left_ == 0)
     return false;
   words_.clear();
--- a/src/resp/parser.h
+++ b/src/resp/parser.h
@@ -14,8 +14,7 @@
 class Parser {
  public:
   // The words of one array.
-  // NOLINTNEXTLINE(readability-identifier-naming): kMaxWords, once tests/net/parsers_test.cpp is renamed, too
-  static constexpr std::size_t most_words = 8;
+  static constexpr std::size_t kMaxWords = 8;
   // Only one word of an array may be long: the body of a call.
   static constexpr std::size_t kMaxWordBytes = 16 * 1024;
   static constexpr std::size_t kMaxMessageBytes = kMaxWordBytes + 2048;  // all words of an array
--- a/tests/app/slow_client_test.cpp
+++ b/tests/app/slow_client_test.cpp
@@ -94,7 +94,7 @@
   resp::FrontEnd::Limits limits;
   limits.unread_bytes = shares.unwritten / 2;
   Platform platform(1, limits, host_limits);
-  platform.world.pool.set_max_blocks(shares.unwritten / net::BufferPool::block_size);
+  platform.world.pool.set_max_blocks(shares.unwritten / net::BufferPool::kBlockSize);
   platform.world.host[0]->handler = [](const std::string&) { return Reaction{Kind::reply, "data", 230000}; };
   std::list<SlowReader> readers;
   for (int i = 0; i < 4; ++i)
--- a/tests/control/node_scenario_invokers.cpp
+++ b/tests/control/node_scenario_invokers.cpp
@@ -27,8 +27,8 @@
   if (!process.welcomed)
     return;
   process.renewals[++process.sequence] = {now_, node_until_};
-  node_.on_message(process.connection, Renew{process.sequence, process.position, process.quiesced_index(now_)},
-                   now_);
+  node_.on_message(process.connection,
+                   Renew{process.sequence, process.position, process.quiesced_index(now_)}, now_);
 }
 
 void NodeScenario::resume(Process& process) {
--- a/tests/net/net_test.cpp
+++ b/tests/net/net_test.cpp
@@ -53,7 +53,7 @@
   net::BufferPool pool(2);
   {
     net::SendQueue queue(pool);
-    CHECK(queue.append(std::string(2 * net::BufferPool::block_size, 'x')));
+    CHECK(queue.append(std::string(2 * net::BufferPool::kBlockSize, 'x')));
     CHECK_FALSE(queue.append("x"));
     CHECK(pool.blocks_in_use() == 2);
   }
--- a/tests/net/parsers_test.cpp
+++ b/tests/net/parsers_test.cpp
@@ -29,7 +29,7 @@
     std::vector<resp::Words> sent(1 + below(random, 4));
     std::string bytes;
     for (auto& words : sent) {
-      words.resize(1 + below(random, resp::Parser::most_words));
+      words.resize(1 + below(random, resp::Parser::kMaxWords));
       for (auto& word : words)
         word = random_bytes(random, below(random, 20) == 0 ? 3000 : 20);
       resp::write_array(bytes, std::vector<std::string_view>(words.begin(), words.end()));
--- a/tests/wall_clock/loop_test.cpp
+++ b/tests/wall_clock/loop_test.cpp
@@ -134,7 +134,7 @@
   clock.wall += 24 * 365 * kHour;
   loop.record_wall_time(clock.wall + 24 * 365 * kHour);
   CHECK(loop.wall_time().latest - loop.wall_time().earliest > 24 * 700 * kHour);
-  clock.pass(net::WallClock::doubt_most);
+  clock.pass(net::WallClock::kMaxDoubt);
   CHECK(loop.wall_time().earliest == clock.wall);
   CHECK(loop.wall_time().latest == clock.wall);
 }
