--- a/src/compliance/certificate_state.cpp
+++ b/src/compliance/certificate_state.cpp
@@ -22,7 +22,7 @@
   }
   const CommandResult rejection =
       std::visit([this](const auto& command) { return apply_command(command); }, entry.command);
-  const ProposalOutcome outcome{!rejection, rejection ? rejection->why : std::string(), index};
+  ProposalOutcome outcome{!rejection, rejection ? rejection->why : std::string(), index};
   if (!entry.proposal_id.empty()) {
     remember_outcome(entry.proposal_id, outcome);
   }
--- a/src/control/config.cpp
+++ b/src/control/config.cpp
@@ -51,7 +51,7 @@
     return *fallback;
   if (!value.is_string() || value.get_ref<const std::string&>().empty())
     fail(path, "a text is needed");
-  const std::string out = value.get<std::string>();
+  std::string out = value.get<std::string>();
   if (out.size() > kMaxNameBytes)
     fail(path, "at most " + std::to_string(kMaxNameBytes) + " bytes");
   return out;
@@ -65,7 +65,7 @@
 }
 
 std::string read_node_name(const json& from, const std::string& path) {
-  const std::string out = read_text(from, "name", path, nullptr);
+  std::string out = read_text(from, "name", path, nullptr);
   if (out.size() > kMaxNodeNameBytes || !std::all_of(out.begin(), out.end(), is_plain))
     fail(path, "at most 64 letters, digits, '-', '_' and '.'");
   return out;
@@ -73,7 +73,7 @@
 
 std::string read_address(const json& from, const char* name, const std::string& path,
                          const std::string* fallback) {
-  const std::string out = read_text(from, name, path, fallback);
+  std::string out = read_text(from, name, path, fallback);
   if (!net::valid_address(out))
     fail(path, "no numeric address with a port: '" + out + "'");
   return out;
--- a/src/maintenance/log_entry_codec.cpp
+++ b/src/maintenance/log_entry_codec.cpp
@@ -148,10 +148,10 @@
 
 void decode(Fields&&, const json&, ReadBarrier&) {}
 
-template <std::size_t... Index>
-std::optional<Command> make_command(std::size_t wanted, std::index_sequence<Index...>) {
+template <std::size_t... index>
+std::optional<Command> make_command(std::size_t wanted, std::index_sequence<index...>) {
   std::optional<Command> out;
-  ((Index == wanted ? void(out.emplace(std::in_place_index<Index>)) : void()), ...);
+  ((index == wanted ? void(out.emplace(std::in_place_index<index>)) : void()), ...);
   return out;
 }
 
--- a/src/maintenance/maintenance_scheduler.cpp
+++ b/src/maintenance/maintenance_scheduler.cpp
@@ -16,6 +16,13 @@
   return text;
 }
 
+// Appends to a list of names.
+void append_name(std::string& names, const std::string& name) {
+  if (!names.empty())
+    names += ", ";
+  names += name;
+}
+
 template <typename Transition>
 LogEntry host_command(const HostProgress& host, std::string reason) {
   Transition transition;
@@ -39,6 +46,39 @@
   return out;
 }
 
+using HostSet = std::set<std::string> HostObservations::*;
+
+// A member whose observations name the host; empty if there is none.
+std::string find_reporter(const MaintenanceState& state, const std::string& host, HostSet observed) {
+  for (const auto& [name, member] : state.members()) {
+    if (member.has_reported && (member.observations.*observed).count(host) != 0)
+      return name;
+  }
+  return {};
+}
+
+// The entry for a host that has come back, or is out for too long.
+std::optional<LogEntry> end_of_service_gap(const MaintenanceState& state, const HostProgress& host,
+                                           Millis now) {
+  const MaintenanceJob& job = *state.find_job(host.job);
+  const std::string reporter = job.bounds.restart_is_return
+                                   ? find_reporter(state, host.key.id, &HostObservations::restarted)
+                                   : std::string();
+  if (!reporter.empty())
+    return host_command<ReturnToService>(host, "it has started anew, says " + reporter);
+  if (!host.overdue && now - host.since > job.bounds.max_time_out)
+    return host_command<Overdue>(
+        host, "out for longer than " + format_number(job.bounds.max_time_out.count() / 1000) + " s");
+  return std::nullopt;
+}
+
+std::optional<LogEntry> end_of_slow_start(const MaintenanceState& state, const HostProgress& host) {
+  const std::string reporter = find_reporter(state, host.key.id, &HostObservations::served);
+  if (reporter.empty())
+    return std::nullopt;
+  return host_command<Complete>(host, "it has served a call of " + reporter);
+}
+
 }  // namespace
 
 bool MaintenanceScheduler::has_quiesced(const MemberProgress& member, const std::string& host,
@@ -57,9 +97,9 @@
     std::string using_members, expired_members;
     for (const auto& [name, member] : state.members()) {
       if (!has_quiesced(member, id, host.selected_at_index, now))
-        using_members += (using_members.empty() ? "" : ", ") + name;
+        append_name(using_members, name);
       else if (member.serves && member.drained_hosts.count(id) == 0)
-        expired_members += (expired_members.empty() ? "" : ", ") + name;
+        append_name(expired_members, name);
     }
     if (using_members.empty())
       return host_command<ReleaseToOperators>(
@@ -73,28 +113,11 @@
 
 std::optional<LogEntry> MaintenanceScheduler::next_return(const MaintenanceState& state, Millis now) const {
   for (const auto& [id, host] : state.hosts()) {
-    const MaintenanceJob& job = *state.find_job(host.job);
-    const auto seen_by = [&](std::set<std::string> HostObservations::*what) {
-      for (const auto& [name, member] : state.members()) {
-        if (member.has_reported && (member.observations.*what).count(id) != 0)
-          return name;
-      }
-      return std::string();
-    };
-    if (host.stage == HostStage::out_of_service) {
-      const std::string reporter =
-          job.bounds.restart_is_return ? seen_by(&HostObservations::restarted) : std::string();
-      if (!reporter.empty())
-        return host_command<ReturnToService>(host, "it has started anew, says " + reporter);
-      if (!host.overdue && now - host.since > job.bounds.max_time_out)
-        return host_command<Overdue>(
-            host, "out for longer than " + format_number(job.bounds.max_time_out.count() / 1000) + " s");
-    }
-    if (host.stage == HostStage::slow_start) {
-      const std::string reporter = seen_by(&HostObservations::served);
-      if (!reporter.empty())
-        return host_command<Complete>(host, "it has served a call of " + reporter);
-    }
+    auto entry = host.stage == HostStage::out_of_service ? end_of_service_gap(state, host, now)
+                 : host.stage == HostStage::slow_start   ? end_of_slow_start(state, host)
+                                                         : std::nullopt;
+    if (entry)
+      return entry;
   }
   return std::nullopt;
 }
--- a/src/maintenance/maintenance_state.cpp
+++ b/src/maintenance/maintenance_state.cpp
@@ -32,7 +32,7 @@
   const Context context{entry.reason, now};
   const auto execute_command = [&](const auto& command) { return execute(command, context); };
   const std::string refusal = std::visit(execute_command, entry.command);
-  const ProposalOutcome outcome{refusal.empty(), refusal, index};
+  ProposalOutcome outcome{refusal.empty(), refusal, index};
   if (!entry.proposal.empty())
     records_.outcomes.remember(entry.proposal, outcome);
   return outcome;
--- a/src/maintenance/timeline.cpp
+++ b/src/maintenance/timeline.cpp
@@ -4,46 +4,66 @@
 #include <cmath>
 #include <cstdio>
 #include <cstdlib>
+#include <optional>
 #include <set>
 
 namespace lotusyard::maintenance {
 namespace {
 
+using FieldMap = std::map<std::string, std::string>;
+
+// Adds a word without a key to the kind of the entry: the first one, and "refused".
+void add_word(const std::string& word, FieldMap& fields) {
+  std::string& kind = fields[""];
+  if (kind.empty())
+    kind = word;
+  else if (word == "refused")
+    kind += " " + word;
+}
+
+// Reads the field whose '=' is at `equals`, and returns where the next one begins; nothing if its quote is
+// not closed.
+std::optional<std::size_t> add_field(const std::string& line, std::size_t at, std::size_t equals,
+                                     FieldMap& fields) {
+  const bool quoted = equals + 1 < line.size() && line[equals + 1] == '"';
+  const std::size_t from = equals + (quoted ? 2 : 1);
+  const std::size_t to = quoted ? line.rfind('"') : line.find(' ', from);
+  if (quoted && to < from)
+    return std::nullopt;
+  const bool is_last = to == std::string::npos;
+  fields[line.substr(at, equals - at)] = line.substr(from, is_last ? to : to - from);
+  return is_last ? line.size() : to + 1;
+}
+
 // Splits a line into key=value fields; quoted values may contain blanks. The one word without a key is the
 // kind of the entry, stored under the empty key.
-std::map<std::string, std::string> parse_fields(const std::string& line) {
-  std::map<std::string, std::string> out;
+FieldMap parse_fields(const std::string& line) {
+  FieldMap fields;
   for (std::size_t at = 0; at < line.size();) {
     if (line[at] == ' ') {
       ++at;
       continue;
     }
-    const std::size_t equals = line.find('=', at), blank = line.find(' ', at);
+    const std::size_t equals = line.find('=', at);
+    const std::size_t blank = line.find(' ', at);
     if (equals == std::string::npos || blank < equals) {
-      const std::string word = line.substr(at, blank - at);
-      std::string& what = out[""];
-      if (what.empty() || word == "refused")
-        what += (what.empty() ? "" : " ") + word;
+      add_word(line.substr(at, blank - at), fields);
       at = blank == std::string::npos ? line.size() : blank;
       continue;
     }
-    const std::string key = line.substr(at, equals - at);
-    const bool quoted = equals + 1 < line.size() && line[equals + 1] == '"';
-    const std::size_t from = equals + (quoted ? 2 : 1);
-    const std::size_t to = quoted ? line.rfind('"') : line.find(' ', from);
-    if (quoted && to < from)
+    const auto next = add_field(line, at, equals, fields);
+    if (!next)
       break;
-    out[key] = line.substr(from, to == std::string::npos ? to : to - from);
-    at = to == std::string::npos ? line.size() : to + 1;
+    at = *next;
   }
-  return out;
+  return fields;
 }
 
 }  // namespace
 
 Timeline parse_timeline(const std::vector<std::string>& lines) {
-  static const std::set<std::string> kKinds = {"add",      "alter", "bounds", "name", "take", "touch",
-                                               "returned", "back",  "late",   "join", "leave"};
+  static const std::set<std::string> kinds = {"add",      "alter", "bounds", "name", "take", "touch",
+                                              "returned", "back",  "late",   "join", "leave"};
   Timeline out;
   std::map<std::uint64_t, AppliedEntry> by_index;
   const std::string prefix = "works at=";
@@ -58,7 +78,7 @@
           {at, std::atof(fields["asked"].c_str()), std::atof(fields["lost"].c_str()), fields["member"]});
       continue;
     }
-    if (kKinds.count(what.substr(0, what.find(' '))) == 0)
+    if (kinds.count(what.substr(0, what.find(' '))) == 0)
       continue;
     const std::uint64_t index = std::strtoull(fields["index"].c_str(), nullptr, 10);
     const auto [found, inserted] = by_index.try_emplace(index);
--- a/src/raft/raft_replica.cpp
+++ b/src/raft/raft_replica.cpp
@@ -142,6 +142,7 @@
     free_message(*message);
     return;
   }
+  // NOLINTNEXTLINE(performance-move-const-arg): says that the core now owns the message's buffers
   raft_core_->receive(from.from, address, std::move(*message));
 }
 
