--- a/src/maintenance/maintenance_scheduler.cpp
+++ b/src/maintenance/maintenance_scheduler.cpp
@@ -23,6 +23,13 @@
   names += name;
 }
 
+// Why operators may have the host, where the leases of these members have expired; empty for none.
+std::string release_reason(const std::string& expired_members) {
+  if (expired_members.empty())
+    return "all members are done with it";
+  return "the leases have run out of " + expired_members + "; all others are done";
+}
+
 template <typename Transition>
 LogEntry host_command(const HostProgress& host, std::string reason) {
   Transition transition;
@@ -102,10 +109,7 @@
         append_name(expired_members, name);
     }
     if (using_members.empty())
-      return host_command<ReleaseToOperators>(
-          host, expired_members.empty()
-                    ? "all members are done with it"
-                    : "the leases have run out of " + expired_members + "; all others are done");
+      return host_command<ReleaseToOperators>(host, release_reason(expired_members));
     waiting_reasons_[host.job] = "host " + id + " is still used, or may be, by " + using_members;
   }
   return std::nullopt;
