--- a/src/maintenance/maintenance_scheduler.cpp
+++ b/src/maintenance/maintenance_scheduler.cpp
@@ -30,6 +30,10 @@
   return "the leases have run out of " + expired_members + "; all others are done";
 }
 
+std::string still_used_reason(const std::string& host, const std::string& using_members) {
+  return "host " + host + " is still used, or may be, by " + using_members;
+}
+
 template <typename Transition>
 LogEntry host_command(const HostProgress& host, std::string reason) {
   Transition transition;
@@ -110,7 +114,7 @@
     }
     if (using_members.empty())
       return host_command<ReleaseToOperators>(host, release_reason(expired_members));
-    waiting_reasons_[host.job] = "host " + id + " is still used, or may be, by " + using_members;
+    waiting_reasons_[host.job] = still_used_reason(id, using_members);
   }
   return std::nullopt;
 }
--- a/src/maintenance/service_observations.cpp
+++ b/src/maintenance/service_observations.cpp
@@ -3,6 +3,13 @@
 #include <algorithm>
 
 namespace lotusyard::maintenance {
+namespace {
+
+std::string unexpected_failure_reason(const std::string& host, const std::string& reporter) {
+  return "host " + host + " is down unasked, says " + reporter;
+}
+
+}  // namespace
 
 bool ServiceObservations::is_reporting(const MemberProgress& member) const {
   return member.serves && member.has_reported &&
@@ -43,7 +50,7 @@
       const auto found = state_.hosts().find(id);
       const bool is_expected = found != state_.hosts().end() && counts_against_bounds(found->second.stage);
       if (!is_expected)
-        return "host " + id + " is down unasked, says " + name;
+        return unexpected_failure_reason(id, name);
     }
   }
   return any_reporting ? std::string() : "no member that serves calls tells what it sees";
