--- a/src/amqp/result_recorder.cpp
+++ b/src/amqp/result_recorder.cpp
@@ -45,7 +45,7 @@
   idempotency::ResultRecord record;
   record.stage = stage;
   record.answer = answer;
-  record.at = loop_.now();
+  record.updated_at = loop_.now();
   return store_->put(call_key, record);
 }
 
@@ -56,7 +56,7 @@
   if (!store_->find(call_key, record) || !record || record->stage < ResultStage::answered)
     return;
   record->stage = ResultStage::confirmed;
-  record->at = loop_.now();
+  record->updated_at = loop_.now();
   record->address = address.text();
   // A failure is harmless: the answer is published once more if its message is delivered again.
   store_->put(call_key, *record);
--- a/src/cli/configuration_commands.cpp
+++ b/src/cli/configuration_commands.cpp
@@ -18,9 +18,9 @@
 idempotency::Bounds store_bounds(const config::AmqpConfig& config) {
   constexpr double kMillisPerDay = 24 * 3600e3;
   idempotency::Bounds bounds;
-  bounds.longest = core::Millis(static_cast<double>(config.store_days) * kMillisPerDay);
-  bounds.most = config.store_records;
-  bounds.most_bytes = config.store_mb << 20;
+  bounds.max_age = core::Millis(static_cast<double>(config.store_days) * kMillisPerDay);
+  bounds.max_records = config.store_records;
+  bounds.max_bytes = config.store_mb << 20;
   return bounds;
 }
 
--- a/src/idempotency/result_database.cpp
+++ b/src/idempotency/result_database.cpp
@@ -35,7 +35,7 @@
   record.answer.status = static_cast<core::CallStatus>(status);
   record.answer.retry_after = Millis(row.column_double(first_column + 2));
   record.answer.body = row.column_blob(first_column + 3);
-  record.at = Millis(row.column_double(first_column + 4));
+  record.updated_at = Millis(row.column_double(first_column + 4));
   record.address = row.column_blob(first_column + 5);
   return record;
 }
@@ -108,7 +108,7 @@
   query.bind_double(3, static_cast<int>(record.answer.status));
   query.bind_double(4, record.answer.retry_after.count());
   query.bind_blob(5, record.answer.body);
-  query.bind_double(6, record.at.count());
+  query.bind_double(6, record.updated_at.count());
   query.bind_blob(7, record.address);
   return health_.check(query.step(), "put");
 }
--- a/src/idempotency/result_ledger.cpp
+++ b/src/idempotency/result_ledger.cpp
@@ -31,10 +31,10 @@
 // How many records are over the limits.
 std::size_t records_over_limits(const Size& size, const Bounds& bounds) {
   const std::size_t bytes_per_record = size.records == 0 ? 0 : size.bytes / size.records;
-  const std::size_t over_count = size.records > bounds.most ? size.records - bounds.most : 0;
+  const std::size_t over_count = size.records > bounds.max_records ? size.records - bounds.max_records : 0;
   std::size_t over_bytes = 0;
-  if (size.bytes > bounds.most_bytes && bytes_per_record > 0)
-    over_bytes = (size.bytes - bounds.most_bytes) / bytes_per_record + 1;
+  if (size.bytes > bounds.max_bytes && bytes_per_record > 0)
+    over_bytes = (size.bytes - bounds.max_bytes) / bytes_per_record + 1;
   return std::max(over_count, over_bytes);
 }
 
@@ -80,7 +80,7 @@
 Pruning prune(const Size& size, std::size_t answered, const Bounds& bounds, Millis now) {
   const std::size_t wanted = records_over_limits(size, bounds);
   Pruning out;
-  out.older_than = now - bounds.longest;
+  out.older_than = now - bounds.max_age;
   out.excess = std::min(wanted, answered);
   out.full = wanted > answered;
   return out;
--- a/src/idempotency/result_ledger.h
+++ b/src/idempotency/result_ledger.h
@@ -21,9 +21,9 @@
 
 struct ResultRecord {
   ResultStage stage = ResultStage::sent;
-  core::Answer answer;  // from stage `answered` on
-  Millis at{0};         // wall-clock time of the last change
-  std::string address;  // the reply address for which the broker holds the answer, from stage `confirmed` on
+  core::Answer answer;   // from stage `answered` on
+  Millis updated_at{0};  // wall-clock time of the last change
+  std::string address;   // the reply address for which the broker holds the answer, from stage `confirmed` on
 };
 
 struct DeliveryFacts {
@@ -64,9 +64,9 @@
 
 // Limits of a store.
 struct Bounds {
-  Millis longest{7 * 24 * 3600e3};     // the greatest age of a record
-  std::size_t most = 100000;           // records
-  std::size_t most_bytes = 64U << 20;  // estimated
+  Millis max_age{7 * 24 * 3600e3};    // the greatest age of a record
+  std::size_t max_records = 100000;   // records
+  std::size_t max_bytes = 64U << 20;  // estimated
 };
 struct Size {
   std::size_t records = 0, bytes = 0;
--- a/src/idempotency/sqlite_result_store.cpp
+++ b/src/idempotency/sqlite_result_store.cpp
@@ -124,7 +124,7 @@
     counters_.add(metrics::kAnswersGuardStage);
     return false;
   }
-  if (!before && idempotency::prune(table_.size, table_.answered, bounds_, record.at).full) {
+  if (!before && idempotency::prune(table_.size, table_.answered, bounds_, record.updated_at).full) {
     counters_.add(metrics::kAnswersStoreBound);
     return false;
   }
--- a/src/maintenance/host_access.h
+++ b/src/maintenance/host_access.h
@@ -29,7 +29,9 @@
   void update(const MaintenanceState& state, const StateFreshness& freshness);
   bool leased() const { return leased_; }  // as of the last `update`
   bool is_avoided(const std::string& host) const { return drain_tracker_.is_avoided(host); }
-  bool sees_down(const std::string& host) const { return host_observer_.is_down(host, services_.loop.now()); }
+  bool detects_failure(const std::string& host) const {
+    return host_observer_.is_down(host, services_.loop.now());
+  }
 
   void attempt_ended(const std::string& host, const core::Call& call, core::Outcome outcome);
   // The current observations of hosts, with the call rates since the previous call of this function.
--- a/src/maintenance/maintenance_replica.h
+++ b/src/maintenance/maintenance_replica.h
@@ -37,7 +37,7 @@
   std::optional<admin::Response> handle_request(const admin::Request& request);
 
   const MaintenanceState& state() const { return state_; }
-  bool sees_down(const std::string& host) const { return host_access_.sees_down(host); }
+  bool detects_failure(const std::string& host) const { return host_access_.detects_failure(host); }
   bool is_leased() const { return !failed_ && lease_.is_held(now()); }
   bool has_failed() const { return failed_; }
 
--- a/src/maintenance/timeline.cpp
+++ b/src/maintenance/timeline.cpp
@@ -83,9 +83,9 @@
     const std::uint64_t index = std::strtoull(fields["index"].c_str(), nullptr, 10);
     const auto [found, inserted] = by_index.try_emplace(index);
     AppliedEntry& entry = found->second;
-    if (!inserted && (entry.what != what || entry.host != fields["host"] || entry.job != fields["work"]) &&
+    if (!inserted && (entry.kind != what || entry.host != fields["host"] || entry.job != fields["work"]) &&
         out.fault.empty())
-      out.fault = "index " + std::to_string(index) + ": " + entry.what + ' ' + entry.host + " and " + what +
+      out.fault = "index " + std::to_string(index) + ": " + entry.kind + ' ' + entry.host + " and " + what +
                   ' ' + fields["host"];
     if (inserted)
       entry = {at, index, what, fields["work"], fields["host"], fields["reason"], {}};
@@ -110,7 +110,7 @@
   for (const auto& entry : timeline.entries) {
     char head[160];
     std::snprintf(head, sizeof head, "%10.3f  %6llu  %-9s %-15s %7zu  ", (entry.at - began) / 1000,
-                  static_cast<unsigned long long>(entry.index), entry.what.c_str(),
+                  static_cast<unsigned long long>(entry.index), entry.kind.c_str(),
                   (entry.host.empty() ? entry.job : entry.host).c_str(), entry.members.size());
     out += head + entry.reason + "\n";
   }
--- a/src/maintenance/timeline.h
+++ b/src/maintenance/timeline.h
@@ -13,7 +13,7 @@
 struct AppliedEntry {
   double at = 0;  // Unix milliseconds
   std::uint64_t index = 0;
-  std::string what;  // the entry's kind, with " refused" appended if it had no effect
+  std::string kind;  // the entry's kind, with " refused" appended if it had no effect
   std::string job, host, reason;
   std::map<std::string, double> members;  // when each member applied it, Unix milliseconds
 };
--- a/src/maintenance/timeline_svg.cpp
+++ b/src/maintenance/timeline_svg.cpp
@@ -101,11 +101,11 @@
   double since = 0;
   for (const auto& entry : timeline_.entries) {
     const bool begins_stage =
-        entry.what == "take" || entry.what == "touch" || entry.what == "returned" || entry.what == "back";
+        entry.kind == "take" || entry.kind == "touch" || entry.kind == "returned" || entry.kind == "back";
     if (entry.host != host || !begins_stage)
       continue;
     add_stage(stage, host, since, entry.at, y);
-    stage = entry.what;
+    stage = entry.kind;
     since = entry.at;
   }
   add_stage(stage, host, since, to_, y);
--- a/src/node/cluster_member.cpp
+++ b/src/node/cluster_member.cpp
@@ -53,7 +53,7 @@
 }
 
 void ClusterMember::start_gossip() {
-  const auto detects_failure = [this](const std::string& host) { return maintenance_.sees_down(host); };
+  const auto detects_failure = [this](const std::string& host) { return maintenance_.detects_failure(host); };
   gossip_.emplace(services_, config_, replica_, detects_failure, event_sink("view"));
   quota_.attach(replica_);
   gossip_->set_change_handler([this] { update_lease(); });
--- a/tests/control/lease_rules.cpp
+++ b/tests/control/lease_rules.cpp
@@ -123,9 +123,9 @@
   std::map<std::string, std::uint64_t> taken;
   std::vector<Taking> out;
   for (const auto& happening : scenario.entries) {
-    if (happening.what == "take")
+    if (happening.kind == "take")
       taken[happening.host] = happening.index;
-    if (happening.what == "touch")
+    if (happening.kind == "touch")
       out.push_back({taken[happening.host], happening.at});
   }
   return out;
--- a/tests/control/tier_faults_test.cpp
+++ b/tests/control/tier_faults_test.cpp
@@ -56,7 +56,7 @@
   const auto touched = [&] {
     const auto scenario = maintenance::parse_timeline(tier.lines());
     return std::count_if(scenario.entries.begin(), scenario.entries.end(),
-                         [](const auto& happening) { return happening.what == "touch"; });
+                         [](const auto& happening) { return happening.kind == "touch"; });
   };
   REQUIRE(touched() == 0);
   cut(tier);
--- a/tests/golden/stores_golden.cpp
+++ b/tests/golden/stores_golden.cpp
@@ -127,7 +127,7 @@
   ResultRecord out;
   out.stage = stage;
   out.answer = {status, Millis(status == core::CallStatus::rejected ? 250.5 : 0), body};
-  out.at = Millis(1700000000000.25 + static_cast<int>(stage));
+  out.updated_at = Millis(1700000000000.25 + static_cast<int>(stage));
   if (stage == ResultStage::confirmed)
     out.address = "answers";
   return out;
--- a/tests/idempotency/result_store_test.cpp
+++ b/tests/idempotency/result_store_test.cpp
@@ -43,7 +43,7 @@
   ResultRecord r;
   r.stage = stage;
   r.answer = {status, Millis(0), stage >= ResultStage::answered ? "body" : ""};
-  r.at = Millis(at);
+  r.updated_at = Millis(at);
   return r;
 }
 
@@ -154,8 +154,8 @@
 TEST_CASE("a store keeps within its bounds; what may have run goes by age only") {
   File file("bounds");
   Bounds bounds;
-  bounds.most = 10;
-  bounds.longest = Millis(1000);
+  bounds.max_records = 10;
+  bounds.max_age = Millis(1000);
   Opened opened(file, bounds);
   for (int i = 0; i < 6; ++i)
     REQUIRE(opened.store.put("sent" + std::to_string(i), record(ResultStage::sent)));
--- a/tests/idempotency/store_faults_test.cpp
+++ b/tests/idempotency/store_faults_test.cpp
@@ -75,7 +75,7 @@
   bool put(const std::string& id, ResultStage stage) {
     ResultRecord record;
     record.stage = stage;
-    record.at = Millis(kStart) + clock;
+    record.updated_at = Millis(kStart) + clock;
     if (stage >= ResultStage::answered)
       record.answer = {CallStatus::succeeded, Millis(0), "answer of " + id};
     const bool taken = store->put(id, record);
--- a/tests/maintenance/maintenance_measure.cpp
+++ b/tests/maintenance/maintenance_measure.cpp
@@ -31,7 +31,7 @@
 
 double first(const Cluster& cluster, const std::string& what) {
   for (const auto& h : maintenance::parse_timeline(cluster.lines()).entries) {
-    if (h.what == what)
+    if (h.kind == what)
       return h.at;
   }
   return 0;
@@ -73,7 +73,7 @@
         [&] {
           cluster.give_back(0);
           for (const auto& h : maintenance::parse_timeline(cluster.lines()).entries) {
-            if (next == 0 && h.at > died && (h.what == "returned" || h.what == "take"))
+            if (next == 0 && h.at > died && (h.kind == "returned" || h.kind == "take"))
               next = h.at;
           }
           return next > 0;
@@ -110,7 +110,7 @@
     cluster.give_back(400);
     const auto entries = maintenance::parse_timeline(cluster.lines()).entries;
     return std::count_if(entries.begin(), entries.end(),
-                         [](const auto& entry) { return entry.what == "back"; }) == 3;
+                         [](const auto& entry) { return entry.kind == "back"; }) == 3;
   };
   cluster.until(all_returned, 40);
 }
--- a/tests/maintenance/maintenance_rig.h
+++ b/tests/maintenance/maintenance_rig.h
@@ -27,7 +27,7 @@
             propose(**running, work);
           const auto course = maintenance::parse_timeline(lines());
           return std::any_of(course.entries.begin(), course.entries.end(),
-                             [&](const auto& h) { return h.what == "add"; });
+                             [&](const auto& h) { return h.kind == "add"; });
         },
         20);
   }
@@ -36,7 +36,7 @@
     const auto course = maintenance::parse_timeline(lines());
     std::map<std::string, int> back;
     for (const auto& h : course.entries)
-      back[h.host] += h.what == "back";
+      back[h.host] += h.kind == "back";
     int all = 0;
     for (const auto& [host, times] : back)
       all += times > 0;
--- a/tests/maintenance/maintenance_rules.h
+++ b/tests/maintenance/maintenance_rules.h
@@ -31,15 +31,15 @@
   std::set<std::string> out;
   std::map<std::string, double> touched;
   for (const auto& h : course.entries) {
-    if (h.what == "take")
+    if (h.kind == "take")
       out.insert(h.host);
-    if (h.what == "back")
+    if (h.kind == "back")
       out.erase(h.host);
     if (static_cast<int>(out.size()) > most_out)
       return std::to_string(out.size()) + " hosts out at index " + std::to_string(h.index);
-    if (h.what == "touch")
+    if (h.kind == "touch")
       touched[h.host] = h.at;
-    if (h.what != "returned")
+    if (h.kind != "returned")
       continue;
     if (touched.count(h.host) == 0)
       return h.host + " is back and was not out";
--- a/tests/raft/raft_group_test.cpp
+++ b/tests/raft/raft_group_test.cpp
@@ -54,7 +54,7 @@
   const auto count_released = [&] {
     const auto entries = maintenance::parse_timeline(cluster.lines()).entries;
     return std::count_if(entries.begin(), entries.end(),
-                         [](const auto& entry) { return entry.what == "touch"; });
+                         [](const auto& entry) { return entry.kind == "touch"; });
   };
   double next_check_at = 0;
   const auto wait_for_released = [&](int hosts) {
--- a/tests/support/process_rig.h
+++ b/tests/support/process_rig.h
@@ -187,9 +187,9 @@
   void give_back(double after) {
     std::map<std::string, double> out;
     for (const auto& h : maintenance::parse_timeline(lines()).entries) {
-      if (h.what == "touch")
+      if (h.kind == "touch")
         out[h.host] = h.at;
-      if (h.what == "returned")
+      if (h.kind == "returned")
         out.erase(h.host);
     }
     for (const auto& [host, at] : out) {
--- a/tests/wall_clock/answers_test.cpp
+++ b/tests/wall_clock/answers_test.cpp
@@ -35,14 +35,14 @@
 ResultRecord record(ResultStage stage, Millis at) {
   ResultRecord out;
   out.stage = stage;
-  out.at = at;
+  out.updated_at = at;
   return out;
 }
 
 TEST_CASE("a call that ran and was forgotten under a clock set back does not run again") {
   ScratchFile file("forgotten");
   Bounds bounds;
-  bounds.most = 1;
+  bounds.max_records = 1;
   Opened(file, kTrue - 24 * kHour, bounds).store.prune(kTrue - 24 * kHour);
   // The clock is set back by an hour, and the next process writes by it.
   const Millis wrong = kTrue - kHour;
@@ -117,7 +117,7 @@
 TEST_CASE("forgetting a record stamped ahead leaves no mark years ahead") {
   ScratchFile file("mark");
   Bounds bounds;
-  bounds.most = 1;
+  bounds.max_records = 1;
   Opened opened(file, kTrue, bounds);
   // Written by the same process before its clock was known to be wrong.
   REQUIRE(opened.store.put("a", record(ResultStage::answered, kTrue + kYear)));
