--- a/src/maintenance/disruption_budget.cpp
+++ b/src/maintenance/disruption_budget.cpp
@@ -12,7 +12,7 @@
 // The hosts that count against the bounds, in all and in the zone and of the kind of one host.
 struct UnavailableHosts {
   int all = 0, same_zone = 0, same_kind = 0;
-  std::set<std::string> jobs;  // that they belong to
+  std::set<std::string> jobs;  // the jobs of these hosts
 };
 
 UnavailableHosts count_unavailable(const std::map<std::string, HostProgress>& hosts, const HostKey& host) {
--- a/src/maintenance/disruption_budget.h
+++ b/src/maintenance/disruption_budget.h
@@ -18,7 +18,7 @@
                    int listed_hosts)
       : jobs_(jobs), hosts_(hosts), listed_hosts_(listed_hosts) {}
 
-  // Which bound taking `host` out for `job` would exceed, in words for the operator; empty if none. The
+  // The bound that taking `host` out for `job` would exceed, as a text for operators; empty if none. The
   // bounds of `job` and of every job that has hosts out apply.
   std::string exceeded_bound(const MaintenanceJob& job, const HostKey& host) const;
   // The most hosts that may be selected, draining, out or in slow start at once.
--- a/src/maintenance/drain_tracker.h
+++ b/src/maintenance/drain_tracker.h
@@ -13,8 +13,8 @@
 
 namespace lotusyard::maintenance {
 
-// Remembers avoided hosts between updates, so that a host that returns can be recognised as restarted or as
-// released to the operators in the meantime.
+// Retains the avoided hosts between updates, to detect whether a host that returns was restarted or released
+// to operators in the meantime.
 class DrainTracker {
  public:
   using Listed = std::map<std::string, core::ListedHost>;  // hosts known from discovery, by id
--- a/src/maintenance/failure_baseline.h
+++ b/src/maintenance/failure_baseline.h
@@ -1,5 +1,5 @@
-// The usual share of failed calls, against which the scheduler notices that service degrades. Does no I/O;
-// the time is passed in.
+// The usual share of failed calls, by which the scheduler detects that service degrades. Does no I/O; the
+// time is passed in.
 #pragma once
 
 #include "lotusyard/policy/policy.h"
--- a/src/maintenance/heartbeat.h
+++ b/src/maintenance/heartbeat.h
@@ -13,7 +13,7 @@
 
 constexpr std::size_t kMaxMemberNameBytes = 128;
 
-// What one member observed of the hosts and of its own calls.
+// What one member observed of the hosts, and the rates of its own calls.
 struct HostObservations {
   // Value served per second by host; calls that only this host can serve warm are weighted higher.
   std::map<std::string, double> serving_value;
@@ -21,7 +21,7 @@
   std::set<std::string> restarted;  // out of service for a job, and restarted since
   std::set<std::string> served;     // returned from a job, and has served a call since
   double calls_per_second = 0;
-  double failed_per_second = 0;  // of these, the calls that were refused or failed
+  double failed_per_second = 0;  // of these, the calls that were rejected or failed
   int listed_hosts = 0;          // number of hosts known from discovery
 };
 
@@ -39,6 +39,6 @@
 };
 
 nlohmann::json heartbeat_to_json(const Heartbeat& heartbeat);
-std::optional<Heartbeat> parse_heartbeat(const nlohmann::json& from);  // nothing if it is malformed
+std::optional<Heartbeat> parse_heartbeat(const nlohmann::json& from);  // nothing if malformed
 
 }  // namespace lotusyard::maintenance
--- a/src/maintenance/heartbeat_aggregator.cpp
+++ b/src/maintenance/heartbeat_aggregator.cpp
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-// Members that read an entry over the size limit reject it and stop for good, so the limit is kept here.
+// Entries over the size limit must not be proposed: members that read one reject it and stop for good.
 AggregatedHeartbeats aggregate_heartbeats(std::map<std::string, Heartbeat>&& heartbeats,
                                           const std::string& reason) {
   AggregatedHeartbeats out;
--- a/src/maintenance/host_access.h
+++ b/src/maintenance/host_access.h
@@ -14,7 +14,7 @@
 // How far this process may rely on its copy of the replicated state.
 struct StateFreshness {
   bool is_leased = false;     // the lease is held: the copy is current
-  bool must_suspend = false;  // the copy is too old, or never existed: no host may be used
+  bool must_suspend = false;  // the copy is too old, or there is none: no host may be used
 };
 
 // Owned by the replica; runs on its event loop.
@@ -44,8 +44,8 @@
   HostObserver host_observer_;
   bool leased_ = false;
   Millis counted_at_;            // when the two counters below were read
-  double counted_calls_ = 0;     // calls taken
-  double counted_failures_ = 0;  // calls refused or failed
+  double counted_calls_ = 0;     // calls accepted
+  double counted_failures_ = 0;  // calls rejected or failed
 
   void log_lease_change(bool leased);
 };
--- a/src/maintenance/host_observer.cpp
+++ b/src/maintenance/host_observer.cpp
@@ -10,7 +10,7 @@
 constexpr Millis kRateTimeConstant{10000};
 // A host that has not served a function for this long is assumed to have no warm instance of it.
 constexpr Millis kWarmInstanceLifetime{10000};
-// A call that waits for a cold start loses about this many times what a call loses that merely moves.
+// A call that needs a cold start loses about this many times what a call loses that moves to a warm instance.
 constexpr double kColdStartWeight = 4;
 constexpr int kFailuresUntilDown = 3;   // consecutive
 constexpr Millis kDownDuration{10000};  // after the last failure
@@ -57,12 +57,12 @@
     return 0;
   double out = decayed(found->second.rate, now - found->second.rate_updated_at);
   for (const auto& [id, function_record] : functions_) {
-    bool here = false, elsewhere = false;
+    bool warm_on_host = false, warm_elsewhere = false;
     for (const auto& [other, at] : function_record.hosts) {
       if (now - at <= kWarmInstanceLifetime)
-        (other == host ? here : elsewhere) = true;
+        (other == host ? warm_on_host : warm_elsewhere) = true;
     }
-    if (here && !elsewhere)
+    if (warm_on_host && !warm_elsewhere)
       out += (kColdStartWeight - 1) * decayed(function_record.rate, now - function_record.rate_updated_at);
   }
   return out / (kRateTimeConstant.count() / 1000);
--- a/src/maintenance/host_observer.h
+++ b/src/maintenance/host_observer.h
@@ -1,6 +1,6 @@
-// One member's view of the hosts it sends calls to: how much value each serves, and which ones fail. The
-// maintenance scheduler uses it to drain the host whose absence costs least. Does no I/O; the time is passed
-// in.
+// One member's observations of the hosts it sends calls to: the value that each serves, and which ones fail.
+// The maintenance scheduler uses them to drain the host whose absence costs least. Does no I/O; the time is
+// passed in.
 #pragma once
 
 #include <cstdint>
@@ -18,13 +18,13 @@
   // Functions tracked at once; the least recently served one is evicted.
   static constexpr std::size_t kMaxFunctions = 4096;
 
-  // Records a successful call of a function; `worth` is the value of a call of its class.
+  // Records a successful call of a function; `priority_weight` is that of the call's class.
   void record_success(const std::string& host, std::uint64_t function, double priority_weight, Millis now);
   // Records a refused connection or a connection reset.
   void record_failure(const std::string& host, Millis now);
 
   // The value the host serves per second. Functions that only this host has served recently are weighted
-  // higher: their calls would wait for a cold start elsewhere, all others would merely move.
+  // higher: their calls would need a cold start on another host.
   double serving_value(const std::string& host, Millis now) const;
   // Whether the host has failed several times in a row, the last time recently.
   bool is_down(const std::string& host, Millis now) const;
--- a/src/maintenance/log_entry.h
+++ b/src/maintenance/log_entry.h
@@ -1,4 +1,4 @@
-// The commands of the maintenance log: what the members of a group agree on, one entry at a time.
+// The commands of the replicated maintenance log, one in each entry.
 #pragma once
 
 #include <cstdint>
--- a/src/maintenance/maintenance_job.h
+++ b/src/maintenance/maintenance_job.h
@@ -24,7 +24,7 @@
   int max_out_per_zone = 0;
   int max_out_per_kind = 0;
   double min_usable_share = 0.5;   // share of all listed hosts that must stay usable, 0 to 1
-  Millis max_time_out{600000};     // a host out for longer is overdue and holds up its job
+  Millis max_time_out{600000};     // a host out for longer is overdue and blocks its job
   Millis pause{0};                 // least time between one host's return and the next host's drain
   bool restart_is_return = false;  // a host that restarts while it is out returns without an operator
 };
@@ -42,11 +42,11 @@
 const char* name_of(MaintenanceJob::State state);
 
 nlohmann::json bounds_to_json(const DisruptionBounds& bounds);
-// Throws std::invalid_argument with the offending key.
+// Throws std::invalid_argument whose text begins with the key at fault.
 DisruptionBounds parse_bounds(const nlohmann::json& from);
 
 nlohmann::json job_to_json(const MaintenanceJob& job);
-// Throws std::invalid_argument with the offending key.
+// Throws std::invalid_argument whose text begins with the key at fault.
 MaintenanceJob parse_job(const nlohmann::json& from);
 // Throws std::invalid_argument if there is no state of this name.
 MaintenanceJob::State parse_job_state(const nlohmann::json& from);
--- a/src/maintenance/maintenance_records.h
+++ b/src/maintenance/maintenance_records.h
@@ -24,10 +24,10 @@
 };
 const char* name_of(HostStage stage);  // as used in the admin endpoint's JSON
 
-// Whether a host in this stage is unavailable, or returned and not proven yet.
+// Whether a host in this stage is unavailable, or in use again without having served a call yet.
 bool counts_against_bounds(HostStage stage);
 
-// A host of a job that is not closed.
+// The progress of a host whose job is not closed.
 struct HostProgress {
   HostKey key;
   std::string job;
@@ -35,7 +35,7 @@
   HostStage stage = HostStage::waiting;
   std::uint64_t selected_at_index = 0;  // log index at which it was last selected, drained or returned
   bool overdue = false;
-  bool released_to_operators = false;  // its instances may be gone, so it returns with slow start
+  bool released_to_operators = false;  // it may have lost its instances, so it returns with slow start
   Millis since{0};                     // start of the stage, on this member's clock
 };
 
--- a/src/maintenance/maintenance_replica.cpp
+++ b/src/maintenance/maintenance_replica.cpp
@@ -46,7 +46,8 @@
   return !host_access_.is_avoided(host) && lease_.was_ever_held();
 }
 
-// A process that was suspended for longer than its lease resumes with calls assigned and not yet written.
+// A process that resumes after a suspension longer than its lease may still have calls that are assigned to
+// hosts and not yet written.
 void MaintenanceReplica::before_writes() {
   if (host_access_.leased() && !lease_.is_held(now()))
     update_host_access();
@@ -74,8 +75,8 @@
   const auto entry = parse_entry(text);
   if (!entry) {
     services_.counters.add(metrics::kWorksUnreadable);
-    return on_store_failure("entry " + std::to_string(index) +
-                            " of the log is of another version of the program");
+    return on_store_failure("log entry " + std::to_string(index) +
+                            " was written by another version of the program");
   }
   const auto outcome = state_.apply(index, *entry, now());
   services_.counters.add(metrics::kWorksEntries);
@@ -91,13 +92,13 @@
     return;
   ++version_;
   log_(describe_applied_entry(*entry, outcome));
-  // Entries applied before `attach` concern earlier incarnations; this one is new in any case.
+  // Entries applied before `attach` concern earlier incarnations, not this one.
   const auto* leave = std::get_if<Leave>(&entry->command);
   const bool left = outcome.done && leave != nullptr && leave->member == member_name();
   if (left && replica_ != nullptr)
     rejoin_after_removal();
   update_host_access();
-  // The entry may make the next one due.
+  // The scheduler may have a next entry now.
   if (replica_ != nullptr && replica_->is_leader()) {
     services_.loop.cancel(leader_timer_);
     leader_timer_ = services_.loop.schedule_at(now(), [this] { run_leader(); });
@@ -142,7 +143,7 @@
     if (!proposal.entry)
       return proposal.rejection;
     const bool sent = replica_->send_to_leader(*this, json{{"e", encode_entry(*proposal.entry)}}.dump());
-    return sent ? admin::Response{202, "taken"} : admin::Response{503, "nobody is known to lead"};
+    return sent ? admin::Response{202, "taken"} : admin::Response{503, "no leader is known"};
   }
   if (verb != "outcome")
     return std::nullopt;
@@ -150,7 +151,7 @@
     return admin::Response{405, "GET"};
   const auto* outcome = state_.find_outcome(argument);
   if (outcome == nullptr)
-    return admin::Response{404, "not known here, as of index " + std::to_string(state_.index())};
+    return admin::Response{404, "unknown proposal, as of index " + std::to_string(state_.index())};
   return admin::Response{200, outcome_to_json(*outcome).dump()};
 }
 
--- a/src/maintenance/maintenance_replica.h
+++ b/src/maintenance/maintenance_replica.h
@@ -30,7 +30,7 @@
   // Whether the member may accept calls: it has held a lease, and its store has not failed.
   bool ready() const { return !config_.serves || (lease_.was_ever_held() && !failed_); }
   bool may_send(const std::string& host);
-  // To be called before calls are written to hosts: withdraws access if the lease has expired meanwhile.
+  // To be called before calls are written to hosts: updates which hosts may be used if the lease has expired.
   void before_writes();
   void attempt_ended(const std::string& host, const core::Call& call, core::Outcome outcome);
   // Handles the admin requests under /-/works; nothing for all other paths.
@@ -44,7 +44,7 @@
   // The progress of the sessions this member represents, each up to an index of the log.
   struct SessionAggregate {
     std::uint64_t applied_index = 0;   // applied by all sessions that hold a lease
-    std::uint64_t followed_index = 0;  // applied by all sessions that continue, with or without a lease
+    std::uint64_t followed_index = 0;  // applied by all sessions that may use hosts, with or without a lease
     std::uint64_t quiesced_index = 0;  // no call in flight at any session conflicts with entries up to here
   };
   using AggregateSource = std::function<SessionAggregate()>;
--- a/src/maintenance/maintenance_replica_heartbeats.cpp
+++ b/src/maintenance/maintenance_replica_heartbeats.cpp
@@ -71,8 +71,7 @@
   try {
     const std::uint64_t incarnation = replica_->begin_new_incarnation(last);
     services_.counters.add(metrics::kWorksLivesPassed);
-    log_("life=" + std::to_string(incarnation) + " starts: an earlier one is in the log as " +
-         std::to_string(last));
+    log_("life=" + std::to_string(incarnation) + " starts: the log already has life " + std::to_string(last));
   } catch (const std::exception& error) {
     on_store_failure(error.what());
   }
@@ -93,8 +92,8 @@
   return out;
 }
 
-// Renews the lease by a heartbeat of this process. Heartbeats of earlier processes of this member only tell
-// what their clocks showed.
+// Renews the lease by a heartbeat of this process. Heartbeats of earlier processes of this member are only
+// used as readings of their wall clocks.
 void MaintenanceReplica::renew_lease(const Heartbeat& heartbeat) {
   if (heartbeat.member != member_name())
     return;
@@ -118,7 +117,7 @@
 void MaintenanceReplica::begin_new_incarnation() {
   try {
     log_("life=" + std::to_string(replica_->begin_new_incarnation()) +
-         " starts: this member was said to be gone");
+         " starts: this member was declared permanently gone");
   } catch (const raft::LogStoreError& error) {
     if (!error.transient())
       return on_store_failure(error.what());
--- a/src/maintenance/maintenance_scheduler.cpp
+++ b/src/maintenance/maintenance_scheduler.cpp
@@ -16,14 +16,13 @@
   return text;
 }
 
-// Appends to a list of names.
 void append_name(std::string& names, const std::string& name) {
   if (!names.empty())
     names += ", ";
   names += name;
 }
 
-// Why operators may have the host, where the leases of these members have expired; empty for none.
+// Why the host may be released to operators; `expired_members` lists the members whose leases have expired.
 std::string release_reason(const std::string& expired_members) {
   if (expired_members.empty())
     return "all members are done with it";
@@ -59,7 +58,7 @@
 
 using HostSet = std::set<std::string> HostObservations::*;
 
-// A member whose observations name the host; empty if there is none.
+// The name of a member whose observations include the host; empty if there is none.
 std::string find_reporter(const MaintenanceState& state, const std::string& host, HostSet observed) {
   for (const auto& [name, member] : state.members()) {
     if (member.has_reported && (member.observations.*observed).count(host) != 0)
@@ -68,9 +67,9 @@
   return {};
 }
 
-// The entry for a host that has come back, or is out for too long.
-std::optional<LogEntry> end_of_service_gap(const MaintenanceState& state, const HostProgress& host,
-                                           Millis now) {
+// The entry for a host that is out of service: it has restarted, or is overdue.
+std::optional<LogEntry> return_or_overdue_entry(const MaintenanceState& state, const HostProgress& host,
+                                                Millis now) {
   const MaintenanceJob& job = *state.find_job(host.job);
   const std::string reporter = job.bounds.restart_is_return
                                    ? find_reporter(state, host.key.id, &HostObservations::restarted)
@@ -83,7 +82,7 @@
   return std::nullopt;
 }
 
-std::optional<LogEntry> end_of_slow_start(const MaintenanceState& state, const HostProgress& host) {
+std::optional<LogEntry> completion_entry(const MaintenanceState& state, const HostProgress& host) {
   const std::string reporter = find_reporter(state, host.key.id, &HostObservations::served);
   if (reporter.empty())
     return std::nullopt;
@@ -121,8 +120,8 @@
 
 std::optional<LogEntry> MaintenanceScheduler::next_return(const MaintenanceState& state, Millis now) const {
   for (const auto& [id, host] : state.hosts()) {
-    auto entry = host.stage == HostStage::out_of_service ? end_of_service_gap(state, host, now)
-                 : host.stage == HostStage::slow_start   ? end_of_slow_start(state, host)
+    auto entry = host.stage == HostStage::out_of_service ? return_or_overdue_entry(state, host, now)
+                 : host.stage == HostStage::slow_start   ? completion_entry(state, host)
                                                          : std::nullopt;
     if (entry)
       return entry;
@@ -130,8 +129,8 @@
   return std::nullopt;
 }
 
-// Hosts are selected ahead, so that a member without a lease avoids no more hosts than may be out, and the
-// next host can be drained at once.
+// Hosts are selected ahead, so that the next one can be drained at once, but no more than may be unavailable:
+// a member without a lease avoids all of them.
 std::optional<LogEntry> MaintenanceScheduler::next_selection(const MaintenanceState& state) const {
   const DisruptionBudget budget = state.budget();
   int room = budget.max_hosts_in_progress() - budget.hosts_in_progress();
--- a/src/maintenance/maintenance_scheduler.h
+++ b/src/maintenance/maintenance_scheduler.h
@@ -1,7 +1,7 @@
-// Decides, at the leader, which host is drained next and when it may be worked on, from the replicated state
-// and the leader's clock. Does no I/O; the time is passed in.
+// Decides at the leader, from the replicated state and the leader's clock, which host is drained next and
+// when it may be released to operators. Does no I/O; the time is passed in.
 //
-// A decision only takes effect once the group has agreed on it, and MaintenanceState enforces the bounds and
+// A decision takes effect only once it is committed, and MaintenanceState enforces the bounds and
 // the order of the stages itself.
 #pragma once
 
@@ -15,18 +15,18 @@
  public:
   explicit MaintenanceScheduler(raft::LeaseTerms terms) : terms_(terms) {}
 
-  // The one entry that is due now; nothing if there is nothing to do or everything waits. Call it again only
-  // once the entry has been applied or lost.
+  // The entry to propose now; nothing if there is nothing to do or all jobs wait. To be called again only
+  // after the entry has been applied or lost.
   std::optional<LogEntry> next_entry(const MaintenanceState& state, Millis now);
   // Why jobs do not make progress, by job id, as of the last `next_entry`.
   const std::map<std::string, std::string>& waiting_reasons() const { return waiting_reasons_; }
 
  private:
-  // The selected hosts of a job that could be drained now, by the value that they serve.
+  // The selected hosts of a job that could be drained now, compared by the value that they serve.
   struct DrainCandidates {
-    const HostProgress* best = nullptr;  // the one that serves least; null if there is none
+    const HostProgress* best = nullptr;  // the one that serves the least value; null if there is none
     double best_value = 0;               // value per second
-    std::optional<double> next_value;    // of the one after it
+    std::optional<double> next_value;    // of the one that serves the second least
     std::string first_refusal;           // why the first of the others cannot be drained
   };
 
@@ -41,6 +41,7 @@
   std::optional<LogEntry> next_selection(const MaintenanceState& state) const;
   std::optional<LogEntry> next_drain(const MaintenanceState& state, const MaintenanceJob& job, Millis now);
   DrainCandidates find_candidates(const MaintenanceState& state, const MaintenanceJob& job, Millis now) const;
+  // Why no host of the job may be drained now, whichever it is; empty if one may.
   std::string obstacle(const MaintenanceState& state, const MaintenanceJob& job, Millis now) const;
 };
 
--- a/src/maintenance/maintenance_state.cpp
+++ b/src/maintenance/maintenance_state.cpp
@@ -34,7 +34,7 @@
   const std::string refusal = std::visit(execute_command, entry.command);
   ProposalOutcome outcome{refusal.empty(), refusal, index};
   if (!entry.proposal.empty())
-    records_.outcomes.remember(entry.proposal, outcome);
+    records_.outcomes.add(entry.proposal, outcome);
   return outcome;
 }
 
@@ -112,7 +112,7 @@
   return {};
 }
 
-// Hosts that operators cannot have touched are used again; all others stay out until they are returned.
+// Hosts that were never released to operators are used again; all others stay out until they are returned.
 void MaintenanceState::release_untouched_hosts(const std::string& job_id) {
   for (auto host = records_.hosts.begin(); host != records_.hosts.end();) {
     const bool is_untouched = host->second.job == job_id && !host->second.released_to_operators;
--- a/src/maintenance/maintenance_state.h
+++ b/src/maintenance/maintenance_state.h
@@ -1,5 +1,5 @@
-// The replicated state of maintenance: the same at every member that has applied the same entries, apart from
-// times, which are on each member's own clock. Does no I/O; the time is passed in.
+// The replicated state of maintenance. Members that have applied the same entries have the same state, except
+// for times, which are by each member's own clock. Does no I/O; the time is passed in.
 #pragma once
 
 #include <set>
@@ -50,7 +50,7 @@
  private:
   MaintenanceRecords records_;
 
-  // What the commands of an entry need beside their own fields.
+  // What the execution of a command needs besides the command.
   struct Context {
     const std::string& reason;
     Millis now;
--- a/src/maintenance/maintenance_state_hosts.cpp
+++ b/src/maintenance/maintenance_state_hosts.cpp
@@ -34,7 +34,7 @@
   const MaintenanceJob& job = *find_job(host.job);
   if (job.state != MaintenanceJob::State::running)
     return "work: " + job.id + " is " + name_of(job.state);
-  // A member that does not know of the selection would continue to use the host without its lease.
+  // A member that has not applied the selection would continue to use the host without a lease.
   if (const std::string* member = records_.members.find_member_behind(host.selected_at_index))
     return "member " + *member + " does not know that " + host.key.id + " is next";
   return budget().exceeded_bound(job, host.key);
--- a/src/maintenance/member_table.h
+++ b/src/maintenance/member_table.h
@@ -1,4 +1,5 @@
-// The members of the group as the replicated log knows them. Does no I/O; the time is passed in.
+// The members of the group and their progress, as recorded in the replicated log. Does no I/O; the time is
+// passed in.
 #pragma once
 
 #include <cstdint>
@@ -39,9 +40,8 @@
   void record(const Heartbeat& heartbeat, Millis now);
 
   const Members& members() const { return members_; }
-  const Incarnations& incarnations() const {
-    return incarnations_;
-  }  // the last ones, also of removed members
+  // The highest incarnations of all members, including removed ones.
+  const Incarnations& incarnations() const { return incarnations_; }
   // The highest incarnation of the member that ever joined; 0 if there was none.
   std::uint64_t last_incarnation(const std::string& member) const;
   // The least number of listed hosts that any serving member has reported; 0 if none has.
--- a/src/maintenance/outcome_table.cpp
+++ b/src/maintenance/outcome_table.cpp
@@ -2,7 +2,7 @@
 
 namespace lotusyard::maintenance {
 
-void OutcomeTable::remember(const std::string& proposal, const ProposalOutcome& outcome) {
+void OutcomeTable::add(const std::string& proposal, const ProposalOutcome& outcome) {
   outcomes_[proposal] = outcome;
   proposals_.push_back(proposal);
   while (proposals_.size() > kMaxOutcomes) {
--- a/src/maintenance/outcome_table.h
+++ b/src/maintenance/outcome_table.h
@@ -21,8 +21,8 @@
   static constexpr std::size_t kMaxOutcomes = 256;
 
   // Evicts the oldest outcome if the table is full.
-  void remember(const std::string& proposal, const ProposalOutcome& outcome);
-  // Null if the proposal is unknown or has been evicted. Valid until the next `remember`.
+  void add(const std::string& proposal, const ProposalOutcome& outcome);
+  // Null if the proposal is unknown or has been evicted. Valid until the next `add`.
   const ProposalOutcome* find(const std::string& proposal) const;
   const std::deque<std::string>& proposals() const { return proposals_; }  // oldest first
 
--- a/src/maintenance/refusals.h
+++ b/src/maintenance/refusals.h
@@ -1,4 +1,4 @@
-// Why commands of the log are refused, in words for the operator. Does no I/O.
+// Why commands of the log are refused, as texts for operators. Does no I/O.
 #pragma once
 
 #include <string>
@@ -13,7 +13,7 @@
 // Why a job cannot be changed; empty if it can. `job` is null if there is no job `id`.
 std::string change_refusal(const MaintenanceJob* job, const std::string& id);
 
-// That the host is in its present stage, not in the one that a command requires.
+// The refusal of a command that requires another stage than the host's present one.
 std::string wrong_stage(const HostProgress& host);
 
 // Why a host cannot leave the stage `required`; empty if it is in that stage. `host` is null if the host of
--- a/src/maintenance/service_observations.h
+++ b/src/maintenance/service_observations.h
@@ -1,4 +1,4 @@
-// What the members see of the service, combined over all of them.
+// The members' observations of hosts and calls, combined.
 #pragma once
 
 #include <string>
@@ -8,18 +8,19 @@
 
 namespace lotusyard::maintenance {
 
-// A view of the state at one moment, which has to outlive it. Only members whose last observations are recent
-// count.
+// A view of the state as of one point in time; the state must outlive it. Only serving members that have
+// reported and are not presumed dead count.
 class ServiceObservations {
  public:
   ServiceObservations(const MaintenanceState& state, const raft::LeaseTerms& terms, Millis now)
       : state_(state), terms_(terms), now_(now) {}
 
-  // The part of all calls that fail, 0 to 1.
+  // The share of all calls that fail, 0 to 1.
   double failed_share() const;
-  // What the host serves, in priority weight per second.
+  // The value that the host serves, in priority weight per second.
   double serving_value(const std::string& host) const;
-  // A host that is down though no job has it, in words for an operator; empty if all is as expected.
+  // A text for operators if a host is down that is not unavailable for a job, or if no member reports;
+  // otherwise empty.
   std::string unexpected_failure() const;
 
  private:
--- a/src/maintenance/snapshot_codec.cpp
+++ b/src/maintenance/snapshot_codec.cpp
@@ -116,15 +116,14 @@
   try {
     MaintenanceRecords out;
     out.index = from.at("index").get<std::uint64_t>();
-    out.last_return_at = now;  // not earlier than the actual return: a pause may get longer, never shorter
+    out.last_return_at = now;  // not before the actual return: a pause may become longer, never shorter
     for (const auto& row : from.at("works"))
       out.jobs.push_back(parse_job(row));
     decode_hosts(from.at("hosts"), now, out);
     out.members = decode_members(from.at("members"), from.at("lives"), now);
     for (const auto& row : from.at("outcomes")) {
-      out.outcomes.remember(
-          row.at(0).get<std::string>(),
-          {row.at(1).get<bool>(), row.at(2).get<std::string>(), row.at(3).get<std::uint64_t>()});
+      out.outcomes.add(row.at(0).get<std::string>(),
+                       {row.at(1).get<bool>(), row.at(2).get<std::string>(), row.at(3).get<std::uint64_t>()});
     }
     return out;
   } catch (const std::exception&) {
--- a/src/maintenance/timeline.cpp
+++ b/src/maintenance/timeline.cpp
@@ -12,7 +12,7 @@
 
 using FieldMap = std::map<std::string, std::string>;
 
-// Adds a word without a key to the kind of the entry: the first one, and "refused".
+// Adds a word without a key to the entry's kind: only the first such word and "refused" belong to it.
 void add_word(const std::string& word, FieldMap& fields) {
   std::string& kind = fields[""];
   if (kind.empty())
@@ -35,8 +35,8 @@
   return is_last ? line.size() : to + 1;
 }
 
-// Splits a line into key=value fields; quoted values may contain blanks. The one word without a key is the
-// kind of the entry, stored under the empty key.
+// Splits a line into key=value fields; quoted values may contain blanks. The entry's kind, which has no key,
+// is stored under the empty key.
 FieldMap parse_fields(const std::string& line) {
   FieldMap fields;
   for (std::size_t at = 0; at < line.size();) {
@@ -72,23 +72,23 @@
       continue;
     auto fields = parse_fields(line.substr(6));
     const double at = std::atof(fields["at"].c_str());
-    const std::string& what = fields[""];
-    if (what == "calls") {
+    const std::string& kind = fields[""];
+    if (kind == "calls") {
       out.call_rates.push_back(
           {at, std::atof(fields["asked"].c_str()), std::atof(fields["lost"].c_str()), fields["member"]});
       continue;
     }
-    if (kinds.count(what.substr(0, what.find(' '))) == 0)
+    if (kinds.count(kind.substr(0, kind.find(' '))) == 0)
       continue;
     const std::uint64_t index = std::strtoull(fields["index"].c_str(), nullptr, 10);
     const auto [found, inserted] = by_index.try_emplace(index);
     AppliedEntry& entry = found->second;
-    if (!inserted && (entry.kind != what || entry.host != fields["host"] || entry.job != fields["work"]) &&
+    if (!inserted && (entry.kind != kind || entry.host != fields["host"] || entry.job != fields["work"]) &&
         out.fault.empty())
-      out.fault = "index " + std::to_string(index) + ": " + entry.kind + ' ' + entry.host + " and " + what +
+      out.fault = "index " + std::to_string(index) + ": " + entry.kind + ' ' + entry.host + " and " + kind +
                   ' ' + fields["host"];
     if (inserted)
-      entry = {at, index, what, fields["work"], fields["host"], fields["reason"], {}};
+      entry = {at, index, kind, fields["work"], fields["host"], fields["reason"], {}};
     entry.at = std::min(entry.at, at);
     entry.members.emplace(fields["member"], at);
   }
@@ -104,12 +104,12 @@
   if (!timeline.fault.empty())
     out += "members disagree: " + timeline.fault + "\n";
   if (timeline.entries.empty())
-    return out + "nothing has happened\n";
-  const double began = timeline.entries.front().at;
+    return out + "no entries\n";
+  const double started_at = timeline.entries.front().at;
   out += "   seconds   index  what      host            members  reason\n";
   for (const auto& entry : timeline.entries) {
     char head[160];
-    std::snprintf(head, sizeof head, "%10.3f  %6llu  %-9s %-15s %7zu  ", (entry.at - began) / 1000,
+    std::snprintf(head, sizeof head, "%10.3f  %6llu  %-9s %-15s %7zu  ", (entry.at - started_at) / 1000,
                   static_cast<unsigned long long>(entry.index), entry.kind.c_str(),
                   (entry.host.empty() ? entry.job : entry.host).c_str(), entry.members.size());
     out += head + entry.reason + "\n";
--- a/src/maintenance/timeline.h
+++ b/src/maintenance/timeline.h
@@ -1,5 +1,5 @@
-// Reconstructs the course of maintenance jobs from the log lines of the members, and renders it as a table or
-// a chart: which host was out when, and how many calls were served meanwhile. Does no I/O.
+// Reconstructs the timeline of maintenance jobs from the log lines of the members, and renders it as a table
+// or a chart: which hosts were out when, and how many calls arrived and failed meanwhile. Does no I/O.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,7 @@
 struct AppliedEntry {
   double at = 0;  // Unix milliseconds
   std::uint64_t index = 0;
-  std::string kind;  // the entry's kind, with " refused" appended if it had no effect
+  std::string kind;  // the command's name, with " refused" appended if it had no effect
   std::string job, host, reason;
   std::map<std::string, double> members;  // when each member applied it, Unix milliseconds
 };
@@ -22,8 +22,8 @@
   // Call rates of one member, in calls per second.
   struct CallRates {
     double at = 0;  // Unix milliseconds
-    double asked = 0;
-    double lost = 0;
+    double received = 0;
+    double failed = 0;
     std::string member;
   };
   std::vector<AppliedEntry> entries;  // ordered by index
--- a/src/maintenance/timeline_svg.cpp
+++ b/src/maintenance/timeline_svg.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr double kTopMargin = 30, kRightMargin = 20;
-constexpr double kRateValidity = 5000;  // milliseconds for which a member's call rates are valid
+constexpr double kRateValidityMs = 5000;  // a member's call rates are valid for this long
 constexpr double kWidth = 960, kLabelWidth = 120, kRowHeight = 18, kChartHeight = 120;
 
 std::string format(const char* pattern, double value) {
@@ -79,13 +79,13 @@
   std::string title;
   if (stage == "take") {
     colour = "#999999";
-    title = host + " leaving";
+    title = host + " draining";
   } else if (stage == "touch") {
     colour = "#c0392b";
     title = host + " out";
   } else if (stage == "returned") {
     colour = "#e0a030";
-    title = host + " back and cold";
+    title = host + " in slow start";
   }
   if (colour == nullptr)
     return;
@@ -119,10 +119,10 @@
     latest[rates.member] = rates;
     Timeline::CallRates total{rates.at, 0, 0, {}};
     for (const auto& [member, member_rates] : latest) {
-      if (rates.at - member_rates.at > kRateValidity)
+      if (rates.at - member_rates.at > kRateValidityMs)
         continue;
-      total.asked += member_rates.asked;
-      total.lost += member_rates.lost;
+      total.received += member_rates.received;
+      total.failed += member_rates.failed;
     }
     out.push_back(std::move(total));
   }
@@ -133,7 +133,7 @@
   const std::vector<Timeline::CallRates> totals = total_call_rates();
   double highest = 1;
   for (const auto& total : totals)
-    highest = std::max(highest, total.asked);
+    highest = std::max(highest, total.received);
   const auto add_line = [&](double Timeline::CallRates::*rate, const char* colour) {
     out_ += "<polyline fill=\"none\" stroke=\"" + std::string(colour) + "\" points=\"";
     for (const auto& total : totals) {
@@ -142,10 +142,10 @@
     }
     out_ += "\"/>\n";
   };
-  add_line(&Timeline::CallRates::asked, "#2c5f9e");
-  add_line(&Timeline::CallRates::lost, "#c0392b");
-  add_text(8, floor, "calls a second,");
-  add_text(8, floor + 12, "most " + format("%.0f", highest));
+  add_line(&Timeline::CallRates::received, "#2c5f9e");
+  add_line(&Timeline::CallRates::failed, "#c0392b");
+  add_text(8, floor, "calls per second,");
+  add_text(8, floor + 12, "max. " + format("%.0f", highest));
   add_text(kLabelWidth, floor + 24, "0 s");
   add_text(kWidth - 70, floor + 24, format("%.1f s", (to_ - from_) / 1000));
 }
@@ -155,7 +155,7 @@
   out_ = "<svg xmlns=\"http://www.w3.org/2000/svg\" width=\"" + format("%.0f", kWidth) + "\" height=\"" +
          format("%.0f", height) + "\" font-family=\"sans-serif\" font-size=\"11\">\n" +
          "<rect width=\"100%\" height=\"100%\" fill=\"white\"/>\n";
-  add_text(8, 16, "grey: leaving, red: out, amber: back and cold");
+  add_text(8, 16, "grey: draining, red: out, amber: slow start");
   double y = kTopMargin;
   for (const auto& host : hosts_) {
     add_host_row(host, y);
--- a/tests/maintenance/timeline_test.cpp
+++ b/tests/maintenance/timeline_test.cpp
@@ -1,4 +1,4 @@
-// The timeline of a job, from the logs of all members.
+// The timeline of a job, as read from the logs of all members.
 #include "maintenance/timeline.h"
 
 #include <catch2/catch.hpp>
@@ -8,7 +8,7 @@
 namespace lotusyard::test {
 namespace {
 
-TEST_CASE("a job's timeline is read from the members' logs, and members that disagree are found") {
+TEST_CASE("a job's timeline is read from the members' logs, and contradictory lines are detected") {
   const std::vector<std::string> lines = {
       "noise", "works at=1000 member=a term=1 index=7 take work=w host=h1 reason=\"its absence costs least\"",
       "works at=1010 member=b term=1 index=7 take work=w host=h1 reason=\"its absence costs least\"",
@@ -19,7 +19,8 @@
   CHECK(timeline.entries[0].members.size() == 2);
   CHECK(timeline.fault.empty());
   CHECK_THAT(maintenance::render_table(timeline), Catch::Contains("its absence costs least"));
-  CHECK_THAT(maintenance::render_svg(timeline), Catch::Contains("h1 leaving") && Catch::EndsWith("</svg>\n"));
+  CHECK_THAT(maintenance::render_svg(timeline),
+             Catch::Contains("h1 draining") && Catch::EndsWith("</svg>\n"));
   auto contradicting = lines;
   contradicting.push_back("works at=1300 member=b term=1 index=9 touch work=w host=h2 reason=\"\"");
   CHECK_THAT(maintenance::parse_timeline(contradicting).fault, Catch::Contains("index 9"));
