--- a/src/compliance/certificate_codec.cpp
+++ b/src/compliance/certificate_codec.cpp
@@ -29,7 +29,7 @@
   return {read_required_text(from, "name"), read_optional_text(from, "zone"), read_flag(from, "exclusive")};
 }
 
-// The keys are older than the names of the fields; stored rows keep them.
+// The keys differ from the names of the fields: they are stored, so they must not change.
 json to_json(const Certificate& certificate) {
   return {{"name", certificate.name},
           {"host", certificate.host},
--- a/src/compliance/certificate_state.cpp
+++ b/src/compliance/certificate_state.cpp
@@ -24,12 +24,12 @@
       std::visit([this](const auto& command) { return apply_command(command); }, entry.command);
   ProposalOutcome outcome{!rejection, rejection ? rejection->why : std::string(), index};
   if (!entry.proposal_id.empty()) {
-    remember_outcome(entry.proposal_id, outcome);
+    store_outcome(entry.proposal_id, outcome);
   }
   return outcome;
 }
 
-void CertificateState::remember_outcome(const std::string& proposal_id, const ProposalOutcome& outcome) {
+void CertificateState::store_outcome(const std::string& proposal_id, const ProposalOutcome& outcome) {
   outcomes_[proposal_id] = outcome;
   const auto is_older = [](const auto& a, const auto& b) { return a.second.index < b.second.index; };
   while (outcomes_.size() > kMaxOutcomes) {
--- a/src/compliance/certificate_state.h
+++ b/src/compliance/certificate_state.h
@@ -1,6 +1,6 @@
 // Replicated state of compliance: which tenants are regulated, and which hosts are certified for which
-// regimes. Deterministic, so that members which have applied the same entries hold the same state. It does no
-// I/O and reads no clock: the time is a parameter.
+// regimes. Deterministic: members that have applied the same entries hold the same state. Does no I/O; the
+// time is passed in.
 #pragma once
 
 #include <cstdint>
@@ -22,7 +22,7 @@
   static constexpr std::size_t kMaxTenants = 4096;
   static constexpr std::size_t kMaxOutcomes = 256;
 
-  // Result of an entry, kept so that the operator who proposed it can query it.
+  // The result of an entry, retained so that the operator who proposed it can query it.
   struct ProposalOutcome {
     // Whether the entry took effect.
     bool done = false;
@@ -55,7 +55,7 @@
   bool has_acknowledged(const std::string& certificate, const std::string& member,
                         std::uint64_t incarnation) const;
 
-  // Null if the proposal is not known or has been forgotten. Valid until the state changes.
+  // Null if the proposal is unknown or its outcome has been evicted. Valid until the state changes.
   const ProposalOutcome* find_outcome(const std::string& proposal_id) const;
 
   // Log index of the last entry applied.
@@ -92,7 +92,7 @@
   // Null if there is no certificate of this name that was revoked at this index.
   Certificate* find_revoked(const std::string& name, std::uint64_t revoked_at_index);
   void evict_ended_certificates();
-  void remember_outcome(const std::string& proposal_id, const ProposalOutcome& outcome);
+  void store_outcome(const std::string& proposal_id, const ProposalOutcome& outcome);
 };
 
 }  // namespace lotusyard::compliance
--- a/src/compliance/compliance_admin.cpp
+++ b/src/compliance/compliance_admin.cpp
@@ -103,7 +103,7 @@
 admin::Response ComplianceAdmin::handle_outcome_query(const std::string& proposal_id) const {
   const auto* outcome = state_.find_outcome(proposal_id);
   if (outcome == nullptr) {
-    return {kHttpNotFound, "not known here"};
+    return {kHttpNotFound, "unknown proposal"};
   }
   return {kHttpOk, json{{"done", outcome->done}, {"why", outcome->why}}.dump()};
 }
@@ -138,7 +138,7 @@
     }
     const bool is_sent = send_to_leader_(entry);
     return is_sent ? admin::Response{kHttpAccepted, "taken"}
-                   : admin::Response{kHttpUnavailable, "nobody is known to lead"};
+                   : admin::Response{kHttpUnavailable, "no leader is known"};
   } catch (const std::exception& error) {
     return {kHttpBadRequest, error.what()};
   }
--- a/src/compliance/compliance_filter.cpp
+++ b/src/compliance/compliance_filter.cpp
@@ -7,9 +7,9 @@
 namespace lotusyard::compliance {
 namespace {
 
-// Bound on the error of a machine's wall clock while it does not step.
+// Bound on the error of a machine's wall clock, apart from steps.
 constexpr Millis kClockError{1000};
-// Start time of hosts that are not listed; no certificate is issued for it.
+// Start time of hosts that are not listed; no certificate has it.
 constexpr double kUnknownIncarnation = -1;
 
 }  // namespace
--- a/src/compliance/compliance_filter.h
+++ b/src/compliance/compliance_filter.h
@@ -28,7 +28,7 @@
   // Whether the host may serve a call of the tenant now.
   FilterResult check(const std::string& tenant, const std::string& host) const;
 
-  // Whether the policy may consider the host for a call of the tenant. Remembers the tenant as the last one
+  // Whether the policy may consider the host for a call of the tenant. Records the tenant as the last one
   // that used the function, for the check of later loads of the function.
   bool allows_host(const std::string& tenant, std::uint64_t function, const std::string& host);
 
--- a/src/compliance/compliance_replica.cpp
+++ b/src/compliance/compliance_replica.cpp
@@ -41,8 +41,8 @@
     entry = parse_entry(json::parse(text));
   } catch (const std::exception& error) {
     services_.counters.add(metrics::kComplianceUnreadable);
-    return maintenance_.on_store_failure("entry " + std::to_string(index) +
-                                         " of the log cannot be read: " + error.what());
+    return maintenance_.on_store_failure("log entry " + std::to_string(index) +
+                                         " cannot be parsed: " + error.what());
   }
   proposal_retry_.on_applied();
   const auto outcome = state_.apply(index, *entry);
@@ -76,7 +76,7 @@
   periodic_timer_ =
       services_.loop.schedule_at(services_.loop.now() + period_of(config_), [this] { run_periodic(); });
   acknowledge_revocations();
-  forget_finished_revocations();
+  drop_finished_revocations();
   if (maintenance_.is_ready_leader() && proposal_retry_.may_propose(services_.loop.now())) {
     run_leader();
   }
@@ -95,7 +95,7 @@
 }
 
 // A revoked certificate is unused once every call that may have been sent under it has reached its deadline,
-// here and in the sessions that this member represents.
+// at this member and in the sessions that it represents.
 bool ComplianceReplica::is_unused(const std::string& name, const Certificate& certificate) {
   const Millis now = services_.loop.now();
   const Millis unused_since = unused_since_.try_emplace(name, now).first->second;
@@ -105,7 +105,7 @@
   return !sessions_quiesced_ || sessions_quiesced_(certificate.revoked_at_index);
 }
 
-void ComplianceReplica::forget_finished_revocations() {
+void ComplianceReplica::drop_finished_revocations() {
   for (auto current = unused_since_.begin(); current != unused_since_.end();) {
     const auto found = state_.certificates().find(current->first);
     const bool is_finished = found == state_.certificates().end() || found->second.state != State::revoking;
--- a/src/compliance/compliance_replica.h
+++ b/src/compliance/compliance_replica.h
@@ -39,12 +39,12 @@
   ComplianceFilter& filter() { return filter_; }
   const CertificateState& state() const { return state_; }
 
-  // Without it the member acknowledges revocations for itself alone.
+  // Without it, acknowledgements of this member do not cover any sessions.
   void set_sessions_quiesced(SessionsQuiesced sessions_quiesced) {
     sessions_quiesced_ = std::move(sessions_quiesced);
   }
 
-  // Grows whenever the state may have changed.
+  // Increases whenever the state may have changed.
   std::uint64_t version() const { return version_; }
 
   // Response to a request of the admin endpoint; empty if the path is not one of this module.
@@ -78,7 +78,7 @@
   void run_periodic();
   void acknowledge_revocations();
   bool is_unused(const std::string& name, const Certificate& certificate);
-  void forget_finished_revocations();
+  void drop_finished_revocations();
 
   void run_leader();
   std::vector<std::string> members_not_acknowledged(const std::string& certificate) const;
--- a/src/compliance/host_eligibility.cpp
+++ b/src/compliance/host_eligibility.cpp
@@ -11,8 +11,8 @@
 
 using State = Certificate::State;
 
-// Clocks may be wrong by `clock_error`: the certificate has to be valid by the slowest and the fastest of
-// them.
+// Clocks may be wrong by `clock_error`: the certificate has to be valid by the slowest and by the fastest
+// one.
 bool is_within_validity(const Certificate& certificate, const EvaluationContext& context) {
   const bool has_begun = context.now >= certificate.valid_from + context.clock_error;
   const bool has_not_expired = context.now + context.clock_error < certificate.valid_until;
