--- a/src/quota/epoch_planner.cpp
+++ b/src/quota/epoch_planner.cpp
@@ -9,7 +9,7 @@
 
 using ProgressByMember = std::map<std::string, HolderProgress>;
 
-// Null if the leader knows another incarnation of the member, or none.
+// Null if the leader has progress of another incarnation of the member, or none.
 const HolderProgress* find_progress(const ProgressByMember& progress, const std::string& member,
                                     std::uint64_t incarnation) {
   const auto found = progress.find(member);
@@ -19,9 +19,9 @@
   return &found->second;
 }
 
-// A member that was reported gone, or has restarted as another incarnation, may
-// still be running elsewhere until its lease ends: without heartbeats its
-// silence is counted from the beginning of the epoch.
+// An incarnation that was removed or superseded may still be running until its
+// lease ends. There is no time of its last heartbeat, so its silence is counted
+// from the beginning of the epoch.
 bool is_presumed_dead(const HolderProgress* progress, const raft::LeaseTerms& terms, Millis epoch_began_at,
                       Millis now) {
   const Millis silent_since = progress != nullptr ? progress->last_heartbeat_at : epoch_began_at;
--- a/src/quota/log_entry.h
+++ b/src/quota/log_entry.h
@@ -19,8 +19,8 @@
 };
 
 // Opens the epoch that began at the log index: every previous holder has
-// applied its beginning or has lost its lease, so that each holder may use its
-// full share.
+// applied its beginning or has lost its lease, so each holder may use its full
+// share.
 struct OpenEpoch {
   std::uint64_t epoch_index = 0;
 };
--- a/src/quota/quota_epochs.cpp
+++ b/src/quota/quota_epochs.cpp
@@ -25,8 +25,8 @@
   return std::visit([&](const auto& command) { return apply_command(index, command); }, entry);
 }
 
-// An epoch begins only once the one before is open: otherwise the holders of a
-// still earlier one, who may still use their shares, would be forgotten.
+// An epoch begins only once the previous one is open: otherwise the holders of
+// the one before that, who may still use their shares, would be dropped.
 bool QuotaEpochs::apply_command(std::uint64_t index, const BeginEpoch& command) {
   if (!is_open_ || command.holders.size() > kMaxHolders) {
     return false;
@@ -55,8 +55,8 @@
   if (!is_holder(current_holders_, member, incarnation)) {
     return 0;
   }
-  // Fault: a share by the member's own view alone, with which each side of a
-  // partition takes everything.
+  // Injected fault: the share depends on the member's own view alone, so that
+  // each side of a partition takes the entire quota.
   if (fault_injected("share-view") && members_seen > 0) {
     return equal_share(members_seen);
   }
@@ -70,7 +70,8 @@
   return std::min(current_share, equal_share(previous_holders_.size()));
 }
 
-// The keys are older than the names of the fields; stored snapshots keep them.
+// The keys differ from the names of the fields: they are stored, so they must
+// not change.
 json QuotaEpochs::snapshot() const {
   return {{"before", previous_holders_},
           {"now", current_holders_},
--- a/src/quota/quota_epochs.h
+++ b/src/quota/quota_epochs.h
@@ -1,7 +1,7 @@
 // Replicated state of the slow-start quota: which members hold a share of it.
 // Deterministic: members that have applied the same entries hold the same
-// state. A share grows only after the members that give theirs up have
-// confirmed it or have provably stopped; it shrinks at once. No I/O.
+// state. A share grows only after the members that release theirs have
+// confirmed it or must have lost their leases; it shrinks at once. Does no I/O.
 #pragma once
 
 #include <cstdint>
@@ -24,8 +24,8 @@
   bool apply(std::uint64_t index, const LogEntry& entry);
 
   // Share (0 to 1) of a member of this incarnation; 0 without its lease.
-  // `members_seen`: how many members it sees itself. More than agreed make the
-  // share smaller at once; fewer change nothing.
+  // `members_seen`: how many members it observes itself. More than the epoch has
+  // make the share smaller at once; fewer have no effect.
   double share_of(const std::string& member, std::uint64_t incarnation, bool is_leased,
                   std::size_t members_seen) const;
 
--- a/src/quota/quota_replica.cpp
+++ b/src/quota/quota_replica.cpp
@@ -11,8 +11,8 @@
 namespace lotusyard::quota {
 namespace {
 
-// Passed to the policy in place of a share of 0, which it takes for "no share
-// is set".
+// Passed to the policy in place of a share of 0, which the policy interprets as
+// "no share is set".
 constexpr double kSmallestShare = 1e-9;
 
 Millis period_of(const raft::Config& config) { return config.terms.heartbeat_interval() / 2; }
@@ -59,8 +59,8 @@
   const auto entry = parse_entry(text);
   if (!entry) {
     services_.counters.add(metrics::kSharesUnreadable);
-    return maintenance_.on_store_failure("entry " + std::to_string(index) +
-                                         " of the log is of another version of the program");
+    return maintenance_.on_store_failure("log entry " + std::to_string(index) +
+                                         " was written by another version of the program");
   }
   proposal_retry_.on_applied();
   if (!epochs_.apply(index, *entry)) {
--- a/src/quota/quota_replica.h
+++ b/src/quota/quota_replica.h
@@ -39,7 +39,7 @@
   void apply(std::uint64_t index, const std::string& entry) override;
   std::string snapshot() override { return epochs_.snapshot().dump(); }
   bool restore(const std::string& snapshot) override;
-  // Members send each other no messages about quotas.
+  // Members send no messages about quotas.
   void handle_message(const std::string&) override { services_.counters.add(metrics::kSharesMalformed); }
   void on_store_failure(const std::string&) override { update(members_seen_); }
 
@@ -51,7 +51,7 @@
   raft::RaftReplica* replica_ = nullptr;
   QuotaEpochs epochs_;
   net::EventLoop::TimerId leader_timer_{};
-  // When this member learned of the current epoch, by its own clock.
+  // When this member applied the start of the current epoch, by its own clock.
   Millis epoch_began_at_{0};
   raft::ProposalRetry proposal_retry_;
   std::size_t members_seen_ = 0;
--- a/tests/quota/quota_test.cpp
+++ b/tests/quota/quota_test.cpp
@@ -1,5 +1,5 @@
-// Parts of what all may send a cold host, over a made-up log that members follow at different times: whoever
-// is cut off, dies, comes back or leads, the parts never add up to more than the whole.
+// Shares of the slow-start quota, in a simulation in which members apply one log at different times: the
+// shares must never add up to more than 1, whichever members are isolated, stopped, restarted or elected.
 #include <rapidcheck.h>
 
 #include <deque>
@@ -17,103 +17,104 @@
 using quota::Millis;
 using quota::QuotaEpochs;
 
-struct Table {
-  struct Person {
+struct SimulatedFleet {
+  struct Member {
     std::string name;
-    std::uint64_t life = 1;
+    std::uint64_t incarnation = 1;
     QuotaEpochs epochs;
-    std::size_t follows = 0;
+    std::size_t applied = 0;
     std::optional<raft::Lease> lease;
-    bool up = true, cut = false;
-    double speed = 1;
+    bool running = true, isolated = false;
+    double clock_rate = 1;
   };
-  // In the log: either a parting's entry, or the signs of life that the leader gathered.
-  struct Line {
+  // A record of the log: a quota entry, or the heartbeats that the leader has collected.
+  struct LogRecord {
     std::optional<LogEntry> entry;
-    std::map<std::string, std::pair<std::uint64_t, double>>
-        stamps;  // by member: its life, and its own clock's
-    std::map<std::string, std::size_t> has;
+    // By member: its incarnation and the sending time by its own clock.
+    std::map<std::string, std::pair<std::uint64_t, double>> heartbeats;
+    std::map<std::string, std::size_t> applied;
   };
   std::mt19937_64 random;
   raft::LeaseTerms terms;
-  std::vector<Person> people;
-  std::deque<Line> log;
-  std::size_t leader = 0, lead_from = 0, led_to = 0;
-  std::map<std::string, quota::HolderProgress> signs;  // as the leader knows them
-  Millis parted{0};
+  std::vector<Member> members;
+  std::deque<LogRecord> log;
+  std::size_t leader = 0, leads_from = 0, leader_read_to = 0;
+  std::map<std::string, quota::HolderProgress> progress;  // as of the leader's last reading of the log
+  Millis epoch_began_at{0};
   double now = 1000;
-  double most = 0;
+  double max_sum = 0;
 
-  Table(std::uint64_t seed, int count) : random(seed) {
+  SimulatedFleet(std::uint64_t seed, int count) : random(seed) {
     terms.lease = Millis(1000);
     terms.max_attempt_time = Millis(300);
     for (int i = 0; i < count; ++i) {
-      Person p;
-      p.name = std::string(1, static_cast<char>('a' + i));
-      p.speed = 1 + (static_cast<double>(random() % 201) - 100) / 20000;  // any two within 1%
-      p.lease.emplace(terms, clock(p));
-      people.push_back(std::move(p));
+      Member member;
+      member.name = std::string(1, static_cast<char>('a' + i));
+      // The rates of any two differ by at most 1%.
+      member.clock_rate = 1 + (static_cast<double>(random() % 201) - 100) / 20000;
+      member.lease.emplace(terms, clock(member));
+      members.push_back(std::move(member));
     }
   }
-  Millis clock(const Person& p) const { return Millis(now * p.speed); }
-  void follow(Person& p) {
-    for (; p.follows < log.size(); ++p.follows) {
-      const Line& line = log[p.follows];
-      if (line.entry)
-        p.epochs.apply(p.follows + 1, *line.entry);
-      const auto mine = line.stamps.find(p.name);
-      if (mine != line.stamps.end() && mine->second.first == p.life)
-        p.lease->renew(mine->second.second);
+  Millis clock(const Member& member) const { return Millis(now * member.clock_rate); }
+  void apply_log(Member& member) {
+    for (; member.applied < log.size(); ++member.applied) {
+      const LogRecord& record = log[member.applied];
+      if (record.entry)
+        member.epochs.apply(member.applied + 1, *record.entry);
+      const auto own = record.heartbeats.find(member.name);
+      if (own != record.heartbeats.end() && own->second.first == member.incarnation)
+        member.lease->renew(own->second.second);
     }
   }
   void lead() {
-    Person& p = people[leader];
-    if (!p.up || p.cut)
+    Member& member = members[leader];
+    if (!member.running || member.isolated)
       return;
-    follow(p);
-    for (std::size_t i = std::exchange(led_to, p.follows); i < p.follows; ++i) {
+    apply_log(member);
+    for (std::size_t i = std::exchange(leader_read_to, member.applied); i < member.applied; ++i) {
       if (log[i].entry && std::holds_alternative<quota::BeginEpoch>(*log[i].entry))
-        parted = clock(p);
-      for (const auto& [name, stamp] : log[i].stamps)
-        signs[name] = {stamp.first, log[i].has.at(name), clock(p)};
+        epoch_began_at = clock(member);
+      for (const auto& [name, heartbeat] : log[i].heartbeats)
+        progress[name] = {heartbeat.first, log[i].applied.at(name), clock(member)};
     }
-    Line line;
-    for (const auto& other : people) {
-      if (!other.up || other.cut || random() % 3 == 0)
+    LogRecord record;
+    for (const auto& other : members) {
+      if (!other.running || other.isolated || random() % 3 == 0)
         continue;
-      line.stamps[other.name] = {other.life, clock(other).count()};
-      line.has[other.name] = other.follows;
+      record.heartbeats[other.name] = {other.incarnation, clock(other).count()};
+      record.applied[other.name] = other.applied;
     }
-    log.push_back(std::move(line));
-    if (p.follows < lead_from)
+    log.push_back(std::move(record));
+    if (member.applied < leads_from)
       return;
-    if (const auto entry = quota::next_entry(p.epochs, signs, terms, parted, clock(p)))
+    if (const auto entry = quota::next_entry(member.epochs, progress, terms, epoch_began_at, clock(member)))
       log.push_back({quota::parse_entry(quota::encode_entry(*entry)), {}, {}});
   }
   void elect() {
-    const std::size_t next = random() % people.size();
-    if (!people[next].up || people[next].cut)
+    const std::size_t next = random() % members.size();
+    if (!members[next].running || members[next].isolated)
       return;
     leader = next;
-    lead_from = log.size();
-    for (auto& [name, sign] : signs)
-      sign.last_heartbeat_at = clock(people[next]);  // what it did not see itself is as of now
-    parted = clock(people[next]);
+    leads_from = log.size();
+    for (auto& [name, known] : progress)
+      known.last_heartbeat_at = clock(members[next]);  // earlier heartbeats count as received now
+    epoch_began_at = clock(members[next]);
   }
   void disturb() {
-    Person& p = people[random() % people.size()];
+    Member& member = members[random() % members.size()];
     switch (random() % 4) {
       case 0:
-        p.cut = !p.cut;
+        member.isolated = !member.isolated;
         break;
       case 1:
-        p.up = !p.up;
-        if (!p.up)
+        member.running = !member.running;
+        if (!member.running)
           break;
-        ++p.life;
-        p.epochs = QuotaEpochs();
-        p.follows = 0;
-        p.lease.emplace(terms, clock(p));
+        ++member.incarnation;
+        member.epochs = QuotaEpochs();
+        member.applied = 0;
+        member.lease.emplace(terms, clock(member));
         break;
       case 2:
         elect();
@@ -121,75 +122,75 @@
       default:
         break;
     }
-    if (!people[leader].up || people[leader].cut)
+    if (!members[leader].running || members[leader].isolated)
       elect();
   }
-  double sum(std::size_t seen_by_a_side) {
+  double sum_of_shares(std::size_t members_seen) {
     double out = 0;
-    for (const auto& p : people) {
-      if (p.up)
-        out += p.epochs.share_of(p.name, p.life, p.lease->is_held(clock(p)), p.cut ? 1 : seen_by_a_side);
+    for (const auto& member : members) {
+      if (member.running)
+        out += member.epochs.share_of(member.name, member.incarnation, member.lease->is_held(clock(member)),
+                                      member.isolated ? 1 : members_seen);
     }
     return out;
   }
-  // The largest sum that ever stood.
-  double run(int turns) {
-    for (int i = 0; i < turns; ++i) {
+  // Returns the largest sum of shares at any time.
+  double run(int iterations) {
+    for (int i = 0; i < iterations; ++i) {
       now += 20;
       if (i % 12 == 0)
         lead();
-      for (auto& p : people) {
-        if (p.up && !p.cut && random() % 4 == 0)
-          follow(p);
+      for (auto& member : members) {
+        if (member.running && !member.isolated && random() % 4 == 0)
+          apply_log(member);
       }
       if (i % 60 == 59)
         disturb();
-      most = std::max(most, sum(1));
+      max_sum = std::max(max_sum, sum_of_shares(1));
     }
-    return most;
+    return max_sum;
   }
 };
 
-double largest(int seeds) {
+double largest_sum(int seeds) {
   double out = 0;
   for (int seed = 1; seed <= seeds; ++seed)
-    out = std::max(out, Table(static_cast<std::uint64_t>(seed), 3 + seed % 6).run(3000));
+    out = std::max(out, SimulatedFleet(static_cast<std::uint64_t>(seed), 3 + seed % 6).run(3000));
   return out;
 }
 
-TEST_CASE("the parts of all members never pass the whole, whoever is cut off, dies, comes back or leads") {
-  CHECK(largest(400) <= 1 + 1e-9);
+TEST_CASE("the shares of all members never exceed 1 over isolation, stops, restarts and elections") {
+  CHECK(largest_sum(400) <= 1 + 1e-9);
 }
 
-TEST_CASE("parts that ignore the lease, the silence of others, or trust the view alone are found") {
+TEST_CASE("the check detects shares without a lease, without confirmation, or by the own view alone") {
   for (const char* rule : {"share-lease", "share-unheard", "share-view"}) {
     INFO(rule);
-    Breaks::Rule broken(rule);
-    CHECK(largest(60) > 1 + 1e-6);
+    Breaks::Rule fault(rule);
+    CHECK(largest_sum(60) > 1 + 1e-6);
   }
 }
 
-TEST_CASE(
-    "when all is calm each has its whole part, and a member that is seen beside them makes it smaller") {
-  Table table(5, 4);
+TEST_CASE("without faults each member has an equal share, which shrinks if it observes more members") {
+  SimulatedFleet fleet(5, 4);
   for (int i = 0; i < 2000; ++i) {
-    table.now += 20;
+    fleet.now += 20;
     if (i % 12 == 0)
-      table.lead();
-    for (auto& p : table.people)
-      table.follow(p);
+      fleet.lead();
+    for (auto& member : fleet.members)
+      fleet.apply_log(member);
   }
-  CHECK(table.sum(4) == Approx(1));
-  const auto& p = table.people[1];
-  CHECK(p.epochs.share_of("b", 1, true, 4) == Approx(0.25));
-  CHECK(p.epochs.share_of("b", 1, true, 8) == Approx(0.125));
-  CHECK(p.epochs.share_of("b", 1, true, 1) == Approx(0.25));
-  CHECK(p.epochs.share_of("b", 2, true, 4) == 0);  // another life
-  CHECK(p.epochs.share_of("b", 1, false, 4) == 0);
-  QuotaEpochs read;
-  REQUIRE(read.restore(p.epochs.snapshot()));
-  CHECK(read.share_of("b", 1, true, 4) == Approx(0.25));
-  CHECK_FALSE(read.restore(nlohmann::json::array()));
+  CHECK(fleet.sum_of_shares(4) == Approx(1));
+  const auto& member = fleet.members[1];
+  CHECK(member.epochs.share_of("b", 1, true, 4) == Approx(0.25));
+  CHECK(member.epochs.share_of("b", 1, true, 8) == Approx(0.125));
+  CHECK(member.epochs.share_of("b", 1, true, 1) == Approx(0.25));
+  CHECK(member.epochs.share_of("b", 2, true, 4) == 0);  // another incarnation
+  CHECK(member.epochs.share_of("b", 1, false, 4) == 0);
+  QuotaEpochs restored;
+  REQUIRE(restored.restore(member.epochs.snapshot()));
+  CHECK(restored.share_of("b", 1, true, 4) == Approx(0.25));
+  CHECK_FALSE(restored.restore(nlohmann::json::array()));
   CHECK_FALSE(quota::parse_entry("{\"t\":\"other\"}"));
 }
 
