--- a/src/idempotency/result_database.cpp
+++ b/src/idempotency/result_database.cpp
@@ -11,16 +11,16 @@
 
 using sqlite::Query;
 
-// What a row and its indexes take besides its id and body, estimated.
-constexpr std::size_t kRecordOverhead = 160;
+// Estimated size of a row and its index entries, without the id and the body.
+constexpr std::size_t kRecordOverheadBytes = 160;
 
-// The names of the columns are stored: `verdict` holds the status and `cooldown` the time to retry after.
+// Column names are part of the stored schema: `verdict` holds the status, `cooldown` the time to retry after.
 constexpr char kCreateCalls[] =
     "CREATE TABLE IF NOT EXISTS calls (id BLOB PRIMARY KEY, stage INTEGER, verdict INTEGER,"
     " cooldown REAL, body BLOB, at REAL, address BLOB) WITHOUT ROWID";
 
 // Reads the columns stage, verdict, cooldown, body, at and address. Returns nothing if a value is one that
-// this program does not write, so that the file must be corrupt.
+// this program never writes, which means that the file is corrupt.
 std::optional<ResultRecord> read_record(Query& row, int first_column) {
   const int stage = static_cast<int>(row.column_double(first_column));
   const int status = static_cast<int>(row.column_double(first_column + 1));
@@ -40,7 +40,7 @@
   return record;
 }
 
-// The condition on records that a pruning removes; its parameter 1 is Pruning::older_than.
+// The SQL condition for records that a pruning removes; its parameter 1 is Pruning::older_than.
 std::string prunable(const Pruning& pruning) {
   return "at < ?1 OR id IN (SELECT id FROM calls WHERE stage >= 3 ORDER BY at LIMIT " +
          std::to_string(pruning.excess) + ")";
@@ -49,7 +49,7 @@
 }  // namespace
 
 std::size_t stored_size(const std::string& id, const ResultRecord& record) {
-  return kRecordOverhead + id.size() + record.answer.body.size();
+  return kRecordOverheadBytes + id.size() + record.answer.body.size();
 }
 
 bool ResultDatabase::open(const std::string& path) {
@@ -63,7 +63,7 @@
 bool ResultDatabase::is_read_only() const { return sqlite3_db_readonly(db_, "main") == 1; }
 
 bool ResultDatabase::create_schema() {
-  // Without the lock, two processes with the same file would each run a call that the other one runs.
+  // Without the lock, two processes with the same file could both run the same call.
   return execute("PRAGMA locking_mode = EXCLUSIVE") && execute("PRAGMA journal_mode = WAL") &&
          execute("PRAGMA synchronous = FULL") && execute(kCreateCalls) &&
          execute("CREATE INDEX IF NOT EXISTS calls_at ON calls (at)") &&
@@ -152,7 +152,7 @@
     return std::nullopt;
   TableSize out;
   out.size.records = static_cast<std::size_t>(query.column_double(0));
-  out.size.bytes = static_cast<std::size_t>(query.column_double(1)) + kRecordOverhead * out.size.records;
+  out.size.bytes = static_cast<std::size_t>(query.column_double(1)) + kRecordOverheadBytes * out.size.records;
   out.answered = static_cast<std::size_t>(query.column_double(2));
   return out;
 }
--- a/src/idempotency/result_database.h
+++ b/src/idempotency/result_database.h
@@ -1,4 +1,4 @@
-// The SQLite file with the results of calls: its schema and its statements.
+// The SQLite file that holds the results of calls: its schema and its statements.
 #pragma once
 
 #include <functional>
@@ -19,14 +19,14 @@
   std::optional<Value> value;
 };
 
-// What the table of calls holds.
+// The size of the table of calls.
 struct TableSize {
   Size size;
   std::size_t answered = 0;  // records with an answer
 };
 
-// Every failure is reported to `health`, which must outlive it. Apart from open() and close(), only to be
-// used while the file is open. Not thread-safe.
+// Every failure is reported to `health`, which must outlive it. All functions but open() and close()
+// require that the file is open. Not thread-safe.
 class ResultDatabase {
  public:
   using Visitor = std::function<void(const std::string& id, const ResultRecord& record)>;
@@ -36,19 +36,19 @@
   ResultDatabase(const ResultDatabase&) = delete;
   ResultDatabase& operator=(const ResultDatabase&) = delete;
 
-  // Opens the file, creates what is missing of the schema, and checks that the file is not corrupt. Close it
-  // if this returns false. The file is locked against other processes.
+  // Opens the file, locks it against other processes, creates missing parts of the schema, and checks that
+  // the file is not corrupt. To be followed by close() if this returns false.
   bool open(const std::string& path);
   void close();
-  // SQLite opens a file for reading only if the file system is read-only.
+  // Whether the file could only be opened for reading, as on a read-only file system.
   bool is_read_only() const;
 
   Lookup<ResultRecord> find(const std::string& id);
   bool put(const std::string& id, const ResultRecord& record);
-  // In the order of their last changes.
+  // Visits every record, in the order of their last changes.
   void for_each(const Visitor& visit);
 
-  // Since when the table has all calls that went out, see StoreTrust::complete_from.
+  // Since when the table has a record of every call that was sent, see StoreTrust::complete_from.
   Lookup<Millis> read_complete_from();
   bool write_complete_from(Millis time);
 
@@ -58,7 +58,7 @@
   std::optional<Millis> latest_prunable(const Pruning& pruning);
   bool remove(const Pruning& pruning);
 
-  // For tests: the file grows no further, as if the disk were full.
+  // For tests: limits the file's size, as if the disk were full.
   void limit_pages(int max_pages);
 
  private:
@@ -70,7 +70,7 @@
   sqlite3* db_ = nullptr;
 };
 
-// What a record takes in the file, estimated, in bytes.
+// Estimated size of a record in the file, in bytes.
 std::size_t stored_size(const std::string& id, const ResultRecord& record);
 
 }  // namespace lotusyard::idempotency
--- a/src/idempotency/result_ledger.cpp
+++ b/src/idempotency/result_ledger.cpp
@@ -5,7 +5,7 @@
 namespace lotusyard::idempotency {
 namespace {
 
-Decision decide_by_record(const ResultRecord& record, const DeliveryFacts& arrival) {
+Decision decide_by_record(const ResultRecord& record, const DeliveryFacts& delivery) {
   switch (record.stage) {
     case ResultStage::sent:
       return Decision::fail_may_have_run;
@@ -15,20 +15,20 @@
     case ResultStage::confirmed:
       break;
   }
-  // A redelivery gets the recorded answer. A message that was sent anew after a rejection is a retry.
-  return proves_not_run(record) && !arrival.redelivered ? Decision::run : Decision::answer;
+  // A redelivery gets the recorded answer. A message that was sent again after a rejection is a retry.
+  return proves_not_run(record) && !delivery.redelivered ? Decision::run : Decision::answer;
 }
 
-// Whether the store would have a record of the call if it had been sent. A time of publication in the future
-// shows that this clock is behind; then the mark, which is bounded by this clock, may be too early.
-bool is_covered(const DeliveryFacts& arrival, const StoreTrust& trust) {
-  if (!arrival.published)
+// Whether the store would have a record of the call if it had been sent. A publication time in the future
+// shows that this clock is behind; complete_from, which is bounded by this clock, may then be too early.
+bool is_covered(const DeliveryFacts& delivery, const StoreTrust& trust) {
+  if (!delivery.published)
     return false;
-  const Millis earliest_publication = *arrival.published - kClockSkew;
+  const Millis earliest_publication = *delivery.published - kClockSkew;
   return earliest_publication >= trust.complete_from && earliest_publication <= trust.now;
 }
 
-// How many records are over the limits.
+// The number of records over the limits.
 std::size_t records_over_limits(const Size& size, const Bounds& bounds) {
   const std::size_t bytes_per_record = size.records == 0 ? 0 : size.bytes / size.records;
   const std::size_t over_count = size.records > bounds.max_records ? size.records - bounds.max_records : 0;
@@ -46,17 +46,17 @@
   return record.stage != ResultStage::sent && record.answer.status == core::CallStatus::rejected;
 }
 
-Decision decide(const std::optional<ResultRecord>& known, const DeliveryFacts& arrival,
+Decision decide(const std::optional<ResultRecord>& known, const DeliveryFacts& delivery,
                 const StoreTrust& trust) {
   // A store that cannot be read may hold a record of a run.
   if (!trust.healthy)
-    return arrival.redelivered ? Decision::fail_may_have_run : Decision::refuse_unrecorded;
+    return delivery.redelivered ? Decision::fail_may_have_run : Decision::refuse_unrecorded;
   if (known)
-    return decide_by_record(*known, arrival);
-  if (!arrival.redelivered)
+    return decide_by_record(*known, delivery);
+  if (!delivery.redelivered)
     return Decision::run;
-  // An unknown call may have been pruned, or have run at another consumer.
-  return trust.sole_consumer && is_covered(arrival, trust) ? Decision::run : Decision::fail_may_have_run;
+  // A call without a record may have been pruned, or have run at another consumer.
+  return trust.sole_consumer && is_covered(delivery, trust) ? Decision::run : Decision::fail_may_have_run;
 }
 
 bool may_follow(const std::optional<ResultStage>& from, ResultStage to) {
@@ -73,16 +73,16 @@
   return false;
 }
 
-// Whatever is sent from now on is recorded, so a mark at `now` would do. The step allows for a clock that has
-// been set back wrongly.
+// Every call that is sent from now on is recorded, so a mark at `now` would be correct. The additional clock
+// step allows for a clock that has been set back wrongly.
 Millis bounded_mark(Millis mark, Millis now) { return std::min(mark, now + kClockStep); }
 
 Pruning prune(const Size& size, std::size_t answered, const Bounds& bounds, Millis now) {
-  const std::size_t wanted = records_over_limits(size, bounds);
+  const std::size_t excess = records_over_limits(size, bounds);
   Pruning out;
   out.older_than = now - bounds.max_age;
-  out.excess = std::min(wanted, answered);
-  out.full = wanted > answered;
+  out.excess = std::min(excess, answered);
+  out.full = excess > answered;
   return out;
 }
 
--- a/src/idempotency/result_ledger.h
+++ b/src/idempotency/result_ledger.h
@@ -1,5 +1,5 @@
-// Decides what to do with a delivery of a call that must not run twice, by the durable record of the call. No
-// I/O; times are passed in. The guarantee that no such call runs twice rests on these functions.
+// Decides how to handle a delivery of a call that must not run twice, by the durable record of the call. The
+// guarantee that no such call runs twice depends on these functions. Does no I/O; times are passed in.
 #pragma once
 
 #include <optional>
@@ -11,12 +11,12 @@
 
 using core::Millis;
 
-// How far a call has come. The values are stored: do not change them.
+// The progress of a call. The values are stored: do not change them.
 enum class ResultStage {
   sent = 1,      // an attempt may have run; recorded before its first byte is sent
   cleared = 2,   // no attempt that was sent has run
   answered = 3,  // the call has ended
-  confirmed = 4  // and the broker holds its answer
+  confirmed = 4  // the broker has confirmed that it holds the call's answer
 };
 
 struct ResultRecord {
@@ -28,35 +28,35 @@
 
 struct DeliveryFacts {
   bool redelivered = false;
-  std::optional<Millis> published;  // by the publisher's clock, if it says so
+  std::optional<Millis> published;  // publication time by the publisher's clock, if stated
 };
 
-// What can be concluded from a call that is not in the store.
+// What determines whether a call without a record can be assumed not to have run.
 struct StoreTrust {
   bool healthy = false;        // the lookup of the call succeeded
-  bool sole_consumer = false;  // by configuration, no other process consumes these queues
+  bool sole_consumer = false;  // by configuration, no other process consumes from these queues
   Millis complete_from{0};     // the store has a record of every call that was sent since then
   Millis now = Millis::max();  // by the clock that bounded complete_from
 };
 
 enum class Decision {
-  run,                // it has not run
-  answer,             // with the recorded answer
-  fail_may_have_run,  // it cannot be shown that it has not run
-  refuse_unrecorded   // the store cannot record it; retrying is safe
+  run,                // the call has not run
+  answer,             // respond with the recorded answer
+  fail_may_have_run,  // it cannot be proven that the call has not run
+  refuse_unrecorded   // the store cannot record the call; a retry is safe
 };
 
-// A wall clock may be set by up to this much between two processes without a call running twice.
+// A wall clock may be stepped by up to this much between two processes without a call running twice.
 constexpr Millis kClockStep{3600e3};
-// The difference between a publisher's clock and the store's clock that is tolerated.
+// The tolerated difference between a publisher's clock and the store's clock.
 constexpr Millis kClockSkew = kClockStep + Millis(60000);
 
 // `known` is the record of the delivery's call, if the store has one.
-Decision decide(const std::optional<ResultRecord>& known, const DeliveryFacts& arrival,
+Decision decide(const std::optional<ResultRecord>& known, const DeliveryFacts& delivery,
                 const StoreTrust& trust);
 
-// Whether a record may change from one stage to another; `from` is empty for a new record. A change that may
-// not happen is a programming error, and must not be stored.
+// Whether a record may change from one stage to another; `from` is empty for a new record. Any other change
+// is a programming error and must not be stored.
 bool may_follow(const std::optional<ResultStage>& from, ResultStage to);
 
 // Whether the record proves that the call has not run.
@@ -64,25 +64,25 @@
 
 // Limits of a store.
 struct Bounds {
-  Millis max_age{7 * 24 * 3600e3};    // the greatest age of a record
-  std::size_t max_records = 100000;   // records
+  Millis max_age{7 * 24 * 3600e3};
+  std::size_t max_records = 100000;
   std::size_t max_bytes = 64U << 20;  // estimated
 };
 struct Size {
   std::size_t records = 0, bytes = 0;
 };
-// What has to be removed from a store. Records of stage `sent` protect calls from running twice: they are
-// removed by age only.
+// Which records have to be removed from a store. Records of stage `sent` prevent calls from running twice:
+// they are removed by age only.
 struct Pruning {
-  Millis older_than{0};    // all records that were last changed before
-  std::size_t excess = 0;  // and this many of the oldest that have an answer
-  bool full = false;       // the store is over its limits even then: no new call may be recorded
+  Millis older_than{0};    // removes all records that were last changed before this time,
+  std::size_t excess = 0;  // and this many of the oldest ones with an answer
+  bool full = false;       // the store is over its limits even after that: no new call may be recorded
 };
 // `answered` is the number of records with an answer.
 Pruning prune(const Size& size, std::size_t answered, const Bounds& bounds, Millis now);
 
-// Bounds a mark such as StoreTrust::complete_from that was written earlier. A clock that was ahead may have
-// written one that lies years ahead, so that no call could be shown not to have run until then.
+// Limits a stored time such as StoreTrust::complete_from. A clock that was ahead may have produced one that
+// is years in the future; until then no call could be proven not to have run.
 Millis bounded_mark(Millis mark, Millis now);
 
 }  // namespace lotusyard::idempotency
--- a/src/idempotency/result_store.h
+++ b/src/idempotency/result_store.h
@@ -1,4 +1,4 @@
-// The interface of a durable store for the records of calls that must not run twice.
+// Interface of a durable store for the records of calls that must not run twice.
 #pragma once
 
 #include <optional>
@@ -14,8 +14,8 @@
   // Looks up the record of a call; `out` is empty if there is none. Returns false if the store could not be
   // read.
   virtual bool find(const std::string& id, std::optional<ResultRecord>& out) = 0;
-  // Stores the record and returns once it is durable. Returns false if it is not stored: whatever it had to
-  // precede must not be done then.
+  // Stores the record and returns once it is durable. Returns false if it is not stored; the action that the
+  // record has to precede must then not be taken.
   virtual bool put(const std::string& id, const ResultRecord& record) = 0;
   // See StoreTrust::complete_from.
   virtual Millis complete_from() const = 0;
--- a/src/idempotency/sqlite_result_store.cpp
+++ b/src/idempotency/sqlite_result_store.cpp
@@ -20,7 +20,7 @@
     : path_(path),
       created_at_(now),
       clock_(std::move(clock)),
-      created_clock_(clock_()),
+      steady_at_creation_(clock_()),
       bounds_(bounds),
       counters_(counters),
       health_(counters, std::move(log)) {
@@ -42,8 +42,7 @@
   return may_reopen() && open();
 }
 
-// A file that was opened for reading only, as it is after an error of the disk, stays so until it is opened
-// again.
+// A file that could only be opened for reading, as after a disk error, stays read-only until it is reopened.
 bool SqliteResultStore::is_writable() {
   if (!is_ready())
     return false;
@@ -53,7 +52,7 @@
     close();
     if (!open())
       return false;
-    next_open_ = clock_() + sqlite::Backoff::kLongest;
+    next_open_ = clock_() + sqlite::Backoff::kMaxDelay;
   }
   return !database_.is_read_only() || health_.check(SQLITE_CANTOPEN, "read-only");
 }
@@ -73,13 +72,13 @@
   const Lookup<Millis> stored = database_.read_complete_from();
   if (!stored.ok)
     return false;
-  // A new file knows nothing of earlier calls. Before it was open nothing could be recorded, and therefore no
-  // call went out.
+  // A new file has no records of earlier calls. Before it was open nothing could be recorded, so no call was
+  // sent.
   if (!stored.value)
     return set_complete_from(created_at_);
-  // Another process may have held the file until now, and pruned it. The mark never goes back: what this
-  // process has pruned stays unknown.
-  const Millis now = created_at_ + (clock_() - created_clock_);
+  // Another process may have used the file until now, and pruned it. The time never decreases: records that
+  // this process has pruned stay removed.
+  const Millis now = created_at_ + (clock_() - steady_at_creation_);
   complete_from_ = std::max(complete_from_, bounded_mark(*stored.value, now));
   return true;
 }
@@ -143,8 +142,8 @@
   table_.answered += has_answer(record) ? 1U : 0U;
 }
 
-// Nothing else removes records. A removed call may have run: from then on only younger calls are known not to
-// have run.
+// The only place that removes records. A call whose record was removed may have run: afterwards only calls
+// that are younger than all removed records can be proven not to have run.
 void SqliteResultStore::prune(Millis now) {
   if (!is_ready())
     return;
@@ -155,7 +154,7 @@
   const Millis mark = bounded_mark(*latest, now);
   if (mark.count() <= 0)
     return;
-  // The mark is written first: a crash in between must not leave it too early.
+  // `mark` is written first: after a crash in between, complete_from must not be too early.
   if (mark > complete_from_ && !set_complete_from(mark))
     return;
   if (database_.remove(pruning))
--- a/src/idempotency/sqlite_result_store.h
+++ b/src/idempotency/sqlite_result_store.h
@@ -1,5 +1,5 @@
-// The durable store in one SQLite file with a write-ahead log, synced at every change. A failure that may go
-// away (a full disk, an I/O error, a lock of another process) fails one operation; only proven corruption is
+// Durable store in one SQLite file with a write-ahead log, synced at every change. A transient failure (a
+// full disk, an I/O error, a lock of another process) fails one operation; only proven corruption is
 // permanent.
 #pragma once
 
@@ -19,8 +19,8 @@
  public:
   using Log = StoreHealth::Log;
   using Clock = std::function<Millis()>;
-  // `now` is the wall clock's time, and `clock` a steady clock of any origin. A file that cannot be opened is
-  // logged and opened again by the operations that follow, with backoff; one that is corrupt never is.
+  // `now` is the wall clock's time, and `clock` a steady clock of any origin. If the file cannot be
+  // opened, this is logged, and later operations try again, with backoff; a corrupt file is never reopened.
   SqliteResultStore(const std::string& path, const Bounds& bounds, Millis now, metrics::Counters& counters,
                     Log log, Clock clock = steady_now);
 
@@ -34,7 +34,7 @@
   std::size_t size() const { return table_.size.records; }
   // Visits every record, in the order of their last changes.
   void for_each(const ResultDatabase::Visitor& visit);
-  // For tests: the file grows no further, as if the disk were full.
+  // For tests: limits the file's size, as if the disk were full.
   void limit_pages(int max_pages) { database_.limit_pages(max_pages); }
 
  private:
@@ -55,7 +55,7 @@
   const std::string path_;
   const Millis created_at_;
   const Clock clock_;
-  const Millis created_clock_;  // what `clock_` read at `created_at_`
+  const Millis steady_at_creation_;  // reading of `clock_` at `created_at_`
   const Bounds bounds_;
   metrics::Counters& counters_;
   StoreHealth health_;
--- a/src/idempotency/store_health.h
+++ b/src/idempotency/store_health.h
@@ -1,4 +1,4 @@
-// What is known of the state of a store: counts and logs failed operations, and remembers proven corruption.
+// Health of a store: counts and logs failed operations, and records proven corruption.
 #pragma once
 
 #include <functional>
@@ -9,7 +9,7 @@
 
 namespace lotusyard::idempotency {
 
-// `counters` must outlive it.
+// `counters` must outlive this object.
 class StoreHealth {
  public:
   using Log = std::function<void(const std::string&)>;
@@ -21,7 +21,7 @@
   bool report(sqlite::ResultKind kind, const std::string& message);
   // A record was written: the next failure is logged whatever its kind.
   void on_write() { last_failure_ = sqlite::ResultKind::ok; }
-  // Corruption is permanent; every other failure may go away.
+  // Whether corruption was proven. It is permanent; every other failure is transient.
   bool is_damaged() const { return damaged_; }
 
  private:
--- a/src/sqlite/result.h
+++ b/src/sqlite/result.h
@@ -1,5 +1,5 @@
-// Classifies result codes of SQLite for the stores. Only proven corruption is permanent; every other error
-// may go away, and the store retries with a backoff.
+// Classifies result codes of SQLite. Only proven corruption is permanent; every other error is transient, and
+// the store retries with backoff.
 #pragma once
 
 #include <sqlite3.h>
@@ -12,7 +12,7 @@
 
 namespace lotusyard::sqlite {
 
-// The kinds of results that the stores tell apart.
+// The kinds of results that the stores distinguish.
 enum class ResultKind { ok, full, io_error, busy, cannot_open, no_memory, other, corrupt };
 
 // Accepts primary and extended result codes.
@@ -45,7 +45,7 @@
 // Whether the operation failed and may succeed when it is retried.
 inline bool is_transient(ResultKind kind) { return kind != ResultKind::ok && kind != ResultKind::corrupt; }
 
-// The suffix of the names of counters. Counter names are public: do not change them.
+// The suffix of a kind's counter. Counter names are public: do not change them.
 inline const char* name_of(ResultKind kind) {
   switch (kind) {
     case ResultKind::ok:
@@ -83,21 +83,21 @@
   return is_transient(kind) ? kind : ResultKind::corrupt;
 }
 
-// Exponential backoff between retries of a failed store operation. It has no clock: the caller schedules
-// the retry.
+// Exponential backoff between retries of a failed store operation. It has no clock: the caller schedules the
+// retries.
 class Backoff {
  public:
   using Millis = std::chrono::duration<double, std::milli>;
-  // Returns the delay before the next retry and doubles the one after it, up to kLongest.
-  Millis next() { return std::exchange(delay_, std::min(2 * delay_, kLongest)); }
+  // Returns the delay before the next retry and doubles the one after it, up to kMaxDelay.
+  Millis next() { return std::exchange(delay_, std::min(2 * delay_, kMaxDelay)); }
   // To be called after a success.
-  void reset() { delay_ = kShortest; }
+  void reset() { delay_ = kMinDelay; }
 
-  static constexpr Millis kShortest{50};
-  static constexpr Millis kLongest{2000};
+  static constexpr Millis kMinDelay{50};
+  static constexpr Millis kMaxDelay{2000};
 
  private:
-  Millis delay_ = kShortest;
+  Millis delay_ = kMinDelay;
 };
 
 }  // namespace lotusyard::sqlite
--- a/tests/idempotency/result_store_test.cpp
+++ b/tests/idempotency/result_store_test.cpp
@@ -1,4 +1,5 @@
-// Durable answers: what is decided, what a killed process leaves, and both behind the front.
+// The durable store of results: decisions on redeliveries, what a killed process leaves, and the store behind
+// the AMQP front end.
 #include <sys/wait.h>
 #include <unistd.h>
 
@@ -17,12 +18,13 @@
 
 constexpr double kNow = 1e12;
 
-struct File {  // a store's path, removed with what SQLite puts beside it
-  explicit File(const std::string& name)
+// The path of a store, which is removed together with SQLite's auxiliary files.
+struct StoreFile {
+  explicit StoreFile(const std::string& name)
       : path("answers-test-" + name + "-" + std::to_string(getpid()) + ".db") {
     remove();
   }
-  ~File() { remove(); }
+  ~StoreFile() { remove(); }
   void remove() const {
     for (const char* end : {"", "-wal", "-shm"})
       std::remove((path + end).c_str());
@@ -30,8 +32,8 @@
   std::string path;
 };
 
-struct Opened {
-  explicit Opened(const File& file, const Bounds& bounds = {}, double now = kNow)
+struct OpenStore {
+  explicit OpenStore(const StoreFile& file, const Bounds& bounds = {}, double now = kNow)
       : store(file.path, bounds, Millis(now), counters,
               [this](const std::string& line) { log.push_back(line); }) {}
   metrics::Counters counters;
@@ -47,35 +49,37 @@
   return r;
 }
 
-TEST_CASE("what a store tells decides whether a redelivered call may run") {
+TEST_CASE("a redelivered call runs only if the store proves that it has not run") {
   StoreTrust trust;
   trust.healthy = true;
-  const DeliveryFacts fresh, again{true, std::nullopt};
-  CHECK(decide(std::nullopt, fresh, trust) == Decision::run);
-  CHECK(decide(std::nullopt, again, trust) == Decision::fail_may_have_run);
-  for (const auto& arrival : {fresh, again}) {
-    CHECK(decide(record(ResultStage::sent), arrival, trust) == Decision::fail_may_have_run);
-    CHECK(decide(record(ResultStage::cleared), arrival, trust) == Decision::run);
-    CHECK(decide(record(ResultStage::answered), arrival, trust) == Decision::answer);
-    CHECK(decide(record(ResultStage::confirmed, CallStatus::failed), arrival, trust) == Decision::answer);
+  const DeliveryFacts first_delivery, redelivery{true, std::nullopt};
+  CHECK(decide(std::nullopt, first_delivery, trust) == Decision::run);
+  CHECK(decide(std::nullopt, redelivery, trust) == Decision::fail_may_have_run);
+  for (const auto& delivery : {first_delivery, redelivery}) {
+    CHECK(decide(record(ResultStage::sent), delivery, trust) == Decision::fail_may_have_run);
+    CHECK(decide(record(ResultStage::cleared), delivery, trust) == Decision::run);
+    CHECK(decide(record(ResultStage::answered), delivery, trust) == Decision::answer);
+    CHECK(decide(record(ResultStage::confirmed, CallStatus::failed), delivery, trust) == Decision::answer);
   }
-  CHECK(decide(record(ResultStage::answered, CallStatus::rejected), fresh, trust) == Decision::run);
-  CHECK(decide(record(ResultStage::answered, CallStatus::rejected), again, trust) == Decision::answer);
-  // Not in the store shows that it did not run only at the sole consumer, and for what is young enough.
+  CHECK(decide(record(ResultStage::answered, CallStatus::rejected), first_delivery, trust) == Decision::run);
+  CHECK(decide(record(ResultStage::answered, CallStatus::rejected), redelivery, trust) == Decision::answer);
+  // A missing record proves that the call did not run only at the sole consumer, and only for calls published
+  // late enough.
   trust.complete_from = Millis(kNow);
-  const DeliveryFacts young{true, Millis(kNow) + kClockSkew}, old{true, Millis(kNow) + kClockSkew / 2};
-  CHECK(decide(std::nullopt, young, trust) == Decision::fail_may_have_run);
+  const DeliveryFacts late_publication{true, Millis(kNow) + kClockSkew},
+      early_publication{true, Millis(kNow) + kClockSkew / 2};
+  CHECK(decide(std::nullopt, late_publication, trust) == Decision::fail_may_have_run);
   trust.sole_consumer = true;
-  CHECK(decide(std::nullopt, young, trust) == Decision::run);
-  CHECK(decide(std::nullopt, old, trust) == Decision::fail_may_have_run);
+  CHECK(decide(std::nullopt, late_publication, trust) == Decision::run);
+  CHECK(decide(std::nullopt, early_publication, trust) == Decision::fail_may_have_run);
   trust.healthy = false;
-  CHECK(decide(std::nullopt, fresh, trust) == Decision::refuse_unrecorded);
-  CHECK(decide(std::nullopt, young, trust) == Decision::fail_may_have_run);
+  CHECK(decide(std::nullopt, first_delivery, trust) == Decision::refuse_unrecorded);
+  CHECK(decide(std::nullopt, late_publication, trust) == Decision::fail_may_have_run);
 }
 
-// Calls that are delivered, sent, run or not, answered, confirmed and forgotten in any order, by a process
-// that is killed between any two steps: whatever is decided, none runs twice.
-TEST_CASE("no series of deliveries, ends and kills runs a call twice") {
+// Calls are delivered, sent, executed or not, answered, confirmed and pruned in random order, by a process
+// that is killed between any two steps. No call may run twice.
+TEST_CASE("no sequence of deliveries, answers, kills and pruning runs a call twice") {
   Random random(11);
   for (int round = 0; round < 3000; ++round) {
     std::optional<ResultRecord> stored;
@@ -84,37 +88,37 @@
     int runs = 0;
     bool open = false, may_have_run = false;
     for (int step = 0; step < 30; ++step) {
-      const std::size_t dice = below(random, 8);
+      const std::size_t event = below(random, 8);
       const auto write = [&](ResultStage to, CallStatus status = CallStatus::succeeded) {
         if (!may_follow(stored ? std::optional<ResultStage>(stored->stage) : std::nullopt, to))
           return false;
         stored = record(to, status);
         return true;
       };
-      if (dice < 3 && !open) {
+      if (event < 3 && !open) {
         trust.healthy = below(random, 10) > 0;
-        const DeliveryFacts arrival{step > 0, published};
-        open = decide(stored, arrival, trust) == Decision::run;
+        const DeliveryFacts delivery{step > 0, published};
+        open = decide(stored, delivery, trust) == Decision::run;
         may_have_run = false;
-      } else if (dice < 5 && open && !may_have_run) {
+      } else if (event < 5 && open && !may_have_run) {
         if (!write(ResultStage::sent))
           continue;
         if (below(random, 3) == 0)
-          continue;  // killed or cut off before it ran; nobody knows
+          continue;  // killed or disconnected before it ran, which nobody can know
         const bool ran = below(random, 2) == 0;
         runs += ran;
         may_have_run = ran;
         if (!ran)
           write(ResultStage::cleared);
-      } else if (dice == 5 && open) {
+      } else if (event == 5 && open) {
         write(ResultStage::answered, may_have_run ? CallStatus::succeeded : CallStatus::rejected);
         open = false;
-      } else if (dice == 6) {
+      } else if (event == 6) {
         write(ResultStage::confirmed);
-      } else if (dice == 7) {
+      } else if (event == 7) {
         open = false;  // killed
         if (stored && below(random, 4) == 0) {
-          stored.reset();  // pruned: what came before can no longer be vouched for
+          stored.reset();  // pruned: the store has no complete record of earlier calls any more
           trust.complete_from = published + kClockSkew;
         }
       }
@@ -123,26 +127,26 @@
   }
 }
 
-// Each step is the last thing that a process does before it is killed.
-TEST_CASE("a process killed after any step of the store leaves what it wrote") {
+// A process is killed after each step in turn.
+TEST_CASE("a store has every record that a process wrote before it was killed") {
   const ResultStage steps[] = {ResultStage::sent, ResultStage::cleared, ResultStage::sent,
                                ResultStage::answered, ResultStage::confirmed};
   for (int last = 0; last <= 5; ++last) {
-    File file("kill");
+    StoreFile file("kill");
     const pid_t child = fork();
     if (child == 0) {
-      Opened opened(file);
+      OpenStore open_store(file);
       for (int i = 0; i < last; ++i)
-        opened.store.put("m", record(steps[i]));
+        open_store.store.put("m", record(steps[i]));
       kill(getpid(), SIGKILL);
     }
     int status = 0;
     REQUIRE(waitpid(child, &status, 0) == child);
     REQUIRE((WIFSIGNALED(status) && WTERMSIG(status) == SIGKILL));
-    Opened opened(file, {}, kNow + 1000);
+    OpenStore open_store(file, {}, kNow + 1000);
     std::optional<ResultRecord> found;
-    REQUIRE(opened.store.find("m", found));
-    CHECK(opened.store.complete_from() == Millis(kNow));
+    REQUIRE(open_store.store.find("m", found));
+    CHECK(open_store.store.complete_from() == Millis(kNow));
     REQUIRE(found.has_value() == (last > 0));
     if (last > 0)
       CHECK(found->stage == steps[last - 1]);
@@ -151,58 +155,58 @@
   }
 }
 
-TEST_CASE("a store keeps within its bounds; what may have run goes by age only") {
-  File file("bounds");
+TEST_CASE("a store stays within its limits; records of calls that may have run are removed by age only") {
+  StoreFile file("bounds");
   Bounds bounds;
   bounds.max_records = 10;
   bounds.max_age = Millis(1000);
-  Opened opened(file, bounds);
+  OpenStore open_store(file, bounds);
   for (int i = 0; i < 6; ++i)
-    REQUIRE(opened.store.put("sent" + std::to_string(i), record(ResultStage::sent)));
+    REQUIRE(open_store.store.put("sent" + std::to_string(i), record(ResultStage::sent)));
   for (int i = 0; i < 20; ++i) {
-    opened.store.put("done" + std::to_string(i),
-                     record(ResultStage::answered, CallStatus::succeeded, kNow + i));
-    opened.store.prune(Millis(kNow + i));
+    open_store.store.put("done" + std::to_string(i),
+                         record(ResultStage::answered, CallStatus::succeeded, kNow + i));
+    open_store.store.prune(Millis(kNow + i));
   }
-  CHECK(opened.store.size() == 10);
+  CHECK(open_store.store.size() == 10);
   std::optional<ResultRecord> found;
-  REQUIRE(opened.store.find("sent0", found));
+  REQUIRE(open_store.store.find("sent0", found));
   CHECK(found.has_value());
-  CHECK(opened.store.complete_from() == Millis(kNow + 15));  // the newest that was forgotten
+  CHECK(open_store.store.complete_from() == Millis(kNow + 15));  // the newest record that was removed
   for (int i = 6; i < 20; ++i)
-    opened.store.put("sent" + std::to_string(i), record(ResultStage::sent));
-  opened.store.prune(Millis(kNow + 30));
-  CHECK(opened.store.size() <= 11);
-  CHECK(opened.counters.value("answers.store_bound") > 0);  // and a further call is not begun
-  opened.store.prune(Millis(kNow + 2000));
-  CHECK(opened.store.size() == 0);
+    open_store.store.put("sent" + std::to_string(i), record(ResultStage::sent));
+  open_store.store.prune(Millis(kNow + 30));
+  CHECK(open_store.store.size() <= 11);
+  CHECK(open_store.counters.value("answers.store_bound") > 0);  // no further call may be recorded
+  open_store.store.prune(Millis(kNow + 2000));
+  CHECK(open_store.store.size() == 0);
 }
 
-TEST_CASE("with a damaged or full store no bin-record is begun, and bin-check goes on") {
-  File file("damaged");
+TEST_CASE("with a corrupt or full store non-idempotent calls are rejected, and idempotent ones are served") {
+  StoreFile file("damaged");
   const bool full = GENERATE(false, true);
   if (!full)
     std::ofstream(file.path) << std::string(5000, 'x');
-  Opened opened(file);
+  OpenStore open_store(file);
   if (full)
-    opened.store.limit_pages(1);
-  CHECK(opened.store.healthy() == full);
-  Triggers t(1, 1, {}, settings(), &opened.store);
+    open_store.store.limit_pages(1);
+  CHECK(open_store.store.healthy() == full);
+  Triggers t(1, 1, {}, settings(), &open_store.store);
   t.broker.send("check", "bin-check", "x");
   REQUIRE(t.answered("check"));
   CHECK(word_of(t.broker.held["c-check"][0]) == "OK");
-  const std::string stem(200, 'r');  // ids that soon fill what pages are left
+  const std::string stem(200, 'r');  // long ids, to fill the remaining pages soon
   for (int i = 0; i < 60; ++i)
     t.broker.send(stem + std::to_string(i), "bin-record", "y");
   REQUIRE(t.answered(stem + "59"));
   CHECK(word_of(t.broker.held["c-" + stem + "59"][0]) == "BUSY");
-  CHECK(opened.counters.value(full ? "answers.store_full" : "answers.store_damaged") > 0);
-  CHECK(!opened.log.empty());
+  CHECK(open_store.counters.value(full ? "answers.store_full" : "answers.store_damaged") > 0);
+  CHECK(!open_store.log.empty());
   if (!full)
     CHECK(t.world.host[0]->execs == 1);
 }
 
-StandInBroker::Message again(const std::string& id) {
+StandInBroker::Message redelivery_of(const std::string& id) {
   StandInBroker::Message m;
   m.properties.message_id = id;
   m.properties.correlation_id = "c-" + id;
@@ -213,13 +217,11 @@
   return m;
 }
 
-TEST_CASE(
-    "a restarted process answers a redelivered bin-record from its store, or fails it, or shows it never "
-    "ran") {
-  File file("restart");
+TEST_CASE("a restarted process answers, fails or runs a redelivered non-idempotent call by its record") {
+  StoreFile file("restart");
   {
-    Opened opened(file);
-    Triggers t(1, 1, {}, settings(), &opened.store);
+    OpenStore open_store(file);
+    Triggers t(1, 1, {}, settings(), &open_store.store);
     t.world.host[0]->handler = [](const std::string& body) {
       return body == "done" ? Reaction() : Reaction{Reaction::silence, ""};
     };
@@ -228,14 +230,14 @@
     t.broker.send("lost", "bin-record", "lost");
     REQUIRE(t.world.run_until([&] { return t.world.host[0]->execs == 2; }, 20000));
     const double now = t.world.loop.now().count();
-    opened.store.put("cleared", record(ResultStage::sent, CallStatus::succeeded, now));
-    opened.store.put("cleared", record(ResultStage::cleared, CallStatus::succeeded, now));
-    opened.store.put("answered", record(ResultStage::answered, CallStatus::succeeded, now));
-  }  // as if killed: "lost" is out and its answer never comes
-  Opened opened(file);
-  Triggers t(1, 1, {}, settings(), &opened.store);
+    open_store.store.put("cleared", record(ResultStage::sent, CallStatus::succeeded, now));
+    open_store.store.put("cleared", record(ResultStage::cleared, CallStatus::succeeded, now));
+    open_store.store.put("answered", record(ResultStage::answered, CallStatus::succeeded, now));
+  }  // as if killed: "lost" is in flight and is never answered
+  OpenStore open_store(file);
+  Triggers t(1, 1, {}, settings(), &open_store.store);
   for (const char* id : {"lost", "cleared", "answered", "done", "never"})
-    t.broker.put(again(id));
+    t.broker.put(redelivery_of(id));
   REQUIRE(t.answered("never"));
   REQUIRE(t.settled());
   CHECK(word_of(t.broker.held["c-lost"][0]) == "FAILED");
@@ -243,13 +245,13 @@
   REQUIRE(t.answered("cleared"));
   CHECK(word_of(t.broker.held["c-cleared"][0]) == "OK");
   CHECK((t.broker.held["c-answered"].size() == 1 && t.broker.held["c-answered"][0].body == "body"));
-  CHECK(t.broker.held["c-done"].empty());  // it was confirmed there before: only the ack was lost
+  CHECK(t.broker.held["c-done"].empty());  // its answer was confirmed before: only the ack was lost
   CHECK(t.world.host[0]->execs == 1);
 }
 
-TEST_CASE("a call whose time ran out in the queue is answered, not run") {
+TEST_CASE("a call that expired in the queue is answered and not run") {
   Triggers t(1);
-  auto m = again("late");
+  auto m = redelivery_of("late");
   m.properties.headers["class"] = std::string("bin-check");
   m.properties.timestamp = static_cast<std::uint64_t>(t.world.loop.now().count() / 1000) - 10;
   m.properties.expiration = "3000";
@@ -259,32 +261,33 @@
   CHECK(t.world.host[0]->execs == 0);
 }
 
-// By hand: what the store costs, paired and in turn. Prints calls a second and the median and 99th percentile
-// of the time from a delivery to its published answer.
+// To be run by hand: alternates runs with and without the store. Prints calls per second, and the median and
+// 99th percentile of the time from a delivery to its published answer.
 TEST_CASE("the cost of the durable store", "[.measure]") {
   constexpr int kCalls = 2000;
   for (int pair = 0; pair < 6; ++pair) {
     for (const bool durable : {false, true}) {
-      File file("cost");
-      std::unique_ptr<Opened> opened;
+      StoreFile file("cost");
+      std::unique_ptr<OpenStore> open_store;
       if (durable)
-        opened = std::make_unique<Opened>(file);
-      Triggers t(3, static_cast<std::uint64_t>(pair) + 1, {}, settings(), durable ? &opened->store : nullptr);
+        open_store = std::make_unique<OpenStore>(file);
+      Triggers t(3, static_cast<std::uint64_t>(pair) + 1, {}, settings(),
+                 durable ? &open_store->store : nullptr);
       t.broker.send("first", "bin-record", "x");
       REQUIRE(t.answered("first"));
-      std::vector<double> took;
-      const Millis began = t.world.loop.now();
+      std::vector<double> latencies;
+      const Millis started_at = t.world.loop.now();
       for (int i = 0; i < kCalls; ++i) {
         const std::string id = "m" + std::to_string(i);
         const Millis sent = t.world.loop.now();
         t.broker.send(id, "bin-record", "bin of " + id);
         REQUIRE(t.answered(id));
-        took.push_back((t.world.loop.now() - sent).count());
+        latencies.push_back((t.world.loop.now() - sent).count());
       }
-      const double all = (t.world.loop.now() - began).count();
-      std::sort(took.begin(), took.end());
+      const double all = (t.world.loop.now() - started_at).count();
+      std::sort(latencies.begin(), latencies.end());
       std::printf("%s pair %d: %.0f calls/s, median %.3f ms, p99 %.3f ms\n", durable ? "durable" : "memory ",
-                  pair, kCalls / all * 1000, took[kCalls / 2], took[kCalls * 99 / 100]);
+                  pair, kCalls / all * 1000, latencies[kCalls / 2], latencies[kCalls * 99 / 100]);
     }
   }
 }
--- a/tests/idempotency/sqlite_result_test.cpp
+++ b/tests/idempotency/sqlite_result_test.cpp
@@ -1,4 +1,4 @@
-// How SQLite's results are told apart, and how long a store waits before it tries again.
+// Classification of SQLite's result codes, and the backoff between retries.
 #include <catch2/catch.hpp>
 
 #include "sqlite/result.h"
@@ -6,7 +6,7 @@
 namespace lotusyard::test {
 namespace {
 
-TEST_CASE("what SQLite's codes mean: only proven damage is final") {
+TEST_CASE("result codes of SQLite: only proven corruption is permanent") {
   using sqlite::ResultKind;
   for (const int code : {SQLITE_FULL, SQLITE_IOERR, SQLITE_IOERR_FSYNC, SQLITE_IOERR_NOMEM, SQLITE_BUSY,
                          SQLITE_BUSY_RECOVERY, SQLITE_LOCKED, SQLITE_CANTOPEN, SQLITE_NOMEM, SQLITE_PROTOCOL,
@@ -20,15 +20,15 @@
   CHECK(sqlite::classify_check("row 3 missing from index calls_at") == ResultKind::corrupt);
 }
 
-TEST_CASE("the wait before the next try doubles up to its bound, and begins anew") {
+TEST_CASE("the backoff doubles up to its limit, and starts over after a reset") {
   sqlite::Backoff backoff;
-  CHECK(backoff.next() == sqlite::Backoff::kShortest);
-  CHECK(backoff.next() == 2 * sqlite::Backoff::kShortest);
+  CHECK(backoff.next() == sqlite::Backoff::kMinDelay);
+  CHECK(backoff.next() == 2 * sqlite::Backoff::kMinDelay);
   for (int i = 0; i < 20; ++i)
-    CHECK(backoff.next() <= sqlite::Backoff::kLongest);
-  CHECK(backoff.next() == sqlite::Backoff::kLongest);
+    CHECK(backoff.next() <= sqlite::Backoff::kMaxDelay);
+  CHECK(backoff.next() == sqlite::Backoff::kMaxDelay);
   backoff.reset();
-  CHECK(backoff.next() == sqlite::Backoff::kShortest);
+  CHECK(backoff.next() == sqlite::Backoff::kMinDelay);
 }
 
 }  // namespace
