--- a/tests/maintenance/host_observer_test.cpp
+++ b/tests/maintenance/host_observer_test.cpp
@@ -1,4 +1,4 @@
-// What a member observes of hosts: what each contributes, and which are down.
+// A member's observations of hosts: the value that each serves, and which are down.
 #include "maintenance/host_observer.h"
 
 #include <catch2/catch.hpp>
@@ -8,7 +8,7 @@
 namespace lotusyard::test {
 namespace {
 
-TEST_CASE("a host's serving value follows its calls, and is higher where it serves a function alone") {
+TEST_CASE("a host's serving value grows with its calls, and is higher if no other host serves the function") {
   maintenance::HostObserver observer;
   for (int i = 0; i < 100; ++i) {
     const Millis at(i * 100);
@@ -28,6 +28,7 @@
   CHECK(observer.is_down("busy", now));
   observer.record_success("busy", 1, 1, now);
   CHECK_FALSE(observer.is_down("busy", now));
+  // The table of functions stays within its limit.
   for (std::uint64_t function = 0; function < 3 * maintenance::HostObserver::kMaxFunctions; ++function)
     observer.record_success("busy", function, 1, now);
 }
--- a/tests/maintenance/maintenance_entries.h
+++ b/tests/maintenance/maintenance_entries.h
@@ -19,7 +19,7 @@
 using maintenance::MaintenanceJob;
 using maintenance::MaintenanceState;
 
-// The job "w" on the hosts h0, h1, ..., by turns in the zones east and west.
+// The job "w" on the hosts h0, h1, ..., which are alternately in the zones east and west.
 inline MaintenanceJob make_job(int hosts, int max_out, double min_usable_share = 0.5) {
   MaintenanceJob job;
   job.id = "w";
@@ -60,14 +60,14 @@
   return {maintenance::RecordHeartbeats{std::move(heartbeats)}, {}, {}};
 }
 
-// A state whose entries get consecutive indices, at a time that the test sets.
+// A state to which entries are applied at consecutive indices, at a time that the test sets.
 struct StateFixture {
   MaintenanceState state;
   std::uint64_t index = 0;
   Millis now{1000};
 
   maintenance::ProposalOutcome apply(const LogEntry& entry) { return state.apply(++index, entry, now); }
-  // The member a has applied all entries, and has drained and been served by these hosts.
+  // The member a has applied all entries, has drained the hosts `drained`, and was served calls by `served`.
   void heartbeat(std::set<std::string> drained = {}, std::set<std::string> served = {}) {
     maintenance::Heartbeat heartbeat = make_heartbeat("a", 1, index, 10);
     heartbeat.drained_hosts = std::move(drained);
--- a/tests/maintenance/maintenance_measure.cpp
+++ b/tests/maintenance/maintenance_measure.cpp
@@ -1,4 +1,4 @@
-// Figures of maintenance by whole members. By hand: lotusyard_tests "[works-measure]".
+// Measures maintenance with real processes. To be run by hand: lotusyard_tests "[works-measure]".
 #include <unistd.h>
 
 #include <algorithm>
@@ -10,11 +10,11 @@
 namespace lotusyard::test {
 namespace {
 
-void print(const std::string& what, std::vector<double> values) {
+void print(const std::string& label, std::vector<double> values) {
   std::sort(values.begin(), values.end());
   if (values.empty())
     return;
-  std::cout << what << ": " << values.size() << " runs, least " << values.front() << ", median "
+  std::cout << label << ": " << values.size() << " runs, least " << values.front() << ", median "
             << values[values.size() / 2] << ", most " << values.back() << std::endl;
 }
 
@@ -29,15 +29,17 @@
   return ticks * 1000 / static_cast<double>(sysconf(_SC_CLK_TCK));
 }
 
-double first(const Cluster& cluster, const std::string& what) {
-  for (const auto& h : maintenance::parse_timeline(cluster.lines()).entries) {
-    if (h.kind == what)
-      return h.at;
+// The time of the first entry of this kind; 0 if there is none.
+double time_of_first(const Cluster& cluster, const std::string& kind) {
+  for (const auto& entry : maintenance::parse_timeline(cluster.lines()).entries) {
+    if (entry.kind == kind)
+      return entry.at;
   }
   return 0;
 }
 
-std::map<std::string, int> answers(const Cluster& cluster) {
+// The number of answers that all clients have received, by status word.
+std::map<std::string, int> count_answers(const Cluster& cluster) {
   std::map<std::string, int> out;
   for (const auto& m : cluster.members) {
     if (!m->tablet)
@@ -48,42 +50,43 @@
   return out;
 }
 
-TEST_CASE("how long a group takes", "[.][works-measure]") {
-  std::vector<double> to_touch, after_death;
+TEST_CASE("latency of maintenance steps and of a change of leader", "[.][works-measure]") {
+  std::vector<double> until_release, until_next_step;
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     Cluster cluster(seed, 3, 6);
     REQUIRE(cluster.all_ready(20));
     REQUIRE(cluster.add("w", 2));
-    REQUIRE(cluster.until([&] { return first(cluster, "touch") > 0; }, 20));
-    to_touch.push_back(first(cluster, "touch") - first(cluster, "add"));
-    std::string leader;
+    REQUIRE(cluster.until([&] { return time_of_first(cluster, "touch") > 0; }, 20));
+    until_release.push_back(time_of_first(cluster, "touch") - time_of_first(cluster, "add"));
+    std::string leader_name;
     for (const auto& line : cluster.lines()) {
       if (line.find(" leads") != std::string::npos)
-        leader = line.substr(line.find("member=") + 7, 1);
+        leader_name = line.substr(line.find("member=") + 7, 1);
     }
-    Cluster::Member* led = nullptr;
+    Cluster::Member* leader = nullptr;
     for (auto& m : cluster.members)
-      led = m->name == leader ? m.get() : led;
-    REQUIRE(led != nullptr);
-    const double died = cluster.world.loop.now().count();
-    led->process->signal(SIGKILL);
-    led->back_at = died + 1e9;
-    double next = 0;
+      leader = m->name == leader_name ? m.get() : leader;
+    REQUIRE(leader != nullptr);
+    const double killed_at = cluster.world.loop.now().count();
+    leader->process->signal(SIGKILL);
+    leader->back_at = killed_at + 1e9;
+    double next_step_at = 0;
     cluster.until(
         [&] {
           cluster.give_back(0);
-          for (const auto& h : maintenance::parse_timeline(cluster.lines()).entries) {
-            if (next == 0 && h.at > died && (h.kind == "returned" || h.kind == "take"))
-              next = h.at;
+          for (const auto& entry : maintenance::parse_timeline(cluster.lines()).entries) {
+            if (next_step_at == 0 && entry.at > killed_at &&
+                (entry.kind == "returned" || entry.kind == "take"))
+              next_step_at = entry.at;
           }
-          return next > 0;
+          return next_step_at > 0;
         },
         20);
-    if (next > 0)
-      after_death.push_back(next - died);
+    if (next_step_at > 0)
+      until_next_step.push_back(next_step_at - killed_at);
   }
-  print("from add to the first host that may be touched, ms (lease 600, election 200)", to_touch);
-  print("from the leader's death to the next agreed step, ms", after_death);
+  print("from add to the first release of a host, ms (lease 600, election 200)", until_release);
+  print("from the leader's death to the next committed step, ms", until_next_step);
 }
 
 void wait(Cluster& cluster, double duration_ms) {
@@ -91,13 +94,13 @@
   cluster.until([&] { return cluster.world.loop.now().count() >= until; }, 30);
 }
 
-// Through the admin endpoints of all members; `verb` is `disable` or `enable`.
+// Disables or enables the host at the admin endpoints of all members; `verb` is `disable` or `enable`.
 void change_by_hand(Cluster& cluster, const std::string& verb, int host) {
   for (auto& member : cluster.members)
     cluster.s.post(member->admin_endpoint, "/-/hosts/h" + std::to_string(host) + "/" + verb);
 }
 
-// By a job over h0, h1 and h2, one at a time.
+// Takes h0, h1 and h2 out by a job, one at a time.
 void take_out_by_job(Cluster& cluster) {
   const nlohmann::json job = {{"t", "add"},
                               {"id", "x"},
@@ -118,8 +121,8 @@
 void take_out_by_hand_one_by_one(Cluster& cluster) {
   for (int host = 0; host < 3; ++host) {
     change_by_hand(cluster, "disable", host);
-    wait(cluster,
-         400 + 400);  // the longest time-out, after which calls have ended, and the maintenance itself
+    // The longest time-out, after which calls have ended, and the maintenance itself.
+    wait(cluster, 400 + 400);
     change_by_hand(cluster, "enable", host);
   }
 }
@@ -132,15 +135,15 @@
     change_by_hand(cluster, "enable", host);
 }
 
-// Returns the percentage of all calls between the two counts that was not served.
-double percentage_lost(const std::map<std::string, int>& before, const std::map<std::string, int>& after) {
+// The percentage of the calls between the two counts that were not served.
+double percentage_failed(const std::map<std::string, int>& before, const std::map<std::string, int>& after) {
   double all = 0;
   double served = 0;
   for (const auto& [word, count] : after) {
     const auto earlier = before.find(word);
-    const int more = count - (earlier == before.end() ? 0 : earlier->second);
-    all += more;
-    served += word == "OK" ? more : 0;
+    const int added = count - (earlier == before.end() ? 0 : earlier->second);
+    all += added;
+    served += word == "OK" ? added : 0;
   }
   return all > 0 ? std::round((all - served) / all * 10000) / 100 : 0;
 }
@@ -155,31 +158,31 @@
   wait(cluster, 800);
 }
 
-// Half of the hosts by a job, by hand one after the other, and by hand all at once; each host is away for
-// 0.4 s.
-TEST_CASE("calls lost while half of the hosts are away", "[.][works-measure]") {
+// Half of the hosts are out for 0.4 s each: by a job, disabled by hand one after the other, and disabled by
+// hand all at once.
+TEST_CASE("calls that fail while half of the hosts are out", "[.][works-measure]") {
   for (const std::string how : {"nothing", "work", "one", "all"}) {
-    std::vector<double> lost;
-    std::vector<double> took;
+    std::vector<double> failed;
+    std::vector<double> durations;
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
       Cluster cluster(seed, 3, 6);
       REQUIRE(cluster.all_ready(20));
-      const double began = cluster.world.loop.now().count();
+      const double started_at = cluster.world.loop.now().count();
       wait(cluster, 1000);
-      const auto before = answers(cluster);
+      const auto before = count_answers(cluster);
       take_out(cluster, how);
-      took.push_back(cluster.world.loop.now().count() - began - 1000);
+      durations.push_back(cluster.world.loop.now().count() - started_at - 1000);
       wait(cluster, 1000);
-      lost.push_back(percentage_lost(before, answers(cluster)));
+      failed.push_back(percentage_failed(before, count_answers(cluster)));
     }
-    print(how + ": % of calls not served", lost);
-    print(how + ": ms", took);
+    print(how + ": % of calls not served", failed);
+    print(how + ": ms", durations);
   }
 }
 
-TEST_CASE("what a group costs at rest", "[.][works-measure]") {
-  const char* given = std::getenv("LOTUSYARD_MEMBERS");
-  const int count = given == nullptr ? 5 : std::atoi(given);
+TEST_CASE("processor time and messages of an idle group", "[.][works-measure]") {
+  const char* members = std::getenv("LOTUSYARD_MEMBERS");
+  const int count = members == nullptr ? 5 : std::atoi(members);
   Cluster cluster(1, count, 6, {}, 5, 3000, 1000);
   cluster.quiet = true;
   REQUIRE(cluster.all_ready(60));
@@ -193,21 +196,22 @@
       out.push_back(static_cast<double>(m->process->counter(name)));
     return out;
   };
-  const auto sent = counters("group.sent");
-  std::vector<double> used;
+  const auto sent_before = counters("group.sent");
+  std::vector<double> processor_ms_before;
   for (auto& m : cluster.members)
-    used.push_back(processor_ms(m->process->pid()));
-  const double began = cluster.world.loop.now().count();
-  cluster.until([&] { return cluster.world.loop.now().count() >= began + 10000; }, 20);
-  const double seconds = (cluster.world.loop.now().count() - began) / 1000;
+    processor_ms_before.push_back(processor_ms(m->process->pid()));
+  const double started_at = cluster.world.loop.now().count();
+  cluster.until([&] { return cluster.world.loop.now().count() >= started_at + 10000; }, 20);
+  const double seconds = (cluster.world.loop.now().count() - started_at) / 1000;
   std::vector<double> processor, messages;
   for (std::size_t i = 0; i < cluster.members.size(); ++i)
-    processor.push_back((processor_ms(cluster.members[i]->process->pid()) - used[i]) / seconds);
-  const auto now_sent = counters("group.sent");
-  for (std::size_t i = 0; i < sent.size(); ++i)
-    messages.push_back((now_sent[i] - sent[i]) / (seconds + 0.5));
-  print(std::to_string(count) + " members at rest, lease 3 s: processor ms a second, by member", processor);
-  print(std::to_string(count) + " members at rest: frames sent a second, by member", messages);
+    processor.push_back((processor_ms(cluster.members[i]->process->pid()) - processor_ms_before[i]) /
+                        seconds);
+  const auto sent_after = counters("group.sent");
+  for (std::size_t i = 0; i < sent_before.size(); ++i)
+    messages.push_back((sent_after[i] - sent_before[i]) / (seconds + 0.5));
+  print(std::to_string(count) + " idle members, lease 3 s: processor ms per second, by member", processor);
+  print(std::to_string(count) + " idle members: frames sent per second, by member", messages);
 }
 
 }  // namespace
--- a/tests/maintenance/maintenance_rig.h
+++ b/tests/maintenance/maintenance_rig.h
@@ -1,4 +1,4 @@
-// A rig in which one work over all hosts is settled while the processes are disturbed.
+// A harness in which a job over all hosts is carried out while the processes are disturbed.
 #pragma once
 
 #include "support/process_rig.h"
@@ -12,10 +12,11 @@
   double pause_least = 100, pause_most = 600;  // milliseconds between disturbances
 
   virtual void disturb() = 0;
-  virtual void heal() = 0;  // of everything but processes that do not run
+  virtual void heal() = 0;  // ends all disturbances, except that processes which do not run stay so
 
+  // Proposes a job over all hosts until it is committed.
   bool add(const std::string& id, int out) {
-    nlohmann::json work = {
+    nlohmann::json proposal = {
         {"t", "add"},
         {"id", "add-" + id},
         {"added", {{"id", id}, {"select", {{"all", true}}}, {"bounds", {{"out", out}, {"usable", 0.5}}}}}};
@@ -24,60 +25,62 @@
         [&] {
           const auto running = std::find_if(operated.begin(), operated.end(), runs);
           if (running != operated.end())
-            propose(**running, work);
-          const auto course = maintenance::parse_timeline(lines());
-          return std::any_of(course.entries.begin(), course.entries.end(),
-                             [&](const auto& h) { return h.kind == "add"; });
+            propose(**running, proposal);
+          const auto timeline = maintenance::parse_timeline(lines());
+          return std::any_of(timeline.entries.begin(), timeline.entries.end(),
+                             [&](const auto& entry) { return entry.kind == "add"; });
         },
         20);
   }
-  // Every host has been out and is back.
+  // Whether every host has been out and has returned.
   bool done() const {
-    const auto course = maintenance::parse_timeline(lines());
+    const auto timeline = maintenance::parse_timeline(lines());
     std::map<std::string, int> back;
-    for (const auto& h : course.entries)
-      back[h.host] += h.kind == "back";
+    for (const auto& entry : timeline.entries)
+      back[entry.host] += entry.kind == "back";
     int all = 0;
     for (const auto& [host, times] : back)
       all += times > 0;
     return all == static_cast<int>(world.host.size());
   }
-  // One work over all hosts, with as many disturbances; what is broken, else empty.
+  // Runs a job over all hosts with this number of disturbances. Returns the first violation; empty if there
+  // is none.
   std::string run(int disturbances, int most_out) {
     REQUIRE(until([&] { return s.ask(operated[0]->admin_endpoint, "GET", "/-/ready") == 200; }, 20));
     REQUIRE(add("w", most_out));
     for (int i = 0; i < disturbances; ++i) {
-      const double next = now() + pause_least + static_cast<double>(below(random, pause_span()));
-      until([&] { return now() >= next; }, 10);
+      const double next_disturbance_at =
+          now() + pause_least + static_cast<double>(below(random, pause_span()));
+      until([&] { return now() >= next_disturbance_at; }, 10);
       disturb();
       give_back(100);
-      const std::string broken = broken_rule(most_out);
-      if (!broken.empty())
-        return broken;
+      const std::string violation = broken_rule(most_out);
+      if (!violation.empty())
+        return violation;
     }
     heal();
     revive_all();
-    double checked = 0;
+    double next_check_at = 0;
     const bool ended = until(
         [&] {
-          if (now() < checked)
+          if (now() < next_check_at)
             return false;
-          checked = now() + 100;
+          next_check_at = now() + 100;
           give_back(100);
           return done();
         },
         60);
-    const std::string broken = broken_rule(most_out);
-    if (!broken.empty())
-      return broken;
+    const std::string violation = broken_rule(most_out);
+    if (!violation.empty())
+      return violation;
     if (!ended)
-      return "the work does not end";
-    const auto answered = [](const auto* p) {
+      return "the job does not end";
+    const auto is_caught_up = [](const auto* p) {
       return !p->tablet || p->tablet->closed || p->tablet->open.size() < 40;
     };
-    const bool all_answered =
-        until([&] { return std::all_of(processes.begin(), processes.end(), answered); }, 5);
-    return all_answered ? std::string() : "calls are not answered";
+    const bool all_caught_up =
+        until([&] { return std::all_of(processes.begin(), processes.end(), is_caught_up); }, 5);
+    return all_caught_up ? std::string() : "calls are not answered";
   }
 
  private:
--- a/tests/maintenance/maintenance_rules.h
+++ b/tests/maintenance/maintenance_rules.h
@@ -1,5 +1,5 @@
-// The rules that a work on machines has to keep, checked from what all processes wrote and what all hosts
-// ran. No I/O.
+// Checks the rules of maintenance against the log lines of all processes and the calls that all hosts ran.
+// Does no I/O.
 #pragma once
 
 #include <map>
@@ -11,40 +11,42 @@
 
 namespace lotusyard::test {
 
+// One execution of a call at a host.
 struct Exec {
-  double at = 0, until = 0;  // until when it may run
+  double at = 0, until = 0;  // from its arrival, and until when it may run
   std::string body;
 };
-using Executions = std::vector<std::vector<Exec>>;  // by host, in the order in which they came
+using Executions = std::vector<std::vector<Exec>>;  // by host, in the order of arrival
 
 constexpr double kForever = 1e18;
 
-// While operators may have a host: from its `touch` to its `returned`.
+// A period in which operators may work on a host: from its `touch` to its `returned`.
 struct TouchedSpan {
   std::string host;
   double from = 0, to = kForever;
 };
 
-// Fails with the rule that the order of the steps breaks, else gives the spans.
-inline std::string touched_spans(const maintenance::Timeline& course, int most_out,
+// Adds all such periods to `spans`. Returns the first violation in the order of the steps; empty if there is
+// none.
+inline std::string touched_spans(const maintenance::Timeline& timeline, int most_out,
                                  std::vector<TouchedSpan>& spans) {
   std::set<std::string> out;
   std::map<std::string, double> touched;
-  for (const auto& h : course.entries) {
-    if (h.kind == "take")
-      out.insert(h.host);
-    if (h.kind == "back")
-      out.erase(h.host);
+  for (const auto& entry : timeline.entries) {
+    if (entry.kind == "take")
+      out.insert(entry.host);
+    if (entry.kind == "back")
+      out.erase(entry.host);
     if (static_cast<int>(out.size()) > most_out)
-      return std::to_string(out.size()) + " hosts out at index " + std::to_string(h.index);
-    if (h.kind == "touch")
-      touched[h.host] = h.at;
-    if (h.kind != "returned")
+      return std::to_string(out.size()) + " hosts out at index " + std::to_string(entry.index);
+    if (entry.kind == "touch")
+      touched[entry.host] = entry.at;
+    if (entry.kind != "returned")
       continue;
-    if (touched.count(h.host) == 0)
-      return h.host + " is back and was not out";
-    spans.push_back({h.host, touched[h.host], h.at});
-    touched.erase(h.host);
+    if (touched.count(entry.host) == 0)
+      return entry.host + " returned without having been out";
+    spans.push_back({entry.host, touched[entry.host], entry.at});
+    touched.erase(entry.host);
   }
   for (const auto& [host, at] : touched)
     spans.push_back({host, at, kForever});
@@ -52,22 +54,23 @@
 }
 
 inline std::string call_at_touched_host(const TouchedSpan& span, const std::vector<Exec>& executions) {
-  for (const auto& e : executions) {
-    if (e.at > span.from && e.at < span.to)
-      return span.host + " has a call " + std::to_string(e.at - span.from) + " ms after it may be touched";
-    if (e.at <= span.from && e.until > span.from)
-      return span.host + " may be touched with a call there for " + std::to_string(e.until - span.from) +
-             " ms more";
+  for (const auto& execution : executions) {
+    if (execution.at > span.from && execution.at < span.to)
+      return span.host + " has a call " + std::to_string(execution.at - span.from) +
+             " ms after it may be touched";
+    if (execution.at <= span.from && execution.until > span.from)
+      return span.host + " may be touched with a call there for " +
+             std::to_string(execution.until - span.from) + " ms more";
   }
   return {};
 }
 
 inline std::string record_that_ran_twice(const Executions& executions) {
-  std::map<std::string, int> records;
+  std::map<std::string, int> runs_by_record;
   for (const auto& host : executions) {
-    for (const auto& e : host) {
-      if (e.body.compare(0, 6, "record") == 0 && ++records[e.body] > 1)
-        return e.body + " ran twice";
+    for (const auto& execution : host) {
+      if (execution.body.compare(0, 6, "record") == 0 && ++runs_by_record[execution.body] > 1)
+        return execution.body + " ran twice";
     }
   }
   return {};
@@ -81,17 +84,17 @@
   return hosts;
 }
 
-// Every rule, from all members' lines and all hosts' counts. Empty: none is broken.
+// Checks all rules and returns the first violation; empty if there is none.
 inline std::string broken_work_rule(const std::vector<std::string>& lines, const Executions& executions,
                                     int most_out) {
-  const auto course = maintenance::parse_timeline(lines);
-  if (!course.fault.empty())
-    return "members disagree: " + course.fault;
+  const auto timeline = maintenance::parse_timeline(lines);
+  if (!timeline.fault.empty())
+    return "members disagree: " + timeline.fault;
   std::vector<TouchedSpan> spans;
-  std::string broken = touched_spans(course, most_out, spans);
-  for (auto span = spans.begin(); broken.empty() && span != spans.end(); ++span)
-    broken = call_at_touched_host(*span, executions.at(number_of_host(span->host, executions.size())));
-  return broken.empty() ? record_that_ran_twice(executions) : broken;
+  std::string violation = touched_spans(timeline, most_out, spans);
+  for (auto span = spans.begin(); violation.empty() && span != spans.end(); ++span)
+    violation = call_at_touched_host(*span, executions.at(number_of_host(span->host, executions.size())));
+  return violation.empty() ? record_that_ran_twice(executions) : violation;
 }
 
 }  // namespace lotusyard::test
--- a/tests/maintenance/maintenance_safety_test.cpp
+++ b/tests/maintenance/maintenance_safety_test.cpp
@@ -1,4 +1,4 @@
-// Operators get a host only once nobody calls it, whatever happens to the group (SimulatedGroup).
+// A host is released to operators only once no member has a call there, in simulated groups (SimulatedGroup).
 #include <catch2/catch.hpp>
 
 #include "maintenance/simulated_group.h"
@@ -6,7 +6,7 @@
 namespace lotusyard::test {
 namespace {
 
-TEST_CASE("no host is released while a member's call is there, whoever is killed, cut off or elected") {
+TEST_CASE("no host is released while a call is in flight there, over kills, disconnections and elections") {
   int released_hosts = 0;
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     SimulatedGroup group(seed, 3 + static_cast<int>(seed % 3) * 2, 8);
@@ -18,21 +18,21 @@
   CHECK(released_hosts > 100);
 }
 
-TEST_CASE("the check of released hosts finds a member that ignores its lease, and one that does not drain") {
-  int found_without_lease = 0;
-  int found_without_drain = 0;
+TEST_CASE("the check detects a member that ignores its lease, and one that does not drain") {
+  int detected_without_lease = 0;
+  int detected_without_drain = 0;
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     SimulatedGroup without_lease(seed, 3, 8);
     without_lease.faults.ignores_lease = true;
     if (!without_lease.run(3000).empty())
-      ++found_without_lease;
+      ++detected_without_lease;
     SimulatedGroup without_drain(seed, 3, 8);
     without_drain.faults.ignores_drain = true;
     if (!without_drain.run(3000).empty())
-      ++found_without_drain;
+      ++detected_without_drain;
   }
-  CHECK(found_without_lease > 0);
-  CHECK(found_without_drain > 0);
+  CHECK(detected_without_lease > 0);
+  CHECK(detected_without_drain > 0);
 }
 
 }  // namespace
--- a/tests/maintenance/maintenance_scheduler_test.cpp
+++ b/tests/maintenance/maintenance_scheduler_test.cpp
@@ -1,4 +1,4 @@
-// The scheduler of maintenance: the next step, its reason, and what a job waits for.
+// The maintenance scheduler: the next step, its reason, and why a job waits.
 #include "maintenance/maintenance_scheduler.h"
 
 #include <catch2/catch.hpp>
@@ -26,7 +26,7 @@
       command);
 }
 
-// A job over four hosts in a group of the members a and b, which is paused for 5 s after each host.
+// A job over four hosts, with a pause of 5 s after each host, in a group of the members a and b.
 class SchedulerFixture {
  public:
   SchedulerFixture() {
@@ -56,7 +56,7 @@
     REQUIRE(state.apply(*next).done);
     return next->reason;
   }
-  // Whether no host may take a step. Selections are applied at once: they are no step of a host.
+  // Whether no host can enter its next stage. Selections are applied and do not count.
   bool is_waiting() {
     auto next = scheduler.next_entry(state.state, state.now);
     while (next && maintenance::holds<maintenance::SelectHosts>(*next)) {
@@ -95,7 +95,7 @@
   drained.drained_hosts = {"h1"};
   fixture.state.apply(record_heartbeats({drained}));
   CHECK(fixture.is_waiting());
-  // b is silent, and its lease may be held still.
+  // b sends no heartbeats, but may still hold its lease.
   fixture.state.now += fixture.terms.presumed_dead_after() - Millis(1);
   fixture.state.apply(record_heartbeats({drained}));
   CHECK(fixture.is_waiting());
@@ -126,7 +126,7 @@
   fixture.take_step(maintenance::StartDrain{}, "h2");  // no calls are reported there
 }
 
-TEST_CASE("the scheduler states its reasons, and waits for what holds up a job") {
+TEST_CASE("the scheduler gives its reasons, and waits for whatever blocks a job") {
   SchedulerFixture fixture;
   drain_first_host(fixture);
   release_first_host(fixture);
--- a/tests/maintenance/maintenance_state_test.cpp
+++ b/tests/maintenance/maintenance_state_test.cpp
@@ -12,7 +12,7 @@
 namespace lotusyard::test {
 namespace {
 
-TEST_CASE("a host goes through its stages in order, and the bounds hold for every proposal") {
+TEST_CASE("a host passes through its stages in order, and the bounds apply to every proposal") {
   StateFixture fixture;
   REQUIRE(fixture.apply(join("a", 1)).done);
   fixture.heartbeat();
@@ -43,7 +43,7 @@
   REQUIRE(fixture.apply(transition<maintenance::StartDrain>("h2", selected_at)).done);
 }
 
-TEST_CASE("jobs share their bounds, zones and kinds have their own, and paused jobs take nothing out") {
+TEST_CASE("bounds apply to all jobs together and per zone, and paused jobs drain no host") {
   StateFixture fixture;
   fixture.apply(join("a", 1));
   fixture.heartbeat();
@@ -117,7 +117,7 @@
   LogEntry add = add_job(make_job(4, 1));
   add.proposal = "p1";
   REQUIRE(fixture.apply(add).done);
-  REQUIRE(fixture.apply(add).done);  // applied again, it would be rejected: the job exists
+  REQUIRE(fixture.apply(add).done);  // applied twice, it would be rejected because the job exists
   CHECK(fixture.state.jobs().size() == 1);
   REQUIRE(fixture.state.find_outcome("p1") != nullptr);
   for (int i = 0; i < 300; ++i) {
@@ -146,7 +146,7 @@
     MaintenanceState other;
     if (!parsed.is_object() || !other.restore(parsed, Millis(0)))
       CHECK(other.jobs().empty());
-    maintenance::parse_entry(corrupt);  // neither ends the process
+    maintenance::parse_entry(corrupt);  // must not crash either
   }
 }
 
--- a/tests/maintenance/simulated_group.cpp
+++ b/tests/maintenance/simulated_group.cpp
@@ -25,12 +25,12 @@
 
 std::string SimulatedGroup::run(int steps) {
   append(add_job(make_job(host_count_, 2)));
-  for (int i = 0; i < steps && broken_rule_.empty(); ++i) {
+  for (int i = 0; i < steps && violation_.empty(); ++i) {
     step();
     if (i % 40 == 39)
       disturb();
   }
-  return broken_rule_;
+  return violation_;
 }
 
 void SimulatedGroup::step() {
@@ -43,7 +43,7 @@
     send_heartbeat(member);
   }
   if (below(random_, 4) == 0)
-    lead();
+    run_leader();
   check_calls();
 }
 
@@ -90,11 +90,11 @@
     return;
   const auto known = member.state.members().find(member.name);
   if (known == member.state.members().end() || known->second.incarnation != member.incarnation)
-    return join_again(member);
+    return rejoin(member);
   received_heartbeats_[member.name] = make_heartbeat_of(member);
 }
 
-void SimulatedGroup::join_again(const SimulatedMember& member) {
+void SimulatedGroup::rejoin(const SimulatedMember& member) {
   if (leader().state.last_incarnation(member.name) < member.incarnation)
     append(join(member.name, member.incarnation));
 }
@@ -104,10 +104,10 @@
       make_heartbeat(member.name, member.incarnation, member.state.index(), host_count_);
   heartbeat.sent_at = clock(member).count();
   for (const auto& [id, host] : member.state.hosts()) {
-    const bool is_leaving = host.stage == HostStage::draining || host.stage == HostStage::out_of_service;
+    const bool is_out = host.stage == HostStage::draining || host.stage == HostStage::out_of_service;
     const bool is_idle = member.calls.count(id) == 0 || member.calls[id] <= now_;
     const bool is_drained = is_idle && member.lease->earlier_attempts_ended(clock(member));
-    if (is_leaving && (faults.ignores_drain || is_drained))
+    if (is_out && (faults.ignores_drain || is_drained))
       heartbeat.drained_hosts.insert(id);
     if (host.stage == HostStage::slow_start)
       heartbeat.observations->served.insert(id);
@@ -116,7 +116,7 @@
   return heartbeat;
 }
 
-void SimulatedGroup::lead() {
+void SimulatedGroup::run_leader() {
   SimulatedMember& member = leader();
   if (!member.running || !member.reachable || member.applied < leads_from_index_)
     return;
@@ -149,15 +149,15 @@
   if (disturbance == 0)
     member.reachable = !member.reachable;
   if (disturbance == 1 && member.running)
-    member.running = false;  // killed: its calls run on at the hosts
+    member.running = false;  // killed: its calls continue at the hosts
   else if (disturbance == 1)
     restart(member);
   if (!leader().running || !leader().reachable || below(random_, 6) == 0)
     elect_leader();
-  return_a_host();
+  return_random_host();
 }
 
-// It has its log still, and applies it anew in a new incarnation.
+// The member still has its log, and applies it again in a new incarnation.
 void SimulatedGroup::restart(SimulatedMember& member) {
   member.running = true;
   ++member.incarnation;
@@ -172,8 +172,8 @@
     member.state.apply(i + 1, log_[i], clock(member));
 }
 
-// As an operator would who has finished with one.
-void SimulatedGroup::return_a_host() {
+// As an operator does after work on a host.
+void SimulatedGroup::return_random_host() {
   const auto out = hosts_out_of_service();
   if (out.empty() || below(random_, 2) != 0)
     return;
@@ -212,7 +212,7 @@
   for (const auto* calls : {&member.calls, &member.calls_of_earlier_incarnations}) {
     const auto call = calls->find(host);
     if (call != calls->end() && call->second > now_)
-      broken_rule_ = host + " may be touched and is used by " + member.name;
+      violation_ = host + " may be touched and is used by " + member.name;
   }
 }
 
--- a/tests/maintenance/simulated_group.h
+++ b/tests/maintenance/simulated_group.h
@@ -1,5 +1,5 @@
-// A group that maintains hosts, without processes: members with clocks of their own follow one log with
-// delays and call hosts, while they are killed, cut off, and take the lead from each other.
+// Simulates a group that maintains hosts: members with their own clocks apply one log with delays and call
+// hosts, while members are killed and disconnected, and the leader changes.
 #pragma once
 
 #include <cstdint>
@@ -26,16 +26,16 @@
   double clock_offset = 0;  // milliseconds
   bool running = true;
   bool reachable = true;
-  std::size_t applied = 0;  // entries of the log
+  std::size_t applied = 0;  // log entries applied
   // By host: the true time at which the last call sent there ends.
   std::map<std::string, double> calls;
-  std::map<std::string, double> calls_of_earlier_incarnations;  // unknown to this one
+  std::map<std::string, double> calls_of_earlier_incarnations;  // unknown to this incarnation
   double next_heartbeat_at = 0;
 };
 
 class SimulatedGroup {
  public:
-  // Planted faults, which the check has to find.
+  // Injected faults, which the check has to detect.
   struct Faults {
     bool ignores_lease = false;
     bool ignores_drain = false;
@@ -43,7 +43,7 @@
 
   SimulatedGroup(std::uint64_t seed, int members, int hosts);
 
-  // Runs a job over all hosts. Returns the rule that was broken, or nothing.
+  // Runs a job over all hosts. Returns the violation that was found, or nothing.
   std::string run(int steps);
   int max_hosts_out() const { return max_hosts_out_; }
   int released_hosts() const { return released_hosts_; }
@@ -64,15 +64,15 @@
   void apply_log(SimulatedMember& member);
   void call_host(SimulatedMember& member);
   void send_heartbeat(SimulatedMember& member);
-  void join_again(const SimulatedMember& member);
+  void rejoin(const SimulatedMember& member);
   maintenance::Heartbeat make_heartbeat_of(SimulatedMember& member);
-  void lead();
+  void run_leader();
   void elect_leader();
   void disturb();
   void restart(SimulatedMember& member);
-  void return_a_host();
+  void return_random_host();
   std::set<std::string> hosts_out_of_service();
-  // No member may use a host that operators may touch, by true time.
+  // Checks that no member uses a host that is released to operators, by true time.
   void check_calls();
   void check_calls_to(const std::string& host, const SimulatedMember& member);
 
@@ -83,14 +83,14 @@
   std::vector<LogEntry> log_;
   std::vector<SimulatedMember> members_;
   std::size_t leader_ = 0;
-  std::size_t leads_from_index_ = 0;                                   // the log when it was elected
-  std::optional<maintenance::MaintenanceScheduler> scheduler_;         // of the leader
+  std::size_t leads_from_index_ = 0;                            // the size of the log when it was elected
+  std::optional<maintenance::MaintenanceScheduler> scheduler_;  // of the leader
   std::map<std::string, maintenance::Heartbeat> received_heartbeats_;  // by the leader, by member
   MaintenanceState newest_state_;
   std::size_t newest_applied_ = 0;
   int max_hosts_out_ = 0;
   int released_hosts_ = 0;
-  std::string broken_rule_;
+  std::string violation_;
 };
 
 }  // namespace lotusyard::test
