--- a/tests/admin/admin_endpoint_test.cpp
+++ b/tests/admin/admin_endpoint_test.cpp
@@ -24,19 +24,20 @@
 
 class AdminClient final : public net::BufferedConnection {
  public:
-  AdminClient(InvokerFixture& world, const std::string& address, const std::string& bytes)
-      : BufferedConnection(world.loop, world.pool, net::connect_to(address).socket, true), world_(world) {
+  AdminClient(InvokerFixture& fixture, const std::string& address, const std::string& bytes)
+      : BufferedConnection(fixture.loop, fixture.pool, net::connect_to(address).socket, true),
+        fixture_(fixture) {
     write(bytes);
   }
   int status() {
-    world_.run_until([&] { return closed; }, 20000);
+    fixture_.run_until([&] { return closed; }, 20000);
     return received.size() < 12 ? 0 : std::stoi(received.substr(9, 3));
   }
   std::string received;
   bool closed = false;
 
  private:
-  InvokerFixture& world_;
+  InvokerFixture& fixture_;
   void on_connected() override { loop().flush_later(*this); }
   void on_received(std::string_view bytes) override { received += bytes; }
   void on_closed() override { closed = true; }
@@ -63,15 +64,15 @@
 std::string get(const std::string& path) { return "GET " + path + " HTTP/1.1\r\n" + host + "\r\n"; }
 
 struct Endpoint {
-  InvokerFixture world{0};
+  InvokerFixture fixture{0};
   RecordingOperations operations;
   admin::AdminEndpoint admin_endpoint;
   explicit Endpoint(std::size_t callers = 4)
-      : admin_endpoint(world.loop, world.counters, operations, callers) {
+      : admin_endpoint(fixture.loop, fixture.counters, operations, callers) {
     REQUIRE(admin_endpoint.listen("127.0.0.1:0"));
   }
   int request(const std::string& bytes) {
-    return AdminClient(world, admin_endpoint.address(), bytes).status();
+    return AdminClient(fixture, admin_endpoint.address(), bytes).status();
   }
 };
 
@@ -82,7 +83,7 @@
   CHECK(endpoint.request(get("/-/ready")) == 503);
   CHECK(endpoint.request(post("/-/ready")) == 405);
   CHECK(endpoint.request(get("/-/hosts/s-1/disable")) == 405);
-  AdminClient wrong_method(endpoint.world, endpoint.admin_endpoint.address(), get("/-/hosts/s-1/enable"));
+  AdminClient wrong_method(endpoint.fixture, endpoint.admin_endpoint.address(), get("/-/hosts/s-1/enable"));
   CHECK(wrong_method.status() == 405);
   CHECK(wrong_method.received.find("\r\nAllow: POST\r\n") != std::string::npos);
   for (const char* path :
@@ -101,12 +102,12 @@
   Endpoint endpoint(3);
   std::list<AdminClient> incomplete;
   for (int i = 0; i < 30; ++i) {
-    incomplete.emplace_back(endpoint.world, endpoint.admin_endpoint.address(),
+    incomplete.emplace_back(endpoint.fixture, endpoint.admin_endpoint.address(),
                             i % 2 == 0 ? "" : "GET /-/rea");
     if (i % 3 == 0)
       CHECK(endpoint.request(get("/-/ready")) == 200);
   }
-  REQUIRE(endpoint.world.run_until([&] {
+  REQUIRE(endpoint.fixture.run_until([&] {
     return std::all_of(incomplete.begin(), incomplete.end(),
                        [](const auto& client) { return client.closed; });
   }));
@@ -114,7 +115,7 @@
     return client.received.compare(0, 12, "HTTP/1.1 408") == 0;
   };
   CHECK(std::count_if(incomplete.begin(), incomplete.end(), timed_out) == 30);
-  CHECK(endpoint.world.run_until([&] { return endpoint.admin_endpoint.quiet(); }));
+  CHECK(endpoint.fixture.run_until([&] { return endpoint.admin_endpoint.quiet(); }));
 }
 
 // A handler that is always ready, and whose work takes long.
@@ -171,19 +172,19 @@
   const auto work = [&](int index) {
     if (index == 0 && ++iterations == 1) {  // the request arrives when the iteration is under way
       client =
-          std::make_unique<AdminClient>(endpoint.world, endpoint.admin_endpoint.address(), get("/-/ready"));
+          std::make_unique<AdminClient>(endpoint.fixture, endpoint.admin_endpoint.address(), get("/-/ready"));
       client->ready(POLLOUT);
       client->flush_now();
     }
-    busy_wait(endpoint.world.loop, Millis(5));
+    busy_wait(endpoint.fixture.loop, Millis(5));
     ++worked;
-    if (served_after < 0 && endpoint.world.counters.value("console.calls") > 0)
+    if (served_after < 0 && endpoint.fixture.counters.value("console.calls") > 0)
       served_after = worked;
   };
-  const SlowIteration slow(endpoint.world.loop, kHandlers, work);
-  endpoint.world.turn();
+  const SlowIteration slow(endpoint.fixture.loop, kHandlers, work);
+  endpoint.fixture.run_once();
   CHECK(iterations == 1);
-  CHECK(endpoint.world.counters.value("console.calls") == 1);
+  CHECK(endpoint.fixture.counters.value("console.calls") == 1);
   CHECK((served_after > 0 && served_after < kHandlers));
 }
 
--- a/tests/amqp/triggers_test.cpp
+++ b/tests/amqp/triggers_test.cpp
@@ -1,73 +1,73 @@
 // The AMQP front's whole path: stand-in broker, core and module, stand-in hosts.
-#include "support/triggers.h"
-
 #include <cstdlib>
 #include <iostream>
 #include <sstream>
 
+#include "support/amqp_fixture.h"
+
 namespace lotusyard::test {
 namespace {
 
 using Kind = Reaction::Kind;
 
 TEST_CASE("a delivery is served, its body unchanged, and acknowledged once the answer is confirmed") {
-  Triggers t(2);
+  AmqpFixture t(2);
   const std::string body = std::string("bin\0\r\n\xCE", 7) + std::string(9000, 'x');
   t.broker.send("a", "bin-record", body);
-  REQUIRE(t.answered("a"));
-  const auto& answer = t.broker.held["c-a"][0];
-  CHECK(word_of(answer) == "OK");
+  REQUIRE(t.wait_for_answer("a"));
+  const auto& answer = t.broker.answers_by_id["c-a"][0];
+  CHECK(result_word(answer) == "OK");
   CHECK(answer.body == body);
   CHECK(answer.properties.message_id == "a");
-  REQUIRE(t.settled());
+  REQUIRE(t.wait_until_settled());
   CHECK(t.broker.acked == 1);
 }
 
 TEST_CASE("a nacked answer is published again and acknowledged only then") {
-  Triggers t(1);
+  AmqpFixture t(1);
   t.broker.chaos.nack = 1000;
   t.broker.send("a", "bin-check", "x");
-  REQUIRE(t.world.run_until([&] { return t.world.counters.value("amqp.nacked") > 0; }, 20000));
+  REQUIRE(t.invoker.run_until([&] { return t.invoker.counters.value("amqp.nacked") > 0; }, 20000));
   CHECK(t.broker.acked == 0);
   t.broker.chaos.nack = 0;
-  REQUIRE(t.settled());
+  REQUIRE(t.wait_until_settled());
   CHECK(t.broker.acked == 1);
   CHECK(t.broker.answers.size() == 1);
 }
 
 TEST_CASE("what a host says is what the answer says") {
-  Triggers t(2);
+  AmqpFixture t(2);
   std::string word = "failed";
-  for (auto& h : t.world.host) {
+  for (auto& h : t.invoker.host) {
     h->handler = [&](const std::string&) {
       return Reaction{word.empty() ? Kind::silence : Kind::reply, word};
     };
   }
   SECTION("an error of a bin-record may have run: failed, and not tried again") {
     t.broker.send("a", "bin-record", "x");
-    REQUIRE(t.answered("a"));
-    CHECK(word_of(t.broker.held["c-a"][0]) == "FAILED");
-    CHECK(t.world.host[0]->execs + t.world.host[1]->execs == 1);
+    REQUIRE(t.wait_for_answer("a"));
+    CHECK(result_word(t.broker.answers_by_id["c-a"][0]) == "FAILED");
+    CHECK(t.invoker.host[0]->execs + t.invoker.host[1]->execs == 1);
   }
   SECTION("hosts that are full prove that it never ran: refused") {
     word = "full";
     t.broker.send("a", "bin-record", "x");
-    REQUIRE(t.answered("a"));
-    CHECK(word_of(t.broker.held["c-a"][0]) == "BUSY");
-    CHECK(std::get<std::int64_t>(t.broker.held["c-a"][0].properties.headers.at("cooldown")) > 0);
-    CHECK(t.world.host[0]->runs.empty());
+    REQUIRE(t.wait_for_answer("a"));
+    CHECK(result_word(t.broker.answers_by_id["c-a"][0]) == "BUSY");
+    CHECK(std::get<std::int64_t>(t.broker.answers_by_id["c-a"][0].properties.headers.at("cooldown")) > 0);
+    CHECK(t.invoker.host[0]->runs.empty());
   }
   SECTION("a stuck host: failed at the call's own deadline") {
     word.clear();
     t.broker.send("a", "bin-record", "x", {{"allow", std::int64_t{200}}});
-    REQUIRE(t.answered("a"));
-    CHECK(word_of(t.broker.held["c-a"][0]) == "FAILED");
-    CHECK(t.world.host[0]->drops + t.world.host[1]->drops <= 1);
+    REQUIRE(t.wait_for_answer("a"));
+    CHECK(result_word(t.broker.answers_by_id["c-a"][0]) == "FAILED");
+    CHECK(t.invoker.host[0]->cancels + t.invoker.host[1]->cancels <= 1);
   }
 }
 
 TEST_CASE("a delivery that is open keeps its class's rules when they change; the next one has the new ones") {
-  Triggers t(2);
+  AmqpFixture t(2);
   std::map<std::string, int> tries;
   core::Settings next = settings();
   std::swap(next.classes[0].semantics, next.classes[1].semantics);
@@ -75,76 +75,77 @@
   const auto change = [&] {
     if (std::exchange(changed, true))
       return;
-    t.world.dispatcher.apply_settings(next);
-    t.front->apply_settings(next);
+    t.invoker.dispatcher.apply_settings(next);
+    t.front_end->apply_settings(next);
   };
-  for (auto& h : t.world.host) {
+  for (auto& h : t.invoker.host) {
     h->handler = [&](const std::string& body) {
       change();  // while the first one is out
       return Reaction{Kind::reply, ++tries[body] == 1 ? "failed" : "data"};
     };
   }
   t.broker.send("old", "bin-record", "old");
-  REQUIRE(t.answered("old"));
-  CHECK(word_of(t.broker.held["c-old"][0]) == "FAILED");  // it must not run twice
+  REQUIRE(t.wait_for_answer("old"));
+  CHECK(result_word(t.broker.answers_by_id["c-old"][0]) == "FAILED");  // it must not run twice
   t.broker.send("new", "bin-record", "new");
-  REQUIRE(t.answered("new"));
-  CHECK(word_of(t.broker.held["c-new"][0]) == "OK");  // now it may
+  REQUIRE(t.wait_for_answer("new"));
+  CHECK(result_word(t.broker.answers_by_id["c-new"][0]) == "OK");  // now it may
   CHECK((tries["old"] == 1 && tries["new"] == 2));
   t.broker.send("check", "bin-check", "check");
-  REQUIRE(t.answered("check"));
-  CHECK(word_of(t.broker.held["c-check"][0]) == "FAILED");
+  REQUIRE(t.wait_for_answer("check"));
+  CHECK(result_word(t.broker.answers_by_id["c-check"][0]) == "FAILED");
 }
 
 TEST_CASE("malformed deliveries are failed where they can be answered, else rejected") {
-  Triggers t(1);
+  AmqpFixture t(1);
   t.broker.send("noclass", "no-such-class", "x");
   t.broker.send("badkey", "bin-check", "x", {{"lookup", std::string("zz")}});
   t.broker.send("badallow", "bin-check", "x", {{"allow", std::int64_t{-1}}});
   t.broker.send("big", "bin-check", std::string(20000, 'x'));
-  t.broker.put({{}, "no way to answer", false});
-  REQUIRE(t.world.run_until([&] { return t.broker.acked + t.broker.rejected == 5; }, 20000));
+  t.broker.enqueue({{}, "no way to answer", false});
+  REQUIRE(t.invoker.run_until([&] { return t.broker.acked + t.broker.rejected == 5; }, 20000));
   CHECK(t.broker.rejected == 1);
   for (const char* id : {"noclass", "badkey", "badallow", "big"}) {
-    REQUIRE(t.broker.held[std::string("c-") + id].size() == 1);
-    CHECK(word_of(t.broker.held[std::string("c-") + id][0]) == "FAILED");
+    REQUIRE(t.broker.answers_by_id[std::string("c-") + id].size() == 1);
+    CHECK(result_word(t.broker.answers_by_id[std::string("c-") + id][0]) == "FAILED");
   }
-  CHECK(t.world.host[0]->execs == 0);
+  CHECK(t.invoker.host[0]->execs == 0);
 }
 
 TEST_CASE("a bin-record redelivered to a process that knows nothing of it is failed, not run") {
-  Triggers t(1);
+  AmqpFixture t(1);
   StandInBroker::Message m;
   t.broker.send("fresh", "bin-check", "x");
-  REQUIRE(t.answered("fresh"));
+  REQUIRE(t.wait_for_answer("fresh"));
   m.properties = t.broker.answers[0].properties;
   m.properties.message_id = "old";
   m.properties.correlation_id = "c-old";
   m.properties.reply_to = "answers";
   m.properties.headers = {{"class", std::string("bin-record")}, {"lookup", std::string("00000000000000a1")}};
   m.redelivered = true;
-  t.broker.put(std::move(m));
-  REQUIRE(t.answered("old"));
-  CHECK(word_of(t.broker.held["c-old"][0]) == "FAILED");
-  CHECK(t.world.host[0]->execs == 1);
+  t.broker.enqueue(std::move(m));
+  REQUIRE(t.wait_for_answer("old"));
+  CHECK(result_word(t.broker.answers_by_id["c-old"][0]) == "FAILED");
+  CHECK(t.invoker.host[0]->execs == 1);
 }
 
 TEST_CASE("a keyed call goes out under its key or its id; redelivered, only while its window is open") {
   core::Settings s = settings();
   s.classes[0].semantics = lotusyard::policy::Semantics::idempotent_with_key;
   s.classes[0].key_window = Millis(15000);
-  Triggers t(1, 1, {}, s);
+  AmqpFixture t(1, 1, {}, s);
   t.broker.send("plain", "bin-check", "x");
   t.broker.send("named", "bin-check", "y", {{"key", std::string("k-1")}});
   t.broker.send("no key can be made of this", "bin-check", "z");
-  REQUIRE((t.answered("plain") && t.answered("named") && t.answered("no key can be made of this")));
-  CHECK(word_of(t.broker.held["c-plain"][0]) == "OK");
-  CHECK(word_of(t.broker.held["c-no key can be made of this"][0]) == "FAILED");
-  REQUIRE(t.world.host[0]->fields.size() == 2);
-  std::string all = t.world.host[0]->fields[0] + ' ' + t.world.host[0]->fields[1];
+  REQUIRE((t.wait_for_answer("plain") && t.wait_for_answer("named") &&
+           t.wait_for_answer("no key can be made of this")));
+  CHECK(result_word(t.broker.answers_by_id["c-plain"][0]) == "OK");
+  CHECK(result_word(t.broker.answers_by_id["c-no key can be made of this"][0]) == "FAILED");
+  REQUIRE(t.invoker.host[0]->fields.size() == 2);
+  std::string all = t.invoker.host[0]->fields[0] + ' ' + t.invoker.host[0]->fields[1];
   CHECK(all.find("op=plain,") != std::string::npos);
   CHECK(all.find("op=k-1,") != std::string::npos);
-  const auto now = static_cast<std::uint64_t>(t.world.loop.now().count() / 1000);
+  const auto now = static_cast<std::uint64_t>(t.invoker.loop.now().count() / 1000);
   for (const auto& [id, published] : std::map<std::string, std::optional<std::uint64_t>>{
            {"untold", std::nullopt}, {"young", now - 5}, {"old", now - 16}}) {
     StandInBroker::Message m;
@@ -154,56 +155,56 @@
     m.properties.timestamp = published;
     m.properties.headers = {{"class", std::string("bin-check")}, {"lookup", std::string("00000000000000a1")}};
     m.redelivered = true;
-    t.broker.put(std::move(m));
-    REQUIRE(t.answered(id));
-    CHECK(word_of(t.broker.held["c-" + id][0]) == (id == "young" ? "OK" : "FAILED"));
+    t.broker.enqueue(std::move(m));
+    REQUIRE(t.wait_for_answer(id));
+    CHECK(result_word(t.broker.answers_by_id["c-" + id][0]) == (id == "young" ? "OK" : "FAILED"));
   }
-  CHECK(t.world.host[0]->execs == 3);
+  CHECK(t.invoker.host[0]->execs == 3);
 }
 
 TEST_CASE("a consumer gone mid-answer: the call runs once and its redelivery gets the one answer") {
-  Triggers t(1);
+  AmqpFixture t(1);
   bool running = false;
-  t.world.host[0]->handler = [&](const std::string&) {
+  t.invoker.host[0]->handler = [&](const std::string&) {
     running = true;
     t.broker.drop_all();  // the connection breaks while the host works
     return Reaction();
   };
   t.broker.send("a", "bin-record", "x");
-  REQUIRE(t.answered("a"));
-  REQUIRE(t.settled());
+  REQUIRE(t.wait_for_answer("a"));
+  REQUIRE(t.wait_until_settled());
   CHECK(running);
-  CHECK(t.world.host[0]->runs["x"] == 1);
-  CHECK(t.broker.held["c-a"].size() == 1);
-  CHECK(word_of(t.broker.held["c-a"][0]) == "OK");
+  CHECK(t.invoker.host[0]->runs["x"] == 1);
+  CHECK(t.broker.answers_by_id["c-a"].size() == 1);
+  CHECK(result_word(t.broker.answers_by_id["c-a"][0]) == "OK");
 }
 
 TEST_CASE("an answer already confirmed is not sent twice when only the ack was lost") {
-  Triggers t(1);
+  AmqpFixture t(1);
   t.broker.send("a", "bin-record", "x");
-  REQUIRE(t.answered("a"));
-  REQUIRE(t.settled());
+  REQUIRE(t.wait_for_answer("a"));
+  REQUIRE(t.wait_until_settled());
   StandInBroker::Message again;
   again.properties = t.broker.answers[0].properties;
   again.properties.reply_to = "answers";
   again.redelivered = true;
   SECTION("to the same address: acknowledged only") {
-    t.broker.put(std::move(again));
-    REQUIRE(t.world.run_until([&] { return t.broker.acked == 2; }, 20000));
+    t.broker.enqueue(std::move(again));
+    REQUIRE(t.invoker.run_until([&] { return t.broker.acked == 2; }, 20000));
     CHECK(t.broker.answers.size() == 1);
   }
   SECTION("to another address: the remembered answer") {
     again.properties.correlation_id = "c-b";
-    t.broker.put(std::move(again));
-    REQUIRE(t.answered("b"));
-    CHECK(t.broker.held["c-b"][0].body == "x");
+    t.broker.enqueue(std::move(again));
+    REQUIRE(t.wait_for_answer("b"));
+    CHECK(t.broker.answers_by_id["c-b"][0].body == "x");
   }
-  CHECK(t.world.host[0]->execs == 1);
+  CHECK(t.invoker.host[0]->execs == 1);
 }
 
 TEST_CASE("under drops, redeliveries and reorders no bin-record runs twice and no answer is lost") {
   for (const std::uint64_t seed : {3, 4}) {
-    const Tally tally = chaos_run(seed, 150);
+    const ChaosResult tally = chaos_run(seed, 150);
     INFO([&] {
       std::ostringstream text;
       tally.print(text);
@@ -218,7 +219,7 @@
 TEST_CASE("the same for ten minutes", "[.soak]") {
   const char* const told = std::getenv("LOTUSYARD_SOAK_S");
   const double seconds = told == nullptr ? 600 : std::atof(told);
-  const Tally tally = chaos_run(5, SIZE_MAX, Millis(seconds * 1000));
+  const ChaosResult tally = chaos_run(5, SIZE_MAX, Millis(seconds * 1000));
   tally.print(std::cout);
   CHECK(tally.clean());
 }
--- a/tests/app/client_requests_test.cpp
+++ b/tests/app/client_requests_test.cpp
@@ -1,5 +1,5 @@
 // Requests of clients: served, malformed, cancelled, and connections with too many faults.
-#include "support/platform.h"
+#include "support/resp_fixture.h"
 
 namespace lotusyard::test {
 namespace {
@@ -7,10 +7,10 @@
 using Kind = Reaction::Kind;
 
 TEST_CASE("a client's call is served with its body unchanged") {
-  Platform platform(2);
-  Client client(platform.world, platform.front.address());
+  RespFixture service(2);
+  Client client(service.invoker, service.front_end.address());
   const std::string body("\0\r\n*3 $\xFF", 8);
-  client.say({"CHECK", "1", ""});
+  client.send({"CHECK", "1", ""});
   client.call("2", "bin-record", body);
   REQUIRE(client.answer("2") != nullptr);
   CHECK(*client.answer("1") == resp::Words{"1", "UP"});
@@ -18,28 +18,28 @@
 }
 
 TEST_CASE("malformed input ends its call or its connection, with a counted reason") {
-  Platform platform(1);
-  Client client(platform.world, platform.front.address());
+  RespFixture service(1);
+  Client client(service.invoker, service.front_end.address());
   SECTION("a call that cannot be read is failed") {
-    client.say({"CALL", "1", "bin-check", "ref=12,allow=5", "x"});
-    client.say({"CALL", "2", "bin-check"});
-    client.say({"CALL", "3", "no-class", "ref=00000000000000aa,allow=9,lookup=00000000000000a1", "x"});
-    client.say({"SHOUT", "4"});
-    client.say({"CALL", "5", "bin-check",
-                "ref=00000000000000ab,allow=9,lookup=00000000000000a1,spec=memory_mb:much;lanes:4", "x"});
+    client.send({"CALL", "1", "bin-check", "ref=12,allow=5", "x"});
+    client.send({"CALL", "2", "bin-check"});
+    client.send({"CALL", "3", "no-class", "ref=00000000000000aa,allow=9,lookup=00000000000000a1", "x"});
+    client.send({"SHOUT", "4"});
+    client.send({"CALL", "5", "bin-check",
+                 "ref=00000000000000ab,allow=9,lookup=00000000000000a1,spec=memory_mb:much;lanes:4", "x"});
     for (const char* tag : {"1", "2", "3", "4", "5"}) {
       REQUIRE(client.answer(tag) != nullptr);
       CHECK(client.answer(tag)->at(1) == "FAILED");
     }
-    CHECK(platform.world.counters.value("resp.unknown_verb") == 1);
+    CHECK(service.invoker.counters.value("resp.unknown_verb") == 1);
   }
   SECTION("the 33rd open call is rejected") {
-    platform.world.host[0]->handler = [](const std::string&) { return Reaction{Kind::silence, ""}; };
+    service.invoker.host[0]->handler = [](const std::string&) { return Reaction{Kind::silence, ""}; };
     for (int i = 1; i <= 33; ++i)
       client.call(std::to_string(i), "bin-check", std::to_string(i));
     REQUIRE(client.answer("33") != nullptr);
     CHECK(client.answer("33")->at(1) == "BUSY");
-    CHECK(platform.world.counters.value("resp.too_many_open") == 1);
+    CHECK(service.invoker.counters.value("resp.too_many_open") == 1);
   }
   SECTION("a repeated tag, a missing tag or an oversized word closes the connection") {
     const auto which = GENERATE(0, 1, 2);
@@ -48,70 +48,70 @@
     if (which < 1)
       client.call("1", "bin-check", "y");
     if (which == 1)
-      client.say({"CALL", "0"});
+      client.send({"CALL", "0"});
     if (which == 2)
-      client.say({"CALL", "1", std::string(20000, 'x')});
-    CHECK(platform.world.run_until([&] { return client.closed; }, 20000));
-    CHECK(platform.world.counters.value(which < 1    ? "resp.tag_repeated"
-                                        : which == 1 ? "resp.no_tag"
-                                                     : "resp.malformed") == 1);
+      client.send({"CALL", "1", std::string(20000, 'x')});
+    CHECK(service.invoker.run_until([&] { return client.closed; }, 20000));
+    CHECK(service.invoker.counters.value(which < 1    ? "resp.tag_repeated"
+                                         : which == 1 ? "resp.no_tag"
+                                                      : "resp.malformed") == 1);
   }
 }
 
 TEST_CASE("a client that cancels or disconnects gets no answer, and its attempt is cancelled") {
-  Platform platform(1);
-  platform.world.host[0]->handler = [](const std::string&) { return Reaction{Kind::silence, ""}; };
-  Client client(platform.world, platform.front.address());
+  RespFixture service(1);
+  service.invoker.host[0]->handler = [](const std::string&) { return Reaction{Kind::silence, ""}; };
+  Client client(service.invoker, service.front_end.address());
   client.call("1", "bin-record", "x");
-  REQUIRE(platform.world.run_until([&] { return platform.world.host[0]->execs == 1; }, 20000));
+  REQUIRE(service.invoker.run_until([&] { return service.invoker.host[0]->execs == 1; }, 20000));
   if (GENERATE(true, false)) {
-    client.say({"CANCEL", "1"});
+    client.send({"CANCEL", "1"});
   } else {
     client.close_later();
   }
-  REQUIRE(platform.world.run_until([&] { return platform.world.host[0]->drops == 1; }, 20000));
-  CHECK(platform.world.dispatcher.open_calls() == 0);
-  CHECK(client.got.empty());
+  REQUIRE(service.invoker.run_until([&] { return service.invoker.host[0]->cancels == 1; }, 20000));
+  CHECK(service.invoker.dispatcher.open_calls() == 0);
+  CHECK(client.answers.empty());
 }
 
 TEST_CASE("calls that are cancelled in the bytes they came in reach no host") {
-  Platform platform(1);
-  Client client(platform.world, platform.front.address());
+  RespFixture service(1);
+  Client client(service.invoker, service.front_end.address());
   for (int i = 1; i <= 20; ++i)
     client.call(std::to_string(i), "bin-check", std::to_string(i));
   for (int i = 1; i <= 19; ++i)
-    client.say({"CANCEL", std::to_string(i)});
+    client.send({"CANCEL", std::to_string(i)});
   REQUIRE(client.answer("20") != nullptr);
   CHECK(client.answer("20")->at(1) == "OK");
-  CHECK(client.got.size() == 1);
-  CHECK(platform.world.host[0]->runs.size() == 1);
-  CHECK(platform.world.counters.value("resp.taken_back") == 19);
+  CHECK(client.answers.size() == 1);
+  CHECK(service.invoker.host[0]->runs.size() == 1);
+  CHECK(service.invoker.counters.value("resp.taken_back") == 19);
 }
 
 TEST_CASE("a connection with too many faults is closed only once its valid calls have their answers") {
-  Platform platform(1);
-  Client client(platform.world, platform.front.address());
-  platform.world.host[0]->handler = [](const std::string& body) {
+  RespFixture service(1);
+  Client client(service.invoker, service.front_end.address());
+  service.invoker.host[0]->handler = [](const std::string& body) {
     return body == "sound" ? Reaction{Kind::silence, ""} : Reaction();
   };
   client.call("1", "bin-record", "sound", 600);
-  REQUIRE(platform.world.run_until([&] { return platform.world.host[0]->execs == 1; }, 20000));
+  REQUIRE(service.invoker.run_until([&] { return service.invoker.host[0]->execs == 1; }, 20000));
   for (int i = 2; i <= 200; ++i)
     client.call(std::to_string(i), "no-class", "x");
   REQUIRE(client.answer("1") != nullptr);
-  CHECK(client.got.size() == 200);
-  CHECK(platform.world.run_until([&] { return client.closed; }));
+  CHECK(client.answers.size() == 200);
+  CHECK(service.invoker.run_until([&] { return client.closed; }));
 }
 
 TEST_CASE("a client that repeats a rejected call without end is closed") {
-  Platform platform(1);
-  Client client(platform.world, platform.front.address());
+  RespFixture service(1);
+  Client client(service.invoker, service.front_end.address());
   for (int i = 1; !client.closed && i < 1000; ++i) {
     client.call(std::to_string(i), "no-class", "x");
     client.answer(std::to_string(i));
   }
   CHECK(client.closed);
-  CHECK(platform.world.counters.value("resp.faults_closed") == 1);
+  CHECK(service.invoker.counters.value("resp.faults_closed") == 1);
 }
 
 }  // namespace
--- a/tests/app/host_changes_test.cpp
+++ b/tests/app/host_changes_test.cpp
@@ -1,5 +1,5 @@
 // Hosts that refuse connections, drain, restart or do not answer.
-#include "support/platform.h"
+#include "support/resp_fixture.h"
 
 namespace lotusyard::test {
 namespace {
@@ -14,9 +14,9 @@
 };
 
 TEST_CASE("a refused connection proves that nothing ran: a bin-record is retried on another host") {
-  Platform platform(2);
-  platform.world.host[0]->server.stop();
-  Client client(platform.world, platform.front.address());
+  RespFixture service(2);
+  service.invoker.host[0]->server.stop();
+  Client client(service.invoker, service.front_end.address());
   for (int i = 1; i <= 6; ++i)
     client.call(std::to_string(i), "bin-record", std::to_string(i));
   for (int i = 1; i <= 6; ++i) {
@@ -26,17 +26,17 @@
 }
 
 TEST_CASE("a draining host gets nothing new") {
-  Platform platform(1);
-  Client client(platform.world, platform.front.address());
+  RespFixture service(1);
+  Client client(service.invoker, service.front_end.address());
   client.call("1", "bin-check", "x");
   REQUIRE(client.answer("1") != nullptr);
-  platform.world.tell(lotusyard::policy::HostState::draining);
+  service.invoker.update_hosts(lotusyard::policy::HostState::draining);
   client.call("2", "bin-check", "y", 300);
   REQUIRE(client.answer("2") != nullptr);
   CHECK(client.answer("2")->at(1) == "BUSY");
   REQUIRE(client.answer("2")->size() == 3);
   CHECK_THAT(client.answer("2")->at(2), Catch::StartsWith("cooldown="));
-  CHECK(platform.world.host[0]->runs.count("y") == 0);
+  CHECK(service.invoker.host[0]->runs.count("y") == 0);
 }
 
 // Regression: bytes written to a closing connection were dropped, and the attempt counted as run.
@@ -68,27 +68,28 @@
 }
 
 TEST_CASE("a host restarted at its old address is reached over a new connection") {
-  Platform platform(1);
-  Client client(platform.world, platform.front.address());
+  RespFixture service(1);
+  Client client(service.invoker, service.front_end.address());
   client.call("1", "bin-check", "x");
   REQUIRE(client.answer("1") != nullptr);
-  const auto opened = platform.world.counters.value("hosts.links_opened");
-  platform.world.tell(lotusyard::policy::HostState::ready, platform.world.loop.now().count() - 20000);
+  const auto opened = service.invoker.counters.value("hosts.links_opened");
+  service.invoker.update_hosts(lotusyard::policy::HostState::ready,
+                               service.invoker.loop.now().count() - 20000);
   client.call("2", "bin-check", "y");
   REQUIRE(client.answer("2") != nullptr);
   CHECK(client.answer("2")->at(1) == "OK");
-  CHECK(platform.world.counters.value("hosts.links_opened") == opened + 1);
+  CHECK(service.invoker.counters.value("hosts.links_opened") == opened + 1);
 }
 
 TEST_CASE("a call to a host that does not answer fails at its deadline and its connection is closed") {
-  Platform platform(1);
-  platform.world.host[0]->handler = [](const std::string&) { return Reaction{Kind::silence, ""}; };
-  Client client(platform.world, platform.front.address());
+  RespFixture service(1);
+  service.invoker.host[0]->handler = [](const std::string&) { return Reaction{Kind::silence, ""}; };
+  Client client(service.invoker, service.front_end.address());
   client.call("1", "bin-record", "x", 600);
   REQUIRE(client.answer("1") != nullptr);
   CHECK(client.answer("1")->at(1) == "FAILED");
-  CHECK(platform.world.run_until([&] { return platform.world.counters.value("hosts.links_ended") == 1; },
-                                 20000));
+  CHECK(service.invoker.run_until([&] { return service.invoker.counters.value("hosts.links_ended") == 1; },
+                                  20000));
 }
 
 }  // namespace
--- a/tests/app/host_probes_test.cpp
+++ b/tests/app/host_probes_test.cpp
@@ -1,5 +1,5 @@
 // Health checks of connections on which calls wait.
-#include "support/platform.h"
+#include "support/resp_fixture.h"
 
 namespace lotusyard::test {
 namespace {
@@ -17,7 +17,7 @@
     call.ref = net::hex16(i + 1);
     call.class_name = "bin-check";
     call.function_name = "00000000000000a1";
-    fixture.fleet.send_attempt({i + 1, 0}, "h" + std::to_string(i % 12), call, Millis(5000));
+    fixture.host_pool.send_attempt({i + 1, 0}, "h" + std::to_string(i % 12), call, Millis(5000));
   }
   const Millis began = fixture.loop.now();
   fixture.run_until([&] { return fixture.loop.now() - began > Millis(1500); }, 20000);
@@ -25,7 +25,7 @@
   int health_checks = 0;
   for (const auto& host : fixture.host) {
     attempts += host->execs;
-    health_checks += host->signs;
+    health_checks += host->health_checks;
   }
   CHECK(attempts == 24);
   CHECK(health_checks >= 1);
@@ -39,7 +39,7 @@
   call.class_name = "bin-check";
   call.function = 0xa1;
   call.function_name = "00000000000000a1";
-  fixture.fleet.send_attempt({1, 0}, "h0", call, Millis(5000));
+  fixture.host_pool.send_attempt({1, 0}, "h0", call, Millis(5000));
 }
 
 // Regression: every connection on which a call waited for a load was checked by a probe that the settings
@@ -52,13 +52,13 @@
   limits.liveness = probe;
   InvokerFixture fixture(1, settings(), limits);
   auto& host = *fixture.host[0];
-  host.mute = mute;
+  host.ignores_checks = mute;
   host.handler = [](const std::string&) { return Reaction{Kind::silence, ""}; };
   start_attempt(fixture);
   const Millis began = fixture.loop.now();
   fixture.run_until([&] { return fixture.loop.now() - began > Millis(1500); }, 20000);
-  CHECK((host.signs > 0) == (probe == hosts::LivenessProbe::health));
-  CHECK((host.asks > 0) == (probe == hosts::LivenessProbe::order));
+  CHECK((host.health_checks > 0) == (probe == hosts::LivenessProbe::health));
+  CHECK((host.instance_queries > 0) == (probe == hosts::LivenessProbe::order));
   CHECK(fixture.counters.value("hosts.silent_links") ==
         (mute && probe != hosts::LivenessProbe::none ? 1 : 0));
 }
@@ -73,10 +73,10 @@
   host.handler = [](const std::string&) { return Reaction{Kind::silence, ""}; };
   start_attempt(fixture);
   REQUIRE(fixture.run_until([&] { return host.execs == 1; }, 2000));
-  fixture.tell(lotusyard::policy::HostState::draining);
+  fixture.update_hosts(lotusyard::policy::HostState::draining);
   const Millis began = fixture.loop.now();
   fixture.run_until([&] { return fixture.loop.now() - began > Millis(1500); }, 20000);
-  CHECK(host.asks == 0);
+  CHECK(host.instance_queries == 0);
   CHECK(fixture.counters.value("hosts.silent_links") == 0);
 }
 
--- a/tests/app/idempotency_key_test.cpp
+++ b/tests/app/idempotency_key_test.cpp
@@ -1,5 +1,5 @@
 // Idempotency keys of clients: forwarded unchanged, or rejected.
-#include "support/platform.h"
+#include "support/resp_fixture.h"
 
 namespace lotusyard::test {
 namespace {
@@ -17,7 +17,7 @@
 class KeyedCalls {
  public:
   KeyedCalls() {
-    for (auto& host : platform.world.host) {
+    for (auto& host : service.invoker.host) {
       host->handler = [this](const std::string&) {
         return attempts_++ == 0 ? Reaction{Kind::reply, "failed"} : Reaction();
       };
@@ -26,25 +26,25 @@
   // Sends a call with further fields; returns the status of its answer.
   std::string call(const char* call_class, const std::string& fields) {
     const std::string tag = std::to_string(++last_call_);
-    client_.say({"CALL", tag, call_class,
-                 "ref=" + net::hex16(last_call_) +
-                     ",allow=1000,lookup=00000000000000a1,spec=memory_mb:300;lanes:4" + fields,
-                 "x"});
+    client_.send({"CALL", tag, call_class,
+                  "ref=" + net::hex16(last_call_) +
+                      ",allow=1000,lookup=00000000000000a1,spec=memory_mb:300;lanes:4" + fields,
+                  "x"});
     REQUIRE(client_.answer(tag) != nullptr);
     return client_.answer(tag)->at(1);
   }
   // The fields of all attempts that hosts received.
   std::vector<std::string> received_fields() const {
     std::vector<std::string> fields;
-    for (const auto& host : platform.world.host)
+    for (const auto& host : service.invoker.host)
       fields.insert(fields.end(), host->fields.begin(), host->fields.end());
     return fields;
   }
 
-  Platform platform{2, {}, InvokerFixture::limits(), keyed_settings_without_probes()};
+  RespFixture service{2, {}, InvokerFixture::limits(), keyed_settings_without_probes()};
 
  private:
-  Client client_{platform.world, platform.front.address()};
+  Client client_{service.invoker, service.front_end.address()};
   std::uint64_t last_call_ = 0;
   int attempts_ = 0;
 };
@@ -60,7 +60,7 @@
     CHECK(fields.find(",op=" + key) != std::string::npos);
   CHECK(calls.call("bin-check", "") == "OK");
   CHECK(calls.call("booking", ",replay=" + key + ",dup=1") == "OK");
-  const auto& stand_in_hosts = calls.platform.world.host;
+  const auto& stand_in_hosts = calls.service.invoker.host;
   const int attempts = stand_in_hosts[0]->execs + stand_in_hosts[1]->execs;
   for (const std::string& invalid :
        {std::string(), std::string(",replay="), ",replay=" + std::string(200, 'a'),
@@ -70,8 +70,8 @@
     CHECK(calls.call("booking", invalid) == "FAILED");
   CHECK(stand_in_hosts[0]->execs + stand_in_hosts[1]->execs == attempts);
   CHECK(calls.call("bin-check", ",dup=1") == "OK");
-  CHECK(calls.platform.world.counters.value("calls.no_key") == 2);
-  CHECK(calls.platform.world.counters.value("calls.bad_key") == 3);
+  CHECK(calls.service.invoker.counters.value("calls.no_key") == 2);
+  CHECK(calls.service.invoker.counters.value("calls.bad_key") == 3);
 }
 
 }  // namespace
--- a/tests/app/second_site_host.h
+++ b/tests/app/second_site_host.h
@@ -54,13 +54,13 @@
       for (const auto& line : lines)
         host_.handle(number, line);
     }
-    void on_closed() override { host_.server.gone(*this); }
+    void on_closed() override { host_.server.remove(*this); }
 
     SecondSiteHost& host_;
     hosts::LineParser parser_;  // requests have the form of answers, with the verb first
   };
 
-  Server<Peer, SecondSiteHost> server;
+  LoopbackServer<Peer, SecondSiteHost> server;
   double slowdown = 1;  // by other programs on the machine
 
  private:
--- a/tests/app/second_site_test.cpp
+++ b/tests/app/second_site_test.cpp
@@ -77,7 +77,7 @@
       list.hosts.push_back(listed);
       entries.entries.push_back(listed.entry);
     }
-    fixture.fleet.update_endpoints(list);
+    fixture.host_pool.update_endpoints(list);
     fixture.dispatcher.update_endpoints(std::move(entries));
   }
   // Sends all calls, one in each interval; every hundredth one host becomes slower or faster.
--- a/tests/app/service_test.cpp
+++ b/tests/app/service_test.cpp
@@ -1,15 +1,15 @@
 // Whole processes in service: the admin endpoint, hosts disabled by hand, settings at SIGHUP and replacement,
 // with stand-in hosts, a stand-in change log and clients on loopback.
-#include "support/service.h"
-
 #include <netinet/in.h>
 
 #include <set>
 
+#include "support/service_harness.h"
+
 namespace lotusyard::test {
 namespace {
 
-void disable_first_host(Service& service, const std::string& console) {
+void disable_first_host(ServiceHarness& service, const std::string& console) {
   CHECK(service.post(console, "/-/hosts/nobody/disable") == 404);
   CHECK(service.post(console, "/-/hosts/h0/disable") == 200);
   CHECK(service.post(console, "/-/hosts/h0/disable") == 200);
@@ -17,62 +17,62 @@
 
 // Starts the second process, which knows of the first one's disabled host, whether that is killed or
 // replaced.
-void replace_first_process(Service& service, bool killed) {
+void replace_first_process(ServiceHarness& service, bool killed) {
   Process& first = service.processes.front();
   if (killed)
     first.signal(SIGKILL);
   service.start();
-  REQUIRE(service.ready(service.consoles.back()));
+  REQUIRE(service.wait_until_ready(service.admin_endpoints.back()));
   if (first.status() >= 0)
     return;
   first.signal(SIGTERM);
-  REQUIRE(service.until([&] { return first.status() >= 0; }));
+  REQUIRE(service.run_until([&] { return first.status() >= 0; }));
   CHECK(first.status() == 0);
 }
 
 TEST_CASE("a host is out by hand across an upgrade, seen by both processes, until one call puts it back") {
   const bool inherited = GENERATE(true, false);
-  Service service(inherited);
+  ServiceHarness service(inherited);
   service.start();
-  const std::string first = service.consoles.back();
-  REQUIRE(service.ready(first));
-  REQUIRE(service.until([&] { return service.log.asked == 1; }));
-  service.serve(5);
+  const std::string first = service.admin_endpoints.back();
+  REQUIRE(service.wait_until_ready(first));
+  REQUIRE(service.run_until([&] { return service.change_log.requests == 1; }));
+  service.run_calls(5);
   disable_first_host(service, first);
-  const int orders = service.world.host[0]->orders;
-  CHECK(service.serve(10)[0] == 0);
-  service.tell(0, "draining");
-  service.tell(0, "ready", 5);
-  CHECK(service.serve(10)[0] == 0);
+  const int orders = service.fixture.host[0]->load_orders;
+  CHECK(service.run_calls(10)[0] == 0);
+  service.announce_host(0, "draining");
+  service.announce_host(0, "ready", 5);
+  CHECK(service.run_calls(10)[0] == 0);
   if (inherited) {
     replace_first_process(service, GENERATE(true, false));
-    CHECK(service.serve(10)[0] == 0);
-    CHECK(service.world.host[0]->orders == orders);
+    CHECK(service.run_calls(10)[0] == 0);
+    CHECK(service.fixture.host[0]->load_orders == orders);
   }
-  CHECK(service.post(service.consoles.back(), "/-/hosts/h0/enable") == 200);
+  CHECK(service.post(service.admin_endpoints.back(), "/-/hosts/h0/enable") == 200);
   // One host is enough for so few calls: the scheduler has to choose to use the other one again.
-  const bool used = service.until([&] { return service.serve(3)[0] > 0; });
+  const bool used = service.run_until([&] { return service.run_calls(3)[0] > 0; });
   service.processes.back().signal(SIGUSR1);
-  service.until([&] { return service.processes.back().counter("calls.taken") > 0; });
+  service.run_until([&] { return service.processes.back().counter("calls.taken") > 0; });
   INFO(service.processes.back().log());
   CHECK(used);
 }
 
 TEST_CASE("what one process is told by hand holds for the other one before long") {
-  Service service;
+  ServiceHarness service;
   service.start();
   service.start();
-  const std::string one = service.consoles.front(), other = service.consoles.back();
-  REQUIRE((service.ready(one) && service.ready(other)));
+  const std::string one = service.admin_endpoints.front(), other = service.admin_endpoints.back();
+  REQUIRE((service.wait_until_ready(one) && service.wait_until_ready(other)));
   CHECK(service.post(one, "/-/hosts/h1/disable") == 200);
   service.processes.front().signal(SIGTERM);
-  REQUIRE(service.until([&] { return service.processes.front().status() == 0; }));
-  CHECK(service.serve(10)[1] == 0);
+  REQUIRE(service.run_until([&] { return service.processes.front().status() == 0; }));
+  CHECK(service.run_calls(10)[1] == 0);
 }
 
 // The configuration with one more class, bin-weigh.
-nlohmann::json file_with_new_class(const Service& service) {
-  auto file = platform_file(service.listen, service.log.server.address());
+nlohmann::json file_with_new_class(const ServiceHarness& service) {
+  auto file = invoker_config(service.listen, service.change_log.server.address());
   auto& classes = file["settings"]["Classes"];
   classes.push_back(classes[1]);
   classes[2]["Name"] = "bin-weigh";
@@ -80,7 +80,7 @@
 }
 
 // Faulty in one setting, with another one that would be taken on its own.
-nlohmann::json faulty_file(const Service& service) {
+nlohmann::json faulty_file(const ServiceHarness& service) {
   auto file = file_with_new_class(service);
   file["changelog"] = free_address();
   file["settings"]["Classes"][0]["HardLimit"] = -5;
@@ -88,45 +88,45 @@
 }
 
 TEST_CASE("SIGHUP takes a whole good file, and nothing of a faulty one") {
-  Service service(false);
+  ServiceHarness service(false);
   Process& process = service.start();
-  REQUIRE(service.ready(service.consoles.back()));
-  service.serve(3);
-  service.write(faulty_file(service));
+  REQUIRE(service.wait_until_ready(service.admin_endpoints.back()));
+  service.run_calls(3);
+  service.write_config(faulty_file(service));
   process.signal(SIGHUP);
-  REQUIRE(service.until([&] { return process.says("HardLimit"); }));
+  REQUIRE(service.run_until([&] { return process.has_logged("HardLimit"); }));
   std::ofstream(service.config, std::ios::trunc).flush();
   process.signal(SIGHUP);
-  REQUIRE(service.until([&] { return process.says("holds no JSON object"); }));
-  Tablet early(service.world, service.listen);
+  REQUIRE(service.run_until([&] { return process.has_logged("holds no JSON object"); }));
+  ServiceClient early(service.fixture, service.listen);
   early.call(1, "bin-weigh", "early");
-  REQUIRE(service.until([&] { return early.open.empty(); }));
-  CHECK(early.got.at(0).first == "FAILED");
-  service.write(file_with_new_class(service));
+  REQUIRE(service.run_until([&] { return early.open_calls.empty(); }));
+  CHECK(early.results.at(0).first == "FAILED");
+  service.write_config(file_with_new_class(service));
   process.signal(SIGHUP);
-  REQUIRE(service.until([&] {
+  REQUIRE(service.run_until([&] {
     process.signal(SIGUSR1);
     return process.counter("config.reread") == 1;
   }));
   CHECK(process.counter("config.faulty") == 2);
   CHECK(process.counter("feed.moves") == 0);
-  service.serve(3, "bin-weigh");
+  service.run_calls(3, "bin-weigh");
   CHECK(process.status() == -1);
 }
 
 TEST_CASE("a descriptor that is no listening socket is a fault that names it") {
-  Service service(false);
+  ServiceHarness service(false);
   Process& process = service.start({{"BALANCER_LISTEN_FD", "2"}});
-  REQUIRE(service.until([&] { return process.status() >= 0; }));
+  REQUIRE(service.run_until([&] { return process.status() >= 0; }));
   CHECK(process.status() == 1);
-  CHECK(process.says("BALANCER_LISTEN_FD"));
+  CHECK(process.has_logged("BALANCER_LISTEN_FD"));
 }
 
 // Clients that each send a call, wait for its answer and pause. A client whose connection ends connects
 // again.
 class BusyClients {
  public:
-  BusyClients(Service& service, std::size_t count)
+  BusyClients(ServiceHarness& service, std::size_t count)
       : service_(service), clients_(count), next_call_at_(count) {}
 
   void step() {
@@ -134,11 +134,11 @@
       if (clients_[i] && clients_[i]->closed)
         forget_closed(i);
       if (!clients_[i])
-        clients_[i] = std::make_unique<Tablet>(service_.world, service_.listen);
-      if (!clients_[i]->open.empty())
+        clients_[i] = std::make_unique<ServiceClient>(service_.fixture, service_.listen);
+      if (!clients_[i]->open_calls.empty())
         continue;
       check_answers(i);
-      if (service_.world.loop.now() >= next_call_at_[i])
+      if (service_.fixture.loop.now() >= next_call_at_[i])
         call(*clients_[i]);
     }
   }
@@ -151,30 +151,30 @@
 
  private:
   void forget_closed(std::size_t i) {
-    const Tablet& client = *clients_[i];
-    if (client.open.empty() && client.asked_at.count() == 0)
+    const ServiceClient& client = *clients_[i];
+    if (client.open_calls.empty() && client.sent_at.count() == 0)
       ++refused_connections_;
-    for (const auto& [tag, body] : client.open)
+    for (const auto& [tag, body] : client.open_calls)
       unanswered_bodies_.insert(body);
     clients_[i].reset();
   }
   void check_answers(std::size_t i) {
-    for (const auto& [status, body] : clients_[i]->got) {
+    for (const auto& [status, body] : clients_[i]->results) {
       ++answered_;
-      next_call_at_[i] = service_.world.loop.now() + Millis(static_cast<double>(below(random_, 30)));
+      next_call_at_[i] = service_.fixture.loop.now() + Millis(static_cast<double>(below(random_, 30)));
       CHECK((status == "OK" || status == "BUSY"));
       if (status == "BUSY")
         CHECK(service_.runs(body) == 0);
     }
-    clients_[i]->got.clear();
+    clients_[i]->results.clear();
   }
-  void call(Tablet& client) {
+  void call(ServiceClient& client) {
     ++calls_;
     client.call(calls_, calls_ % 2 == 0 ? "bin-record" : "bin-check", std::to_string(calls_), 800);
   }
 
-  Service& service_;
-  std::vector<std::unique_ptr<Tablet>> clients_;
+  ServiceHarness& service_;
+  std::vector<std::unique_ptr<ServiceClient>> clients_;
   std::vector<Millis> next_call_at_;
   std::set<std::string> unanswered_bodies_;
   Random random_{3};
@@ -184,14 +184,14 @@
 // Replaces the process again and again: starts a second one, then ends the first one.
 class RollingUpgrade {
  public:
-  explicit RollingUpgrade(Service& service)
-      : service_(service), next_step_at_(service.world.loop.now() + Millis(300)) {}
+  explicit RollingUpgrade(ServiceHarness& service)
+      : service_(service), next_step_at_(service.fixture.loop.now() + Millis(300)) {}
 
   int finished() const { return finished_; }
   bool under_way() const { return under_way_; }
 
   void step() {
-    const Millis now = service_.world.loop.now();
+    const Millis now = service_.fixture.loop.now();
     if (now < next_step_at_)
       return;
     if (!under_way_) {
@@ -206,7 +206,7 @@
   void begin() {
     service_.start();
     under_way_ = true;
-    REQUIRE(service_.ready(service_.consoles.back()));
+    REQUIRE(service_.wait_until_ready(service_.admin_endpoints.back()));
     service_.processes.front().signal(SIGTERM);
   }
   void finish() {
@@ -217,7 +217,7 @@
     under_way_ = false;
   }
 
-  Service& service_;
+  ServiceHarness& service_;
   Millis next_step_at_;
   int finished_ = 0;
   bool under_way_ = false;
@@ -226,15 +226,15 @@
 // A call that crosses the close of its connection is sent once more, as the platform's front does; all others
 // must get their answer.
 TEST_CASE("a process is replaced under clients: no call is lost, and no bin-record runs twice") {
-  Service service;
-  for (auto& host : service.world.host)
+  ServiceHarness service;
+  for (auto& host : service.fixture.host)
     host->handler = [](const std::string&) { return Reaction(); };
   service.start();
-  REQUIRE(service.ready(service.consoles.back()));
+  REQUIRE(service.wait_until_ready(service.admin_endpoints.back()));
   BusyClients clients(service, 8);
   RollingUpgrade upgrade(service);
   while (upgrade.finished() < 3 || upgrade.under_way()) {
-    service.world.turn();
+    service.fixture.run_once();
     clients.step();
     upgrade.step();
   }
--- a/tests/app/shutdown_test.cpp
+++ b/tests/app/shutdown_test.cpp
@@ -1,39 +1,39 @@
 // What arrives in the last moments of a process: calls that are open, bytes that are in sockets already. The
 // order of events is forced by stopping the process and by limits, not by waiting for luck.
-#include "support/service.h"
+#include "support/service_harness.h"
 
 namespace lotusyard::test {
 namespace {
 
 using Kind = Reaction::Kind;
 
-void run_for(Service& service, double ms) {
-  const Millis until = service.world.loop.now() + Millis(ms);
-  while (service.world.loop.now() < until)
-    service.world.turn();
+void run_for(ServiceHarness& service, double ms) {
+  const Millis until = service.fixture.loop.now() + Millis(ms);
+  while (service.fixture.loop.now() < until)
+    service.fixture.run_once();
 }
 
 // All classes have a longer deadline than the process may live after SIGTERM.
-void write_long_deadlines(Service& service) {
-  auto file = platform_file(service.listen, service.log.server.address());
+void write_long_deadlines(ServiceHarness& service) {
+  auto file = invoker_config(service.listen, service.change_log.server.address());
   for (auto& call_class : file["settings"]["Classes"])
     call_class["HardLimit"] = 9000;
-  service.write(file);
+  service.write_config(file);
 }
 
 // No call can be sent to a host any more.
-void drain_all_hosts(Service& service, Process& process) {
-  service.tell(0, "draining");
-  service.tell(1, "draining");
-  REQUIRE(service.until([&] {
+void drain_all_hosts(ServiceHarness& service, Process& process) {
+  service.announce_host(0, "draining");
+  service.announce_host(1, "draining");
+  REQUIRE(service.run_until([&] {
     process.signal(SIGUSR1);
     return process.counter("feed.events") == 4;
   }));
 }
 
-std::map<std::string, std::string> status_by_body(const Tablet& client) {
+std::map<std::string, std::string> status_by_body(const ServiceClient& client) {
   std::map<std::string, std::string> statuses;
-  for (const auto& [status, body] : client.got)
+  for (const auto& [status, body] : client.results)
     statuses[body] = status;
   return statuses;
 }
@@ -42,23 +42,23 @@
 // in the last moment, or one of a class with a longer limit, is still out then.
 TEST_CASE(
     "a process that has to end answers what is still open, and a bin-record only as what may have run") {
-  Service service(false);
+  ServiceHarness service(false);
   write_long_deadlines(service);
   Process& process = service.start();
-  REQUIRE(service.ready(service.consoles.back()));
-  REQUIRE(service.until([&] { return service.log.asked == 1; }));
-  for (auto& host : service.world.host)
+  REQUIRE(service.wait_until_ready(service.admin_endpoints.back()));
+  REQUIRE(service.run_until([&] { return service.change_log.requests == 1; }));
+  for (auto& host : service.fixture.host)
     host->handler = [](const std::string&) { return Reaction{Kind::silence, ""}; };
-  Tablet client(service.world, service.listen);
+  ServiceClient client(service.fixture, service.listen);
   client.call(1, "bin-record", "out", 8000);
-  REQUIRE(service.until([&] { return service.runs("out") == 1; }));
+  REQUIRE(service.run_until([&] { return service.runs("out") == 1; }));
   drain_all_hosts(service, process);
   client.call(2, "bin-check", "held", 8000);
   process.signal(SIGTERM);
-  REQUIRE(service.until([&] { return process.status() >= 0; }));
-  REQUIRE(service.until([&] { return client.closed; }));
+  REQUIRE(service.run_until([&] { return process.status() >= 0; }));
+  REQUIRE(service.run_until([&] { return client.closed; }));
   CHECK(process.status() == 0);
-  CHECK(client.open.empty());
+  CHECK(client.open_calls.empty());
   CHECK(status_by_body(client) == std::map<std::string, std::string>{{"out", "FAILED"}, {"held", "BUSY"}});
   CHECK(service.runs("out") + service.runs("held") == 1);
 }
@@ -67,26 +67,26 @@
 // sent was reset unread.
 TEST_CASE(
     "whoever connected and asked before the listener closes is served, however late the process wakes") {
-  Service service(false);
+  ServiceHarness service(false);
   Process& process = service.start();
-  REQUIRE(service.ready(service.consoles.back()));
-  REQUIRE(service.until([&] { return service.log.asked == 1; }));
+  REQUIRE(service.wait_until_ready(service.admin_endpoints.back()));
+  REQUIRE(service.run_until([&] { return service.change_log.requests == 1; }));
   process.signal(SIGTERM);
   run_for(service, 50);
   process.signal(SIGSTOP);
-  std::list<Tablet> clients;
+  std::list<ServiceClient> clients;
   for (int i = 1; i <= 100; ++i) {  // more than are accepted in one iteration
-    clients.emplace_back(service.world, service.listen);
+    clients.emplace_back(service.fixture, service.listen);
     clients.back().call(i, "bin-check", "late" + std::to_string(i));
   }
   run_for(service, 650);  // longer than new connections are taken
   process.signal(SIGCONT);
-  REQUIRE(service.until([&] { return process.status() >= 0; }));
+  REQUIRE(service.run_until([&] { return process.status() >= 0; }));
   CHECK(process.status() == 0);
   run_for(service, 50);
   for (const auto& client : clients) {
-    REQUIRE(client.got.size() == 1);
-    CHECK((client.got[0].first == "OK" || client.got[0].first == "BUSY"));
+    REQUIRE(client.results.size() == 1);
+    CHECK((client.results[0].first == "OK" || client.results[0].first == "BUSY"));
   }
 }
 
--- a/tests/app/slow_client_test.cpp
+++ b/tests/app/slow_client_test.cpp
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "hot_restart/shares.h"
-#include "support/platform.h"
+#include "support/resp_fixture.h"
 
 namespace lotusyard::test {
 namespace {
@@ -25,7 +25,7 @@
   }
   ~SlowReader() override { fixture_.loop.cancel(timer_); }
   void send_bytes(const std::string& bytes) {
-    fixture_.turn();
+    fixture_.run_once();
     REQUIRE(::send(socket_.fd(), bytes.data(), bytes.size(), MSG_NOSIGNAL) ==
             static_cast<ssize_t>(bytes.size()));
   }
@@ -93,18 +93,18 @@
   host_limits.longest_answer = 256U << 10;
   resp::FrontEnd::Limits limits;
   limits.unread_bytes = shares.unwritten / 2;
-  Platform platform(1, limits, host_limits);
-  platform.world.pool.set_max_blocks(shares.unwritten / net::BufferPool::kBlockSize);
-  platform.world.host[0]->handler = [](const std::string&) { return Reaction{Kind::reply, "data", 230000}; };
+  RespFixture service(1, limits, host_limits);
+  service.invoker.pool.set_max_blocks(shares.unwritten / net::BufferPool::kBlockSize);
+  service.invoker.host[0]->handler = [](const std::string&) { return Reaction{Kind::reply, "data", 230000}; };
   std::list<SlowReader> readers;
   for (int i = 0; i < 4; ++i)
-    readers.emplace_back(platform.world, platform.front.address());
+    readers.emplace_back(service.invoker, service.front_end.address());
   int number = 0;
   for (auto& reader : readers) {
     for (int i = 0; i < 2; ++i)
       reader.send_bytes(call_bytes(++number, "long"));
   }
-  REQUIRE(platform.world.run_until([&] {
+  REQUIRE(service.invoker.run_until([&] {
     return std::all_of(readers.begin(), readers.end(),
                        [](const auto& reader) { return reader.bodies.size() == 2 || reader.closed; });
   }));
@@ -112,7 +112,7 @@
     CHECK_FALSE(reader.closed);
     CHECK(reader.bodies == std::vector<std::string>(2, std::string(230000, 'x')));
   }
-  CHECK(platform.world.counters.value("resp.unread_closed") == 0);
+  CHECK(service.invoker.counters.value("resp.unread_closed") == 0);
 }
 
 TEST_CASE("a client that does not read is closed for the memory that it holds, and no other client is") {
--- a/tests/cli/try_test.cpp
+++ b/tests/cli/try_test.cpp
@@ -24,12 +24,12 @@
   }
   int status = -1;
   double checked = 0;
-  const bool ended = cluster.until(
+  const bool ended = cluster.run_until(
       [&] {
-        if (cluster.world.loop.now().count() < checked)
+        if (cluster.fixture.loop.now().count() < checked)
           return false;
-        checked = cluster.world.loop.now().count() + 100;
-        cluster.give_back(700);  // whoever works on a machine takes as long
+        checked = cluster.fixture.loop.now().count() + 100;
+        cluster.propose_returns(700);  // whoever works on a machine takes as long
         return waitpid(child, &status, WNOHANG) == child;
       },
       45);
@@ -37,10 +37,10 @@
     kill(child, SIGKILL);
   REQUIRE(ended);
   CHECK(WEXITSTATUS(status) == 0);
-  CHECK(cluster.broken_rule(2) == "");
+  CHECK(cluster.violated_rule(2) == "");
   std::map<std::string, int> words;
   for (const auto& m : cluster.members) {
-    for (const auto& [word, body] : m->tablet->got)
+    for (const auto& [word, body] : m->client->results)
       ++words[word];
   }
   std::cout << "calls meanwhile:";
@@ -49,7 +49,7 @@
   std::cout << "\n$ lotusyard_cluster works timeline *.log --svg works.svg" << std::endl;
   std::string command = std::string(LOTUSYARD_CLUSTER) + " works timeline";
   for (const auto& m : cluster.members)
-    command += ' ' + cluster.log_of(*m);
+    command += ' ' + cluster.log_path(*m);
   CHECK(std::system((command + " --svg works.svg").c_str()) == 0);
   std::cout << "the chart is in works.svg" << std::endl;
 }
--- a/tests/compliance/compliance_test.cpp
+++ b/tests/compliance/compliance_test.cpp
@@ -86,7 +86,7 @@
   Desk d;
   CHECK(d.may("mill", "h1", 5000, false) == "not_known");
   CHECK(d.may("free", "h1", 5000, false) == "yes");
-  Breaks::Rule broken("compliance-lease");
+  FaultInjection::Scope broken("compliance-lease");
   CHECK(d.may("mill", "h1", 5000, false) == "yes");
 }
 
@@ -97,7 +97,7 @@
   d.certify("c5", "h1", "export", 1000, 9000, true);
   CHECK(d.may("mill", "h1", 5000, true, 20) == "yes");
   Desk other;
-  Breaks::Rule broken("certificate-life");
+  FaultInjection::Scope broken("certificate-life");
   CHECK(other.may("mill", "h1", 5000, true, 20) == "yes");
 }
 
--- a/tests/control/lease_rules.cpp
+++ b/tests/control/lease_rules.cpp
@@ -63,7 +63,7 @@
 }
 
 History history_of(const std::string& process, const std::vector<Line>& lines,
-                   const std::vector<Absence>& absences) {
+                   const std::vector<Downtime>& downtimes) {
   History out{{}};
   auto next = lines.begin();
   const auto apply_until = [&](double end) {
@@ -74,7 +74,7 @@
       out.push_back(std::move(state));
     }
   };
-  for (const auto& absence : absences) {
+  for (const auto& absence : downtimes) {
     if (absence.name != process || !absence.killed)
       continue;
     apply_until(absence.from);
@@ -89,17 +89,17 @@
   return *std::prev(std::upper_bound(history.begin(), history.end(), at, later));
 }
 
-bool was_absent(const std::string& process, double at, const std::vector<Absence>& absences) {
-  return std::any_of(absences.begin(), absences.end(), [&](const Absence& absence) {
+bool was_absent(const std::string& process, double at, const std::vector<Downtime>& downtimes) {
+  return std::any_of(downtimes.begin(), downtimes.end(), [&](const Downtime& absence) {
     return absence.name == process && at >= absence.from && at <= absence.to + kSchedulingSlack;
   });
 }
 
 std::string used_while_touched(const std::string& process, const History& history, const TouchedSpan& span,
-                               const std::vector<Absence>& absences) {
+                               const std::vector<Downtime>& downtimes) {
   const auto check = [&](double at) -> std::string {
     const LeftAlone& state = state_at(history, at);
-    if (state.all || state.hosts.count(span.host) != 0 || was_absent(process, at, absences))
+    if (state.all || state.hosts.count(span.host) != 0 || was_absent(process, at, downtimes))
       return {};
     return process + " may use " + span.host + " which operators have since " + std::to_string(span.from);
   };
@@ -146,16 +146,16 @@
 
 }  // namespace
 
-std::string broken_lease_rule(const std::vector<std::string>& lines, const std::vector<Absence>& absences) {
+std::string broken_lease_rule(const std::vector<std::string>& lines, const std::vector<Downtime>& downtimes) {
   const maintenance::Timeline scenario = maintenance::parse_timeline(lines);
   std::vector<TouchedSpan> spans;
   touched_spans(scenario, std::numeric_limits<int>::max(), spans);
   const std::vector<Taking> takings = touched_takings(scenario);
   for (const auto& [process, written] : lines_by_process(lines)) {
-    const History history = history_of(process, written, absences);
+    const History history = history_of(process, written, downtimes);
     std::string broken = leased_while_behind(written, takings);
     for (auto span = spans.begin(); broken.empty() && span != spans.end(); ++span)
-      broken = used_while_touched(process, history, *span, absences);
+      broken = used_while_touched(process, history, *span, downtimes);
     if (!broken.empty())
       return broken;
   }
--- a/tests/control/lease_rules.h
+++ b/tests/control/lease_rules.h
@@ -5,12 +5,12 @@
 #include <string>
 #include <vector>
 
-#include "support/process_rig.h"
+#include "support/process_harness.h"
 
 namespace lotusyard::test {
 
 // While operators may have a host, every process that runs leaves it alone or uses no host at all; and
 // whoever gets a lease has followed every taking that operators were told of. Empty: none of this is broken.
-std::string broken_lease_rule(const std::vector<std::string>& lines, const std::vector<Absence>& absences);
+std::string broken_lease_rule(const std::vector<std::string>& lines, const std::vector<Downtime>& downtimes);
 
 }  // namespace lotusyard::test
--- a/tests/control/node_scenario_test.cpp
+++ b/tests/control/node_scenario_test.cpp
@@ -42,7 +42,7 @@
       {"forget-calls", "a call that was reported settled is under way"}};
   for (const auto& [rule, finding] : findings) {
     INFO(rule);
-    Breaks::Rule broken(rule.c_str());
+    FaultInjection::Scope broken(rule.c_str());
     ScenarioCounts counts;
     CHECK(first_violation(5000, counts) == finding);
   }
--- a/tests/control/property.h
+++ b/tests/control/property.h
@@ -20,10 +20,10 @@
   rc::detail::TestParams params;
   params.maxSuccess = cases;
   params.seed = seed;
-  params.disableShrinking = !broken_rule.empty();
+  params.disableShrinking = !injected_fault.empty();
   const auto result = rc::detail::checkTestable(property, rc::detail::TestMetadata{"", what}, params);
   const bool held = result.template is<rc::detail::SuccessResult>();
-  if (!held && broken_rule.empty())
+  if (!held && injected_fault.empty())
     rc::detail::printResultMessage(result, std::cerr);
   return held;
 }
--- a/tests/control/relay.h
+++ b/tests/control/relay.h
@@ -170,7 +170,7 @@
       fd = -1;
       pipe.source_ended();
       if (fd_ < 0 && inner_fd_ < 0)
-        relay_.server_.gone(*this);
+        relay_.server_.remove(*this);
     }
   };
 
@@ -180,7 +180,7 @@
   Mode mode_[2] = {Mode::open, Mode::open};
   Millis delay_[2] = {Millis(0), Millis(0)};
   net::BufferPool pool_;
-  Server<Peer, Relay> server_;
+  LoopbackServer<Peer, Relay> server_;
 };
 
 }  // namespace lotusyard::test
--- a/tests/control/replica_test.cpp
+++ b/tests/control/replica_test.cpp
@@ -235,12 +235,12 @@
 }
 
 TEST_CASE("replica: a change that is applied twice is found") {
-  Breaks::Rule broken("apply-twice");
+  FaultInjection::Scope broken("apply-twice");
   CHECK_FALSE(scenarios_hold());
 }
 
 TEST_CASE("replica: a change that is applied behind a gap is found") {
-  Breaks::Rule broken("accept-gap");
+  FaultInjection::Scope broken("accept-gap");
   CHECK_FALSE(scenarios_hold());
 }
 
--- a/tests/control/session_scenario_test.cpp
+++ b/tests/control/session_scenario_test.cpp
@@ -41,17 +41,17 @@
 }
 
 TEST_CASE("scenarios: a lease that is counted from the grant's arrival is found") {
-  Breaks::Rule broken("grant-from-receipt");
+  FaultInjection::Scope broken("grant-from-receipt");
   CHECK_FALSE(scenarios_hold(100));
 }
 
 TEST_CASE("scenarios: a change that is applied twice is found") {
-  Breaks::Rule broken("apply-twice");
+  FaultInjection::Scope broken("apply-twice");
   CHECK_FALSE(scenarios_hold(500));
 }
 
 TEST_CASE("scenarios: a change that is applied behind a gap is found") {
-  Breaks::Rule broken("accept-gap");
+  FaultInjection::Scope broken("accept-gap");
   CHECK_FALSE(scenarios_hold(500));
 }
 
--- a/tests/control/tier_cluster.cpp
+++ b/tests/control/tier_cluster.cpp
@@ -16,7 +16,7 @@
   functions = kFunctions;
   pause_least = 300;
   pause_most = 1200;
-  quiet = true;  // clients call once all are ready
+  calls_paused = true;  // clients call once all are ready
   add_members();
   add_invokers();
   for (auto& member : members)
@@ -34,9 +34,9 @@
     member->listen = free_address();
     member->admin_endpoint = free_address();
     member->clients = free_address();
-    member->config = s.folder.path + "/" + member->name + ".json";
+    member->config = service.folder.path + "/" + member->name + ".json";
     member->votes = i < kVoters;
-    member->relay = std::make_unique<GroupRelay>(world, member->listen);
+    member->relay = std::make_unique<GroupRelay>(fixture, member->listen);
     if (is_node)
       member->sessions = free_address();
     if (is_node)
@@ -44,7 +44,7 @@
     if (member->votes)
       voters.push_back(member.get());
     processes.push_back(member.get());
-    operated.push_back(member.get());
+    operator_targets.push_back(member.get());
     members.push_back(std::move(member));
   }
 }
@@ -55,11 +55,11 @@
     invoker->name = "i" + std::to_string(i);
     invoker->admin_endpoint = free_address();
     invoker->clients = free_address();
-    invoker->config = s.folder.path + "/" + invoker->name + ".json";
+    invoker->config = service.folder.path + "/" + invoker->name + ".json";
     for (const auto* node : nodes)
-      invoker->relays.push_back(std::make_unique<Relay>(world.loop, node->sessions, random()));
+      invoker->relays.push_back(std::make_unique<Relay>(fixture.loop, node->sessions, random()));
     processes.push_back(invoker.get());
-    called.push_back(invoker.get());
+    call_targets.push_back(invoker.get());
     invokers.push_back(std::move(invoker));
   }
 }
@@ -71,8 +71,8 @@
   for (const auto* node : nodes)
     control_nodes.push_back({{"name", node->name}, {"address", node->sessions}});
   const bool is_node = !member.sessions.empty();
-  auto file = file_of(member, static_cast<int>(invoker_count));
-  file["group"] = {{"cluster", "yard"},       {"store", s.folder.path + "/" + member.name + ".db"},
+  auto file = config_for(member, static_cast<int>(invoker_count));
+  file["group"] = {{"cluster", "yard"},       {"store", service.folder.path + "/" + member.name + ".db"},
                    {"listen", member.listen}, {"members", peers},
                    {"lease_ms", lease_ms},    {"election_ms", election_ms},
                    {"serves", is_node}};
@@ -94,14 +94,14 @@
       break;
     known.push_back({{"name", nodes[i]->name}, {"address", invoker.relays[i]->address()}});
   }
-  auto file = file_of(invoker, static_cast<int>(invoker_count));
+  auto file = config_for(invoker, static_cast<int>(invoker_count));
   file["control"] = {
       {"cluster", "yard"}, {"nodes", known}, {"lease_ms", lease_ms}, {"offline_ms", options_.offline_ms}};
   std::ofstream(invoker.config) << file.dump();
   start(invoker);
 }
 
-void TierCluster::turn() {
+void TierCluster::run_once() {
   for (std::size_t i = 0; i < undos_.size();) {
     if (now() < undos_[i].at) {
       ++i;
@@ -111,19 +111,19 @@
     undos_.erase(undos_.begin() + static_cast<std::ptrdiff_t>(i));
     act();
   }
-  WorkRig::turn();
+  WorkRig::run_once();
 }
 
-std::string TierCluster::broken_rule(int most_out) const {
+std::string TierCluster::violated_rule(int most_out) const {
   const auto written = lines();
   const std::string broken = broken_work_rule(written, execs, most_out);
-  return broken.empty() ? broken_lease_rule(written, absences) : broken;
+  return broken.empty() ? broken_lease_rule(written, downtimes) : broken;
 }
 
 // ---- What processes show ----
 
 nlohmann::json TierCluster::ask(const std::string& admin_endpoint, const std::string& path) {
-  return nlohmann::json::parse(s.get(admin_endpoint, path), nullptr, false);
+  return nlohmann::json::parse(service.get(admin_endpoint, path), nullptr, false);
 }
 
 nlohmann::json TierCluster::session_of(const Invoker& invoker) {
@@ -133,9 +133,9 @@
 nlohmann::json TierCluster::group_of(const Member& member) { return ask(member.admin_endpoint, "/-/group"); }
 
 bool TierCluster::begin_calls() {
-  if (!all_ready(30) || !soon([this] { return all_sessions_open(); }))
+  if (!all_ready(30) || !poll_until([this] { return all_sessions_open(); }))
     return false;
-  quiet = false;
+  calls_paused = false;
   return true;
 }
 
@@ -155,17 +155,17 @@
 
 bool TierCluster::all_answered(double seconds) {
   const auto answered = [](const auto* p) {
-    return !p->tablet || p->tablet->closed || p->tablet->open.empty();
+    return !p->client || p->client->closed || p->client->open_calls.empty();
   };
-  return until([&] { return std::all_of(called.begin(), called.end(), answered); }, seconds);
+  return run_until([&] { return std::all_of(call_targets.begin(), call_targets.end(), answered); }, seconds);
 }
 
 int TierCluster::answers(const std::string& word) const {
   int out = 0;
-  for (const auto* p : called) {
-    if (!p->tablet)
+  for (const auto* p : call_targets) {
+    if (!p->client)
       continue;
-    for (const auto& [answer, body] : p->tablet->got)
+    for (const auto& [answer, body] : p->client->results)
       out += answer == word;
   }
   return out;
--- a/tests/control/tier_cluster.h
+++ b/tests/control/tier_cluster.h
@@ -26,13 +26,13 @@
 
 class TierCluster : public WorkRig {
  public:
-  struct Member : ServedProcess {
+  struct Member : ManagedProcess {
     std::string listen;
     std::string sessions;  // the port that it takes sessions on; empty: it is no control node
     bool votes = false;
     std::unique_ptr<GroupRelay> relay;
   };
-  struct Invoker : ServedProcess {
+  struct Invoker : ManagedProcess {
     std::vector<std::unique_ptr<Relay>> relays;  // to each control node, as in `nodes`
   };
   // What happens to processes and to what they send each other.
@@ -63,13 +63,13 @@
   std::vector<Member*> voters, nodes;
   std::vector<std::unique_ptr<Invoker>> invokers;
 
-  void turn() override;
+  void run_once() override;
   void disturb() override;  // as drawn from the seed
   void disturb(Disturbance kind);
   void heal() override;
   // All disturbances of a run are then of this kind.
   void disturb_only_by(Disturbance kind) { only_ = kind; }
-  std::string broken_rule(int most_out) const override;
+  std::string violated_rule(int most_out) const override;
 
   // Clients call from the moment on at which all processes are ready, have sessions, and the nodes can
   // account for all of them; false: that does not come.
--- a/tests/control/tier_faults_test.cpp
+++ b/tests/control/tier_faults_test.cpp
@@ -48,8 +48,8 @@
   options.silent_one_in = silent_one_in;
   TierCluster tier(options);
   REQUIRE(tier.begin_calls());
-  REQUIRE(tier.soon([&] { return tier.all_followed(); }));
-  tier.s.tell(kDown, "draining");
+  REQUIRE(tier.poll_until([&] { return tier.all_followed(); }));
+  tier.service.announce_host(kDown, "draining");
   tier.wait(1000);
   REQUIRE(tier.add("w", kTaken));
   tier.wait(1000);
@@ -60,10 +60,10 @@
   };
   REQUIRE(touched() == 0);
   cut(tier);
-  tier.s.tell(kDown, "ready");
-  REQUIRE(tier.soon([&] { return touched() == kTaken; }));
+  tier.service.announce_host(kDown, "ready");
+  REQUIRE(tier.poll_until([&] { return touched() == kTaken; }));
   tier.wait(1000);
-  return tier.broken_rule(kTaken);
+  return tier.violated_rule(kTaken);
 }
 
 TEST_CASE(
@@ -115,7 +115,7 @@
   options.silent_one_in = 10;
   TierCluster tier(options);
   REQUIRE(tier.begin_calls());
-  REQUIRE(tier.soon([&] { return tier.all_followed(); }));
+  REQUIRE(tier.poll_until([&] { return tier.all_followed(); }));
   tier.disturb_only_by(fault.disturbance);
   return tier.run(kDisturbances, 2);
 }
@@ -150,7 +150,7 @@
     options.silent_one_in = 10;
     TierCluster tier(options);
     REQUIRE(tier.begin_calls());
-    REQUIRE(tier.soon([&] { return tier.all_followed(); }));
+    REQUIRE(tier.poll_until([&] { return tier.all_followed(); }));
     if (seed % 3 != 0)
       tier.disturb_only_by(static_cast<Disturbance>(seed % TierCluster::disturbances));
     const std::string broken = tier.run(kDisturbances, 1 + seed % 3);
--- a/tests/control/tier_processes_test.cpp
+++ b/tests/control/tier_processes_test.cpp
@@ -1,7 +1,7 @@
 // The control tier as real processes: a group with control nodes, invokers that have only sessions, stand-in
 // hosts and clients, and relays that cut, hold, delay and reset.
 #include "control/tier_cluster.h"
-#include "support/regulated.h"
+#include "support/compliance_operations.h"
 
 namespace lotusyard::test {
 namespace {
@@ -32,7 +32,7 @@
 std::size_t all_calls_after(const TierCluster& tier, double at) {
   std::size_t out = 0;
   for (std::size_t host = 0; host < tier.execs.size(); ++host)
-    out += calls_at(tier, host, at);
+    out += count_calls_after(tier, host, at);
   return out;
 }
 
@@ -42,15 +42,16 @@
   options.silent_one_in = 0;
   TierCluster tier(options);
   require_ready(tier);
-  REQUIRE(tier.soon([&] { return total_sessions(tier) == static_cast<int>(TierCluster::invoker_count); }));
+  REQUIRE(
+      tier.poll_until([&] { return total_sessions(tier) == static_cast<int>(TierCluster::invoker_count); }));
   const std::string broken = tier.run(0, 2);
   INFO(tier.all_logs());
   REQUIRE(broken == "");
   // The work was given before the nodes could account for all invokers: nothing was proposed in vain.
   CHECK(tier.all_logs().find("take refused") == std::string::npos);
-  tier.quiet = true;
+  tier.calls_paused = true;
   CHECK(tier.all_answered(5));
-  CHECK(tier.answers("OK") == tier.number);
+  CHECK(tier.answers("OK") == tier.last_call_number);
   int views = 0;
   for (const auto* node : tier.nodes) {
     const auto shown = tier.group_of(*node).at("control");
@@ -68,7 +69,7 @@
     options.nodes_vote = seed == 22;
     TierCluster tier(options);
     require_ready(tier);
-    REQUIRE(tier.soon([&] { return tier.all_followed(); }));
+    REQUIRE(tier.poll_until([&] { return tier.all_followed(); }));
     const std::string broken = tier.run(8, 2);
     INFO("seed " << seed << "\n" << tier.all_logs());
     REQUIRE(broken == "");
@@ -79,30 +80,30 @@
           "[processes]") {
   TierCluster tier(with_seed(3));
   require_ready(tier);
-  agree(tier, {{"t", "regime"}, {"regime", {{"name", "export"}}}}, "1");
-  agree(tier, {{"t", "tenant"}, {"tenant", ""}, {"regimes", {"export"}}}, "2");
-  agree(tier, certify("c0", "h0"), "3");
-  agree(tier, certify("c1", "h1"), "4");
+  propose_until_applied(tier, {{"t", "regime"}, {"regime", {{"name", "export"}}}}, "1");
+  propose_until_applied(tier, {{"t", "tenant"}, {"tenant", ""}, {"regimes", {"export"}}}, "2");
+  propose_until_applied(tier, certify("c0", "h0"), "3");
+  propose_until_applied(tier, certify("c1", "h1"), "4");
   tier.wait(kSlack);
   const double agreed = tier.now();
   tier.wait(1000);
-  CHECK(calls_at(tier, 0, agreed) > 0);
-  CHECK(calls_at(tier, 0, agreed) + calls_at(tier, 1, agreed) > 50);
+  CHECK(count_calls_after(tier, 0, agreed) > 0);
+  CHECK(count_calls_after(tier, 0, agreed) + count_calls_after(tier, 1, agreed) > 50);
   for (std::size_t host = 2; host < tier.execs.size(); ++host)
-    CHECK(calls_at(tier, host, agreed) == 0);
+    CHECK(count_calls_after(tier, host, agreed) == 0);
 
   tier.cut_sessions(*tier.invokers[0], true);
   tier.cut_sessions(*tier.invokers[1], true);
-  agree(tier, {{"t", "revoke"}, {"name", "c0"}}, "5");
-  const bool ended = tier.soon([&] { return wrote(tier, "\"t\":\"ended\"") > 0; });
+  propose_until_applied(tier, {{"t", "revoke"}, {"name", "c0"}}, "5");
+  const bool ended = tier.poll_until([&] { return last_logged_at(tier, "\"t\":\"ended\"") > 0; });
   INFO(tier.all_logs());
   REQUIRE(ended);
-  const double answered = first_wrote(tier, "\"t\":\"ended\"");
+  const double answered = first_logged_at(tier, "\"t\":\"ended\"");
   tier.wait(1000);
-  CHECK(calls_at(tier, 0, answered) == 0);
+  CHECK(count_calls_after(tier, 0, answered) == 0);
   for (const auto& e : tier.execs[0])
     CHECK(e.until <= answered);
-  CHECK(calls_at(tier, 1, answered) > 20);
+  CHECK(count_calls_after(tier, 1, answered) > 20);
 
   for (const auto& invoker : tier.invokers)
     tier.cut_sessions(*invoker, true);
@@ -111,8 +112,8 @@
   tier.wait(1000);
   CHECK(all_calls_after(tier, unleased) == 0);
   tier.heal();
-  CHECK(tier.soon([&] { return calls_at(tier, 1, unleased) > 20; }));
-  CHECK(calls_at(tier, 0, answered) == 0);
+  CHECK(tier.poll_until([&] { return count_calls_after(tier, 1, unleased) > 20; }));
+  CHECK(count_calls_after(tier, 0, answered) == 0);
 }
 
 TEST_CASE("control tier: an invoker without a lease uses hosts for a stated time, then none, and comes back",
@@ -121,7 +122,7 @@
   TierCluster tier(options);
   require_ready(tier);
   TierCluster::Invoker& away = *tier.invokers[0];
-  tier.called = {&away};
+  tier.call_targets = {&away};
   tier.cut_sessions(away, true);
   tier.wait(TierCluster::lease_ms + kSlack);
   const double unleased = tier.now();
@@ -132,9 +133,9 @@
   tier.wait(1000);
   INFO(tier.all_logs());
   CHECK(all_calls_after(tier, offline) == 0);
-  CHECK(away.process->says("without a lease for too long: no host is used"));
+  CHECK(away.process->has_logged("without a lease for too long: no host is used"));
   tier.cut_sessions(away, false);
-  CHECK(tier.soon([&] { return all_calls_after(tier, offline) > 10; }));
+  CHECK(tier.poll_until([&] { return all_calls_after(tier, offline) > 10; }));
   CHECK(tier.session_of(away).at("open") == true);
 }
 
@@ -150,18 +151,19 @@
   REQUIRE(tier.group_of(leaving).at("control").at("sessions") > 0);
   tier.wait(kSlack);
   leaving.process->signal(SIGTERM);
-  REQUIRE(tier.until([&] { return leaving.process->status() >= 0; }, 10));
+  REQUIRE(tier.run_until([&] { return leaving.process->status() >= 0; }, 10));
   CHECK(leaving.process->status() == 0);
-  tier.operated.erase(std::find(tier.operated.begin(), tier.operated.end(), &leaving));
-  const bool moved = tier.soon([&] { return tier.all_sessions_open(); });
+  tier.operator_targets.erase(
+      std::find(tier.operator_targets.begin(), tier.operator_targets.end(), &leaving));
+  const bool moved = tier.poll_until([&] { return tier.all_sessions_open(); });
   INFO(tier.all_logs());
   REQUIRE(moved);
   for (const auto& invoker : tier.invokers)
     CHECK(tier.session_of(*invoker).at("node") != leaving.name);
   tier.wait(1000);
-  tier.quiet = true;
+  tier.calls_paused = true;
   CHECK(tier.all_answered(5));
-  CHECK(tier.answers("OK") == tier.number);
+  CHECK(tier.answers("OK") == tier.last_call_number);
 }
 
 }  // namespace
--- a/tests/core/check_before_write_test.cpp
+++ b/tests/core/check_before_write_test.cpp
@@ -6,8 +6,8 @@
 
 #include <string>
 
-#include "support/platform.h"
 #include "support/raw_client.h"
+#include "support/resp_fixture.h"
 
 namespace lotusyard::test {
 namespace {
@@ -49,64 +49,64 @@
 // Found in review: a call that was read was sent in the same iteration, though its client had disconnected by
 // then.
 TEST_CASE("a call whose client has disconnected before the write is not sent to a host") {
-  Platform platform(1);
-  const auto first_client = connect_host(platform);
-  RawClient client(platform);
+  RespFixture service(1);
+  const auto first_client = connect_host(service);
+  RawClient client(service);
   SECTION("closed right after the call") {
-    client.say(call_command(1));
+    client.send(call_command(1));
     client.socket.close();
   }
   SECTION("reset after the call was read") {
-    client.say(call_command(1));
-    turn_with(platform.world, [&] { close_with_reset(client); });
+    client.send(call_command(1));
+    run_once_with(service.invoker, [&] { close_with_reset(client); });
   }
   SECTION("half closed: it cannot be told apart from one that has closed") {
-    client.say(call_command(1));
+    client.send(call_command(1));
     shutdown(client.socket.fd(), SHUT_WR);
   }
   SECTION("closed after more calls than one iteration reads") {
-    client.say(long_call_commands());
+    client.send(long_call_commands());
     client.socket.close();
   }
-  run_turns(platform, kIterations);
-  CHECK(platform.world.host[0]->execs == 1);  // of the first client
-  CHECK(platform.world.dispatcher.open_calls() == 0);
-  CHECK(platform.world.counters.value("calls.left") > 0);
+  run_iterations(service, kIterations);
+  CHECK(service.invoker.host[0]->execs == 1);  // of the first client
+  CHECK(service.invoker.dispatcher.open_calls() == 0);
+  CHECK(service.invoker.counters.value("calls.left") > 0);
 }
 
 TEST_CASE("a CANCEL behind more calls than one iteration reads is handled before its call is sent") {
-  Platform platform(1);
-  const auto first_client = connect_host(platform);
-  RawClient client(platform);
-  client.say(long_call_commands() + cancel_commands());
-  run_turns(platform, kIterations);
-  CHECK(platform.world.host[0]->execs == 1);  // of the first client
-  CHECK(platform.world.dispatcher.open_calls() == 0);
+  RespFixture service(1);
+  const auto first_client = connect_host(service);
+  RawClient client(service);
+  client.send(long_call_commands() + cancel_commands());
+  run_iterations(service, kIterations);
+  CHECK(service.invoker.host[0]->execs == 1);  // of the first client
+  CHECK(service.invoker.dispatcher.open_calls() == 0);
 }
 
 // Found in review: a connection that was established in the iteration in which the client disconnected was
 // sent the call, and its cancellation after it.
 TEST_CASE(
     "a host connection established in the iteration in which the client disconnects is not sent the call") {
-  Platform platform(1);
+  RespFixture service(1);
   net::Socket reserved(dup(STDIN_FILENO));
-  RawClient client(platform);
+  RawClient client(service);
   reserved.close();  // its number goes to the connection to the host, which is handled before the client
-  client.say(call_command(1, GENERATE("bin-check", "bin-record")));
-  platform.world.turn();
-  REQUIRE(platform.world.counters.value("hosts.links_opened") == 1);
-  REQUIRE(platform.world.counters.value("hosts.links_up") == 0);
+  client.send(call_command(1, GENERATE("bin-check", "bin-record")));
+  service.invoker.run_once();
+  REQUIRE(service.invoker.counters.value("hosts.links_opened") == 1);
+  REQUIRE(service.invoker.counters.value("hosts.links_up") == 0);
   if (GENERATE(true, false)) {
-    client.say(cancel_bytes(1));
+    client.send(cancel_bytes(1));
   } else {
     client.socket.close();
   }
-  platform.world.turn();
-  CHECK(platform.world.counters.value("hosts.links_up") == 1);
-  run_turns(platform, kIterations);
-  CHECK(platform.world.host[0]->execs == 0);
-  CHECK(platform.world.host[0]->drops == 0);
-  CHECK(platform.world.dispatcher.open_calls() == 0);
+  service.invoker.run_once();
+  CHECK(service.invoker.counters.value("hosts.links_up") == 1);
+  run_iterations(service, kIterations);
+  CHECK(service.invoker.host[0]->execs == 0);
+  CHECK(service.invoker.host[0]->cancels == 0);
+  CHECK(service.invoker.dispatcher.open_calls() == 0);
 }
 
 }  // namespace
--- a/tests/core/client_disconnected_test.cpp
+++ b/tests/core/client_disconnected_test.cpp
@@ -27,72 +27,72 @@
 // Found in review: a call that was checked once, with input of its client unread, was sent in the second
 // iteration, though the CANCEL was behind what two iterations read.
 TEST_CASE("a CANCEL behind more bytes than two iterations read is handled before a first attempt is sent") {
-  Platform platform(1);
-  const auto first_client = connect_host(platform);
-  RawClient client(platform);
-  client.say(long_call_commands(1, kCalls) + cancel_commands(1, kCalls));
+  RespFixture service(1);
+  const auto first_client = connect_host(service);
+  RawClient client(service);
+  client.send(long_call_commands(1, kCalls) + cancel_commands(1, kCalls));
   for (int i = 0; i < 10; ++i)
-    turn_with(platform.world, [] { usleep(30000); });
-  CHECK(platform.world.host[0]->execs == 1);  // of the first client
-  CHECK(platform.world.dispatcher.open_calls() == 0);
+    run_once_with(service.invoker, [] { usleep(30000); });
+  CHECK(service.invoker.host[0]->execs == 1);  // of the first client
+  CHECK(service.invoker.dispatcher.open_calls() == 0);
 }
 
 TEST_CASE("a CANCEL behind more bytes than two iterations read is handled before a retry is sent") {
-  Platform platform(2);
-  for (auto& host : platform.world.host)
+  RespFixture service(2);
+  for (auto& host : service.invoker.host)
     host->handler = [](const std::string&) { return Reaction{Kind::silence, ""}; };
-  const auto attempts = [&] { return platform.world.host[0]->execs + platform.world.host[1]->execs; };
-  RawClient client(platform);
-  client.say(call_bytes(1));
-  REQUIRE(platform.world.run_until([&] { return attempts() == 1; }, 1000));
-  const auto& host = platform.world.host[0]->execs == 1 ? platform.world.host[0] : platform.world.host[1];
+  const auto attempts = [&] { return service.invoker.host[0]->execs + service.invoker.host[1]->execs; };
+  RawClient client(service);
+  client.send(call_bytes(1));
+  REQUIRE(service.invoker.run_until([&] { return attempts() == 1; }, 1000));
+  const auto& host = service.invoker.host[0]->execs == 1 ? service.invoker.host[0] : service.invoker.host[1];
   const auto peer = host->server.peers.front();
   // Between the reads and the writes of an iteration: the next one reads the host's answer and a part of the
   // client's input.
-  turn_with(platform.world, [&] {
-    client.say(long_call_commands(2, kCalls) + cancel_commands(1, kCalls + 1));
+  run_once_with(service.invoker, [&] {
+    client.send(long_call_commands(2, kCalls) + cancel_commands(1, kCalls + 1));
     peer->write(net::hex16(1) + " full - 0\r\n\r\n");
     peer->flush_now();
   });
-  run_turns(platform);
-  CHECK(platform.world.counters.value("hosts.answers.full") == 1);
+  run_iterations(service);
+  CHECK(service.invoker.counters.value("hosts.answers.full") == 1);
   CHECK(attempts() == 1);
-  CHECK(platform.world.dispatcher.open_calls() == 0);
+  CHECK(service.invoker.dispatcher.open_calls() == 0);
 }
 
 // Found in review: after a repeated tag no input of the client was handled, not even a CANCEL.
 TEST_CASE("a CANCEL behind a wrong tag is handled while the connection to the host is being established") {
-  Platform platform(1);
-  RawClient client(platform);
-  client.say(call_bytes(1));
-  platform.world.turn();
-  REQUIRE(platform.world.counters.value("hosts.links_opened") == 1);
-  REQUIRE(platform.world.counters.value("hosts.links_up") == 0);
+  RespFixture service(1);
+  RawClient client(service);
+  client.send(call_bytes(1));
+  service.invoker.run_once();
+  REQUIRE(service.invoker.counters.value("hosts.links_opened") == 1);
+  REQUIRE(service.invoker.counters.value("hosts.links_up") == 0);
   std::string without_tag;
   resp::write_array(without_tag, {"CALL", "0"});
-  client.say((GENERATE(true, false) ? call_bytes(1) : without_tag) + cancel_bytes(1));
-  turn_with(platform.world, [] { usleep(1000); });
-  run_turns(platform);
-  CHECK(platform.world.counters.value("hosts.links_up") == 1);
-  CHECK(platform.world.host[0]->execs == 0);
-  CHECK(platform.world.dispatcher.open_calls() == 0);
+  client.send((GENERATE(true, false) ? call_bytes(1) : without_tag) + cancel_bytes(1));
+  run_once_with(service.invoker, [] { usleep(1000); });
+  run_iterations(service);
+  CHECK(service.invoker.counters.value("hosts.links_up") == 1);
+  CHECK(service.invoker.host[0]->execs == 0);
+  CHECK(service.invoker.dispatcher.open_calls() == 0);
 }
 
 // All input of a client is read before its attempt is sent, not only a part in each iteration; otherwise such
 // a client would never be served.
 TEST_CASE("a client that sends more input in each iteration is served") {
-  Platform platform(1);
-  const auto first_client = connect_host(platform);
-  RawClient client(platform);
-  client.say(call_bytes(1));
-  for (int tag = 2; tag < 200 && platform.world.host[0]->execs < 2; ++tag) {
-    turn_with(platform.world, [&] {
+  RespFixture service(1);
+  const auto first_client = connect_host(service);
+  RawClient client(service);
+  client.send(call_bytes(1));
+  for (int tag = 2; tag < 200 && service.invoker.host[0]->execs < 2; ++tag) {
+    run_once_with(service.invoker, [&] {
       std::string check;
       resp::write_array(check, {"CHECK", std::to_string(tag)});
-      client.say(check);
+      client.send(check);
     });
   }
-  CHECK(platform.world.host[0]->execs == 2);
+  CHECK(service.invoker.host[0]->execs == 2);
 }
 
 }  // namespace
--- a/tests/core/client_unread_request_test.cpp
+++ b/tests/core/client_unread_request_test.cpp
@@ -4,8 +4,8 @@
 
 #include <string>
 
-#include "support/platform.h"
 #include "support/raw_client.h"
+#include "support/resp_fixture.h"
 
 namespace lotusyard::test {
 namespace {
@@ -21,21 +21,21 @@
 TEST_CASE("a client with an unread request is not evicted for a new client, which is rejected as BUSY") {
   resp::FrontEnd::Limits one_client;
   one_client.clients = 1;
-  Platform platform(1, one_client);
+  RespFixture service(1, one_client);
   net::Socket reserved(dup(STDIN_FILENO));
-  Client first_client(platform.world, platform.front.address());
-  first_client.say({"CHECK", "1"});
+  Client first_client(service.invoker, service.front_end.address());
+  first_client.send({"CHECK", "1"});
   REQUIRE(first_client.answer("1") != nullptr);
   reserved.close();
-  RawClient other(platform);  // gets the lower number of `reserved`, and is read first
+  RawClient other(service);  // gets the lower number of `reserved`, and is read first
   first_client.call("2", "bin-check", "first client");
   first_client.flush();
-  other.say(call_bytes(1, "other"));
+  other.send(call_bytes(1, "other"));
   REQUIRE(first_client.answer("2") != nullptr);
   CHECK(first_client.answer("2")->at(1) == "OK");
   CHECK_FALSE(first_client.closed);
   CHECK(receive(other.socket) == "*2\r\n$1\r\n1\r\n$4\r\nBUSY\r\n");
-  CHECK(platform.world.host[0]->runs.count("other") == 0);
+  CHECK(service.invoker.host[0]->runs.count("other") == 0);
 }
 
 core::Settings settings_with_long_deadlines() {
@@ -56,7 +56,7 @@
     {[](Client& client) { client.write("*3\r\n$5\r\nCHE"); }, "resp.half_request", false},
     {[](Client& client) { client.call("1", "bin-record", "again"); }, "resp.tag_repeated", true},
     {[](Client& client) {
-       client.say({"CALL", "0"});
+       client.send({"CALL", "0"});
      },
      "resp.no_tag", true}};
 
@@ -64,24 +64,25 @@
 TEST_CASE(
     "a sound call before malformed input, half a request or a wrong tag is answered, then the connection "
     "ends") {
-  Platform platform(1, {}, InvokerFixture::limits(), settings_with_long_deadlines());
-  StandInHost& host = *platform.world.host[0];
+  RespFixture service(1, {}, InvokerFixture::limits(), settings_with_long_deadlines());
+  StandInHost& host = *service.invoker.host[0];
   host.handler = [](const std::string&) { return Reaction{Reaction::Kind::silence, ""}; };
-  Client client(platform.world, platform.front.address());
+  Client client(service.invoker, service.front_end.address());
   client.call("1", "bin-record", "sound", 5000);
   const MalformedInput& input = kMalformedInputs[GENERATE(0, 1, 2, 3)];
   INFO(input.counter);
   input.send(client);
-  REQUIRE(platform.world.run_until([&] { return platform.world.counters.value(input.counter) == 1; }, 2000));
+  REQUIRE(
+      service.invoker.run_until([&] { return service.invoker.counters.value(input.counter) == 1; }, 2000));
   client.call("5", "bin-record", "behind");
-  run_turns(platform, 20);
+  run_iterations(service, 20);
   REQUIRE(host.server.peers.size() == 1);
   const std::string ref = net::hex16(std::hash<std::string>()("1sound"));
   host.server.peers.front()->write(ref + " data - 5\r\nsound\r\n");
   REQUIRE(client.answer("1") != nullptr);
   CHECK(*client.answer("1") == resp::Words{"1", "OK", "", "sound"});
-  CHECK(platform.world.run_until([&] { return client.closed; }, 2000));
-  CHECK(client.got.size() == (input.later_calls_readable ? 2 : 1));
+  CHECK(service.invoker.run_until([&] { return client.closed; }, 2000));
+  CHECK(client.answers.size() == (input.later_calls_readable ? 2 : 1));
   if (input.later_calls_readable)
     CHECK(*client.answer("5") == resp::Words{"5", "BUSY"});
   CHECK(host.execs == 1);
--- a/tests/core/host_changed_before_write_test.cpp
+++ b/tests/core/host_changed_before_write_test.cpp
@@ -3,8 +3,8 @@
 // loop.
 #include <string>
 
-#include "support/platform.h"
 #include "support/raw_client.h"
+#include "support/resp_fixture.h"
 
 namespace lotusyard::test {
 namespace {
@@ -28,45 +28,45 @@
 // Found in review: what was decided for a host earlier in the iteration was sent, also if the host changed
 // after it.
 TEST_CASE("a host that drains or is removed after the decision is sent neither the call nor the load order") {
-  Platform platform(1);
-  Client first_client(platform.world, platform.front.address());
+  RespFixture service(1);
+  Client first_client(service.invoker, service.front_end.address());
   first_client.call("1", "bin-check", "first");
   REQUIRE(first_client.answer("1") != nullptr);
-  RawClient client(platform);
+  RawClient client(service);
   std::string call;
   resp::write_array(call, {"CALL", "2", "bin-record",
                            "ref=" + net::hex16(2) + ",allow=1000,lookup=00000000000000a1", "second"});
-  client.say(call);
+  client.send(call);
   const auto state = GENERATE(policy::HostState::draining, policy::HostState::gone);
-  const int orders = platform.world.host[0]->orders;
-  turn_with(platform.world, [&] {
-    REQUIRE(platform.world.dispatcher.open_calls() == 1);
-    platform.world.fleet.load_copies("h0", 0xa1, 2);
-    platform.world.tell(state);
+  const int orders = service.invoker.host[0]->load_orders;
+  run_once_with(service.invoker, [&] {
+    REQUIRE(service.invoker.dispatcher.open_calls() == 1);
+    service.invoker.host_pool.load_copies("h0", 0xa1, 2);
+    service.invoker.update_hosts(state);
   });
-  run_turns(platform, 20);
-  CHECK(platform.world.host[0]->execs == 1);
-  CHECK(platform.world.host[0]->orders == orders);
-  CHECK(platform.world.counters.value("hosts.withdrawn") == 2);
+  run_iterations(service, 20);
+  CHECK(service.invoker.host[0]->execs == 1);
+  CHECK(service.invoker.host[0]->load_orders == orders);
+  CHECK(service.invoker.counters.value("hosts.withdrawn") == 2);
 }
 
 // Found in review: the call was written to a connection that its host had closed, and counted as one that may
 // have run.
 TEST_CASE(
     "a call is not written to a connection that its host has closed; an answer before the close counts") {
-  Platform platform(1);
-  StandInHost& host = *platform.world.host[0];
+  RespFixture service(1);
+  StandInHost& host = *service.invoker.host[0];
   host.handler = [](const std::string& body) {
     return body == "first" ? Reaction{Kind::silence, ""} : Reaction();
   };
-  Client client(platform.world, platform.front.address());
+  Client client(service.invoker, service.front_end.address());
   client.call("1", "bin-record", "first");
-  REQUIRE(platform.world.run_until([&] { return host.execs == 1; }, 1000));
+  REQUIRE(service.invoker.run_until([&] { return host.execs == 1; }, 1000));
   client.call("2", "bin-record", "second");
   bool closed = false;
   while (!closed) {
-    turn_with(platform.world, [&] {
-      if (platform.world.dispatcher.open_calls() < 2)
+    run_once_with(service.invoker, [&] {
+      if (service.invoker.dispatcher.open_calls() < 2)
         return;
       answer_first_and_close(host);
       closed = true;
@@ -80,18 +80,18 @@
 
 // Found in review: a write that found the connection broken ended it with the answers unread.
 TEST_CASE("answers that came before a connection broke are read, also if a write finds it broken") {
-  Platform platform(1);
-  StandInHost& host = *platform.world.host[0];
+  RespFixture service(1);
+  StandInHost& host = *service.invoker.host[0];
   host.handler = [](const std::string&) { return Reaction{Kind::silence, ""}; };
-  Client client(platform.world, platform.front.address());
+  Client client(service.invoker, service.front_end.address());
   client.call("1", "bin-record", "first");
   client.call("2", "bin-check", "second");
   client.call("3", "bin-check", "third");
-  REQUIRE(platform.world.run_until([&] { return host.execs == 3; }, 1000));
-  turn_with(platform.world, [&] {
+  REQUIRE(service.invoker.run_until([&] { return host.execs == 3; }, 1000));
+  run_once_with(service.invoker, [&] {
     answer_first_and_close(host);
-    platform.world.dispatcher.client_disconnected(2);  // the cancellation is answered with a reset
-    platform.world.dispatcher.client_disconnected(3);  // this write finds the connection reset
+    service.invoker.dispatcher.client_disconnected(2);  // the cancellation is answered with a reset
+    service.invoker.dispatcher.client_disconnected(3);  // this write finds the connection reset
   });
   REQUIRE(client.answer("1") != nullptr);
   CHECK(client.answer("1")->at(1) == "OK");
--- a/tests/discovery/discovery_test.cpp
+++ b/tests/discovery/discovery_test.cpp
@@ -44,11 +44,11 @@
           close_later();
       }
     }
-    void on_closed() override { server_.listener.gone(*this); }
+    void on_closed() override { server_.listener.remove(*this); }
   };
   DiscoveryServer(net::EventLoop& loop, net::BufferPool& pool) : listener(loop, pool, *this) {}
   Random random{6};
-  Server<Peer, DiscoveryServer> listener;
+  LoopbackServer<Peer, DiscoveryServer> listener;
   std::size_t events = 20;
   std::vector<std::uint64_t> requests;  // the number N of each
   bool stays_open = false;
@@ -144,11 +144,11 @@
     }
     void on_closed() override {
       loop().cancel(timer_);
-      server_.listener.gone(*this);
+      server_.listener.remove(*this);
     }
   };
   HeartbeatServer(net::EventLoop& loop, net::BufferPool& pool) : listener(loop, pool, *this) {}
-  Server<Peer, HeartbeatServer> listener;
+  LoopbackServer<Peer, HeartbeatServer> listener;
   std::string line;
   Millis delay{0};
   int subscriptions = 0;
--- a/tests/endpoints/endpoint_states_test.cpp
+++ b/tests/endpoints/endpoint_states_test.cpp
@@ -140,7 +140,7 @@
   }
 
  private:
-  const Folder folder_;
+  const TemporaryFolder folder_;
   Random& random_;
   std::map<std::string, core::ListedHost> listed_;
   std::set<std::string> disabled_;
@@ -214,7 +214,7 @@
   DisabledHostFiles nowhere("");
   CHECK_FALSE(nowhere.add("a"));
   CHECK_FALSE(nowhere.read());
-  const Folder folder;
+  const TemporaryFolder folder;
   DisabledHostFiles missing(folder.path + "/not/there");  // the folder above it is missing
   CHECK_FALSE(missing.add("a"));
   const std::string file = folder.path + "/out.file";
--- a/tests/golden/admin_golden.cpp
+++ b/tests/golden/admin_golden.cpp
@@ -30,12 +30,12 @@
 class Endpoint {
  public:
   SampleOperations operations;
-  Endpoint() : endpoint_(world_.loop, world_.counters, operations, 4) {
+  Endpoint() : endpoint_(fixture_.loop, fixture_.counters, operations, 4) {
     REQUIRE(endpoint_.listen("127.0.0.1:0"));
   }
   std::string response(const std::string& bytes) {
-    RecordingClient client(world_, endpoint_.address(), bytes);
-    REQUIRE(world_.run_until([&] { return client.closed(); }));
+    RecordingClient client(fixture_, endpoint_.address(), bytes);
+    REQUIRE(fixture_.run_until([&] { return client.closed(); }));
     return client.received_bytes();
   }
   std::string response(const std::string& method, const std::string& path) {
@@ -43,7 +43,7 @@
   }
 
  private:
-  test::InvokerFixture world_{0};
+  test::InvokerFixture fixture_{0};
   admin::AdminEndpoint endpoint_;
 };
 
--- a/tests/golden/hosts_golden.cpp
+++ b/tests/golden/hosts_golden.cpp
@@ -22,10 +22,10 @@
    private:
     SilentHost& host_;
     void on_received(std::string_view bytes) override { host_.received += bytes; }
-    void on_closed() override { host_.server.gone(*this); }
+    void on_closed() override { host_.server.remove(*this); }
   };
   SilentHost(net::EventLoop& loop, net::BufferPool& pool) : server(loop, pool, *this) {}
-  test::Server<Peer, SilentHost> server;
+  test::LoopbackServer<Peer, SilentHost> server;
   std::string received;
 };
 
@@ -43,14 +43,14 @@
 class Connection {
  public:
   explicit Connection(hosts::LivenessProbe liveness = hosts::LivenessProbe::none)
-      : world(0, plain_settings(), limits(liveness)), host_(world.loop, world.pool) {
+      : fixture(0, plain_settings(), limits(liveness)), host_(fixture.loop, fixture.pool) {
     core::ListedHost endpoint;
     endpoint.entry.host = "h0";
     endpoint.address = host_.server.address();
-    world.fleet.update_endpoints({true, {endpoint}});
-    world.dispatcher.update_endpoints({core::ListKind::full, {endpoint.entry}});
+    fixture.host_pool.update_endpoints({true, {endpoint}});
+    fixture.dispatcher.update_endpoints({core::ListKind::full, {endpoint.entry}});
   }
-  test::InvokerFixture world;
+  test::InvokerFixture fixture;
 
   core::CallId call(const std::string& key) {
     core::Call call;
@@ -61,18 +61,18 @@
     call.key = key;
     call.lanes = 1;
     call.memory_mb = 300;
-    call.arrived = world.loop.now();
+    call.arrived = fixture.loop.now();
     call.timeout = core::Millis(60000);
     call.body = std::string("bo\0dy", 5);
-    const core::CallId id = world.dispatcher.allocate_call_id();
-    REQUIRE_FALSE(world.dispatcher.admit(id, std::move(call), front_end_).has_value());
+    const core::CallId id = fixture.dispatcher.allocate_call_id();
+    REQUIRE_FALSE(fixture.dispatcher.admit(id, std::move(call), front_end_).has_value());
     return id;
   }
   // What the host was sent up to `end`. The timeout of a call differs from run to run, so it is replaced.
   std::string sent(const std::string& end) {
     const std::string& received = host_.received;
     const auto has_end = [&] { return received.find(end) != std::string::npos; };
-    const bool in_time = world.run_until(has_end, kMaxIterations);
+    const bool in_time = fixture.run_until(has_end, kMaxIterations);
     INFO(received);
     REQUIRE(in_time);
     const std::string complete = received.substr(0, received.find(end) + end.size());
@@ -100,7 +100,7 @@
   Connection connection;
   const core::CallId id = connection.call("");
   connection.sent("dy\r\n");
-  connection.world.dispatcher.client_disconnected(id);
+  connection.fixture.dispatcher.client_disconnected(id);
   return connection.sent("drop 00000000000000a1\r\n");
 }
 
@@ -113,7 +113,7 @@
 // What the host is sent by a request that is no call.
 std::string send_request(const std::function<void(hosts::HostConnectionPool&)>& request) {
   Connection connection;
-  request(connection.world.fleet);
+  request(connection.fixture.host_pool);
   return connection.sent("\r\n");
 }
 
--- a/tests/golden/recording_client.h
+++ b/tests/golden/recording_client.h
@@ -21,8 +21,8 @@
 
 class RecordingClient final : public net::BufferedConnection {
  public:
-  RecordingClient(test::InvokerFixture& world, const std::string& address, const std::string& bytes)
-      : BufferedConnection(world.loop, world.pool, net::connect_to(address).socket, true) {
+  RecordingClient(test::InvokerFixture& fixture, const std::string& address, const std::string& bytes)
+      : BufferedConnection(fixture.loop, fixture.pool, net::connect_to(address).socket, true) {
     write(bytes);
   }
   void send(const std::string& bytes) { write(bytes); }
--- a/tests/golden/resp_golden.cpp
+++ b/tests/golden/resp_golden.cpp
@@ -26,20 +26,20 @@
 class Service {
  public:
   explicit Service(std::size_t hosts = 1)
-      : world(hosts, patient_settings()),
-        front_(world.loop, world.pool, world.dispatcher, world.counters, {}) {
+      : fixture(hosts, patient_settings()),
+        front_(fixture.loop, fixture.pool, fixture.dispatcher, fixture.counters, {}) {
     REQUIRE(front_.listen("127.0.0.1:0"));
   }
 
-  test::InvokerFixture world;
+  test::InvokerFixture fixture;
   resp::FrontEnd& front() { return front_; }
 
   // Returns the reply to `bytes`. Calls `when_sent` once they have opened a call.
   std::string reply(
       const std::string& bytes, const std::function<void()>& when_sent = [] {}) {
-    RecordingClient client(world, front_.address(), bytes);
+    RecordingClient client(fixture, front_.address(), bytes);
     bool was_sent = false;
-    REQUIRE(world.run_until([&] {
+    REQUIRE(fixture.run_until([&] {
       if (!was_sent && front_.open_calls() > 0) {
         was_sent = true;
         when_sent();
@@ -56,7 +56,9 @@
 // The reply to a call that no host answers, whose answer is given here.
 std::string reply_with(const core::Answer& answer) {
   Service service;
-  service.world.host[0]->handler = [](const std::string&) { return test::Reaction{test::Reaction::silence}; };
+  service.fixture.host[0]->handler = [](const std::string&) {
+    return test::Reaction{test::Reaction::silence};
+  };
   const auto give = [&] {
     core::Answer copy = answer;
     service.front().answer(1, std::move(copy));
--- a/tests/gossip/gossip_schedule_test.cpp
+++ b/tests/gossip/gossip_schedule_test.cpp
@@ -86,7 +86,7 @@
 }
 
 TEST_CASE("a suspicion that cannot be refuted is found") {
-  Breaks::Rule broken("refute");
+  FaultInjection::Scope broken("refute");
   CHECK(finds_disagreement(50));
 }
 
@@ -106,7 +106,7 @@
 
 TEST_CASE("a member that takes its own pause for others' silence is found") {
   CHECK(count_suspicions_by_paused_member(40) == 0);
-  Breaks::Rule broken("stall");
+  FaultInjection::Scope broken("stall");
   CHECK(count_suspicions_by_paused_member(40) > 0);
 }
 
--- a/tests/gossip/member_metadata_test.cpp
+++ b/tests/gossip/member_metadata_test.cpp
@@ -57,7 +57,7 @@
 
 TEST_CASE("observations of hosts merge alike in any order, repeated or not") {
   CHECK_FALSE(order_matters());
-  Breaks::Rule broken("merge-order");
+  FaultInjection::Scope broken("merge-order");
   CHECK(order_matters());
 }
 
@@ -74,7 +74,7 @@
         gossip::MemberMetadata::MergeResult::unchanged);  // the host's incarnation is remembered
   metadata.retain({}, {"a"});
   CHECK(metadata.hosts() == 0);
-  Breaks::Rule broken("earlier-life");
+  FaultInjection::Scope broken("earlier-life");
   gossip::MemberMetadata faulty;
   faulty.merge({"h", 20, "b", 1, 1, true});
   CHECK(faulty.merge({"h", 10, "c", 1, 1, false}) != gossip::MemberMetadata::MergeResult::unchanged);
--- a/tests/gossip/property_check.h
+++ b/tests/gossip/property_check.h
@@ -18,7 +18,7 @@
   params.seed = 7;
   const auto result = rc::detail::checkTestable(property, rc::detail::TestMetadata{"", description}, params);
   const bool holds = result.template is<rc::detail::SuccessResult>();
-  if (!holds && broken_rule.empty())
+  if (!holds && injected_fault.empty())
     rc::detail::printResultMessage(result, std::cerr);
   return holds;
 }
--- a/tests/hosts/host_deadline_test.cpp
+++ b/tests/hosts/host_deadline_test.cpp
@@ -5,7 +5,7 @@
 #include <netinet/in.h>
 
 #include "support/raw_client.h"
-#include "support/service.h"
+#include "support/service_harness.h"
 
 namespace lotusyard::test {
 namespace {
@@ -42,98 +42,98 @@
 
 // Found in review: a call's time began with the iteration of the event loop that read it.
 TEST_CASE("time that a call is unread in a long iteration counts against its timeout") {
-  Platform platform(1);
-  const auto usual = connect_host(platform);
+  RespFixture service(1);
+  const auto usual = connect_host(service);
   Excess excess;
-  excess.watch(platform.world.loop, *platform.world.host[0]);
-  RawClient client(platform);
-  turn_with(platform.world, [&] {
-    excess.client_sent_at = platform.world.loop.now();
-    client.say(call_bytes(1));
+  excess.watch(service.invoker.loop, *service.invoker.host[0]);
+  RawClient client(service);
+  run_once_with(service.invoker, [&] {
+    excess.client_sent_at = service.invoker.loop.now();
+    client.send(call_bytes(1));
     usleep(300000);
   });
-  run_turns(platform);
+  run_iterations(service);
   REQUIRE(excess.calls == 1);
   CHECK(excess.largest.count() < kTolerance.count());
 }
 
 TEST_CASE("time of earlier iterations counts for calls behind more bytes than one iteration reads") {
-  Platform platform(1);
-  const auto usual = connect_host(platform);
+  RespFixture service(1);
+  const auto usual = connect_host(service);
   Excess excess;
-  excess.watch(platform.world.loop, *platform.world.host[0]);
-  RawClient client(platform);
+  excess.watch(service.invoker.loop, *service.invoker.host[0]);
+  RawClient client(service);
   std::string many;
   for (int tag = 1; tag <= 24; ++tag)
     many += call_bytes(tag, std::string(16000, 'x'));
-  turn_with(platform.world, [&] {
-    excess.client_sent_at = platform.world.loop.now();
-    client.say(many);
+  run_once_with(service.invoker, [&] {
+    excess.client_sent_at = service.invoker.loop.now();
+    client.send(many);
   });
   for (int i = 0; i < 8; ++i)
-    turn_with(platform.world, [] { usleep(100000); });
+    run_once_with(service.invoker, [] { usleep(100000); });
   REQUIRE(excess.calls > 8);
   CHECK(excess.largest.count() < kTolerance.count());
 }
 
 TEST_CASE("time until its connection is accepted counts against the timeout of a call") {
-  Platform platform(1);
-  const auto usual = connect_host(platform);
+  RespFixture service(1);
+  const auto usual = connect_host(service);
   Excess excess;
-  excess.watch(platform.world.loop, *platform.world.host[0]);
+  excess.watch(service.invoker.loop, *service.invoker.host[0]);
   net::Socket socket;
-  turn_with(platform.world, [&] {
-    excess.client_sent_at = platform.world.loop.now();
-    socket = net::connect_to(platform.front.address()).socket;
+  run_once_with(service.invoker, [&] {
+    excess.client_sent_at = service.invoker.loop.now();
+    socket = net::connect_to(service.front_end.address()).socket;
     const std::string bytes = call_bytes(1);
     REQUIRE(::send(socket.fd(), bytes.data(), bytes.size(), MSG_NOSIGNAL) ==
             static_cast<ssize_t>(bytes.size()));
     usleep(300000);
   });
-  run_turns(platform);
+  run_iterations(service);
   REQUIRE(excess.calls == 1);
   CHECK(excess.largest.count() < kTolerance.count());
 }
 
 TEST_CASE("a client that was idle for long has its whole timeout when it calls") {
-  Platform platform(1);
-  const auto usual = connect_host(platform);
+  RespFixture service(1);
+  const auto usual = connect_host(service);
   Excess excess;
-  excess.watch(platform.world.loop, *platform.world.host[0]);
-  RawClient client(platform);
-  const Millis until = platform.world.loop.now() + Millis(400);
-  platform.world.run_until([&] { return platform.world.loop.now() >= until; });
-  excess.client_sent_at = platform.world.loop.now();
-  client.say(call_bytes(1));
-  run_turns(platform);
+  excess.watch(service.invoker.loop, *service.invoker.host[0]);
+  RawClient client(service);
+  const Millis until = service.invoker.loop.now() + Millis(400);
+  service.invoker.run_until([&] { return service.invoker.loop.now() >= until; });
+  excess.client_sent_at = service.invoker.loop.now();
+  client.send(call_bytes(1));
+  run_iterations(service);
   REQUIRE(excess.calls == 1);
   CHECK(excess.largest.count() > -100);
 }
 
 // Found in review: a process that had been stopped took a waiting call for one that had just arrived.
 TEST_CASE("time that the process is stopped counts against the timeout of a call") {
-  Service service(false);
+  ServiceHarness service(false);
   Process& process = service.start();
-  REQUIRE(service.ready(service.consoles.back()));
-  REQUIRE(service.until([&] { return service.log.asked == 1; }));
+  REQUIRE(service.wait_until_ready(service.admin_endpoints.back()));
+  REQUIRE(service.run_until([&] { return service.change_log.requests == 1; }));
   Excess excess;
-  for (auto& host : service.world.host)
-    excess.watch(service.world.loop, *host);
-  Tablet tablet(service.world, service.listen);
-  tablet.call(1, "bin-record", "first", 1000);
-  REQUIRE(service.until([&] { return tablet.open.empty(); }));
+  for (auto& host : service.fixture.host)
+    excess.watch(service.fixture.loop, *host);
+  ServiceClient client(service.fixture, service.listen);
+  client.call(1, "bin-record", "first", 1000);
+  REQUIRE(service.run_until([&] { return client.open_calls.empty(); }));
   const auto pass = [&](double ms) {
-    const Millis end = service.world.loop.now() + Millis(ms);
-    while (service.world.loop.now() < end)
-      service.world.turn();
+    const Millis end = service.fixture.loop.now() + Millis(ms);
+    while (service.fixture.loop.now() < end)
+      service.fixture.run_once();
   };
   pass(300);  // the process waits in poll(2)
   process.signal(SIGSTOP);
-  excess.client_sent_at = service.world.loop.now();
-  tablet.call(2, "bin-record", "second", 1000);
+  excess.client_sent_at = service.fixture.loop.now();
+  client.call(2, "bin-record", "second", 1000);
   pass(500);
   process.signal(SIGCONT);
-  REQUIRE(service.until([&] { return tablet.open.empty(); }));
+  REQUIRE(service.run_until([&] { return client.open_calls.empty(); }));
   REQUIRE(excess.calls == 2);
   CHECK(excess.largest.count() < kTolerance.count());
 }
@@ -144,21 +144,21 @@
     void answer(core::CallId, core::Answer&&) override {}
     bool before_attempt(core::CallId) override { return usleep(300000) == 0; }
   } front;
-  Platform platform(1);
-  const auto usual = connect_host(platform);
+  RespFixture service(1);
+  const auto usual = connect_host(service);
   Excess excess;
-  excess.watch(platform.world.loop, *platform.world.host[0]);
+  excess.watch(service.invoker.loop, *service.invoker.host[0]);
   core::Call call;
   call.ref = net::hex16(7);
   call.class_name = "bin-record";
   call.function_name = net::hex16(0xa1);
   call.function = 0xa1;
-  call.arrived = excess.client_sent_at = platform.world.loop.now();
+  call.arrived = excess.client_sent_at = service.invoker.loop.now();
   call.timeout = kClientTimeout;
   REQUIRE_FALSE(
-      platform.world.dispatcher.admit(platform.world.dispatcher.allocate_call_id(), std::move(call), front)
+      service.invoker.dispatcher.admit(service.invoker.dispatcher.allocate_call_id(), std::move(call), front)
           .has_value());
-  run_turns(platform);
+  run_iterations(service);
   REQUIRE(excess.calls == 1);
   CHECK(excess.largest.count() < kTolerance.count());
 }
@@ -194,37 +194,37 @@
 TEST_CASE("no call is queued behind bytes that its host does not read") {
   net::EventLoop host_loop;
   const auto run_host = [&] { host_loop.run_once(host_loop.now(), [] {}); };
-  Platform platform(0);
-  platform.world.host.push_back(std::make_unique<StandInHost>(host_loop, platform.world.pool));
-  StandInHost& host = *platform.world.host[0];
+  RespFixture service(0);
+  service.invoker.host.push_back(std::make_unique<StandInHost>(host_loop, service.invoker.pool));
+  StandInHost& host = *service.invoker.host[0];
   shrink_socket_buffers(host.server.address());
-  platform.world.tell(lotusyard::policy::HostState::ready);
+  service.invoker.update_hosts(lotusyard::policy::HostState::ready);
   Excess excess;
   excess.watch(host_loop, host);
   const auto run_both = [&] {
-    platform.world.turn();
+    service.invoker.run_once();
     run_host();
   };
-  RawClient usual(platform), client(platform);
-  usual.say(call_bytes(100));
+  RawClient usual(service), client(service);
+  usual.send(call_bytes(100));
   for (int i = 0; i < 100 && usual.answers().empty(); ++i)
     run_both();
   REQUIRE(excess.calls == 1);
   shrink_socket_buffers(host.server.address());
-  excess.client_sent_at = platform.world.loop.now();
+  excess.client_sent_at = service.invoker.loop.now();
   std::string many;
   for (int tag = 1; tag <= 24; ++tag)
     many += call_bytes(tag, std::string(16000, 'x'));
-  client.say(many);
-  while (platform.world.loop.now() < excess.client_sent_at + Millis(60))
-    platform.world.turn();
+  client.send(many);
+  while (service.invoker.loop.now() < excess.client_sent_at + Millis(60))
+    service.invoker.run_once();
   // One call is split; all others can still be checked, and withdrawn.
-  CHECK(platform.world.dispatcher.open_calls() > 8);
-  CHECK(platform.world.pool.blocks_in_use() <= 2);
-  CHECK(platform.world.counters.value("hosts.stuck_calls") == 0);
-  while (platform.world.loop.now() < excess.client_sent_at + Millis(200))
-    platform.world.turn();
-  CHECK(platform.world.counters.value("hosts.stuck_calls") == 1);
+  CHECK(service.invoker.dispatcher.open_calls() > 8);
+  CHECK(service.invoker.pool.blocks_in_use() <= 2);
+  CHECK(service.invoker.counters.value("hosts.stuck_calls") == 0);
+  while (service.invoker.loop.now() < excess.client_sent_at + Millis(200))
+    service.invoker.run_once();
+  CHECK(service.invoker.counters.value("hosts.stuck_calls") == 1);
 }
 
 }  // namespace
--- a/tests/idempotency/result_store_test.cpp
+++ b/tests/idempotency/result_store_test.cpp
@@ -7,7 +7,7 @@
 #include <fstream>
 
 #include "idempotency/sqlite_result_store.h"
-#include "support/triggers.h"
+#include "support/amqp_fixture.h"
 
 namespace lotusyard::test {
 namespace {
@@ -187,19 +187,19 @@
   if (full)
     opened.store.limit_pages(1);
   CHECK(opened.store.healthy() == full);
-  Triggers t(1, 1, {}, settings(), &opened.store);
+  AmqpFixture t(1, 1, {}, settings(), &opened.store);
   t.broker.send("check", "bin-check", "x");
-  REQUIRE(t.answered("check"));
-  CHECK(word_of(t.broker.held["c-check"][0]) == "OK");
+  REQUIRE(t.wait_for_answer("check"));
+  CHECK(result_word(t.broker.answers_by_id["c-check"][0]) == "OK");
   const std::string stem(200, 'r');  // ids that soon fill what pages are left
   for (int i = 0; i < 60; ++i)
     t.broker.send(stem + std::to_string(i), "bin-record", "y");
-  REQUIRE(t.answered(stem + "59"));
-  CHECK(word_of(t.broker.held["c-" + stem + "59"][0]) == "BUSY");
+  REQUIRE(t.wait_for_answer(stem + "59"));
+  CHECK(result_word(t.broker.answers_by_id["c-" + stem + "59"][0]) == "BUSY");
   CHECK(opened.counters.value(full ? "answers.store_full" : "answers.store_damaged") > 0);
   CHECK(!opened.log.empty());
   if (!full)
-    CHECK(t.world.host[0]->execs == 1);
+    CHECK(t.invoker.host[0]->execs == 1);
 }
 
 StandInBroker::Message again(const std::string& id) {
@@ -219,44 +219,45 @@
   File file("restart");
   {
     Opened opened(file);
-    Triggers t(1, 1, {}, settings(), &opened.store);
-    t.world.host[0]->handler = [](const std::string& body) {
+    AmqpFixture t(1, 1, {}, settings(), &opened.store);
+    t.invoker.host[0]->handler = [](const std::string& body) {
       return body == "done" ? Reaction() : Reaction{Reaction::silence, ""};
     };
     t.broker.send("done", "bin-record", "done");
-    REQUIRE(t.answered("done"));
+    REQUIRE(t.wait_for_answer("done"));
     t.broker.send("lost", "bin-record", "lost");
-    REQUIRE(t.world.run_until([&] { return t.world.host[0]->execs == 2; }, 20000));
-    const double now = t.world.loop.now().count();
+    REQUIRE(t.invoker.run_until([&] { return t.invoker.host[0]->execs == 2; }, 20000));
+    const double now = t.invoker.loop.now().count();
     opened.store.put("cleared", record(ResultStage::sent, CallStatus::succeeded, now));
     opened.store.put("cleared", record(ResultStage::cleared, CallStatus::succeeded, now));
     opened.store.put("answered", record(ResultStage::answered, CallStatus::succeeded, now));
   }  // as if killed: "lost" is out and its answer never comes
   Opened opened(file);
-  Triggers t(1, 1, {}, settings(), &opened.store);
+  AmqpFixture t(1, 1, {}, settings(), &opened.store);
   for (const char* id : {"lost", "cleared", "answered", "done", "never"})
-    t.broker.put(again(id));
-  REQUIRE(t.answered("never"));
-  REQUIRE(t.settled());
-  CHECK(word_of(t.broker.held["c-lost"][0]) == "FAILED");
-  CHECK(word_of(t.broker.held["c-never"][0]) == "FAILED");
-  REQUIRE(t.answered("cleared"));
-  CHECK(word_of(t.broker.held["c-cleared"][0]) == "OK");
-  CHECK((t.broker.held["c-answered"].size() == 1 && t.broker.held["c-answered"][0].body == "body"));
-  CHECK(t.broker.held["c-done"].empty());  // it was confirmed there before: only the ack was lost
-  CHECK(t.world.host[0]->execs == 1);
+    t.broker.enqueue(again(id));
+  REQUIRE(t.wait_for_answer("never"));
+  REQUIRE(t.wait_until_settled());
+  CHECK(result_word(t.broker.answers_by_id["c-lost"][0]) == "FAILED");
+  CHECK(result_word(t.broker.answers_by_id["c-never"][0]) == "FAILED");
+  REQUIRE(t.wait_for_answer("cleared"));
+  CHECK(result_word(t.broker.answers_by_id["c-cleared"][0]) == "OK");
+  CHECK((t.broker.answers_by_id["c-answered"].size() == 1 &&
+         t.broker.answers_by_id["c-answered"][0].body == "body"));
+  CHECK(t.broker.answers_by_id["c-done"].empty());  // it was confirmed there before: only the ack was lost
+  CHECK(t.invoker.host[0]->execs == 1);
 }
 
 TEST_CASE("a call whose time ran out in the queue is answered, not run") {
-  Triggers t(1);
+  AmqpFixture t(1);
   auto m = again("late");
   m.properties.headers["class"] = std::string("bin-check");
-  m.properties.timestamp = static_cast<std::uint64_t>(t.world.loop.now().count() / 1000) - 10;
+  m.properties.timestamp = static_cast<std::uint64_t>(t.invoker.loop.now().count() / 1000) - 10;
   m.properties.expiration = "3000";
-  t.broker.put(std::move(m));
-  REQUIRE(t.answered("late"));
-  CHECK(word_of(t.broker.held["c-late"][0]) == "BUSY");
-  CHECK(t.world.host[0]->execs == 0);
+  t.broker.enqueue(std::move(m));
+  REQUIRE(t.wait_for_answer("late"));
+  CHECK(result_word(t.broker.answers_by_id["c-late"][0]) == "BUSY");
+  CHECK(t.invoker.host[0]->execs == 0);
 }
 
 // By hand: what the store costs, paired and in turn. Prints calls a second and the median and 99th percentile
@@ -269,19 +270,20 @@
       std::unique_ptr<Opened> opened;
       if (durable)
         opened = std::make_unique<Opened>(file);
-      Triggers t(3, static_cast<std::uint64_t>(pair) + 1, {}, settings(), durable ? &opened->store : nullptr);
+      AmqpFixture t(3, static_cast<std::uint64_t>(pair) + 1, {}, settings(),
+                    durable ? &opened->store : nullptr);
       t.broker.send("first", "bin-record", "x");
-      REQUIRE(t.answered("first"));
+      REQUIRE(t.wait_for_answer("first"));
       std::vector<double> took;
-      const Millis began = t.world.loop.now();
+      const Millis began = t.invoker.loop.now();
       for (int i = 0; i < kCalls; ++i) {
         const std::string id = "m" + std::to_string(i);
-        const Millis sent = t.world.loop.now();
+        const Millis sent = t.invoker.loop.now();
         t.broker.send(id, "bin-record", "bin of " + id);
-        REQUIRE(t.answered(id));
-        took.push_back((t.world.loop.now() - sent).count());
+        REQUIRE(t.wait_for_answer(id));
+        took.push_back((t.invoker.loop.now() - sent).count());
       }
-      const double all = (t.world.loop.now() - began).count();
+      const double all = (t.invoker.loop.now() - began).count();
       std::sort(took.begin(), took.end());
       std::printf("%s pair %d: %.0f calls/s, median %.3f ms, p99 %.3f ms\n", durable ? "durable" : "memory ",
                   pair, kCalls / all * 1000, took[kCalls / 2], took[kCalls * 99 / 100]);
--- a/tests/idempotency/store_faults_test.cpp
+++ b/tests/idempotency/store_faults_test.cpp
@@ -138,7 +138,7 @@
   Rig rig(change);
   rig.disk.crash_at = change;
   rig.disk.crash_kind = kind;
-  rig.disk.sync_lies = lies;
+  rig.disk.ignores_syncs = lies;
   rig.open();
   for (int i = 0; i < 25 && !rig.disk.crashed(); ++i)
     rig.step();
@@ -165,7 +165,7 @@
 std::string run_schedule(std::uint64_t seed, bool lies = false) {
   Random random(seed);
   Rig rig(seed);
-  rig.disk.sync_lies = lies;
+  rig.disk.ignores_syncs = lies;
   rig.disk.rates = random_rates(random);
   rig.open();
   for (int i = 0; i < 60 && rig.history.broken().empty(); ++i) {
--- a/tests/maintenance/maintenance_measure.cpp
+++ b/tests/maintenance/maintenance_measure.cpp
@@ -40,9 +40,9 @@
 std::map<std::string, int> answers(const Cluster& cluster) {
   std::map<std::string, int> out;
   for (const auto& m : cluster.members) {
-    if (!m->tablet)
+    if (!m->client)
       continue;
-    for (const auto& [word, body] : m->tablet->got)
+    for (const auto& [word, body] : m->client->results)
       ++out[word];
   }
   return out;
@@ -54,7 +54,7 @@
     Cluster cluster(seed, 3, 6);
     REQUIRE(cluster.all_ready(20));
     REQUIRE(cluster.add("w", 2));
-    REQUIRE(cluster.until([&] { return first(cluster, "touch") > 0; }, 20));
+    REQUIRE(cluster.run_until([&] { return first(cluster, "touch") > 0; }, 20));
     to_touch.push_back(first(cluster, "touch") - first(cluster, "add"));
     std::string leader;
     for (const auto& line : cluster.lines()) {
@@ -65,13 +65,13 @@
     for (auto& m : cluster.members)
       led = m->name == leader ? m.get() : led;
     REQUIRE(led != nullptr);
-    const double died = cluster.world.loop.now().count();
+    const double died = cluster.fixture.loop.now().count();
     led->process->signal(SIGKILL);
-    led->back_at = died + 1e9;
+    led->recovers_at = died + 1e9;
     double next = 0;
-    cluster.until(
+    cluster.run_until(
         [&] {
-          cluster.give_back(0);
+          cluster.propose_returns(0);
           for (const auto& h : maintenance::parse_timeline(cluster.lines()).entries) {
             if (next == 0 && h.at > died && (h.what == "returned" || h.what == "take"))
               next = h.at;
@@ -87,14 +87,14 @@
 }
 
 void wait(Cluster& cluster, double duration_ms) {
-  const double until = cluster.world.loop.now().count() + duration_ms;
-  cluster.until([&] { return cluster.world.loop.now().count() >= until; }, 30);
+  const double until = cluster.fixture.loop.now().count() + duration_ms;
+  cluster.run_until([&] { return cluster.fixture.loop.now().count() >= until; }, 30);
 }
 
 // Through the admin endpoints of all members; `verb` is `disable` or `enable`.
 void change_by_hand(Cluster& cluster, const std::string& verb, int host) {
   for (auto& member : cluster.members)
-    cluster.s.post(member->admin_endpoint, "/-/hosts/h" + std::to_string(host) + "/" + verb);
+    cluster.service.post(member->admin_endpoint, "/-/hosts/h" + std::to_string(host) + "/" + verb);
 }
 
 // By a job over h0, h1 and h2, one at a time.
@@ -107,12 +107,12 @@
                                 {"bounds", {{"out", 1}, {"usable", 0.5}}}}}};
   REQUIRE(cluster.propose(*cluster.members[0], job) == 202);
   const auto all_returned = [&] {
-    cluster.give_back(400);
+    cluster.propose_returns(400);
     const auto entries = maintenance::parse_timeline(cluster.lines()).entries;
     return std::count_if(entries.begin(), entries.end(),
                          [](const auto& entry) { return entry.what == "back"; }) == 3;
   };
-  cluster.until(all_returned, 40);
+  cluster.run_until(all_returned, 40);
 }
 
 void take_out_by_hand_one_by_one(Cluster& cluster) {
@@ -164,11 +164,11 @@
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
       Cluster cluster(seed, 3, 6);
       REQUIRE(cluster.all_ready(20));
-      const double began = cluster.world.loop.now().count();
+      const double began = cluster.fixture.loop.now().count();
       wait(cluster, 1000);
       const auto before = answers(cluster);
       take_out(cluster, how);
-      took.push_back(cluster.world.loop.now().count() - began - 1000);
+      took.push_back(cluster.fixture.loop.now().count() - began - 1000);
       wait(cluster, 1000);
       lost.push_back(percentage_lost(before, answers(cluster)));
     }
@@ -181,14 +181,14 @@
   const char* given = std::getenv("LOTUSYARD_MEMBERS");
   const int count = given == nullptr ? 5 : std::atoi(given);
   Cluster cluster(1, count, 6, {}, 5, 3000, 1000);
-  cluster.quiet = true;
+  cluster.calls_paused = true;
   REQUIRE(cluster.all_ready(60));
   const auto counters = [&](const std::string& name) {
     std::vector<double> out;
     for (auto& m : cluster.members)
       m->process->signal(SIGUSR1);
-    const double until = cluster.world.loop.now().count() + 500;
-    cluster.until([&] { return cluster.world.loop.now().count() >= until; }, 5);
+    const double until = cluster.fixture.loop.now().count() + 500;
+    cluster.run_until([&] { return cluster.fixture.loop.now().count() >= until; }, 5);
     for (auto& m : cluster.members)
       out.push_back(static_cast<double>(m->process->counter(name)));
     return out;
@@ -197,9 +197,9 @@
   std::vector<double> used;
   for (auto& m : cluster.members)
     used.push_back(processor_ms(m->process->pid()));
-  const double began = cluster.world.loop.now().count();
-  cluster.until([&] { return cluster.world.loop.now().count() >= began + 10000; }, 20);
-  const double seconds = (cluster.world.loop.now().count() - began) / 1000;
+  const double began = cluster.fixture.loop.now().count();
+  cluster.run_until([&] { return cluster.fixture.loop.now().count() >= began + 10000; }, 20);
+  const double seconds = (cluster.fixture.loop.now().count() - began) / 1000;
   std::vector<double> processor, messages;
   for (std::size_t i = 0; i < cluster.members.size(); ++i)
     processor.push_back((processor_ms(cluster.members[i]->process->pid()) - used[i]) / seconds);
--- a/tests/net/listeners_test.cpp
+++ b/tests/net/listeners_test.cpp
@@ -2,7 +2,7 @@
 #include "admin/admin_endpoint.h"
 #include "control/tier.h"
 #include "raft/peer_transport.h"
-#include "support/platform.h"
+#include "support/resp_fixture.h"
 #include "support/system_call_faults.h"
 
 namespace lotusyard::test {
@@ -30,31 +30,31 @@
   const int error = GENERATE(EMFILE, ENFILE, ENOBUFS, ENOMEM);
   INFO("error " << error);
   SECTION("the front end of the platform") {
-    Platform p(1);
-    Client client(p.world, p.front.address());
+    RespFixture p(1);
+    Client client(p.invoker, p.front_end.address());
     client.call("1", "bin-check", "x");
-    CHECK(few(accepts_while_failing(p.world.loop, error, [&] { p.world.turn(); })));
+    CHECK(few(accepts_while_failing(p.invoker.loop, error, [&] { p.invoker.run_once(); })));
     CHECK(client.answer("1") != nullptr);
   }
   SECTION("the admin endpoint") {
-    InvokerFixture world(0);
+    InvokerFixture fixture(0);
     NoOperations operations;
-    admin::AdminEndpoint endpoint(world.loop, world.counters, operations, 4);
+    admin::AdminEndpoint endpoint(fixture.loop, fixture.counters, operations, 4);
     REQUIRE(endpoint.listen("127.0.0.1:0"));
     const net::Socket caller = net::connect_to(endpoint.address()).socket;
-    CHECK(few(accepts_while_failing(world.loop, error, [&] { world.turn(); })));
-    CHECK(world.run_until([&] { return world.counters.value("console.connections") == 1; }, 1000));
+    CHECK(few(accepts_while_failing(fixture.loop, error, [&] { fixture.run_once(); })));
+    CHECK(fixture.run_until([&] { return fixture.counters.value("console.connections") == 1; }, 1000));
   }
   SECTION("the peer transport of a raft group") {
-    InvokerFixture world(0);
+    InvokerFixture fixture(0);
     raft::PeerTransport links(
-        world.loop, world.counters, {}, [](const auto&, auto&&) {}, [](const auto&) {});
+        fixture.loop, fixture.counters, {}, [](const auto&, auto&&) {}, [](const auto&) {});
     REQUIRE(links.listen("127.0.0.1:0"));
     const net::Socket caller = net::connect_to(links.address()).socket;
-    CHECK(few(accepts_while_failing(world.loop, error, [&] { world.turn(); })));
+    CHECK(few(accepts_while_failing(fixture.loop, error, [&] { fixture.run_once(); })));
     REQUIRE(::send(caller.fd(), "garbage that is no frame", 24, MSG_NOSIGNAL) == 24);
     const auto closed = [&] { return net::peek_peer(caller) == net::PeerState::disconnected; };
-    CHECK(world.run_until(closed, 1000));  // accepted, read and closed
+    CHECK(fixture.run_until(closed, 1000));  // accepted, read and closed
   }
   SECTION("a control node's server") {
     Tier tier;
@@ -67,14 +67,14 @@
 
 TEST_CASE("connections that were lost do not delay the sound one behind them", "[system-calls]") {
   const int error = GENERATE(ECONNABORTED, EPROTO, ENETDOWN, EHOSTUNREACH);
-  Platform p(1);
-  Client client(p.world, p.front.address());
+  RespFixture p(1);
+  Client client(p.invoker, p.front_end.address());
   SystemCallFaults faults;
   faults.fail(SystemCall::accept, {error}, 1, 5);
-  for (int i = 0; i < 2 && p.world.counters.value("resp.connections") == 0; ++i)
-    p.world.turn();
-  CHECK(p.world.counters.value("resp.connections") == 1);
-  CHECK(p.world.counters.value("net.accept.connection_lost") == 5);
+  for (int i = 0; i < 2 && p.invoker.counters.value("resp.connections") == 0; ++i)
+    p.invoker.run_once();
+  CHECK(p.invoker.counters.value("resp.connections") == 1);
+  CHECK(p.invoker.counters.value("net.accept.connection_lost") == 5);
 }
 
 }  // namespace
--- a/tests/net/parsers_test.cpp
+++ b/tests/net/parsers_test.cpp
@@ -35,7 +35,7 @@
       resp::write_array(bytes, std::vector<std::string_view>(words.begin(), words.end()));
     }
     bool sound = false;
-    CHECK(parse_cut<resp::Parser, resp::Words>(random, bytes, sound) == sent);
+    CHECK(parse_in_parts<resp::Parser, resp::Words>(random, bytes, sound) == sent);
     CHECK(sound);
   }
 }
@@ -45,14 +45,14 @@
   bool sound = true;
   for (const char* bad : {"*0\r\n", "*9\r\n", "*-1\r\n", "*1\r\n$16385\r\n", "*1\r\n$x\r\n",
                           "*1\r\n$1\r\nabc", "+OK\r\n", "*1\r$", "*1111111111111111", "*1\r\n$-1\r\n"}) {
-    parse_cut<resp::Parser, resp::Words>(random, bad, sound);
+    parse_in_parts<resp::Parser, resp::Words>(random, bad, sound);
     CHECK_FALSE(sound);
   }
   // Only one word may be long: the bound holds before the memory is taken.
   const std::string long_word = "$16384\r\n" + std::string(16384, 'x') + "\r\n";
-  parse_cut<resp::Parser, resp::Words>(random, "*2\r\n" + long_word + "$2049\r\n", sound);
+  parse_in_parts<resp::Parser, resp::Words>(random, "*2\r\n" + long_word + "$2049\r\n", sound);
   CHECK_FALSE(sound);
-  parse_cut<resp::Parser, resp::Words>(random, "*1\r\n$0\r\n\r\n", sound);
+  parse_in_parts<resp::Parser, resp::Words>(random, "*1\r\n$0\r\n\r\n", sound);
   CHECK(sound);
 }
 
@@ -69,7 +69,7 @@
       sent.push_back(id + "crowd=3" + (has_body ? body : ""));
     }
     bool sound = false;
-    for (const auto& r : parse_cut<hosts::LineParser, hosts::Reply>(random, bytes, sound)) {
+    for (const auto& r : parse_in_parts<hosts::LineParser, hosts::Reply>(random, bytes, sound)) {
       read.push_back(r.id + r.fields + r.body);
     }
     CHECK(read == sent);
@@ -78,10 +78,10 @@
   bool sound = true;
   for (const char* bad :
        {"\r\n", "one\r\n", "a b c d e\r\n", "a b - 3\r\nabcd\r\n", "a b - x\r\n", "a b\n", "a  b\r\n"}) {
-    parse_cut<hosts::LineParser, hosts::Reply>(random, bad, sound);
+    parse_in_parts<hosts::LineParser, hosts::Reply>(random, bad, sound);
     CHECK_FALSE(sound);
   }
-  parse_cut<hosts::LineParser, hosts::Reply>(random, std::string(3000, 'a'), sound);
+  parse_in_parts<hosts::LineParser, hosts::Reply>(random, std::string(3000, 'a'), sound);
   CHECK_FALSE(sound);
 }
 
@@ -107,7 +107,7 @@
     bytes += amqp::frame(amqp::FrameType::header, 1, header) + amqp::frame(amqp::FrameType::body, 1, body);
     bytes += amqp::frame(amqp::FrameType::heartbeat, 0, {});
     bool sound = false;
-    const auto frames = parse_cut<amqp::FrameParser, amqp::Frame>(random, bytes, sound);
+    const auto frames = parse_in_parts<amqp::FrameParser, amqp::Frame>(random, bytes, sound);
     REQUIRE(frames.size() == 3);
     CHECK((sound && frames[1].payload == body && frames[1].channel == 1));
     const auto read = amqp::read_content_header(frames[0].payload);
@@ -141,11 +141,11 @@
   Random random(5);
   bool sound = false;
   for (int round = 0; round < 20 * kRounds; ++round) {
-    parse_cut<resp::Parser, resp::Words>(random, garbage(random, "*$1230\r\n"), sound);
-    parse_cut<hosts::LineParser, hosts::Reply>(random, garbage(random, "ab =-1 20\r\n"), sound);
-    parse_cut<amqp::FrameParser, amqp::Frame>(random, garbage(random, std::string("\1\2\3\0\0\0\1\xCE", 8)),
-                                              sound);
-    parse_cut<discovery::LineSplitter, std::string>(random, garbage(random, "{}[]\":1,\n"), sound);
+    parse_in_parts<resp::Parser, resp::Words>(random, garbage(random, "*$1230\r\n"), sound);
+    parse_in_parts<hosts::LineParser, hosts::Reply>(random, garbage(random, "ab =-1 20\r\n"), sound);
+    parse_in_parts<amqp::FrameParser, amqp::Frame>(
+        random, garbage(random, std::string("\1\2\3\0\0\0\1\xCE", 8)), sound);
+    parse_in_parts<discovery::LineSplitter, std::string>(random, garbage(random, "{}[]\":1,\n"), sound);
     amqp::read_content_header(std::string("\0\x3C\0\0", 4) +
                               garbage(random, std::string("\0\1FAStx\xFF", 8)));
     const std::string wild = garbage(random, std::string("\0\0\0\1FAStx", 9));
--- a/tests/net/system_call_storm_test.cpp
+++ b/tests/net/system_call_storm_test.cpp
@@ -3,9 +3,9 @@
 #include "admin/admin_endpoint.h"
 #include "control/tier.h"
 #include "discovery/discovery.h"
-#include "support/platform.h"
+#include "support/amqp_fixture.h"
+#include "support/resp_fixture.h"
 #include "support/system_call_faults.h"
-#include "support/triggers.h"
 
 namespace lotusyard::test {
 namespace {
@@ -19,7 +19,7 @@
   std::size_t max_transfer = SIZE_MAX;
   void apply_to(SystemCallFaults& faults) const {
     faults.fail_all(failing);
-    faults.cut_transfers(cut);
+    faults.shorten_transfers(cut);
     faults.transfer_at_most(max_transfer);
   }
 };
@@ -49,10 +49,10 @@
 
 TEST_CASE("front end and hosts: each call runs once with its body", "[system-calls][storm]") {
   with_each_profile([](std::uint64_t, const auto& begin) {
-    Platform p(3);
+    RespFixture p(3);
     begin();
     const auto connected =
-        make_connecting([&] { return std::make_unique<Client>(p.world, p.front.address()); });
+        make_connecting([&] { return std::make_unique<Client>(p.invoker, p.front_end.address()); });
     Client& client = *connected;
     int served = 0;
     for (int i = 0; i < 40; ++i) {
@@ -66,7 +66,7 @@
       CHECK(answer->back() == body);
     }
     CHECK(served == 40);
-    for (const auto& host : p.world.host) {
+    for (const auto& host : p.invoker.host) {
       for (const auto& [body, runs] : host->runs)
         CHECK(runs == 1);
     }
@@ -75,17 +75,17 @@
 
 TEST_CASE("AMQP: each delivery is answered, its body unchanged", "[system-calls][storm]") {
   with_each_profile([](std::uint64_t seed, const auto& begin) {
-    Triggers t(3, seed);
+    AmqpFixture t(3, seed);
     begin();
     for (int i = 0; i < 20; ++i)
       t.broker.send(std::to_string(i), "bin-check", "body " + std::to_string(i));
     for (int i = 0; i < 20; ++i) {
-      REQUIRE(t.answered(std::to_string(i)));
-      const auto& answer = t.broker.held["c-" + std::to_string(i)].front();
-      CHECK(word_of(answer) == "OK");
+      REQUIRE(t.wait_for_answer(std::to_string(i)));
+      const auto& answer = t.broker.answers_by_id["c-" + std::to_string(i)].front();
+      CHECK(result_word(answer) == "OK");
       CHECK(answer.body == "body " + std::to_string(i));
     }
-    CHECK(t.settled());
+    CHECK(t.wait_until_settled());
   });
 }
 
@@ -113,10 +113,10 @@
       }
       write("20\n");
     }
-    void on_closed() override { log_.server.gone(*this); }
+    void on_closed() override { log_.server.remove(*this); }
   };
   DiscoveryServer(net::EventLoop& loop, net::BufferPool& pool) : server(loop, pool, *this) {}
-  Server<Peer, DiscoveryServer> server;
+  LoopbackServer<Peer, DiscoveryServer> server;
 };
 
 TEST_CASE("discovery: each event arrives once, in order", "[system-calls][storm]") {
@@ -149,8 +149,8 @@
 
 class AdminClient final : public net::BufferedConnection {
  public:
-  AdminClient(InvokerFixture& world, const std::string& address)
-      : BufferedConnection(world.loop, world.pool, net::connect_to(address).socket, true) {
+  AdminClient(InvokerFixture& fixture, const std::string& address)
+      : BufferedConnection(fixture.loop, fixture.pool, net::connect_to(address).socket, true) {
     write("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n");
   }
   std::string received;
@@ -164,16 +164,16 @@
 
 TEST_CASE("admin endpoint: each request gets its complete response", "[system-calls][storm]") {
   with_each_profile([](std::uint64_t, const auto& begin) {
-    InvokerFixture world(0);
+    InvokerFixture fixture(0);
     AlwaysReady operations;
-    admin::AdminEndpoint endpoint(world.loop, world.counters, operations, 4);
+    admin::AdminEndpoint endpoint(fixture.loop, fixture.counters, operations, 4);
     REQUIRE(endpoint.listen("127.0.0.1:0"));
     begin();
     for (int i = 0; i < 20; ++i) {
       const auto connected =
-          make_connecting([&] { return std::make_unique<AdminClient>(world, endpoint.address()); });
+          make_connecting([&] { return std::make_unique<AdminClient>(fixture, endpoint.address()); });
       AdminClient& client = *connected;
-      REQUIRE(world.run_until([&] { return client.closed; }, 5000));
+      REQUIRE(fixture.run_until([&] { return client.closed; }, 5000));
       CHECK(client.received.compare(0, 12, "HTTP/1.1 200") == 0);
       CHECK(client.received.find("ready") != std::string::npos);
     }
--- a/tests/node/cluster_member_test.cpp
+++ b/tests/node/cluster_member_test.cpp
@@ -1,7 +1,7 @@
 // The fleet's view and the parts of what all may send cold hosts, at whole members: real processes with
 // stand-in hosts and clients, a relay among them that cuts, and kills and restarts.
 #include "support/cluster.h"
-#include "support/regulated.h"
+#include "support/compliance_operations.h"
 
 namespace lotusyard::test {
 namespace {
@@ -51,19 +51,19 @@
     return out;
   }
   bool all_hold(double part) {
-    return soon([&] {
+    return poll_until([&] {
       const auto all = parts();
       return std::all_of(members.begin(), members.end(), [&](const auto& m) {
         const auto found = all.find(m->name);
-        return m->back_at > 0 || (found != all.end() && std::abs(found->second - part) < 0.001);
+        return m->recovers_at > 0 || (found != all.end() && std::abs(found->second - part) < 0.001);
       });
     });
   }
   void kill(Member& m) {
     m.process->signal(SIGKILL);
-    REQUIRE(s.until([&] { return m.process->status() >= 0; }));
-    killed.emplace_back(world.loop.now().count(), m.name);
-    m.back_at = 1e18;
+    REQUIRE(service.run_until([&] { return m.process->status() >= 0; }));
+    killed.emplace_back(fixture.loop.now().count(), m.name);
+    m.recovers_at = 1e18;
   }
   std::vector<std::pair<double, std::string>> killed;
   // The largest sum of all parts that stood at once; a killed process has none.
@@ -105,17 +105,17 @@
   INFO(fleet.all_logs());
   REQUIRE(thirds);
   fleet.kill(*fleet.members[2]);
-  REQUIRE(
-      fleet.soon([&] { return fleet.believes("a", "c") == "dead" && fleet.believes("b", "c") == "dead"; }));
+  REQUIRE(fleet.poll_until(
+      [&] { return fleet.believes("a", "c") == "dead" && fleet.believes("b", "c") == "dead"; }));
   REQUIRE(fleet.all_hold(0.5));
   fleet.start(*fleet.members[2]);
-  REQUIRE(
-      fleet.soon([&] { return fleet.believes("a", "c") == "alive" && fleet.believes("b", "c") == "alive"; }));
+  REQUIRE(fleet.poll_until(
+      [&] { return fleet.believes("a", "c") == "alive" && fleet.believes("b", "c") == "alive"; }));
   REQUIRE(fleet.all_hold(1.0 / 3));
   fleet.members[2]->process->signal(SIGTERM);
-  REQUIRE(fleet.s.until([&] { return fleet.members[2]->process->status() >= 0; }));
-  REQUIRE(
-      fleet.soon([&] { return fleet.believes("a", "c") == "left" || fleet.believes("b", "c") == "left"; }));
+  REQUIRE(fleet.service.run_until([&] { return fleet.members[2]->process->status() >= 0; }));
+  REQUIRE(fleet.poll_until(
+      [&] { return fleet.believes("a", "c") == "left" || fleet.believes("b", "c") == "left"; }));
   CHECK(fleet.largest_sum() < 1.001);
 }
 
@@ -128,58 +128,61 @@
   REQUIRE(fifths);
   const auto& away = *fleet.members[4];
   fleet.cut_off(away, true);
-  REQUIRE(fleet.soon([&] { return fleet.parts()["e"] == 0 && std::abs(fleet.parts()["a"] - 0.25) < 0.001; }));
-  REQUIRE(
-      fleet.soon([&] { return fleet.believes("e", "a") == "dead" && fleet.believes("a", "e") == "dead"; }));
+  REQUIRE(fleet.poll_until(
+      [&] { return fleet.parts()["e"] == 0 && std::abs(fleet.parts()["a"] - 0.25) < 0.001; }));
+  REQUIRE(fleet.poll_until(
+      [&] { return fleet.believes("e", "a") == "dead" && fleet.believes("a", "e") == "dead"; }));
   fleet.cut_off(away, false);
-  REQUIRE(
-      fleet.soon([&] { return fleet.believes("e", "a") == "alive" && fleet.believes("a", "e") == "alive"; }));
+  REQUIRE(fleet.poll_until(
+      [&] { return fleet.believes("e", "a") == "alive" && fleet.believes("a", "e") == "alive"; }));
   REQUIRE(fleet.all_hold(0.2));
   CHECK(fleet.largest_sum() < 1.001);
-  CHECK(fleet.broken_rule(1) == "");
+  CHECK(fleet.violated_rule(1) == "");
 }
 
 TEST_CASE("regulated calls stay at certified hosts; a revocation's answer holds; who cannot know sends none",
           "[processes]") {
   Fleet fleet(53, 3);
   REQUIRE(fleet.all_ready(30));
-  agree(fleet, {{"t", "regime"}, {"regime", {{"name", "export"}}}}, "1");
-  agree(fleet, {{"t", "tenant"}, {"tenant", ""}, {"regimes", {"export"}}}, "2");
-  agree(fleet, certify("c0", "h0"), "3");
-  agree(fleet, certify("c1", "h1"), "4");
+  propose_until_applied(fleet, {{"t", "regime"}, {"regime", {{"name", "export"}}}}, "1");
+  propose_until_applied(fleet, {{"t", "tenant"}, {"tenant", ""}, {"regimes", {"export"}}}, "2");
+  propose_until_applied(fleet, certify("c0", "h0"), "3");
+  propose_until_applied(fleet, certify("c1", "h1"), "4");
   const auto wait = [&](double ms) {
-    const double till = fleet.world.loop.now().count() + ms;
-    fleet.until([&] { return fleet.world.loop.now().count() > till; }, 20);
+    const double till = fleet.fixture.loop.now().count() + ms;
+    fleet.run_until([&] { return fleet.fixture.loop.now().count() > till; }, 20);
   };
-  const double agreed = fleet.world.loop.now().count();
+  const double agreed = fleet.fixture.loop.now().count();
   wait(1500);
-  CHECK(calls_at(fleet, 0, agreed) + calls_at(fleet, 1, agreed) > 50);
-  CHECK(calls_at(fleet, 2, agreed) + calls_at(fleet, 3, agreed) == 0);
+  CHECK(count_calls_after(fleet, 0, agreed) + count_calls_after(fleet, 1, agreed) > 50);
+  CHECK(count_calls_after(fleet, 2, agreed) + count_calls_after(fleet, 3, agreed) == 0);
 
-  agree(fleet, {{"t", "revoke"}, {"name", "c0"}}, "5");
-  const bool ended = fleet.soon([&] { return wrote(fleet, "\"t\":\"ended\"") > 0; });
+  propose_until_applied(fleet, {{"t", "revoke"}, {"name", "c0"}}, "5");
+  const bool ended = fleet.poll_until([&] { return last_logged_at(fleet, "\"t\":\"ended\"") > 0; });
   {
     INFO(fleet.all_logs());
     REQUIRE(ended);
   }
-  const double answered = wrote(fleet, "\"t\":\"ended\"");
+  const double answered = last_logged_at(fleet, "\"t\":\"ended\"");
   wait(1000);
-  CHECK(calls_at(fleet, 0, answered) == 0);
-  CHECK(calls_at(fleet, 1, answered) > 50);
+  CHECK(count_calls_after(fleet, 0, answered) == 0);
+  CHECK(count_calls_after(fleet, 1, answered) > 50);
 
   const auto& away = *fleet.members[2];
   fleet.cut_off(away, true);
-  REQUIRE(fleet.soon([&] { return wrote(fleet, "nothing regulated goes out") > 0; }));
-  REQUIRE(fleet.soon([&] { return wrote(fleet, "member=c") > 0 && wrote(fleet, "reason=not_known") > 0; }));
+  REQUIRE(fleet.poll_until([&] { return last_logged_at(fleet, "nothing regulated goes out") > 0; }));
+  REQUIRE(fleet.poll_until([&] {
+    return last_logged_at(fleet, "member=c") > 0 && last_logged_at(fleet, "reason=not_known") > 0;
+  }));
   // Nobody waits for it longer than its lease and its last call can last.
-  agree(fleet, {{"t", "revoke"}, {"name", "c1"}}, "6", {"c"});
-  const double revoked = fleet.world.loop.now().count();
-  REQUIRE(fleet.soon([&] { return wrote(fleet, "\"name\":\"c1\",\"round\"") > revoked; }));
-  const double over = wrote(fleet, "\"name\":\"c1\",\"round\"");
+  propose_until_applied(fleet, {{"t", "revoke"}, {"name", "c1"}}, "6", {"c"});
+  const double revoked = fleet.fixture.loop.now().count();
+  REQUIRE(fleet.poll_until([&] { return last_logged_at(fleet, "\"name\":\"c1\",\"round\"") > revoked; }));
+  const double over = last_logged_at(fleet, "\"name\":\"c1\",\"round\"");
   wait(1000);
   for (std::size_t host = 0; host < 4; ++host)
-    CHECK(calls_at(fleet, host, over) == 0);
-  CHECK(fleet.broken_rule(1) == "");
+    CHECK(count_calls_after(fleet, host, over) == 0);
+  CHECK(fleet.violated_rule(1) == "");
 }
 
 }  // namespace
--- a/tests/outage/outage_rig.cpp
+++ b/tests/outage/outage_rig.cpp
@@ -57,7 +57,7 @@
   RiggedHost& host = hosts[number];
   host.loaded.clear();
   host.hangs = false;
-  host.server = std::make_unique<StandInHost>(world.loop, world.pool, host.address);
+  host.server = std::make_unique<StandInHost>(fixture.loop, fixture.pool, host.address);
   host.server->on_request = [this, number](const hosts::Reply& line) { handle_request(number, line); };
 }
 
@@ -156,7 +156,7 @@
 
 void OutageRig::hang(std::size_t host, bool hangs) {
   hosts[host].hangs = hangs;
-  hosts[host].server->mute = hangs;
+  hosts[host].server->ignores_checks = hangs;
 }
 
 void OutageRig::begin_outage(OutageForm form) {
@@ -170,7 +170,7 @@
 }
 
 void OutageRig::write_configuration(const RiggedInvoker& invoker, const std::string& address) const {
-  nlohmann::json file = platform_file(invoker.listen, address);
+  nlohmann::json file = invoker_config(invoker.listen, address);
   file["name"] = invoker.listen;
   file["known"] = discovery.known();
   file["limits"]["sockets"] = 256;
@@ -225,8 +225,8 @@
 }
 
 bool OutageRig::run_until(const std::function<bool()>& done, Millis limit) {
-  const Millis end = world.loop.now() + limit;
-  while (world.loop.now() < end) {
+  const Millis end = fixture.loop.now() + limit;
+  while (fixture.loop.now() < end) {
     if (done())
       return true;
     turn();
@@ -242,7 +242,7 @@
 void OutageRig::turn() {
   for (auto& invoker : invokers)
     step_client(invoker);
-  world.loop.run_once(world.loop.now() + Millis(2), [] {});
+  fixture.loop.run_once(fixture.loop.now() + Millis(2), [] {});
 }
 
 }  // namespace lotusyard::test::outage
--- a/tests/outage/outage_rig.h
+++ b/tests/outage/outage_rig.h
@@ -12,7 +12,7 @@
 #include "outage/history.h"
 #include "outage/stand_in_discovery.h"
 #include "support/process.h"
-#include "support/service.h"
+#include "support/service_harness.h"
 
 namespace lotusyard::test::outage {
 
@@ -49,7 +49,7 @@
   std::string config;
   std::string log;
   std::unique_ptr<Process> process;
-  std::shared_ptr<Tablet> client;
+  std::shared_ptr<ServiceClient> client;
   std::map<std::string, std::size_t> open;  // by tag: the index in the history's calls
   std::size_t read_answers = 0;             // of the client's
   Millis next_call_at{0};
@@ -66,14 +66,14 @@
   OutageRig& operator=(const OutageRig&) = delete;
 
   const RigOptions options;
-  InvokerFixture world{0};  // only its loop and buffers are used
-  Folder folder;
-  StandInDiscovery discovery{world};
+  InvokerFixture fixture{0};  // only its loop and buffers are used
+  TemporaryFolder folder;
+  StandInDiscovery discovery{fixture};
   std::vector<RiggedHost> hosts;
   std::list<RiggedInvoker> invokers;
   History history;
 
-  double now() const { return world.loop.now().count(); }
+  double now() const { return fixture.loop.now().count(); }
 
   // ---- Invokers ----
 
--- a/tests/outage/outage_rig_clients.cpp
+++ b/tests/outage/outage_rig_clients.cpp
@@ -30,11 +30,11 @@
     check_ready(invoker);
   if (invoker.client)
     read_answers(invoker);
-  const bool is_due = world.loop.now() >= invoker.next_call_at;
+  const bool is_due = fixture.loop.now() >= invoker.next_call_at;
   if (quiet_ || !invoker.takes_calls || !invoker.sends_calls || !invoker.process || !is_due ||
       invoker.open.size() >= kMaxOpenCalls)
     return;
-  invoker.next_call_at = world.loop.now() + options.call_interval;
+  invoker.next_call_at = fixture.loop.now() + options.call_interval;
   if (!invoker.client || invoker.client->closed)
     connect_client(invoker);
   send_call(invoker);
@@ -44,11 +44,11 @@
 void OutageRig::connect_client(RiggedInvoker& invoker) {
   invoker.open.clear();
   invoker.read_answers = 0;
-  invoker.client = std::make_shared<Tablet>(world, invoker.listen);
+  invoker.client = std::make_shared<ServiceClient>(fixture, invoker.listen);
 }
 
 void OutageRig::read_answers(RiggedInvoker& invoker) {
-  const auto& got = invoker.client->got;
+  const auto& got = invoker.client->results;
   for (; invoker.read_answers < got.size(); ++invoker.read_answers) {
     const auto& [status, body] = got[invoker.read_answers];
     const auto found = invoker.open.find(body);
--- a/tests/outage/soak.h
+++ b/tests/outage/soak.h
@@ -34,7 +34,7 @@
   Random random_;
   std::vector<Ending> endings_;
   bool outage_ = false;
-  std::vector<std::shared_ptr<Tablet>> crowd_;
+  std::vector<std::shared_ptr<ServiceClient>> crowd_;
   std::vector<bool> busy_hosts_;                     // something happens to the host
   std::vector<const RiggedInvoker*> busy_invokers_;  // or to the invoker
 
--- a/tests/outage/soak_faults.cpp
+++ b/tests/outage/soak_faults.cpp
@@ -177,7 +177,7 @@
   note("crowd");
   const RiggedInvoker& invoker = rig.invokers.front();
   for (std::size_t i = 0; i < kCrowd; ++i)
-    crowd_.push_back(std::make_shared<Tablet>(rig.world, invoker.listen));
+    crowd_.push_back(std::make_shared<ServiceClient>(rig.fixture, invoker.listen));
   end_later(between(500, 3000), [this] { crowd_.clear(); });
 }
 
--- a/tests/outage/stand_in_discovery.h
+++ b/tests/outage/stand_in_discovery.h
@@ -10,7 +10,7 @@
 #include "net/buffered_connection.h"
 #include "support/invoker_fixture.h"
 #include "support/loopback_server.h"
-#include "support/service.h"
+#include "support/service_harness.h"
 
 namespace lotusyard::test::outage {
 
@@ -33,8 +33,8 @@
   static constexpr Millis kHeartbeat{1000};
   static constexpr Millis kSlowAnswer{2500};
 
-  explicit StandInDiscovery(InvokerFixture& world) : world_(world) { listen(free_address()); }
-  ~StandInDiscovery() { world_.loop.cancel(heartbeat_timer_); }
+  explicit StandInDiscovery(InvokerFixture& fixture) : fixture_(fixture) { listen(free_address()); }
+  ~StandInDiscovery() { fixture_.loop.cancel(heartbeat_timer_); }
 
   const std::string& address() const { return address_; }
   std::uint64_t last() const { return events_.size(); }
@@ -144,13 +144,13 @@
     void on_closed() override {
       loop().cancel(answer_timer_);
       if (service_.server_)
-        service_.server_->gone(*this);
+        service_.server_->remove(*this);
     }
   };
 
-  InvokerFixture& world_;
+  InvokerFixture& fixture_;
   std::string address_;
-  std::unique_ptr<Server<Peer, StandInDiscovery>> server_;
+  std::unique_ptr<LoopbackServer<Peer, StandInDiscovery>> server_;
   std::vector<std::string> events_;
   OutageForm form_ = OutageForm::none;
   std::optional<std::uint64_t> withheld_after_;
@@ -169,13 +169,14 @@
       peer->close_later();
   }
   void listen(const std::string& address) {
-    server_ = std::make_unique<Server<Peer, StandInDiscovery>>(world_.loop, world_.pool, *this, address);
+    server_ = std::make_unique<LoopbackServer<Peer, StandInDiscovery>>(fixture_.loop, fixture_.pool, *this,
+                                                                       address);
     address_ = server_->address();
     schedule_heartbeat();
   }
   void schedule_heartbeat() {
-    world_.loop.cancel(heartbeat_timer_);
-    heartbeat_timer_ = world_.loop.schedule_at(world_.loop.now() + kHeartbeat, [this] {
+    fixture_.loop.cancel(heartbeat_timer_);
+    heartbeat_timer_ = fixture_.loop.schedule_at(fixture_.loop.now() + kHeartbeat, [this] {
       for (const auto& peer : peers())
         peer->heartbeat();
       schedule_heartbeat();
--- a/tests/quota/quota_test.cpp
+++ b/tests/quota/quota_test.cpp
@@ -164,7 +164,7 @@
 TEST_CASE("parts that ignore the lease, the silence of others, or trust the view alone are found") {
   for (const char* rule : {"share-lease", "share-unheard", "share-view"}) {
     INFO(rule);
-    Breaks::Rule broken(rule);
+    FaultInjection::Scope broken(rule);
     CHECK(largest(60) > 1 + 1e-6);
   }
 }
--- a/tests/raft/group_relay.h
+++ b/tests/raft/group_relay.h
@@ -23,8 +23,8 @@
 // Stands before one member: what others send it comes through here, and can be cut, delayed and reset.
 class GroupRelay {
  public:
-  GroupRelay(InvokerFixture& world, std::string to)
-      : server(world.loop, world.pool, *this), world_(world), to_(std::move(to)) {}
+  GroupRelay(InvokerFixture& fixture, std::string to)
+      : server(fixture.loop, fixture.pool, *this), fixture_(fixture), to_(std::move(to)) {}
   class Peer final : public net::BufferedConnection {
    public:
     Peer(GroupRelay& relay, net::EventLoop& loop, net::BufferPool& pool, net::Socket socket)
@@ -45,7 +45,7 @@
    private:
     struct Inner final : net::BufferedConnection {
       explicit Inner(GroupRelay& relay)
-          : BufferedConnection(relay.world_.loop, relay.world_.pool, net::connect_to(relay.to_).socket,
+          : BufferedConnection(relay.fixture_.loop, relay.fixture_.pool, net::connect_to(relay.to_).socket,
                                true) {}
       void on_connected() override { loop().flush_later(*this); }
       void on_received(std::string_view bytes) override {
@@ -78,7 +78,7 @@
     }
     void on_closed() override {
       inner_.close_later();
-      relay_.server.gone(*this);
+      relay_.server.remove(*this);
     }
   };
   void reset() {
@@ -93,10 +93,10 @@
     }
   }
   std::set<std::string> cut;  // members from whom nothing comes through
-  Server<Peer, GroupRelay> server;
+  LoopbackServer<Peer, GroupRelay> server;
 
  private:
-  InvokerFixture& world_;
+  InvokerFixture& fixture_;
   std::string to_;
 };
 
--- a/tests/raft/log_store_faults_test.cpp
+++ b/tests/raft/log_store_faults_test.cpp
@@ -67,7 +67,7 @@
   std::uint64_t crash_at = 0;  // the change of the disk at which it crashes; 0: at none
   Crash kind = Crash::process_killed;
   bool has_faults = false;
-  bool sync_lies = false;  // the disk reports a sync before it is durable
+  bool ignores_syncs = false;  // the disk reports a sync before it is durable
 };
 
 // Changes a store until a crash; then the store holds what it acknowledged, or that with the one change that
@@ -80,7 +80,7 @@
   // Returns the rule that was broken, or nothing.
   std::string run() {
     { LogStore store(kPath); }
-    disk_.sync_lies = schedule_.sync_lies;
+    disk_.ignores_syncs = schedule_.ignores_syncs;
     disk_.crash_kind = schedule_.kind;
     disk_.crash_at = schedule_.crash_at == 0 ? 0 : disk_.changes() + schedule_.crash_at;
     const std::uint64_t changes_before = disk_.changes();
--- a/tests/raft/log_store_test.cpp
+++ b/tests/raft/log_store_test.cpp
@@ -25,7 +25,7 @@
 using raft::LogStoreError;
 
 TEST_CASE("a log store returns what was written, and is open in one process at a time") {
-  Folder folder;
+  TemporaryFolder folder;
   const std::string path = folder.path + "/a.db";
   {
     LogStore store(path);
@@ -65,7 +65,7 @@
 
 TEST_CASE("what a log store acknowledged survives a kill at any moment, entry by entry") {
   for (int attempt = 0; attempt < 12; ++attempt) {
-    Folder folder;
+    TemporaryFolder folder;
     const std::string path = folder.path + "/a.db";
     const std::string acknowledged_path = folder.path + "/acknowledged";
     const pid_t child = fork();
@@ -96,7 +96,7 @@
 }
 
 TEST_CASE("a log store on a full disk keeps what it held, and acknowledges nothing more") {
-  Folder folder;
+  TemporaryFolder folder;
   const std::string path = folder.path + "/a.db";
   const pid_t child = fork();
   if (child == 0) {
@@ -124,7 +124,7 @@
 TEST_CASE("a damaged or truncated log store is rejected or holds no more than it did") {
   Random random(11);
   for (int attempt = 0; attempt < 40; ++attempt) {
-    Folder folder;
+    TemporaryFolder folder;
     const std::string path = folder.path + "/a.db";
     {
       LogStore store(path);
--- a/tests/raft/peer_transport_test.cpp
+++ b/tests/raft/peer_transport_test.cpp
@@ -20,7 +20,7 @@
 using raft::Frame;
 using raft::FrameParser;
 
-// The frame parser with the name that parse_cut() calls.
+// The frame parser with the name that parse_in_parts() calls.
 struct CutFrameParser {
   FrameParser parser;
   bool parse(std::string_view bytes, std::vector<Frame>& out) { return parser.parse(bytes, out); }
@@ -84,7 +84,7 @@
       raft::encode_frame(Frame::Kind::consensus, body) + raft::encode_frame(Frame::Kind::message, "t{}");
   for (int i = 0; i < 50; ++i) {
     bool well_formed = false;
-    const auto frames = parse_cut<CutFrameParser, Frame>(random, bytes, well_formed);
+    const auto frames = parse_in_parts<CutFrameParser, Frame>(random, bytes, well_formed);
     REQUIRE(well_formed);
     check_frames(sent, frames);
   }
--- a/tests/raft/raft_group_test.cpp
+++ b/tests/raft/raft_group_test.cpp
@@ -16,7 +16,7 @@
   for (auto& m : cluster.members)
     m->process->signal(SIGTERM);
   for (auto& m : cluster.members) {
-    REQUIRE(cluster.s.until([&] { return m->process->status() >= 0; }));
+    REQUIRE(cluster.service.run_until([&] { return m->process->status() >= 0; }));
     CHECK(m->process->status() == 0);
   }
 }
@@ -35,10 +35,10 @@
 // Whether the group knows by its heartbeats that this member has applied the log up to now.
 bool is_known_to_have_applied(Cluster& cluster, const Cluster::Member& member) {
   const auto group = [&] {
-    return nlohmann::json::parse(cluster.s.get(member.admin_endpoint, "/-/group"), nullptr, false);
+    return nlohmann::json::parse(cluster.service.get(member.admin_endpoint, "/-/group"), nullptr, false);
   };
   const auto index = group().value("index", std::uint64_t{0});
-  return cluster.until(
+  return cluster.run_until(
       [&] {
         const auto now = group();
         return now.is_object() && now["members"][member.name].value("follows", std::uint64_t{0}) >= index;
@@ -58,20 +58,20 @@
   };
   double next_check_at = 0;
   const auto wait_for_released = [&](int hosts) {
-    return cluster.until(
+    return cluster.run_until(
         [&] {
-          if (cluster.world.loop.now().count() < next_check_at)
+          if (cluster.fixture.loop.now().count() < next_check_at)
             return false;
-          next_check_at = cluster.world.loop.now().count() + 50;
+          next_check_at = cluster.fixture.loop.now().count() + 50;
           if (count_released() >= hosts)
             return true;
-          cluster.give_back(0);
+          cluster.propose_returns(0);
           return false;
         },
         20);
   };
-  REQUIRE(
-      cluster.until([&] { return cluster.s.ask(isolated.admin_endpoint, "GET", "/-/ready") == 200; }, 20));
+  REQUIRE(cluster.run_until(
+      [&] { return cluster.service.request(isolated.admin_endpoint, "GET", "/-/ready") == 200; }, 20));
   REQUIRE(cluster.add("w", 1));
   REQUIRE(wait_for_released(1));
   // A host is drained only if the member has reported that it knows of the selection, which may be under way
@@ -83,10 +83,10 @@
   }
   for (int hosts = 2; hosts <= 3; ++hosts) {  // both that it knew to be selected; each stays out for a while
     REQUIRE(wait_for_released(hosts));
-    const double until = cluster.world.loop.now().count() + 1000;
-    cluster.until([&] { return cluster.world.loop.now().count() > until; }, 5);
+    const double until = cluster.fixture.loop.now().count() + 1000;
+    cluster.run_until([&] { return cluster.fixture.loop.now().count() > until; }, 5);
   }
-  return cluster.broken_rule(1);
+  return cluster.violated_rule(1);
 }
 
 TEST_CASE("an isolated member does not use selected hosts, and the checker finds one that does",
@@ -114,37 +114,38 @@
 TEST_CASE("a member that lost its store reports it, joins under another id, and votes again", "[processes]") {
   Cluster cluster(41, 3, 4);
   const auto wait_until_ready = [&](Cluster::Member& m) {
-    return cluster.until([&] { return cluster.s.ask(m.admin_endpoint, "GET", "/-/ready") == 200; }, 30);
+    return cluster.run_until(
+        [&] { return cluster.service.request(m.admin_endpoint, "GET", "/-/ready") == 200; }, 30);
   };
   REQUIRE(cluster.all_ready(30));
   const auto kill_and_wait = [&](Cluster::Member& m) {
     m.process->signal(SIGKILL);
-    REQUIRE(cluster.s.until([&] { return m.process->status() >= 0; }));
+    REQUIRE(cluster.service.run_until([&] { return m.process->status() >= 0; }));
   };
   Cluster::Member& lost = *cluster.members[2];
   kill_and_wait(lost);
   for (const char* part : {"", "-wal", "-shm"})
-    std::remove((cluster.s.folder.path + "/c.db" + part).c_str());
+    std::remove((cluster.service.folder.path + "/c.db" + part).c_str());
   cluster.start(lost);
   const bool is_ready = wait_until_ready(lost);
   INFO(cluster.all_logs());
   REQUIRE(is_ready);
-  CHECK(lost.process->says("asks to be let in under another id"));
-  CHECK(lost.process->says("is in as "));
+  CHECK(lost.process->has_logged("asks to be let in under another id"));
+  CHECK(lost.process->has_logged("is in as "));
   // With another member gone its vote is needed.
   kill_and_wait(*cluster.members[0]);
-  cluster.members[0]->back_at = 1e18;
+  cluster.members[0]->recovers_at = 1e18;
   std::swap(cluster.members[0], cluster.members[1]);
   REQUIRE(cluster.add("w", 1));
   cluster.start(*cluster.members[1]);
-  REQUIRE(cluster.until([&] { return cluster.done(); }, 0.1) == false);
-  REQUIRE(cluster.until(
+  REQUIRE(cluster.run_until([&] { return cluster.done(); }, 0.1) == false);
+  REQUIRE(cluster.run_until(
       [&] {
-        cluster.give_back(0);
+        cluster.propose_returns(0);
         return cluster.done();
       },
       60));
-  CHECK(cluster.broken_rule(1) == "");
+  CHECK(cluster.violated_rule(1) == "");
 }
 
 // By hand: LOTUSYARD_SEEDS=from-to.
--- a/tests/raft/replica_faults_test.cpp
+++ b/tests/raft/replica_faults_test.cpp
@@ -10,12 +10,12 @@
 namespace lotusyard::test {
 namespace {
 
-// Returns the rule that was broken, or nothing. `sync_lies`: disks report a sync before it is durable.
-std::string run_group(std::uint64_t seed, bool sync_lies = false) {
+// Returns the rule that was broken, or nothing. `ignores_syncs`: disks report a sync before it is durable.
+std::string run_group(std::uint64_t seed, bool ignores_syncs = false) {
   SimulatedReplicas group(seed);
   Random random(seed);
   for (auto& replica : group.replicas)
-    replica.disk->sync_lies = sync_lies;
+    replica.disk->ignores_syncs = ignores_syncs;
   for (int i = 0; i < 60 && group.checker.violation().empty(); ++i) {
     group.propose();
     group.run(Millis(50));
@@ -28,7 +28,8 @@
       group.loss_percent = static_cast<unsigned>(below(random, 20));
     if (below(random, 10) > 0)
       continue;
-    replica.disk->crash_kind = below(random, 2) == 0 || sync_lies ? Crash::power_lost : Crash::process_killed;
+    replica.disk->crash_kind =
+        below(random, 2) == 0 || ignores_syncs ? Crash::power_lost : Crash::process_killed;
     replica.disk->crash_at = replica.disk->changes() + 1 + below(random, 12);
   }
   group.heal_and_check();
--- a/tests/raft/replicated_state_machine_test.cpp
+++ b/tests/raft/replicated_state_machine_test.cpp
@@ -32,7 +32,7 @@
 };
 
 struct Alone {
-  Folder folder;
+  TemporaryFolder folder;
   net::EventLoop loop;
   metrics::Counters counters;
   raft::Config config;
--- a/tests/raft/simulated_replicas.cpp
+++ b/tests/raft/simulated_replicas.cpp
@@ -139,7 +139,7 @@
   for (auto& replica : replicas) {
     replica.disk->rates = FaultRates();
     replica.disk->is_full = false;
-    replica.disk->sync_lies = false;
+    replica.disk->ignores_syncs = false;
     replica.disk->crash_at = 0;
   }
   run(Millis(5000));
--- a/tests/resp/client_close_paths_test.cpp
+++ b/tests/resp/client_close_paths_test.cpp
@@ -13,14 +13,14 @@
   return out;
 }
 
-void silence_hosts(Platform& platform) {
-  for (auto& host : platform.world.host)
+void silence_hosts(RespFixture& service) {
+  for (auto& host : service.invoker.host)
     host->handler = [](const std::string&) { return Reaction{Kind::silence, ""}; };
 }
 
 // Answers a call of a RawClient at the host.
-void answer_call(Platform& platform, int tag) {
-  const auto peer = platform.world.host[0]->server.peers.front();
+void answer_call(RespFixture& service, int tag) {
+  const auto peer = service.invoker.host[0]->server.peers.front();
   peer->write(net::hex16(static_cast<std::uint64_t>(tag)) + " data - 1\r\nx\r\n");
 }
 
@@ -29,19 +29,19 @@
 TEST_CASE("a client that has its place keeps it with calls open, also when there are fewer places") {
   resp::FrontEnd::Limits limits;
   limits.clients = 2;
-  Platform platform(1, limits);
-  silence_hosts(platform);
-  RawClient first(platform), second(platform);
-  first.say(call_bytes(1));
-  second.say(call_bytes(2));
-  REQUIRE(platform.world.run_until([&] { return platform.world.host[0]->execs == 2; }, 1000));
+  RespFixture service(1, limits);
+  silence_hosts(service);
+  RawClient first(service), second(service);
+  first.send(call_bytes(1));
+  second.send(call_bytes(2));
+  REQUIRE(service.invoker.run_until([&] { return service.invoker.host[0]->execs == 2; }, 1000));
   limits.clients = 1;
-  platform.front.set_limits(limits);
-  first.say(call_bytes(3));
-  run_turns(platform);
+  service.front_end.set_limits(limits);
+  first.send(call_bytes(3));
+  run_iterations(service);
   for (int tag = 1; tag <= 3; ++tag)
-    answer_call(platform, tag);
-  run_turns(platform);
+    answer_call(service, tag);
+  run_iterations(service);
   CHECK(first.answers() == std::map<std::string, Words>{{"1", {"OK"}}, {"3", {"OK"}}});
   CHECK(second.answers() == std::map<std::string, Words>{{"2", {"OK"}}});
 }
@@ -50,87 +50,87 @@
 TEST_CASE("a client for whom there is no place hears that for each call it has sent") {
   resp::FrontEnd::Limits limits;
   limits.clients = 1;
-  Platform platform(1, limits);
-  silence_hosts(platform);
-  RawClient usual(platform);
-  usual.say(call_bytes(1));
-  REQUIRE(platform.world.run_until([&] { return platform.world.host[0]->execs == 1; }, 1000));
-  RawClient other(platform);
+  RespFixture service(1, limits);
+  silence_hosts(service);
+  RawClient usual(service);
+  usual.send(call_bytes(1));
+  REQUIRE(service.invoker.run_until([&] { return service.invoker.host[0]->execs == 1; }, 1000));
+  RawClient other(service);
   std::string many;
   for (int tag = 2; tag <= 13; ++tag)
     many += call_bytes(tag, std::string(16000, 'x'));
-  other.say(many);
-  run_turns(platform);
+  other.send(many);
+  run_iterations(service);
   const auto answers = other.answers();
   CHECK(answers.size() == 12);
   for (const auto& [tag, words] : answers)
     CHECK(words == Words{"BUSY"});
   CHECK(other.closed);
-  CHECK(platform.world.host[0]->execs == 1);
+  CHECK(service.invoker.host[0]->execs == 1);
 }
 
 // Failure found in review: valid calls behind a fault were read, and their connection closed unanswered.
 TEST_CASE("a sound call behind a fault that leaves the bytes readable is refused, not lost") {
-  Platform platform(1);
-  silence_hosts(platform);
-  RawClient client(platform);
-  client.say(call_bytes(1));
-  REQUIRE(platform.world.run_until([&] { return platform.world.host[0]->execs == 1; }, 1000));
+  RespFixture service(1);
+  silence_hosts(service);
+  RawClient client(service);
+  client.send(call_bytes(1));
+  REQUIRE(service.invoker.run_until([&] { return service.invoker.host[0]->execs == 1; }, 1000));
   const bool repeated = GENERATE(true, false);
   const std::string fault = repeated ? call_bytes(1) : bytes_of({"CALL", "0"});
   std::string many;
   for (int tag = 3; tag <= 12; ++tag)
     many += call_bytes(tag, std::string(16000, 'x'));
-  client.say(fault + call_bytes(2) + many);
-  run_turns(platform);
-  answer_call(platform, 1);
-  run_turns(platform);
+  client.send(fault + call_bytes(2) + many);
+  run_iterations(service);
+  answer_call(service, 1);
+  run_iterations(service);
   const auto answers = client.answers();
   CHECK(answers.size() == 12);
   for (const auto& [tag, words] : answers)
     CHECK(words == Words{tag == "1" ? "OK" : "BUSY"});
   CHECK(client.closed);
-  CHECK(platform.world.host[0]->execs == 1);
+  CHECK(service.invoker.host[0]->execs == 1);
 }
 
 // Failure found in review: the same behind the last fault that a connection may bring.
 TEST_CASE("sound calls behind too many faults are refused, read or not, before the connection ends") {
-  Platform platform(1);
-  RawClient client(platform);
+  RespFixture service(1);
+  RawClient client(service);
   std::string many;
   for (int tag = 1; tag <= 65; ++tag)
     many += call_bytes(tag, "x", "no-class");
   for (int tag = 66; tag <= 75; ++tag)
     many += call_bytes(tag, std::string(16000, 'x'));
-  client.say(many);
-  run_turns(platform);
+  client.send(many);
+  run_iterations(service);
   const auto answers = client.answers();
   CHECK(answers.size() == 75);
   for (const auto& [tag, words] : answers)
     CHECK(words == Words{std::stoi(tag) <= 65 ? "FAILED" : "BUSY"});
   CHECK(client.closed);
-  CHECK(platform.world.host[0]->execs == 0);
+  CHECK(service.invoker.host[0]->execs == 0);
 }
 
 // Failure found in review: the least recently active client was evicted, though it had sent half a request.
 TEST_CASE("of clients with no call open, one half-way through a request is ended last") {
   resp::FrontEnd::Limits limits;
   limits.clients = 2;
-  Platform platform(1, limits);
-  RawClient half(platform), idle(platform), newest(platform);
-  half.say(bytes_of({"CHECK", "1", ""}));
-  run_turns(platform, 3);
-  idle.say(bytes_of({"CHECK", "1", ""}));
-  run_turns(platform, 3);
+  RespFixture service(1, limits);
+  RawClient half(service), idle(service), newest(service);
+  half.send(bytes_of({"CHECK", "1", ""}));
+  run_iterations(service, 3);
+  idle.send(bytes_of({"CHECK", "1", ""}));
+  run_iterations(service, 3);
   const std::string request = call_bytes(2);
-  half.say(request.substr(0, 20));
-  platform.world.turn();
-  idle.say(bytes_of({"CHECK", "2", ""}));
-  platform.world.turn();
-  newest.say(bytes_of({"CHECK", "1", ""}));
-  run_turns(platform, 3);
-  half.say(request.substr(20));
-  run_turns(platform);
+  half.send(request.substr(0, 20));
+  service.invoker.run_once();
+  idle.send(bytes_of({"CHECK", "2", ""}));
+  service.invoker.run_once();
+  newest.send(bytes_of({"CHECK", "1", ""}));
+  run_iterations(service, 3);
+  half.send(request.substr(20));
+  run_iterations(service);
   CHECK(half.answers()["2"] == Words{"OK"});
   idle.answers();
   CHECK(idle.closed);
--- a/tests/scale/process_fleet.h
+++ b/tests/scale/process_fleet.h
@@ -4,7 +4,7 @@
 
 #include "scale/process_usage.h"
 #include "scale/tier.h"
-#include "support/service.h"
+#include "support/service_harness.h"
 
 namespace lotusyard::scale {
 
@@ -55,7 +55,7 @@
     for (int i = kRealHosts; i < shape.hosts; ++i) {
       const std::string address =
           "127.1." + std::to_string(i / 250) + '.' + std::to_string(i % 250 + 1) + ":9";
-      service_.log.tell("h" + std::to_string(i), address, "ready");
+      service_.change_log.publish_host("h" + std::to_string(i), address, "ready");
     }
     for (int i = 0; i < shape.members; ++i) {
       const bool is_control_node = i >= shape.members - shape.control_nodes;
@@ -89,7 +89,7 @@
   // Whether every member has its lease and serves.
   bool all_ready() {
     return std::all_of(members_.begin(), members_.end(), [this](const auto& m) {
-      return service_.until([&] { return service_.ask(m.door, "GET", kReadyPath) == 200; });
+      return service_.run_until([&] { return service_.request(m.door, "GET", kReadyPath) == 200; });
     });
   }
   // Serves the change log for so long; `each_turn` is called in between.
@@ -99,11 +99,11 @@
     while (now() - began < seconds) {
       each_turn();
       keep_log_alive();
-      service_.world.turn();
+      service_.fixture.run_once();
     }
     return now() - began;
   }
-  double now() const { return service_.world.loop.now().count() / 1000; }
+  double now() const { return service_.fixture.loop.now().count() / 1000; }
   double run(double seconds) {
     return run(seconds, [] {});
   }
@@ -148,13 +148,13 @@
   }
   // The HTTP status with which a proposal for the agreed log was taken.
   int propose(const Member& at, const nlohmann::json& what) {
-    return service_.ask(at.door, "POST", kProposeRegulation + test::percent_encoded(what.dump()));
+    return service_.request(at.door, "POST", kProposeRegulation + test::percent_encoded(what.dump()));
   }
-  test::InvokerFixture& world() { return service_.world; }
+  test::InvokerFixture& fixture() { return service_.fixture; }
 
  private:
   FleetShape shape_;
-  test::Service service_{false};
+  test::ServiceHarness service_{false};
   Ports ports_;
   std::vector<Member> members_;
   nlohmann::json peers_ = nlohmann::json::array(), nodes_ = nlohmann::json::array();
@@ -175,8 +175,8 @@
     if (now() - log_spoke_ < kLogPace)
       return;
     log_spoke_ = now();
-    const std::string line = std::to_string(service_.log.lines.size()) + "\n";
-    for (const auto& peer : service_.log.server.peers)
+    const std::string line = std::to_string(service_.change_log.lines.size()) + "\n";
+    for (const auto& peer : service_.change_log.server.peers)
       peer->write(line);
   }
 
@@ -188,7 +188,7 @@
   }
 
   nlohmann::json platform_file_of(const Member& m) {
-    auto file = test::platform_file(m.clients, service_.log.server.address());
+    auto file = test::invoker_config(m.clients, service_.change_log.server.address());
     file["name"] = m.name;
     file["console"] = m.door;
     file["limits"] = {{"cores", 0.5}, {"memory_mb", 128}, {"sockets", 1024}};
--- a/tests/scale/session_reader.h
+++ b/tests/scale/session_reader.h
@@ -25,7 +25,7 @@
     const double began = fleet_.now();
     const auto open = [](const Request& request) { return request.ended_at == 0; };
     while (std::any_of(requests.begin(), requests.end(), open) && fleet_.now() - began < kAnswersWithin)
-      fleet_.world().turn();
+      fleet_.fixture().run_once();
     std::vector<ShownSession> out;
     for (const auto& request : requests)
       out.push_back(shown_in(request));
@@ -35,7 +35,8 @@
  private:
   struct Request final : net::BufferedConnection {
     Request(ProcessFleet& among, const std::string& address)
-        : BufferedConnection(among.world().loop, among.world().pool, net::connect_to(address).socket, true),
+        : BufferedConnection(among.fixture().loop, among.fixture().pool, net::connect_to(address).socket,
+                             true),
           fleet(among) {
       write(std::string("GET ") + kSessionPath + " HTTP/1.1\r\nHost: x\r\n\r\n");
     }
--- a/tests/scale/tier_planted_test.cpp
+++ b/tests/scale/tier_planted_test.cpp
@@ -33,7 +33,7 @@
 }
 
 void look_for(const Planted& planted) {
-  const Breaks::Rule broken(planted.fault);
+  const FaultInjection::Scope broken(planted.fault);
   for (std::uint64_t seed = 1; seed <= planted.within; ++seed) {
     const ScenarioResult result = run_scenario(planted_scenario(seed));
     if (!finds(result, planted.found_by))
@@ -69,7 +69,7 @@
   constexpr std::uint64_t kSeeds = 20;
   for (const Planted& planted : kPlanted) {
     std::map<std::string, int> found;
-    const Breaks::Rule broken(planted.fault);
+    const FaultInjection::Scope broken(planted.fault);
     for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
       const ScenarioResult result = run_scenario(planted_scenario(seed));
       std::set<std::string> rules;
--- a/tests/support/cluster.h
+++ b/tests/support/cluster.h
@@ -1,5 +1,5 @@
-// Whole members of a group as real processes, with stand-in hosts and clients, and a relay before each that
-// cuts and resets.
+// The members of a group as real processes, with stand-in hosts and clients, and a relay in front of each
+// member that cuts and resets connections.
 #pragma once
 
 #include "maintenance/maintenance_rig.h"
@@ -8,15 +8,15 @@
 namespace lotusyard::test {
 
 struct Cluster : WorkRig {
-  struct Member : ServedProcess {
+  struct Member : ManagedProcess {
     std::string listen;
     std::unique_ptr<GroupRelay> relay;
   };
   std::vector<std::unique_ptr<Member>> members;
 
-  Cluster(std::uint64_t seed, int count, int hosts, std::string broken = {}, int voters = 7,
+  Cluster(std::uint64_t seed, int count, int hosts, std::string fault = {}, int voters = 7,
           double lease = 600, double election = 200, double view_period = 0)
-      : WorkRig(seed, hosts, std::move(broken)) {
+      : WorkRig(seed, hosts, std::move(fault)) {
     nlohmann::json peers = nlohmann::json::array();
     for (int i = 0; i < count; ++i) {
       auto m = std::make_unique<Member>();
@@ -24,16 +24,16 @@
       m->listen = free_address();
       m->admin_endpoint = free_address();
       m->clients = free_address();
-      m->config = s.folder.path + "/" + m->name + ".json";
-      m->relay = std::make_unique<GroupRelay>(world, m->listen);
+      m->config = service.folder.path + "/" + m->name + ".json";
+      m->relay = std::make_unique<GroupRelay>(fixture, m->listen);
       peers.push_back({{"name", m->name}, {"address", m->relay->server.address()}, {"votes", i < voters}});
-      for (auto* list : {&processes, &called, &operated})
+      for (auto* list : {&processes, &call_targets, &operator_targets})
         list->push_back(m.get());
       members.push_back(std::move(m));
     }
     for (auto& m : members) {
-      auto file = file_of(*m, count);
-      file["group"] = {{"cluster", "yard"},   {"store", s.folder.path + "/" + m->name + ".db"},
+      auto file = config_for(*m, count);
+      file["group"] = {{"cluster", "yard"},   {"store", service.folder.path + "/" + m->name + ".db"},
                        {"listen", m->listen}, {"members", peers},
                        {"lease_ms", lease},   {"election_ms", election}};
       if (view_period > 0)
@@ -59,7 +59,7 @@
         m.relay->cut.insert(other.name);
         break;
       case 3:
-        for (const auto& one : members) {  // cut off from all, both ways
+        for (const auto& one : members) {  // cut off from all others in both directions
           m.relay->cut.insert(one->name);
           one->relay->cut.insert(m.name);
         }
--- a/tests/support/fault_disk.cpp
+++ b/tests/support/fault_disk.cpp
@@ -1,4 +1,4 @@
-// A disk of the VFS in memory: what it holds, what of it is durable, and what a crash leaves.
+// A disk of the in-memory VFS: its contents, the durable part of them, and what survives a crash.
 #include <algorithm>
 #include <utility>
 
@@ -49,10 +49,10 @@
     crashed_ = true;
   if (crashed_)
     return SQLITE_IOERR_FSYNC;
-  if (sync_lies)
+  if (ignores_syncs)
     return SQLITE_OK;
   if (happens(rates.sync_error)) {
-    // As kernels do: what could not be written is forgotten, and a later sync says nothing of it.
+    // As kernels do: pages that could not be written are dropped, and a later sync reports no error.
     if (random_() % 2 == 0)
       file.unsynced.clear();
     return SQLITE_IOERR_FSYNC;
--- a/tests/support/fault_injection.cpp
+++ b/tests/support/fault_injection.cpp
@@ -2,4 +2,4 @@
 
 #include "core/fault_injection.h"
 
-bool lotusyard::fault_injected(const char* rule) { return rule_is_broken(rule); }
+bool lotusyard::fault_injected(const char* fault) { return is_injected(fault); }
--- a/tests/support/fault_injection.h
+++ b/tests/support/fault_injection.h
@@ -1,15 +1,16 @@
-// Rules that the pure modules of this test are told to break, to see that the checks find it.
+// Injects a fault into the code under test for the length of a scope, so that a test can prove that its
+// checks detect the fault.
 #pragma once
 
 #include <string>
 
 namespace lotusyard {
-inline std::string broken_rule;
-inline bool rule_is_broken(const char* rule) { return broken_rule == rule; }
-struct Breaks {
-  struct Rule {
-    explicit Rule(const char* rule) { broken_rule = rule; }
-    ~Rule() { broken_rule.clear(); }
+inline std::string injected_fault;  // empty: none
+inline bool is_injected(const char* fault) { return injected_fault == fault; }
+struct FaultInjection {
+  struct Scope {
+    explicit Scope(const char* fault) { injected_fault = fault; }
+    ~Scope() { injected_fault.clear(); }
   };
 };
 }  // namespace lotusyard
--- a/tests/support/fault_injection_by_environment.cpp
+++ b/tests/support/fault_injection_by_environment.cpp
@@ -1,10 +1,10 @@
-// Which rule a build for the tests breaks: the one that its environment names.
+// Injects the fault that the environment variable LOTUSYARD_BREAKS names.
 #include <cstdlib>
 #include <cstring>
 
 #include "core/fault_injection.h"
 
-bool lotusyard::fault_injected(const char* rule) {
-  static const char* const told = std::getenv("LOTUSYARD_BREAKS");
-  return told != nullptr && std::strcmp(told, rule) == 0;
+bool lotusyard::fault_injected(const char* fault) {
+  static const char* const injected = std::getenv("LOTUSYARD_BREAKS");
+  return injected != nullptr && std::strcmp(injected, fault) == 0;
 }
--- a/tests/support/fault_vfs.cpp
+++ b/tests/support/fault_vfs.cpp
@@ -1,4 +1,4 @@
-// The functions that SQLite calls: on open files, and on the VFS itself.
+// The functions that SQLite calls on open files and on the VFS.
 #include "support/fault_vfs.h"
 
 #include <algorithm>
@@ -7,7 +7,7 @@
 
 namespace lotusyard::test {
 
-// An open file, as SQLite sees it.
+// SQLite's handle of an open file.
 struct FaultFile {
   sqlite3_file base;
   FaultDisk* disk;
@@ -18,19 +18,19 @@
   static FaultFile& of(sqlite3_file* file) { return *reinterpret_cast<FaultFile*>(file); }
 
   static int close(sqlite3_file* file) {
-    FaultFile& me = of(file);
+    FaultFile& self = of(file);
     unlock(file, SQLITE_LOCK_NONE);
-    --me.content->open;
-    if (me.deletes_on_close)
-      me.disk->files_.erase(me.name);
-    me.~FaultFile();
+    --self.content->open;
+    if (self.deletes_on_close)
+      self.disk->files_.erase(self.name);
+    self.~FaultFile();
     return SQLITE_OK;
   }
   static int read(sqlite3_file* file, void* out, int size, sqlite3_int64 offset) {
-    FaultFile& me = of(file);
-    if (me.disk->crashed_ || me.disk->happens(me.disk->rates.read_error))
+    FaultFile& self = of(file);
+    if (self.disk->crashed_ || self.disk->happens(self.disk->rates.read_error))
       return SQLITE_IOERR_READ;
-    const auto& bytes = me.content->bytes;
+    const auto& bytes = self.content->bytes;
     const auto from = std::min(static_cast<std::size_t>(offset), bytes.size());
     const auto got = std::min(bytes.size() - from, static_cast<std::size_t>(size));
     std::memcpy(out, bytes.data() + from, got);
@@ -50,32 +50,32 @@
     return SQLITE_OK;
   }
   static int lock(sqlite3_file* file, int level) {
-    FaultFile& me = of(file);
-    auto& content = *me.content;
-    const bool others_reserve = content.reserved != nullptr && content.reserved != &me;
-    const bool others_read = content.shared.size() > content.shared.count(&me);
+    FaultFile& self = of(file);
+    auto& content = *self.content;
+    const bool reserved_by_other = content.reserved != nullptr && content.reserved != &self;
+    const bool read_by_others = content.shared.size() > content.shared.count(&self);
     if (level == SQLITE_LOCK_SHARED) {
-      if (content.is_exclusive && others_reserve)
+      if (content.is_exclusive && reserved_by_other)
         return SQLITE_BUSY;
-      content.shared.insert(&me);
+      content.shared.insert(&self);
       return SQLITE_OK;
     }
-    if (others_reserve || (level == SQLITE_LOCK_EXCLUSIVE && others_read))
+    if (reserved_by_other || (level == SQLITE_LOCK_EXCLUSIVE && read_by_others))
       return SQLITE_BUSY;
-    content.reserved = &me;
+    content.reserved = &self;
     if (level == SQLITE_LOCK_EXCLUSIVE)
       content.is_exclusive = true;
     return SQLITE_OK;
   }
   static int unlock(sqlite3_file* file, int level) {
-    FaultFile& me = of(file);
-    auto& content = *me.content;
-    if (content.reserved == &me) {
+    FaultFile& self = of(file);
+    auto& content = *self.content;
+    if (content.reserved == &self) {
       content.reserved = nullptr;
       content.is_exclusive = false;
     }
     if (level == SQLITE_LOCK_NONE)
-      content.shared.erase(&me);
+      content.shared.erase(&self);
     return SQLITE_OK;
   }
   static int is_reserved(sqlite3_file* file, int* out) {
--- a/tests/support/fault_vfs.h
+++ b/tests/support/fault_vfs.h
@@ -1,6 +1,6 @@
-// A VFS for SQLite in memory, with disks that fail as a test says: full, I/O errors, syncs that fail or
-// report success wrongly, and a crash at any one write or sync. Deterministic: every choice comes from the
-// disk's seed.
+// An in-memory VFS for SQLite whose disks inject faults: a full disk, I/O errors, syncs that fail or are
+// ignored, and a crash at a chosen write or sync. Deterministic: every random choice comes from the disk's
+// seed.
 #pragma once
 
 #include <sqlite3.h>
@@ -14,14 +14,14 @@
 
 namespace lotusyard::test {
 
-// Of a killed process all that was written survives; after a loss of power only what was synced is sure to.
+// After a killed process everything written survives; after a power loss only what was synced certainly does.
 enum class Crash { process_killed, power_lost };
 
-struct FaultRates {  // chances in a thousand, for each call
+struct FaultRates {  // probabilities for each call, in thousandths
   unsigned full = 0, write_error = 0, sync_error = 0, read_error = 0, open_error = 0, no_memory = 0;
 };
 
-// Half of the kinds of faults, each at a rate of its own.
+// Each kind of fault is enabled with probability 1/2, at a random rate.
 inline FaultRates random_rates(std::mt19937_64& random) {
   FaultRates rates;
   for (unsigned* rate : {&rates.full, &rates.write_error, &rates.sync_error, &rates.read_error,
@@ -37,14 +37,15 @@
   FaultRates rates;
   bool is_read_only = false;   // files are opened for reading only
   bool is_full = false;        // no file can grow
-  bool sync_lies = false;      // the planted fault: sync reports success and does nothing
-  std::uint64_t crash_at = 0;  // the change (write, truncate, sync, delete) at which it crashes; 0: none
+  bool ignores_syncs = false;  // injected fault: sync reports success and does nothing
+  std::uint64_t crash_at = 0;  // number of the write, truncate, sync or delete that crashes; 0: none
   Crash crash_kind = Crash::process_killed;
 
   std::uint64_t changes() const { return changes_; }
   bool crashed() const { return crashed_; }
   void crash() { crashed_ = true; }
-  // After a crash, once all files are closed: what was not durable is lost.
+  // Makes the disk usable after a crash, once all files are closed. After a power loss, data that was not
+  // synced may be lost.
   void restart();
   bool has_open_files() const;
 
@@ -59,7 +60,7 @@
   struct Content {
     std::string bytes, durable;
     std::vector<Change> unsynced;
-    std::set<const void*> shared;  // who holds which lock
+    std::set<const void*> shared;  // the holders of each lock
     const void* reserved = nullptr;
     bool is_exclusive = false;
     int open = 0;
@@ -78,7 +79,7 @@
   static void apply(std::string& bytes, const Change& change);
 };
 
-// The default VFS for as long as it lives. A path is "disk:name".
+// The default VFS of the process while it exists. A path is "disk:name".
 class FaultVfs {
  public:
   FaultVfs();
--- a/tests/support/invoker_fixture.h
+++ b/tests/support/invoker_fixture.h
@@ -1,4 +1,4 @@
-// The core of an invoker with connections to stand-in hosts, on one loop that the test turns.
+// The core of an invoker, connected to stand-in hosts, on an event loop that the test runs.
 #pragma once
 
 #include <algorithm>
@@ -16,24 +16,24 @@
 
 namespace lotusyard::test {
 
-// The parts of an invoker behind its fronts, and hosts for it.
+// The parts of an invoker behind its front ends, and stand-in hosts for it.
 class InvokerFixture {
  public:
   explicit InvokerFixture(std::size_t hosts, const core::Settings& s = settings(),
                           const hosts::Limits& l = limits(), net::Clocks clocks = net::Clocks::system())
       : loop(std::move(clocks)),
         pool(4096),
-        fleet(loop, pool, counters, l),
+        host_pool(loop, pool, counters, l),
         dispatcher(
-            s, [this] { return loop.now(); }, fleet, counters) {
+            s, [this] { return loop.now(); }, host_pool, counters) {
     loop.count_errors([this](const metrics::Counter& counter) { counters.add(counter); });
-    fleet.attach(dispatcher);
+    host_pool.attach(dispatcher);
     for (std::size_t i = 0; i < hosts; ++i)
       host.push_back(std::make_unique<StandInHost>(loop, pool));
-    tell(lotusyard::policy::HostState::ready);
+    update_hosts(lotusyard::policy::HostState::ready);
   }
-  // The whole list anew; the given state is that of all hosts, or of one.
-  void tell(lotusyard::policy::HostState state, double started = 0, std::size_t one = SIZE_MAX) {
+  // Sends a full list of hosts with the state of all hosts, or of host `one`, changed.
+  void update_hosts(lotusyard::policy::HostState state, double started = 0, std::size_t one = SIZE_MAX) {
     states.resize(host.size());
     core::HostListUpdate list{true, {}};
     core::HostList entries{core::ListKind::full, {}};
@@ -48,10 +48,10 @@
       list.hosts.push_back(member);
       entries.entries.push_back(member.entry);
     }
-    fleet.update_endpoints(list);
+    host_pool.update_endpoints(list);
     dispatcher.update_endpoints(std::move(entries));
   }
-  void turn() {
+  void run_once() {
     loop.run_once(std::min(dispatcher.next_deadline(), loop.now() + Millis(20)),
                   [this] { dispatcher.tick(); });
   }
@@ -59,8 +59,8 @@
   bool run_until(const Until& until, int most = 200000) {
     for (int i = 0; i < most; ++i) {
       if (until())
-        return true;  // asked once: some of what is asked has effects
-      turn();
+        return true;  // `until` may have effects: it is not evaluated again once it is true
+      run_once();
     }
     return until();
   }
@@ -69,7 +69,7 @@
     l.report_fields = {"inflight", "util"};
     return l;
   }
-  struct Told {
+  struct ListedState {
     lotusyard::policy::HostState state = lotusyard::policy::HostState::gone;
     Millis started{0}, at{0};
   };
@@ -77,8 +77,8 @@
   net::BufferPool pool;
   metrics::Counters counters;
   std::vector<std::unique_ptr<StandInHost>> host;
-  std::vector<Told> states;
-  hosts::HostConnectionPool fleet;
+  std::vector<ListedState> states;
+  hosts::HostConnectionPool host_pool;
   core::Dispatcher dispatcher;
 };
 
--- a/tests/support/loopback_server.h
+++ b/tests/support/loopback_server.h
@@ -1,4 +1,4 @@
-// A listener on loopback whose connections are objects of a test.
+// A listener on loopback that creates an object of a test for each connection.
 #pragma once
 
 #include <catch2/catch.hpp>
@@ -12,18 +12,18 @@
 
 namespace lotusyard::test {
 
-// Accepts connections and keeps them until they end.
+// Accepts connections and owns each one until it removes itself.
 template <typename Peer, typename Owner>
-class Server : public net::EventHandler {
+class LoopbackServer : public net::EventHandler {
  public:
-  Server(net::EventLoop& loop, net::BufferPool& pool, Owner& owner,
-         const std::string& address = "127.0.0.1:0")
+  LoopbackServer(net::EventLoop& loop, net::BufferPool& pool, Owner& owner,
+                 const std::string& address = "127.0.0.1:0")
       : loop_(loop), pool_(pool), owner_(owner), listener_(net::listen_on(address)) {
     REQUIRE(static_cast<bool>(listener_));
     address_ = net::bound_address(listener_);
     loop_.register_handler(listener_.fd(), *this, POLLIN);
   }
-  ~Server() override { stop(); }
+  ~LoopbackServer() override { stop(); }
   void stop() {
     if (listener_)
       loop_.unregister(listener_.fd(), *this);
@@ -36,7 +36,7 @@
       peers.push_back(std::make_shared<Peer>(owner_, loop_, pool_, std::move(socket)));
     }
   }
-  void gone(Peer& peer) {
+  void remove(Peer& peer) {
     for (auto i = peers.begin(); i != peers.end(); ++i) {
       if (i->get() != &peer)
         continue;
