--- a/tests/support/process.h
+++ b/tests/support/process.h
@@ -1,4 +1,4 @@
-// The program itself, as the platform starts it: its files, its environment, its signals.
+// Runs the program as a child process, as its supervisor does: its files, environment and signals.
 #pragma once
 
 #include <fcntl.h>
@@ -19,29 +19,30 @@
 
 namespace lotusyard::test {
 
-struct Folder {  // a new one for each test
+// Created for one test and removed after it.
+struct TemporaryFolder {
   std::string path;
-  Folder() {
+  TemporaryFolder() {
     char name[] = "/tmp/lotusyard-test-XXXXXX";
     REQUIRE(mkdtemp(name) != nullptr);
     path = name;
   }
-  ~Folder() { CHECK(std::system(("chmod -R u+w " + path + " && rm -rf " + path).c_str()) == 0); }
+  ~TemporaryFolder() { CHECK(std::system(("chmod -R u+w " + path + " && rm -rf " + path).c_str()) == 0); }
 };
 
 class Process {
  public:
-  // `listener` is passed on as descriptor 3.
+  // The child inherits `listener` as descriptor 3.
   Process(const std::string& log, const std::map<std::string, std::string>& environment,
           const net::Socket* listener = nullptr, const char* program = LOTUSYARD_PROGRAM)
       : log_(log) {
-    std::vector<std::string> words;
+    std::vector<std::string> variables;
     for (const auto& [name, value] : environment)
-      words.push_back(name + "=" + value);
-    std::vector<char*> given;
-    for (auto& word : words)
-      given.push_back(word.data());
-    given.push_back(nullptr);
+      variables.push_back(name + "=" + value);
+    std::vector<char*> environment_block;
+    for (auto& variable : variables)
+      environment_block.push_back(variable.data());
+    environment_block.push_back(nullptr);
     const int fd = listener == nullptr ? -1 : listener->fd();
     pid_ = fork();
     REQUIRE(pid_ >= 0);
@@ -57,7 +58,7 @@
     for (int other = fd >= 0 ? 4 : 3; other < 256; ++other)
       close(other);
     char* const arguments[] = {const_cast<char*>(program), nullptr};
-    execve(program, arguments, given.data());
+    execve(program, arguments, environment_block.data());
     _exit(127);
   }
   ~Process() {
@@ -68,7 +69,7 @@
   }
   pid_t pid() const { return pid_; }
   void signal(int number) const { REQUIRE(kill(pid_, number) == 0); }
-  // The status with which it has ended; -1 while it runs, 1000 and its signal if it was killed.
+  // The exit status; -1 while the process runs, 1000 plus the signal number if a signal killed it.
   int status() {
     if (pid_ <= 0)
       return status_;
@@ -83,8 +84,8 @@
     text << std::ifstream(log_).rdbuf();
     return text.str();
   }
-  bool says(const std::string& text) const { return log().find(text) != std::string::npos; }
-  // As printed last.
+  bool has_logged(const std::string& text) const { return log().find(text) != std::string::npos; }
+  // The value that was logged last; 0: none.
   long counter(const std::string& name) const {
     const std::string all = "\n" + log();
     const auto at = all.rfind("\n" + name + " ");
@@ -97,7 +98,7 @@
   int status_ = -1;
 };
 
-inline nlohmann::json platform_file(const std::string& listen, const std::string& changelog) {
+inline nlohmann::json invoker_config(const std::string& listen, const std::string& changelog) {
   auto file = nlohmann::json::parse(R"({"name":"n0","seed":"8c1f30d27a5be964",
     "limits":{"cores":0.5,"memory_mb":48,"sockets":384},"known":{"seq":0,"results":[]},
     "settings":{"Balancers":1,"Tick":4.0,"Bounds":{"Cancel":true,"ConnIdle":15000,"ConnectTimeout":250,
--- a/tests/support/random_input.h
+++ b/tests/support/random_input.h
@@ -1,4 +1,4 @@
-// Random cuts of a stream and random bytes, from seeds that a test names.
+// Random segmentations of a byte stream and random bytes, from a seed that the test gives.
 #pragma once
 
 #include <algorithm>
@@ -13,15 +13,16 @@
 
 inline std::size_t below(Random& random, std::size_t bound) { return random() % bound; }
 
-// The parser must give the same for a message however it is cut.
+// Feeds `bytes` to a parser in parts of random length. A parser must give the same results however the bytes
+// are split. `valid` tells whether it accepted them all.
 template <typename Parser, typename Out>
-std::vector<Out> parse_cut(Random& random, const std::string& bytes, bool& sound) {
+std::vector<Out> parse_in_parts(Random& random, const std::string& bytes, bool& valid) {
   Parser parser;
   std::vector<Out> out;
-  sound = true;
-  for (std::size_t at = 0; at < bytes.size() && sound;) {
+  valid = true;
+  for (std::size_t at = 0; at < bytes.size() && valid;) {
     const std::size_t part = std::min(bytes.size() - at, 1 + below(random, 1 + below(random, 40)));
-    sound = parser.parse(std::string_view(bytes).substr(at, part), out);
+    valid = parser.parse(std::string_view(bytes).substr(at, part), out);
     at += part;
   }
   return out;
--- a/tests/support/raw_client.h
+++ b/tests/support/raw_client.h
@@ -1,39 +1,39 @@
-// A client as bytes: what it writes, when, and how it goes is the test's to say.
+// A client that sends raw bytes and closes its connection when and how a test chooses.
 #pragma once
 
 #include <sys/socket.h>
 #include <unistd.h>
 
-#include "support/platform.h"
+#include "support/resp_fixture.h"
 
 namespace lotusyard::test {
 
 struct RawClient {
   net::Socket socket;
-  explicit RawClient(Platform& p) : socket(net::connect_to(p.front.address()).socket) {
-    const auto before = p.world.counters.value("resp.connections");
-    REQUIRE(p.world.run_until([&] { return p.world.counters.value("resp.connections") > before; }, 1000));
+  explicit RawClient(RespFixture& p) : socket(net::connect_to(p.front_end.address()).socket) {
+    const auto before = p.invoker.counters.value("resp.connections");
+    REQUIRE(p.invoker.run_until([&] { return p.invoker.counters.value("resp.connections") > before; }, 1000));
   }
-  // The kernel has to take it whole.
-  void say(const std::string& bytes) {
+  // Fails unless the kernel accepts all bytes in one call.
+  void send(const std::string& bytes) {
     REQUIRE(::send(socket.fd(), bytes.data(), bytes.size(), MSG_NOSIGNAL) ==
             static_cast<ssize_t>(bytes.size()));
   }
-  // What has come so far, by tag: the words of each answer.
+  // The result words received so far, by tag.
   std::map<std::string, std::vector<std::string>> answers() {
     char block[4096];
-    ssize_t some = 0;
-    while ((some = ::recv(socket.fd(), block, sizeof block, 0)) > 0)
-      REQUIRE(parser.parse({block, static_cast<std::size_t>(some)}, got));
-    if (some == 0)
+    ssize_t size = 0;
+    while ((size = ::recv(socket.fd(), block, sizeof block, 0)) > 0)
+      REQUIRE(parser.parse({block, static_cast<std::size_t>(size)}, received));
+    if (size == 0)
       closed = true;
     std::map<std::string, std::vector<std::string>> out;
-    for (const auto& words : got)
+    for (const auto& words : received)
       out[words.at(0)].push_back(words.at(1));
     return out;
   }
   resp::Parser parser;
-  std::vector<resp::Words> got;
+  std::vector<resp::Words> received;
   bool closed = false;
 };
 
@@ -50,22 +50,24 @@
   resp::write_array(out, {"CANCEL", std::to_string(tag)});
   return out;
 }
-// A connection to the host stands: what is decided goes out in the same turn. The client that did it stays.
-inline std::unique_ptr<Client> connect_host(Platform& p) {
-  auto usual = std::make_unique<Client>(p.world, p.front.address());
-  usual->call("1", "bin-check", "usual");
-  REQUIRE(usual->answer("1") != nullptr);
-  return usual;
+// Opens a connection to the host by serving one call, so that later attempts are sent in the iteration that
+// decides them. The client stays connected.
+inline std::unique_ptr<Client> connect_host(RespFixture& p) {
+  auto client = std::make_unique<Client>(p.invoker, p.front_end.address());
+  client->call("1", "bin-check", "usual");
+  REQUIRE(client->answer("1") != nullptr);
+  return client;
 }
-inline void run_turns(Platform& p, int count = 12) {
+inline void run_iterations(RespFixture& p, int count = 12) {
   for (int i = 0; i < count; ++i)
-    p.world.turn();
+    p.invoker.run_once();
 }
-// One turn; `between` happens after all was read and decided, before anything is written.
+// Runs one iteration of the event loop and calls `between` after the input was read and the dispatcher has
+// decided, before anything is written.
 template <typename Between>
-void turn_with(InvokerFixture& world, const Between& between) {
-  world.loop.run_once(world.loop.now() + Millis(20), [&] {
-    world.dispatcher.tick();
+void run_once_with(InvokerFixture& fixture, const Between& between) {
+  fixture.loop.run_once(fixture.loop.now() + Millis(20), [&] {
+    fixture.dispatcher.tick();
     between();
   });
 }
--- a/tests/support/stand_in_broker.cpp
+++ b/tests/support/stand_in_broker.cpp
@@ -6,7 +6,7 @@
 namespace lotusyard::test {
 namespace {
 
-constexpr std::size_t kMaxBodyFrame = 4000;  // below the frame size that it negotiates
+constexpr std::size_t kMaxBodyFrame = 4000;  // less than the negotiated frame size
 
 }  // namespace
 
@@ -22,18 +22,18 @@
   message.properties.headers.emplace("memory_mb", std::int64_t{300});
   message.properties.headers.emplace("lanes", std::int64_t{4});
   message.body = body;
-  put(std::move(message));
+  enqueue(std::move(message));
 }
 
-void StandInBroker::put(Message&& message) {
+void StandInBroker::enqueue(Message&& message) {
   queue.push_back(std::move(message));
   for (const auto& peer : server.peers)
     deliver(*peer);
 }
 
-void StandInBroker::say_all(std::uint32_t id, const amqp::Writer& arguments) {
+void StandInBroker::send_method_to_all(std::uint32_t id, const amqp::Writer& arguments) {
   for (const auto& peer : server.peers)
-    peer->say(id, 0, arguments);
+    peer->send_method(id, 0, arguments);
 }
 
 void StandInBroker::drop_all() {
@@ -56,28 +56,28 @@
     peer.unacked[peer.last_tag] = message;
     if (!chance(chaos.redeliver))
       continue;
-    message.redelivered = true;  // once more under a further tag, as a broker does that recovers
+    message.redelivered = true;  // again with a new delivery tag, as after a recovery of the broker
     write_delivery(peer, message);
   }
 }
 
-void StandInBroker::published(Peer& peer, const std::string& reply_queue, const Message& answer) {
+void StandInBroker::on_published(Peer& peer, const std::string& reply_queue, const Message& answer) {
   if (chance(chaos.drop / 2))
-    return drop(peer);  // the answer did not arrive
-  const std::uint64_t number = ++peer.publishings;
+    return drop(peer);  // before the answer was received
+  const std::uint64_t number = ++peer.published_messages;
   if (chance(chaos.nack))
-    return peer.say(amqp::method::basic_nack, 1, amqp::Writer().u64(number).u8(0));
+    return peer.send_method(amqp::method::basic_nack, 1, amqp::Writer().u64(number).u8(0));
   REQUIRE(reply_queue == "answers");
   answers.push_back(answer);
-  held[answer.properties.correlation_id].push_back(answer);
+  answers_by_id[answer.properties.correlation_id].push_back(answer);
   if (chance(chaos.drop / 2))
-    return drop(peer);  // the answer arrived, but its confirm is lost
-  if (withhold)
+    return drop(peer);  // the answer was received, but its confirm is lost
+  if (withholds_confirms)
     return;
-  peer.say(amqp::method::basic_ack, 1, amqp::Writer().u64(number).u8(0));
+  peer.send_method(amqp::method::basic_ack, 1, amqp::Writer().u64(number).u8(0));
   if (!chance(chaos.drop / 2))
     return;
-  peer.flush_now();  // the confirm arrives, but the client's ack is lost
+  peer.flush_now();  // the client receives the confirm, but its ack is lost
   drop(peer);
 }
 
@@ -85,7 +85,7 @@
   amqp::Writer arguments;
   arguments.short_text("t").u64(++peer.last_tag).u8(message.redelivered ? 1 : 0);
   arguments.short_text("").short_text("calls");
-  peer.say(amqp::method::basic_deliver, 1, arguments);
+  peer.send_method(amqp::method::basic_deliver, 1, arguments);
   const std::string header = amqp::content_header(message.body.size(), message.properties);
   peer.write(amqp::frame(amqp::FrameType::header, 1, header));
   for (std::size_t at = 0; at < message.body.size(); at += kMaxBodyFrame) {
--- a/tests/support/stand_in_broker.h
+++ b/tests/support/stand_in_broker.h
@@ -1,4 +1,5 @@
-// An AMQP broker on loopback with one queue of calls, which misbehaves as a test says.
+// A stand-in for an AMQP broker on loopback with one queue of calls, which injects faults as a test
+// configures it.
 #pragma once
 
 #include <cstdint>
@@ -23,33 +24,33 @@
     std::string body;
     bool redelivered = false;
   };
-  struct Chaos {  // chances in a thousand
+  struct Chaos {  // probabilities in thousandths
     unsigned drop = 0, redeliver = 0, reorder = 0, nack = 0;
   };
 
-  // A client's connection. It speaks as much of AMQP 0-9-1 as a consumer that publishes its answers needs.
+  // A client's connection. Implements the part of AMQP 0-9-1 that a consumer that publishes answers uses.
   class Peer final : public net::BufferedConnection {
    public:
     Peer(StandInBroker& broker, net::EventLoop& loop, net::BufferPool& pool, net::Socket socket)
         : BufferedConnection(loop, pool, std::move(socket), false), broker_(broker) {}
     // Sends a method; `id` is one of amqp::method.
-    void say(std::uint32_t id, std::uint16_t channel, const amqp::Writer& arguments);
+    void send_method(std::uint32_t id, std::uint16_t channel, const amqp::Writer& arguments);
 
     std::map<std::uint64_t, Message> unacked;  // by delivery tag
     std::uint64_t last_tag = 0;
-    std::uint64_t publishings = 0;
+    std::uint64_t published_messages = 0;
     std::size_t prefetch = 0;
     bool consuming = false;
 
    private:
     void on_received(std::string_view bytes) override;
     void on_closed() override;
-    // Takes the protocol header off the front of the first bytes.
+    // Removes the protocol header from the first bytes of the connection.
     void receive_protocol_header(std::string_view& bytes);
     void handle(const amqp::Frame& frame);
     void handle_content_header(const amqp::Frame& frame);
     void handle_content_body(const amqp::Frame& frame);
-    void end_publishing_if_complete();
+    void finish_message_if_complete();
     void handle_method(const amqp::Frame& frame);
     bool handle_connection_method(std::uint32_t id);
     bool handle_channel_method(std::uint32_t id, amqp::Reader& arguments);
@@ -61,7 +62,7 @@
     StandInBroker& broker_;
     std::string protocol_header_;
     amqp::FrameParser parser_;
-    Message publishing_;
+    Message published_message_;
     std::string reply_queue_;               // of the message that is being published
     std::uint64_t missing_body_bytes_ = 0;  // of that message
   };
@@ -70,38 +71,38 @@
       : random(seed), server(loop, pool, *this) {}
 
   bool chance(unsigned in_thousand) { return below(random, 1000) < in_thousand; }
-  // Sends a call; its headers as an operator's tablet would give them.
+  // Enqueues a call with the headers that clients set.
   void send(const std::string& id, const std::string& call_class, const std::string& body,
             amqp::Table more_headers = {});
-  void put(Message&& message);
+  void enqueue(Message&& message);
   // Sends a method on channel 0 of all connections.
-  void say_all(std::uint32_t id, const amqp::Writer& arguments);
+  void send_method_to_all(std::uint32_t id, const amqp::Writer& arguments);
   void drop_all();
-  // Sends what is queued, up to the peer's prefetch limit.
+  // Sends queued messages, up to the peer's prefetch limit.
   void deliver(Peer& peer);
-  void published(Peer& peer, const std::string& reply_queue, const Message& answer);
+  void on_published(Peer& peer, const std::string& reply_queue, const Message& answer);
 
   Random random;
-  Server<Peer, StandInBroker> server;
+  LoopbackServer<Peer, StandInBroker> server;
   Chaos chaos;
   std::deque<Message> queue;
-  std::vector<Message> answers;                      // every publishing that arrived
-  std::map<std::string, std::vector<Message>> held;  // answers by correlation id
+  std::vector<Message> answers;                               // every published message that was received
+  std::map<std::string, std::vector<Message>> answers_by_id;  // by correlation id
   std::size_t acked = 0, rejected = 0, dropped = 0;
-  std::uint16_t heartbeat_s = 0;  // what it negotiates; it sends no heartbeats
-  int missing_queues = 0;         // so many times a consumer's queue is not found
-  std::uint16_t close_with = 0;   // connections are closed with this code before they open; 0: they are not
+  std::uint16_t heartbeat_s = 0;  // the interval that it negotiates; it sends no heartbeats
+  int missing_queues = 0;         // how many more times a consumer's queue is not found
+  std::uint16_t close_code = 0;   // closes connections with this code instead of opening them; 0: opens them
   int closes = 0;
   int bindings = 0;
-  std::map<std::string, amqp::Table> queues;  // declared, with their arguments
-  bool withhold = false;                      // no confirm is sent
+  std::map<std::string, amqp::Table> queues;  // declared queues with their arguments
+  bool withholds_confirms = false;            // publisher confirms are not sent
 
  private:
   void drop(Peer& peer);
   void write_delivery(Peer& peer, const Message& message);
 };
 
-inline std::string word_of(const StandInBroker::Message& answer) {
+inline std::string result_word(const StandInBroker::Message& answer) {
   return std::get<std::string>(answer.properties.headers.at("word"));
 }
 
--- a/tests/support/stand_in_broker_peer.cpp
+++ b/tests/support/stand_in_broker_peer.cpp
@@ -1,4 +1,4 @@
-// The AMQP methods that the stand-in broker answers.
+// The AMQP methods that the stand-in broker handles.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <utility>
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-void StandInBroker::Peer::say(std::uint32_t id, std::uint16_t channel, const Writer& arguments) {
+void StandInBroker::Peer::send_method(std::uint32_t id, std::uint16_t channel, const Writer& arguments) {
   const std::string method_id = Writer().u16(id >> 16).u16(id & 0xFFFF).bytes();
   write(amqp::frame(FrameType::method, channel, method_id + arguments.bytes()));
 }
@@ -42,7 +42,8 @@
   if (protocol_header_.size() < kProtocolHeaderSize)
     return;
   REQUIRE(protocol_header_ == std::string("AMQP\0\0\x09\x01", kProtocolHeaderSize));
-  say(method::connection_start, 0, Writer().u8(0).u8(9).table({}).long_text("PLAIN").long_text("en_US"));
+  send_method(method::connection_start, 0,
+              Writer().u8(0).u8(9).table({}).long_text("PLAIN").long_text("en_US"));
 }
 
 void StandInBroker::Peer::handle(const Frame& frame) {
@@ -62,19 +63,19 @@
   auto header = amqp::read_content_header(frame.payload);
   REQUIRE(header);
   missing_body_bytes_ = header->first;
-  publishing_ = {std::move(header->second), {}, false};
-  end_publishing_if_complete();
+  published_message_ = {std::move(header->second), {}, false};
+  finish_message_if_complete();
 }
 
 void StandInBroker::Peer::handle_content_body(const Frame& frame) {
-  publishing_.body += frame.payload;
+  published_message_.body += frame.payload;
   missing_body_bytes_ -= frame.payload.size();
-  end_publishing_if_complete();
+  finish_message_if_complete();
 }
 
-void StandInBroker::Peer::end_publishing_if_complete() {
+void StandInBroker::Peer::finish_message_if_complete() {
   if (missing_body_bytes_ == 0)
-    broker_.published(*this, reply_queue_, publishing_);
+    broker_.on_published(*this, reply_queue_, published_message_);
 }
 
 void StandInBroker::Peer::handle_method(const Frame& frame) {
@@ -88,13 +89,13 @@
 bool StandInBroker::Peer::handle_connection_method(std::uint32_t id) {
   switch (id) {
     case method::connection_start_ok:
-      say(method::connection_tune, 0, Writer().u16(10).u32(4096).u16(broker_.heartbeat_s));
+      send_method(method::connection_tune, 0, Writer().u16(10).u32(4096).u16(broker_.heartbeat_s));
       return true;
     case method::connection_open:
       open_connection();
       return true;
     case method::connection_close:
-      say(method::connection_close_ok, 0, Writer());
+      send_method(method::connection_close_ok, 0, Writer());
       return true;
     default:
       return false;
@@ -104,17 +105,17 @@
 bool StandInBroker::Peer::handle_channel_method(std::uint32_t id, Reader& arguments) {
   switch (id) {
     case method::channel_open:
-      say(method::channel_open_ok, 1, Writer().long_text(""));
+      send_method(method::channel_open_ok, 1, Writer().long_text(""));
       return true;
     case method::confirm_select:
-      say(method::confirm_select_ok, 1, Writer());
+      send_method(method::confirm_select_ok, 1, Writer());
       return true;
     case method::exchange_declare:
-      say(method::exchange_declare_ok, 1, Writer());
+      send_method(method::exchange_declare_ok, 1, Writer());
       return true;
     case method::queue_bind:
       ++broker_.bindings;
-      say(method::queue_bind_ok, 1, Writer());
+      send_method(method::queue_bind_ok, 1, Writer());
       return true;
     case method::queue_declare:
       declare_queue(arguments);
@@ -129,12 +130,12 @@
     case method::basic_qos:
       arguments.u32();
       prefetch = arguments.u16();
-      return say(method::basic_qos_ok, 1, Writer());
+      return send_method(method::basic_qos_ok, 1, Writer());
     case method::basic_consume:
       return consume(arguments);
     case method::basic_cancel:
       consuming = false;
-      return say(method::basic_cancel_ok, 1, Writer().short_text(arguments.short_text()));
+      return send_method(method::basic_cancel_ok, 1, Writer().short_text(arguments.short_text()));
     case method::basic_publish:
       arguments.u16();
       arguments.short_text();
@@ -154,13 +155,14 @@
 }
 
 void StandInBroker::Peer::open_connection() {
-  if (broker_.close_with == 0)
-    return say(method::connection_open_ok, 0, Writer().short_text(""));
+  if (broker_.close_code == 0)
+    return send_method(method::connection_open_ok, 0, Writer().short_text(""));
   ++broker_.closes;
-  say(method::connection_close, 0, Writer().u16(broker_.close_with).short_text("as told").u16(0).u16(0));
+  send_method(method::connection_close, 0,
+              Writer().u16(broker_.close_code).short_text("as told").u16(0).u16(0));
 }
 
-// A queue that exists keeps its arguments; a passive declaration only asks whether it exists.
+// An existing queue keeps its arguments; a passive declaration only checks that the queue exists.
 void StandInBroker::Peer::declare_queue(Reader& arguments) {
   arguments.u16();
   const std::string name = arguments.short_text();
@@ -174,9 +176,9 @@
   if (exists && !is_passive && known->second != wanted)
     error = kPreconditionFailed;
   if (error != 0)
-    return say(method::channel_close, 1, Writer().u16(error).short_text("as told").u16(50).u16(10));
+    return send_method(method::channel_close, 1, Writer().u16(error).short_text("as told").u16(50).u16(10));
   broker_.queues.emplace(name, wanted);
-  say(method::queue_declare_ok, 1, Writer().short_text(name).u32(0).u32(0));
+  send_method(method::queue_declare_ok, 1, Writer().short_text(name).u32(0).u32(0));
 }
 
 void StandInBroker::Peer::consume(Reader& arguments) {
@@ -185,9 +187,10 @@
   const std::string consumer_tag = arguments.short_text();
   if (broker_.missing_queues > 0) {
     --broker_.missing_queues;
-    return say(method::channel_close, 1, Writer().u16(kNotFound).short_text("NOT_FOUND").u16(60).u16(20));
+    return send_method(method::channel_close, 1,
+                       Writer().u16(kNotFound).short_text("NOT_FOUND").u16(60).u16(20));
   }
-  say(method::basic_consume_ok, 1, Writer().short_text(consumer_tag));
+  send_method(method::basic_consume_ok, 1, Writer().short_text(consumer_tag));
   consuming = true;
   broker_.deliver(*this);
 }
@@ -199,7 +202,7 @@
   }
   if (broker_.chance(broker_.chaos.reorder))
     std::shuffle(broker_.queue.begin(), broker_.queue.end(), broker_.random);
-  broker_.server.gone(*this);
+  broker_.server.remove(*this);
 }
 
 }  // namespace lotusyard::test
--- a/tests/support/stand_in_host.h
+++ b/tests/support/stand_in_host.h
@@ -1,4 +1,4 @@
-// A host on loopback that serves calls, or misbehaves as a test tells it.
+// A stand-in for a host on loopback, which serves calls or fails as a test configures it.
 #pragma once
 
 #include <catch2/catch.hpp>
@@ -14,11 +14,20 @@
 
 namespace lotusyard::test {
 
-// What a stand-in host does with one exec. `stall`: half an answer, and then nothing more on that connection.
+// How a stand-in host reacts to one exec request.
 struct Reaction {
-  enum Kind { reply, silence, half, hang_up, stall, twice, stranger, noise } kind = reply;
+  enum Kind {
+    reply,
+    silence,          // no reply
+    partial_reply,    // half a reply, then the connection closes
+    hang_up,          // the connection closes without a reply
+    stall,            // half a reply, then nothing more on this connection
+    duplicate_reply,  // the reply is sent twice
+    unknown_call,     // a reply to a call that was not sent to this host comes first
+    malformed_reply   // a malformed reply to this call comes first
+  } kind = reply;
   std::string word = "data";
-  std::size_t length = 0;  // of the answer's body; 0: the request's, unchanged
+  std::size_t length = 0;  // of the reply's body; 0: the request's body is returned
 };
 
 class StandInHost {
@@ -34,43 +43,45 @@
 
    private:
     StandInHost& host_;
-    hosts::LineParser parser_;  // its requests have the form of its answers, with the verb first
+    hosts::LineParser parser_;  // requests have the form of replies, with the verb in place of the status
     void on_received(std::string_view bytes) override {
       std::vector<hosts::Reply> lines;
       REQUIRE(parser_.parse(bytes, lines));
       for (const auto& line : lines)
-        host_.take(*this, line);
+        host_.handle_request(*this, line);
     }
-    void on_closed() override { host_.server.gone(*this); }
+    void on_closed() override { host_.server.remove(*this); }
   };
-  Server<Peer, StandInHost> server;
+  LoopbackServer<Peer, StandInHost> server;
   std::function<Reaction(const std::string& body)> handler = [](const std::string&) { return Reaction(); };
-  std::map<std::string, int> runs;                            // by body: execs that may have run
-  int execs = 0, drops = 0, orders = 0, signs = 0, asks = 0;  // asks: orders for no copy
-  std::vector<std::string> fields;                            // of each exec
-  bool mute = false;                                          // asked for a sign it gives none, as if cut off
-  bool draining = false;  // turns new calls and loads away, and says so when asked for its health
-  std::function<void(const hosts::Reply&)> on_request = [](const hosts::Reply&) {};  // before it is handled
+  std::map<std::string, int> runs;  // execs that may have run, by body
+  int execs = 0, cancels = 0, health_checks = 0;
+  int load_orders = 0, instance_queries = 0;  // a query is a load order for no instance
+  std::vector<std::string> fields;            // of each exec request
+  bool ignores_checks = false;  // answers neither health checks nor instance queries, as if disconnected
+  bool draining = false;        // rejects new calls and loads, and reports itself as unhealthy
+  // Called before a request is handled.
+  std::function<void(const hosts::Reply&)> on_request = [](const hosts::Reply&) {};
 
  private:
-  void take(Peer& peer, const hosts::Reply& line) {
+  void handle_request(Peer& peer, const hosts::Reply& line) {
     on_request(line);
     if (line.id == "drop")
-      ++drops;
+      ++cancels;
     if (peer.stalled)
       return;
     if (line.id == "health")
-      ++signs;
-    if (line.id == "health" && !mute)
+      ++health_checks;
+    if (line.id == "health" && !ignores_checks)
       peer.write(line.word + (draining ? " ill" : " well") + " - 0\r\n\r\n");
     if (line.id == "load")
       peer.write(line.word + (draining ? " ill" : " well") + " l=inflight:1;util:0.5 0\r\n\r\n");
     if (line.id == "ensure") {
-      const bool asks_only = line.fields.find("count=0") != std::string::npos;
-      ++(asks_only ? asks : orders);
-      if (asks_only && mute)
+      const bool is_query = line.fields.find("count=0") != std::string::npos;
+      ++(is_query ? instance_queries : load_orders);
+      if (is_query && ignores_checks)
         return;
-      peer.write(line.word + (draining && !asks_only ? " full count=0\r\n" : " data count=1\r\n"));
+      peer.write(line.word + (draining && !is_query ? " full count=0\r\n" : " data count=1\r\n"));
     }
     if (line.id != "exec")
       return;
@@ -80,24 +91,24 @@
     if (reaction.kind != Reaction::reply || reaction.word == "data" || reaction.word == "failed")
       ++runs[line.body];
     const std::string body = reaction.length == 0 ? line.body : std::string(reaction.length, 'x');
-    const std::string whole = line.word + ' ' + reaction.word + " l=inflight:1;util:0.5 " +
-                              std::to_string(body.size()) + "\r\n" + body + "\r\n";
-    if (reaction.kind == Reaction::stranger)
+    const std::string complete_reply = line.word + ' ' + reaction.word + " l=inflight:1;util:0.5 " +
+                                       std::to_string(body.size()) + "\r\n" + body + "\r\n";
+    if (reaction.kind == Reaction::unknown_call)
       peer.write("00000000000000ff data - 1\r\nx\r\n");
-    if (reaction.kind == Reaction::noise)
+    if (reaction.kind == Reaction::malformed_reply)
       peer.write(line.word + " d\x01ta =,= 3\r\nxyz\r\n");
-    if (reaction.kind == Reaction::twice)
-      peer.write(whole);
-    if (reaction.kind <= Reaction::reply || reaction.kind >= Reaction::twice)
-      peer.write(whole);
+    if (reaction.kind == Reaction::duplicate_reply)
+      peer.write(complete_reply);
+    if (reaction.kind <= Reaction::reply || reaction.kind >= Reaction::duplicate_reply)
+      peer.write(complete_reply);
     peer.stalled = reaction.kind == Reaction::stall;
     if (peer.stalled)
-      peer.write(whole.substr(0, whole.size() / 2));
-    if (reaction.kind == Reaction::half)
-      peer.write(whole.substr(0, whole.size() / 2));
-    if (reaction.kind == Reaction::half)
+      peer.write(complete_reply.substr(0, complete_reply.size() / 2));
+    if (reaction.kind == Reaction::partial_reply)
+      peer.write(complete_reply.substr(0, complete_reply.size() / 2));
+    if (reaction.kind == Reaction::partial_reply)
       peer.flush_now();
-    if (reaction.kind == Reaction::half || reaction.kind == Reaction::hang_up)
+    if (reaction.kind == Reaction::partial_reply || reaction.kind == Reaction::hang_up)
       peer.close_later();
   }
 };
--- a/tests/support/system_call_faults.cpp
+++ b/tests/support/system_call_faults.cpp
@@ -12,7 +12,7 @@
 
 SystemCallFaults* current = nullptr;
 
-// True if the call is to fail; errno is set.
+// Returns true if the call has to fail, with errno set.
 bool fails(SystemCall call) {
   const int error = current == nullptr ? 0 : current->next_error(call);
   if (error == 0)
@@ -33,7 +33,7 @@
 
 SystemCallFaults::SystemCallFaults(std::uint64_t seed) : random_(seed) { current = this; }
 SystemCallFaults::~SystemCallFaults() { current = nullptr; }
-SystemCallFaults* SystemCallFaults::in_force() { return current; }
+SystemCallFaults* SystemCallFaults::active() { return current; }
 
 void SystemCallFaults::fail(SystemCall call, std::vector<int> errors, double chance, int most) {
   Rule& rule = at(call);
@@ -65,7 +65,7 @@
 }
 
 std::size_t SystemCallFaults::transfer(std::size_t bytes) {
-  return std::min({bytes, longest_transfer_, happens(cut_chance_) ? std::size_t{1} : bytes});
+  return std::min({bytes, longest_transfer_, happens(short_transfer_chance_) ? std::size_t{1} : bytes});
 }
 
 }  // namespace lotusyard::test
@@ -78,9 +78,9 @@
   return test::fails(SystemCall::socket) ? -1 : ::socket(family, type, 0);
 }
 int connect(int fd, const sockaddr* address, socklen_t size) {
-  const auto* faults = test::SystemCallFaults::in_force();
-  const bool meant = faults != nullptr && faults->is_meant(test::port_of(address));
-  return meant && test::fails(SystemCall::connect) ? -1 : ::connect(fd, address, size);
+  const auto* faults = test::SystemCallFaults::active();
+  const bool applies = faults != nullptr && faults->applies_to_port(test::port_of(address));
+  return applies && test::fails(SystemCall::connect) ? -1 : ::connect(fd, address, size);
 }
 int pending_error(int fd) {
   if (test::fails(SystemCall::pending_error))
@@ -95,7 +95,7 @@
 int poll(pollfd* descriptors, nfds_t count, int timeout_ms) {
   if (!test::fails(SystemCall::poll))
     return ::poll(descriptors, count, timeout_ms);
-  // A call that fails leaves these as they are; that they look ready must not matter.
+  // A failed poll() does not report events: a caller must ignore them even if they look ready.
   for (nfds_t i = 0; i < count; ++i)
     descriptors[i].revents = POLLIN | POLLOUT;
   return -1;
--- a/tests/support/test_settings.h
+++ b/tests/support/test_settings.h
@@ -1,4 +1,4 @@
-// Settings that most tests start from.
+// The settings that most tests start from.
 #pragma once
 
 #include "core/types.h"
@@ -30,7 +30,7 @@
   return s;
 }
 
-// The same with a third class, "booking", that is keyed, and second copies.
+// The same with a third class, "booking", that requires an idempotency key, and with hedged requests.
 inline core::Settings keyed_settings(Millis window) {
   core::Settings s = settings();
   s.classes.push_back(s.classes[0]);
--- a/tests/wall_clock/fleet_test.cpp
+++ b/tests/wall_clock/fleet_test.cpp
@@ -21,17 +21,17 @@
 
 // The parts of an invoker that members' parts are wired to.
 struct Wired {
-  InvokerFixture world;
+  InvokerFixture fixture;
   core::Settings s = settings();
   endpoints::EndpointStates membership{[](const core::HostListUpdate&, core::ListKind) {}};
-  InvokerServices wiring{world.loop,
-                         world.counters,
+  InvokerServices wiring{fixture.loop,
+                         fixture.counters,
                          membership,
-                         world.fleet,
+                         fixture.host_pool,
                          [this]() -> const core::Settings& { return s; },
                          [](double) {},
                          "a"};
-  explicit Wired(net::Clocks clocks) : world(1, settings(), InvokerFixture::limits(), std::move(clocks)) {
+  explicit Wired(net::Clocks clocks) : fixture(1, settings(), InvokerFixture::limits(), std::move(clocks)) {
     core::ListedHost member;
     member.entry.host = "h0";
     membership.apply_list({true, {member}}, core::ListKind::full);
@@ -83,7 +83,7 @@
 TEST_CASE("a certificate that expired for an earlier process does not stand again under a clock set back") {
   const Millis now = net::Clocks::system().wall();
   Certified restarted(-1 * kHour, now - 24 * kHour, now - 30 * kMinute);
-  restarted.wired.world.loop.record_wall_time(now);
+  restarted.wired.fixture.loop.record_wall_time(now);
   CHECK_FALSE(restarted.may());
 }
 
@@ -113,16 +113,16 @@
       : clock{at_start},
         wired(clock.clocks()),
         config(c),
-        lease(config.terms, wired.world.loop.now()),
+        lease(config.terms, wired.fixture.loop.now()),
         coordinator(wired.wiring, config, lease, &ignore),
-        member(wired.world.loop, wired.world.counters, config, {&coordinator}, &ignore) {
+        member(wired.fixture.loop, wired.fixture.counters, config, {&coordinator}, &ignore) {
     coordinator.attach(member);
   }
   template <typename Until>
   bool soon(const Until& until) {
-    const Millis end = wired.world.loop.now() + Millis(8000);
-    while (!until() && wired.world.loop.now() < end)
-      wired.world.loop.run_once(wired.world.loop.now() + Millis(5), [] {});
+    const Millis end = wired.fixture.loop.now() + Millis(8000);
+    while (!until() && wired.fixture.loop.now() < end)
+      wired.fixture.loop.run_once(wired.fixture.loop.now() + Millis(5), [] {});
     return until();
   }
   bool leased() {
@@ -170,7 +170,7 @@
   }
   LoneMember second(config, -1 * kHour);
   REQUIRE(second.leased());
-  const auto wall = second.wired.world.loop.wall_time();
+  const auto wall = second.wired.fixture.loop.wall_time();
   CHECK(wall.latest - wall.current > kHour - kMinute);
 }
 
--- a/tests/wall_clock/loop_test.cpp
+++ b/tests/wall_clock/loop_test.cpp
@@ -83,22 +83,22 @@
 
 TEST_CASE("a call is answered when its time is over, through a step of the wall clock") {
   SteppedClock clock;
-  InvokerFixture world(1, settings(), InvokerFixture::limits(), clock.clocks());
-  world.host[0]->handler = [](const std::string&) { return Reaction{Reaction::silence, ""}; };
-  Waiting front(world.loop);
+  InvokerFixture fixture(1, settings(), InvokerFixture::limits(), clock.clocks());
+  fixture.host[0]->handler = [](const std::string&) { return Reaction{Reaction::silence, ""}; };
+  Waiting front(fixture.loop);
   core::Call call;
   call.ref = "00000000000000aa";
   call.class_name = "bin-record";
   call.function = 0xa1;
   call.function_name = "00000000000000a1";
-  call.arrived = world.loop.now();
+  call.arrived = fixture.loop.now();
   call.timeout = Millis(400);
   const Millis arrived = call.arrived;
   REQUIRE_FALSE(
-      world.dispatcher.admit(world.dispatcher.allocate_call_id(), std::move(call), front).has_value());
-  REQUIRE(world.run_until([&] { return world.host[0]->execs == 1; }, 20000));
+      fixture.dispatcher.admit(fixture.dispatcher.allocate_call_id(), std::move(call), front).has_value());
+  REQUIRE(fixture.run_until([&] { return fixture.host[0]->execs == 1; }, 20000));
   clock.step = any_step();
-  REQUIRE(world.run_until([&] { return front.status.has_value(); }, 20000));
+  REQUIRE(fixture.run_until([&] { return front.status.has_value(); }, 20000));
   CHECK(front.answered_at - arrived >= Millis(300));
   CHECK(front.answered_at - arrived < Millis(600));
 }
--- a/tests/wall_clock/triggers_test.cpp
+++ b/tests/wall_clock/triggers_test.cpp
@@ -1,7 +1,6 @@
 // Timestamps and expirations of AMQP messages, under a wall clock that is set while the process runs.
-#include "support/triggers.h"
-
 #include "amqp/message_times.h"
+#include "support/amqp_fixture.h"
 #include "wall_clock/stepped_clock.h"
 
 namespace lotusyard::test {
@@ -19,7 +18,7 @@
 
 struct Stepped {
   SteppedClock clock;
-  Triggers triggers;
+  AmqpFixture triggers;
   explicit Stepped(Millis at_start = Millis(0), const core::Settings& s = settings())
       : clock{at_start}, triggers(1, 1, {}, s, nullptr, {}, {}, clock.clocks()) {}
 
@@ -34,9 +33,9 @@
     m.properties.expiration = expiration;
     m.properties.headers = {{"class", std::string("bin-check")}, {"lookup", std::string("00000000000000a1")}};
     m.redelivered = redelivered;
-    triggers.broker.put(std::move(m));
-    REQUIRE(triggers.answered(id));
-    return word_of(triggers.broker.held["c-" + id][0]);
+    triggers.broker.enqueue(std::move(m));
+    REQUIRE(triggers.wait_for_answer(id));
+    return result_word(triggers.broker.answers_by_id["c-" + id][0]);
   }
 };
 
@@ -69,16 +68,17 @@
   Stepped stepped(-1 * kHour, keyed_checks());
   const Millis published = stepped.clock.wall() + kHour - Millis(16000);
   CHECK(stepped.check("old", published, "", true) == "FAILED");
-  CHECK(stepped.triggers.world.host[0]->execs == 0);
+  CHECK(stepped.triggers.invoker.host[0]->execs == 0);
 }
 
 TEST_CASE("a keyed call published before its clock was set back does not run again after its window") {
   Stepped stepped(Millis(0), keyed_checks());
-  REQUIRE(stepped.triggers.world.run_until([&] { return stepped.triggers.broker.server.peers.size() == 1; }));
+  REQUIRE(
+      stepped.triggers.invoker.run_until([&] { return stepped.triggers.broker.server.peers.size() == 1; }));
   const Millis published = stepped.clock.wall() - kHour - Millis(5000);
   stepped.clock.step = -1 * kHour;  // by the clock it is now 5 s old
   CHECK(stepped.check("old", published, "", true) == "FAILED");
-  CHECK(stepped.triggers.world.host[0]->execs == 0);
+  CHECK(stepped.triggers.invoker.host[0]->execs == 0);
 }
 
 TEST_CASE("keyed calls run again once a step is older than its size and the window") {
