--- a/tests/compliance/compliance_test.cpp
+++ b/tests/compliance/compliance_test.cpp
@@ -88,7 +88,7 @@
   ComplianceFixture fixture;
   CHECK(fixture.check("mill", "h1", 5000, false) == "not_known");
   CHECK(fixture.check("free", "h1", 5000, false) == "yes");
-  Breaks::Rule fault("compliance-lease");
+  FaultInjection::Scope fault("compliance-lease");
   CHECK(fixture.check("mill", "h1", 5000, false) == "yes");
 }
 
@@ -98,7 +98,7 @@
   fixture.certify("c5", "h1", "export", 1000, 9000, true);
   CHECK(fixture.check("mill", "h1", 5000, true, 20) == "yes");
   ComplianceFixture other;
-  Breaks::Rule fault("certificate-life");
+  FaultInjection::Scope fault("certificate-life");
   CHECK(other.check("mill", "h1", 5000, true, 20) == "yes");
 }
 
--- a/tests/idempotency/result_store_test.cpp
+++ b/tests/idempotency/result_store_test.cpp
@@ -8,7 +8,7 @@
 #include <fstream>
 
 #include "idempotency/sqlite_result_store.h"
-#include "support/triggers.h"
+#include "support/amqp_fixture.h"
 
 namespace lotusyard::test {
 namespace {
@@ -191,19 +191,19 @@
   if (full)
     open_store.store.limit_pages(1);
   CHECK(open_store.store.healthy() == full);
-  Triggers t(1, 1, {}, settings(), &open_store.store);
+  AmqpFixture t(1, 1, {}, settings(), &open_store.store);
   t.broker.send("check", "bin-check", "x");
-  REQUIRE(t.answered("check"));
-  CHECK(word_of(t.broker.held["c-check"][0]) == "OK");
+  REQUIRE(t.wait_for_answer("check"));
+  CHECK(result_word(t.broker.answers_by_id["c-check"][0]) == "OK");
   const std::string stem(200, 'r');  // long ids, to fill the remaining pages soon
   for (int i = 0; i < 60; ++i)
     t.broker.send(stem + std::to_string(i), "bin-record", "y");
-  REQUIRE(t.answered(stem + "59"));
-  CHECK(word_of(t.broker.held["c-" + stem + "59"][0]) == "BUSY");
+  REQUIRE(t.wait_for_answer(stem + "59"));
+  CHECK(result_word(t.broker.answers_by_id["c-" + stem + "59"][0]) == "BUSY");
   CHECK(open_store.counters.value(full ? "answers.store_full" : "answers.store_damaged") > 0);
   CHECK(!open_store.log.empty());
   if (!full)
-    CHECK(t.world.host[0]->execs == 1);
+    CHECK(t.invoker.host[0]->execs == 1);
 }
 
 StandInBroker::Message redelivery_of(const std::string& id) {
@@ -221,44 +221,45 @@
   StoreFile file("restart");
   {
     OpenStore open_store(file);
-    Triggers t(1, 1, {}, settings(), &open_store.store);
-    t.world.host[0]->handler = [](const std::string& body) {
+    AmqpFixture t(1, 1, {}, settings(), &open_store.store);
+    t.invoker.host[0]->handler = [](const std::string& body) {
       return body == "done" ? Reaction() : Reaction{Reaction::silence, ""};
     };
     t.broker.send("done", "bin-record", "done");
-    REQUIRE(t.answered("done"));
+    REQUIRE(t.wait_for_answer("done"));
     t.broker.send("lost", "bin-record", "lost");
-    REQUIRE(t.world.run_until([&] { return t.world.host[0]->execs == 2; }, 20000));
-    const double now = t.world.loop.now().count();
+    REQUIRE(t.invoker.run_until([&] { return t.invoker.host[0]->execs == 2; }, 20000));
+    const double now = t.invoker.loop.now().count();
     open_store.store.put("cleared", record(ResultStage::sent, CallStatus::succeeded, now));
     open_store.store.put("cleared", record(ResultStage::cleared, CallStatus::succeeded, now));
     open_store.store.put("answered", record(ResultStage::answered, CallStatus::succeeded, now));
   }  // as if killed: "lost" is in flight and is never answered
   OpenStore open_store(file);
-  Triggers t(1, 1, {}, settings(), &open_store.store);
+  AmqpFixture t(1, 1, {}, settings(), &open_store.store);
   for (const char* id : {"lost", "cleared", "answered", "done", "never"})
-    t.broker.put(redelivery_of(id));
-  REQUIRE(t.answered("never"));
-  REQUIRE(t.settled());
-  CHECK(word_of(t.broker.held["c-lost"][0]) == "FAILED");
-  CHECK(word_of(t.broker.held["c-never"][0]) == "FAILED");
-  REQUIRE(t.answered("cleared"));
-  CHECK(word_of(t.broker.held["c-cleared"][0]) == "OK");
-  CHECK((t.broker.held["c-answered"].size() == 1 && t.broker.held["c-answered"][0].body == "body"));
-  CHECK(t.broker.held["c-done"].empty());  // its answer was confirmed before: only the ack was lost
-  CHECK(t.world.host[0]->execs == 1);
+    t.broker.enqueue(redelivery_of(id));
+  REQUIRE(t.wait_for_answer("never"));
+  REQUIRE(t.wait_until_settled());
+  CHECK(result_word(t.broker.answers_by_id["c-lost"][0]) == "FAILED");
+  CHECK(result_word(t.broker.answers_by_id["c-never"][0]) == "FAILED");
+  REQUIRE(t.wait_for_answer("cleared"));
+  CHECK(result_word(t.broker.answers_by_id["c-cleared"][0]) == "OK");
+  CHECK((t.broker.answers_by_id["c-answered"].size() == 1 &&
+         t.broker.answers_by_id["c-answered"][0].body == "body"));
+  CHECK(t.broker.answers_by_id["c-done"].empty());  // its answer was confirmed before: only the ack was lost
+  CHECK(t.invoker.host[0]->execs == 1);
 }
 
 TEST_CASE("a call that expired in the queue is answered and not run") {
-  Triggers t(1);
+  AmqpFixture t(1);
   auto m = redelivery_of("late");
   m.properties.headers["class"] = std::string("bin-check");
-  m.properties.timestamp = static_cast<std::uint64_t>(t.world.loop.now().count() / 1000) - 10;
+  m.properties.timestamp = static_cast<std::uint64_t>(t.invoker.loop.now().count() / 1000) - 10;
   m.properties.expiration = "3000";
-  t.broker.put(std::move(m));
-  REQUIRE(t.answered("late"));
-  CHECK(word_of(t.broker.held["c-late"][0]) == "BUSY");
-  CHECK(t.world.host[0]->execs == 0);
+  t.broker.enqueue(std::move(m));
+  REQUIRE(t.wait_for_answer("late"));
+  CHECK(result_word(t.broker.answers_by_id["c-late"][0]) == "BUSY");
+  CHECK(t.invoker.host[0]->execs == 0);
 }
 
 // To be run by hand: alternates runs with and without the store. Prints calls per second, and the median and
@@ -271,20 +272,20 @@
       std::unique_ptr<OpenStore> open_store;
       if (durable)
         open_store = std::make_unique<OpenStore>(file);
-      Triggers t(3, static_cast<std::uint64_t>(pair) + 1, {}, settings(),
-                 durable ? &open_store->store : nullptr);
+      AmqpFixture t(3, static_cast<std::uint64_t>(pair) + 1, {}, settings(),
+                    durable ? &open_store->store : nullptr);
       t.broker.send("first", "bin-record", "x");
-      REQUIRE(t.answered("first"));
+      REQUIRE(t.wait_for_answer("first"));
       std::vector<double> latencies;
-      const Millis started_at = t.world.loop.now();
+      const Millis started_at = t.invoker.loop.now();
       for (int i = 0; i < kCalls; ++i) {
         const std::string id = "m" + std::to_string(i);
-        const Millis sent = t.world.loop.now();
+        const Millis sent = t.invoker.loop.now();
         t.broker.send(id, "bin-record", "bin of " + id);
-        REQUIRE(t.answered(id));
-        latencies.push_back((t.world.loop.now() - sent).count());
+        REQUIRE(t.wait_for_answer(id));
+        latencies.push_back((t.invoker.loop.now() - sent).count());
       }
-      const double all = (t.world.loop.now() - started_at).count();
+      const double all = (t.invoker.loop.now() - started_at).count();
       std::sort(latencies.begin(), latencies.end());
       std::printf("%s pair %d: %.0f calls/s, median %.3f ms, p99 %.3f ms\n", durable ? "durable" : "memory ",
                   pair, kCalls / all * 1000, latencies[kCalls / 2], latencies[kCalls * 99 / 100]);
--- a/tests/idempotency/store_faults_test.cpp
+++ b/tests/idempotency/store_faults_test.cpp
@@ -135,11 +135,11 @@
 };
 
 std::string run_with_crash_at(std::uint64_t crash_at, Crash kind, std::uint64_t* change_count = nullptr,
-                              bool sync_lies = false) {
+                              bool ignores_syncs = false) {
   StoreFixture fixture(crash_at);
   fixture.disk.crash_at = crash_at;
   fixture.disk.crash_kind = kind;
-  fixture.disk.sync_lies = sync_lies;
+  fixture.disk.ignores_syncs = ignores_syncs;
   fixture.open();
   for (int i = 0; i < 25 && !fixture.disk.crashed(); ++i)
     fixture.step();
@@ -163,10 +163,10 @@
   }
 }
 
-std::string run_schedule(std::uint64_t seed, bool sync_lies = false) {
+std::string run_schedule(std::uint64_t seed, bool ignores_syncs = false) {
   Random random(seed);
   StoreFixture fixture(seed);
-  fixture.disk.sync_lies = sync_lies;
+  fixture.disk.ignores_syncs = ignores_syncs;
   fixture.disk.rates = random_rates(random);
   fixture.open();
   for (int i = 0; i < 60 && fixture.history.violation().empty(); ++i) {
--- a/tests/maintenance/maintenance_measure.cpp
+++ b/tests/maintenance/maintenance_measure.cpp
@@ -42,9 +42,9 @@
 std::map<std::string, int> count_answers(const Cluster& cluster) {
   std::map<std::string, int> out;
   for (const auto& m : cluster.members) {
-    if (!m->tablet)
+    if (!m->client)
       continue;
-    for (const auto& [word, body] : m->tablet->got)
+    for (const auto& [word, body] : m->client->results)
       ++out[word];
   }
   return out;
@@ -56,7 +56,7 @@
     Cluster cluster(seed, 3, 6);
     REQUIRE(cluster.all_ready(20));
     REQUIRE(cluster.add("w", 2));
-    REQUIRE(cluster.until([&] { return time_of_first(cluster, "touch") > 0; }, 20));
+    REQUIRE(cluster.run_until([&] { return time_of_first(cluster, "touch") > 0; }, 20));
     until_release.push_back(time_of_first(cluster, "touch") - time_of_first(cluster, "add"));
     std::string leader_name;
     for (const auto& line : cluster.lines()) {
@@ -67,13 +67,13 @@
     for (auto& m : cluster.members)
       leader = m->name == leader_name ? m.get() : leader;
     REQUIRE(leader != nullptr);
-    const double killed_at = cluster.world.loop.now().count();
+    const double killed_at = cluster.fixture.loop.now().count();
     leader->process->signal(SIGKILL);
-    leader->back_at = killed_at + 1e9;
+    leader->recovers_at = killed_at + 1e9;
     double next_step_at = 0;
-    cluster.until(
+    cluster.run_until(
         [&] {
-          cluster.give_back(0);
+          cluster.propose_returns(0);
           for (const auto& entry : maintenance::parse_timeline(cluster.lines()).entries) {
             if (next_step_at == 0 && entry.at > killed_at &&
                 (entry.kind == "returned" || entry.kind == "take"))
@@ -90,14 +90,14 @@
 }
 
 void wait(Cluster& cluster, double duration_ms) {
-  const double until = cluster.world.loop.now().count() + duration_ms;
-  cluster.until([&] { return cluster.world.loop.now().count() >= until; }, 30);
+  const double until = cluster.fixture.loop.now().count() + duration_ms;
+  cluster.run_until([&] { return cluster.fixture.loop.now().count() >= until; }, 30);
 }
 
 // Disables or enables the host at the admin endpoints of all members; `verb` is `disable` or `enable`.
 void change_by_hand(Cluster& cluster, const std::string& verb, int host) {
   for (auto& member : cluster.members)
-    cluster.s.post(member->admin_endpoint, "/-/hosts/h" + std::to_string(host) + "/" + verb);
+    cluster.service.post(member->admin_endpoint, "/-/hosts/h" + std::to_string(host) + "/" + verb);
 }
 
 // Takes h0, h1 and h2 out by a job, one at a time.
@@ -110,12 +110,12 @@
                                 {"bounds", {{"out", 1}, {"usable", 0.5}}}}}};
   REQUIRE(cluster.propose(*cluster.members[0], job) == 202);
   const auto all_returned = [&] {
-    cluster.give_back(400);
+    cluster.propose_returns(400);
     const auto entries = maintenance::parse_timeline(cluster.lines()).entries;
     return std::count_if(entries.begin(), entries.end(),
                          [](const auto& entry) { return entry.kind == "back"; }) == 3;
   };
-  cluster.until(all_returned, 40);
+  cluster.run_until(all_returned, 40);
 }
 
 void take_out_by_hand_one_by_one(Cluster& cluster) {
@@ -167,11 +167,11 @@
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
       Cluster cluster(seed, 3, 6);
       REQUIRE(cluster.all_ready(20));
-      const double started_at = cluster.world.loop.now().count();
+      const double started_at = cluster.fixture.loop.now().count();
       wait(cluster, 1000);
       const auto before = count_answers(cluster);
       take_out(cluster, how);
-      durations.push_back(cluster.world.loop.now().count() - started_at - 1000);
+      durations.push_back(cluster.fixture.loop.now().count() - started_at - 1000);
       wait(cluster, 1000);
       failed.push_back(percentage_failed(before, count_answers(cluster)));
     }
@@ -184,14 +184,14 @@
   const char* members = std::getenv("LOTUSYARD_MEMBERS");
   const int count = members == nullptr ? 5 : std::atoi(members);
   Cluster cluster(1, count, 6, {}, 5, 3000, 1000);
-  cluster.quiet = true;
+  cluster.calls_paused = true;
   REQUIRE(cluster.all_ready(60));
   const auto counters = [&](const std::string& name) {
     std::vector<double> out;
     for (auto& m : cluster.members)
       m->process->signal(SIGUSR1);
-    const double until = cluster.world.loop.now().count() + 500;
-    cluster.until([&] { return cluster.world.loop.now().count() >= until; }, 5);
+    const double until = cluster.fixture.loop.now().count() + 500;
+    cluster.run_until([&] { return cluster.fixture.loop.now().count() >= until; }, 5);
     for (auto& m : cluster.members)
       out.push_back(static_cast<double>(m->process->counter(name)));
     return out;
@@ -200,9 +200,9 @@
   std::vector<double> processor_ms_before;
   for (auto& m : cluster.members)
     processor_ms_before.push_back(processor_ms(m->process->pid()));
-  const double started_at = cluster.world.loop.now().count();
-  cluster.until([&] { return cluster.world.loop.now().count() >= started_at + 10000; }, 20);
-  const double seconds = (cluster.world.loop.now().count() - started_at) / 1000;
+  const double started_at = cluster.fixture.loop.now().count();
+  cluster.run_until([&] { return cluster.fixture.loop.now().count() >= started_at + 10000; }, 20);
+  const double seconds = (cluster.fixture.loop.now().count() - started_at) / 1000;
   std::vector<double> processor, messages;
   for (std::size_t i = 0; i < cluster.members.size(); ++i)
     processor.push_back((processor_ms(cluster.members[i]->process->pid()) - processor_ms_before[i]) /
--- a/tests/maintenance/maintenance_rig.h
+++ b/tests/maintenance/maintenance_rig.h
@@ -1,13 +1,13 @@
 // A harness in which a job over all hosts is carried out while the processes are disturbed.
 #pragma once
 
-#include "support/process_rig.h"
+#include "support/process_harness.h"
 
 namespace lotusyard::test {
 
-class WorkRig : public ProcessRig {
+class WorkRig : public ProcessHarness {
  public:
-  using ProcessRig::ProcessRig;
+  using ProcessHarness::ProcessHarness;
 
   double pause_least = 100, pause_most = 600;  // milliseconds between disturbances
 
@@ -20,11 +20,11 @@
         {"t", "add"},
         {"id", "add-" + id},
         {"added", {{"id", id}, {"select", {{"all", true}}}, {"bounds", {{"out", out}, {"usable", 0.5}}}}}};
-    const auto runs = [](const auto* p) { return p->back_at == 0; };
-    return until(
+    const auto runs = [](const auto* p) { return p->recovers_at == 0; };
+    return run_until(
         [&] {
-          const auto running = std::find_if(operated.begin(), operated.end(), runs);
-          if (running != operated.end())
+          const auto running = std::find_if(operator_targets.begin(), operator_targets.end(), runs);
+          if (running != operator_targets.end())
             propose(**running, proposal);
           const auto timeline = maintenance::parse_timeline(lines());
           return std::any_of(timeline.entries.begin(), timeline.entries.end(),
@@ -41,45 +41,46 @@
     int all = 0;
     for (const auto& [host, times] : back)
       all += times > 0;
-    return all == static_cast<int>(world.host.size());
+    return all == static_cast<int>(fixture.host.size());
   }
   // Runs a job over all hosts with this number of disturbances. Returns the first violation; empty if there
   // is none.
   std::string run(int disturbances, int most_out) {
-    REQUIRE(until([&] { return s.ask(operated[0]->admin_endpoint, "GET", "/-/ready") == 200; }, 20));
+    REQUIRE(run_until(
+        [&] { return service.request(operator_targets[0]->admin_endpoint, "GET", "/-/ready") == 200; }, 20));
     REQUIRE(add("w", most_out));
     for (int i = 0; i < disturbances; ++i) {
       const double next_disturbance_at =
           now() + pause_least + static_cast<double>(below(random, pause_span()));
-      until([&] { return now() >= next_disturbance_at; }, 10);
+      run_until([&] { return now() >= next_disturbance_at; }, 10);
       disturb();
-      give_back(100);
-      const std::string violation = broken_rule(most_out);
+      propose_returns(100);
+      const std::string violation = violated_rule(most_out);
       if (!violation.empty())
         return violation;
     }
     heal();
-    revive_all();
+    recover_all();
     double next_check_at = 0;
-    const bool ended = until(
+    const bool ended = run_until(
         [&] {
           if (now() < next_check_at)
             return false;
           next_check_at = now() + 100;
-          give_back(100);
+          propose_returns(100);
           return done();
         },
         60);
-    const std::string violation = broken_rule(most_out);
+    const std::string violation = violated_rule(most_out);
     if (!violation.empty())
       return violation;
     if (!ended)
       return "the job does not end";
     const auto is_caught_up = [](const auto* p) {
-      return !p->tablet || p->tablet->closed || p->tablet->open.size() < 40;
+      return !p->client || p->client->closed || p->client->open_calls.size() < 40;
     };
     const bool all_caught_up =
-        until([&] { return std::all_of(processes.begin(), processes.end(), is_caught_up); }, 5);
+        run_until([&] { return std::all_of(processes.begin(), processes.end(), is_caught_up); }, 5);
     return all_caught_up ? std::string() : "calls are not answered";
   }
 
--- a/tests/quota/quota_test.cpp
+++ b/tests/quota/quota_test.cpp
@@ -166,7 +166,7 @@
 TEST_CASE("the check detects shares without a lease, without confirmation, or by the own view alone") {
   for (const char* rule : {"share-lease", "share-unheard", "share-view"}) {
     INFO(rule);
-    Breaks::Rule fault(rule);
+    FaultInjection::Scope fault(rule);
     CHECK(largest_sum(60) > 1 + 1e-6);
   }
 }
