--- a/tests/control/tier_cluster.cpp
+++ b/tests/control/tier_cluster.cpp
@@ -11,7 +11,7 @@
 }  // namespace
 
 TierCluster::TierCluster(const TierOptions& options)
-    : WorkRig(options.seed, options.hosts, options.broken), options_(options) {
+    : MaintenanceHarness(options.seed, options.hosts, options.broken), options_(options) {
   silent_one_in = options.silent_one_in;
   functions = kFunctions;
   pause_least = 300;
--- a/tests/raft/raft_group_test.cpp
+++ b/tests/raft/raft_group_test.cpp
@@ -54,7 +54,7 @@
   const auto count_released = [&] {
     const auto entries = maintenance::parse_timeline(cluster.lines()).entries;
     return std::count_if(entries.begin(), entries.end(),
-                         [](const auto& entry) { return entry.what == "touch"; });
+                         [](const auto& entry) { return entry.kind == "touch"; });
   };
   double next_check_at = 0;
   const auto wait_for_released = [&](int hosts) {
@@ -136,7 +136,7 @@
   kill_and_wait(*cluster.members[0]);
   cluster.members[0]->recovers_at = 1e18;
   std::swap(cluster.members[0], cluster.members[1]);
-  REQUIRE(cluster.add("w", 1));
+  REQUIRE(cluster.add_job("w", 1));
   cluster.start(*cluster.members[1]);
   REQUIRE(cluster.run_until([&] { return cluster.done(); }, 0.1) == false);
   REQUIRE(cluster.run_until(
--- a/tests/support/cluster.h
+++ b/tests/support/cluster.h
@@ -2,7 +2,7 @@
 // member that cuts and resets connections.
 #pragma once
 
-#include "maintenance/maintenance_rig.h"
+#include "maintenance/maintenance_harness.h"
 #include "raft/group_relay.h"
 
 namespace lotusyard::test {
