--- a/src/app/invoker.h
+++ b/src/app/invoker.h
@@ -21,7 +21,7 @@
 #include "hot_restart/shares.h"
 #include "net/event_loop.h"
 #include "resp/front_end.h"
-#include "xds/hosts.h"
+#include "xds/host_file.h"
 
 namespace lotusyard {
 
@@ -68,9 +68,9 @@
   // The start, in invoker_startup.cpp.
   void attach_extension(const ExtensionFactory& make_extension);
   void watch_endpoint_list();
-  discovery::Log replay_known_events();
+  discovery::EventReader replay_known_events();
   void watch_host_file();
-  void watch_change_log(const discovery::Log& log);
+  void watch_change_log(const discovery::EventReader& log);
   void listen();
   void listen_on_inherited();
   void start_amqp_consumer(const ResultStoreFactory& make_store);
--- a/src/app/invoker_startup.cpp
+++ b/src/app/invoker_startup.cpp
@@ -40,7 +40,7 @@
 }
 
 void Invoker::watch_endpoint_list() {
-  const discovery::Log log = replay_known_events();
+  const discovery::EventReader log = replay_known_events();
   if (config().xds) {
     watch_host_file();
   } else {
@@ -49,11 +49,11 @@
 }
 
 // The configuration may hold events of the change log, so that calls can be served before it answers.
-discovery::Log Invoker::replay_known_events() {
-  discovery::Log log;
+discovery::EventReader Invoker::replay_known_events() {
+  discovery::EventReader log;
   for (const auto& event : config().known_events) {
     core::HostListUpdate list;
-    if (log.event(event, list) == discovery::Log::Read::news)
+    if (log.read_event(event, list) == discovery::EventReader::Result::list_update)
       endpoint_states_.apply_list(list, list_kind(list, core::ListKind::cached));
   }
   log.skip_to(config().known_seq);
@@ -73,7 +73,7 @@
     throw config::ConfigError("configuration: xds.file: " + fault);
 }
 
-void Invoker::watch_change_log(const discovery::Log& log) {
+void Invoker::watch_change_log(const discovery::EventReader& log) {
   discovery_.emplace(
       loop_, pool_, counters_, config().changelog, log,
       [this](const core::HostListUpdate& list) {
--- a/src/discovery/discovery.cpp
+++ b/src/discovery/discovery.cpp
@@ -17,7 +17,8 @@
 }  // namespace
 
 Discovery::Discovery(net::EventLoop& loop, net::BufferPool& pool, metrics::Counters& counters,
-                     std::string address, Log log, UpdateHandler on_update, ConfirmationHandler on_confirmed)
+                     std::string address, EventReader log, UpdateHandler on_update,
+                     ConfirmationHandler on_confirmed)
     : loop_(loop),
       pool_(pool),
       counters_(counters),
@@ -79,16 +80,16 @@
 
 bool Discovery::on_line(const std::string& line, net::Millis earliest_arrival) {
   core::HostListUpdate update;
-  const Log::Read read = log_.line(line, update);
-  if (read == Log::Read::gap || read == Log::Read::malformed)
+  const EventReader::Result read = log_.read_line(line, update);
+  if (read == EventReader::Result::gap || read == EventReader::Result::malformed)
     return false;
   backoff_ = core::Millis(0);
   silent_connections_ = 0;
-  if (read == Log::Read::heartbeat) {
+  if (read == EventReader::Result::heartbeat) {
     counters_.add(metrics::kFeedConfirmations);
     on_confirmed_(earliest_arrival);
   }
-  if (read == Log::Read::news) {
+  if (read == EventReader::Result::list_update) {
     counters_.add(metrics::kFeedEvents);
     on_update_(update);
   }
--- a/src/discovery/discovery.h
+++ b/src/discovery/discovery.h
@@ -8,7 +8,7 @@
 
 #include "core/listed_host.h"
 #include "discovery/discovery_connection.h"
-#include "discovery/log.h"
+#include "discovery/event_reader.h"
 #include "metrics/counters.h"
 #include "net/event_loop.h"
 
@@ -24,14 +24,14 @@
 
   // `log` knows the events up to the start.
   Discovery(
-      net::EventLoop& loop, net::BufferPool& pool, metrics::Counters& counters, std::string address, Log log,
-      UpdateHandler on_update, ConfirmationHandler on_confirmed = [](core::Millis) {});
+      net::EventLoop& loop, net::BufferPool& pool, metrics::Counters& counters, std::string address,
+      EventReader log, UpdateHandler on_update, ConfirmationHandler on_confirmed = [](core::Millis) {});
   ~Discovery() override;
   Discovery(const Discovery&) = delete;
   Discovery& operator=(const Discovery&) = delete;
 
   void start() { connect(); }
-  std::uint64_t last_sequence() const override { return log_.last(); }
+  std::uint64_t last_sequence() const override { return log_.last_sequence(); }
 
   // The stream continues at another address, with the same sequence numbers.
   void move(const std::string& address);
@@ -41,7 +41,7 @@
   net::BufferPool& pool_;
   metrics::Counters& counters_;
   std::string address_;
-  Log log_;
+  EventReader log_;
   UpdateHandler on_update_;
   ConfirmationHandler on_confirmed_;
   std::shared_ptr<DiscoveryConnection> connection_;
--- a/src/discovery/log.cpp
+++ b/src/discovery/event_reader.cpp
@@ -1,4 +1,4 @@
-#include "discovery/log.h"
+#include "discovery/event_reader.h"
 
 #include <utility>
 
@@ -33,34 +33,34 @@
 
 }  // namespace
 
-Log::Read Log::line(const std::string& line, core::HostListUpdate& update) {
+EventReader::Result EventReader::read_line(const std::string& line, core::HostListUpdate& update) {
   const auto parsed = nlohmann::json::parse(line, nullptr, false);
   if (parsed.is_number_unsigned())
     return read_heartbeat(parsed.get<std::uint64_t>());
-  return event(parsed, update);
+  return read_event(parsed, update);
 }
 
-Log::Read Log::read_heartbeat(std::uint64_t sequence) const {
+EventReader::Result EventReader::read_heartbeat(std::uint64_t sequence) const {
   if (sequence == last_)
-    return Read::heartbeat;
-  return sequence > last_ ? Read::gap : Read::nothing;
+    return Result::heartbeat;
+  return sequence > last_ ? Result::gap : Result::ignored;
 }
 
-Log::Read Log::event(const nlohmann::json& event, core::HostListUpdate& update) {
+EventReader::Result EventReader::read_event(const nlohmann::json& event, core::HostListUpdate& update) {
   if (!key(event, "seq").is_number_unsigned())
-    return Read::malformed;
+    return Result::malformed;
   const std::uint64_t sequence = config::large(key(event, "seq"));
   // Without this, a heartbeat that names an event before it arrives would be taken for the event.
   if (event.size() == 1)
     return read_heartbeat(sequence);
   if (sequence <= last_)
-    return Read::nothing;
+    return Result::ignored;
   if (sequence != last_ + 1)
-    return Read::gap;
+    return Result::gap;
   last_ = sequence;
   const auto& list = key(event, "fleet");
   if (!list.is_object())
-    return Read::nothing;
+    return Result::ignored;
   update.complete = config::flag(key(list, "complete"));
   update.hosts.clear();
   for (const auto& row : key(list, "members")) {
@@ -68,7 +68,7 @@
     if (!host.entry.host.empty())
       update.hosts.push_back(std::move(host));
   }
-  return Read::news;
+  return Result::list_update;
 }
 
 }  // namespace lotusyard::discovery
--- a/src/discovery/log.h
+++ b/src/discovery/event_reader.h
@@ -11,33 +11,33 @@
 namespace lotusyard::discovery {
 
 // Accepts each event once and in order. Does no I/O.
-class Log {
+class EventReader {
  public:
-  enum class Read {
-    news,       // an event that changes the endpoint list
-    heartbeat,  // the number of the last event: no event is missing
-    nothing,    // an event that was read before, an event of another kind, or an earlier number
-    gap,        // events before this one are missing
-    malformed   // no event
+  enum class Result {
+    list_update,  // an event that changes the endpoint list
+    heartbeat,    // the number of the last event: no event is missing
+    ignored,      // an event that was read before, an event of another kind, or an earlier number
+    gap,          // events before this one are missing
+    malformed     // no event
   };
 
   // `last`: the sequence number of the last event that is known already.
-  explicit Log(std::uint64_t last = 0) : last_(last) {}
+  explicit EventReader(std::uint64_t last = 0) : last_(last) {}
 
   // Reads a line of the stream: an event, or the number of the last event as a heartbeat, alone or as an
-  // object with no other key. `update` is set if the result is `news`.
-  Read line(const std::string& line, core::HostListUpdate& update);
+  // object with no other key. `update` is set if the result is `list_update`.
+  Result read_line(const std::string& line, core::HostListUpdate& update);
 
-  // Reads an event; `update` is set if the result is `news`.
-  Read event(const nlohmann::json& event, core::HostListUpdate& update);
+  // Reads an event; `update` is set if the result is `list_update`.
+  Result read_event(const nlohmann::json& event, core::HostListUpdate& update);
 
-  std::uint64_t last() const { return last_; }
+  std::uint64_t last_sequence() const { return last_; }
 
   // Events up to this one are known from elsewhere.
   void skip_to(std::uint64_t sequence) { last_ = std::max(last_, sequence); }
 
  private:
-  Read read_heartbeat(std::uint64_t sequence) const;
+  Result read_heartbeat(std::uint64_t sequence) const;
 
   std::uint64_t last_;  // sequence number of the last event that was read
 };
--- a/src/endpoints/endpoint_states.cpp
+++ b/src/endpoints/endpoint_states.cpp
@@ -11,7 +11,7 @@
 core::ListedHost EndpointStates::effective_state(const std::string& id, const Host& host) const {
   core::ListedHost state = host.listed;
   state.entry.started = host.started;
-  const bool is_excluded = suspended_ || disabled(id) || in_maintenance_.count(id) != 0;
+  const bool is_excluded = suspended_ || is_disabled(id) || in_maintenance_.count(id) != 0;
   if (is_excluded && state.entry.state == HostState::ready)
     state.entry.state = HostState::draining;
   // A host that was excluded may have restarted, and the list does not say so for seconds.
@@ -122,12 +122,12 @@
   notify(host);
 }
 
-void EndpointStates::set_disabled(const std::set<std::string>& disabled_hosts, core::Millis now) {
+void EndpointStates::set_disabled(const std::set<std::string>& hosts, core::Millis now) {
   const std::set<std::string> before = disabled_;
-  for (const auto& host : disabled_hosts)
+  for (const auto& host : hosts)
     disable(host);
   for (const auto& host : before) {
-    if (disabled_hosts.count(host) == 0)
+    if (hosts.count(host) == 0)
       enable(host, now);
   }
 }
@@ -149,7 +149,7 @@
   }
 }
 
-void EndpointStates::suspend_all(bool suspended) {
+void EndpointStates::set_all_suspended(bool suspended) {
   if (std::exchange(suspended_, suspended) == suspended)
     return;
   for (const auto& [id, host] : hosts_)
--- a/src/endpoints/endpoint_states.h
+++ b/src/endpoints/endpoint_states.h
@@ -40,13 +40,13 @@
   }
 
   // Hosts that operators disabled get no new calls, whatever the list says.
-  bool disabled(const std::string& host) const { return disabled_.count(host) != 0; }
-  const std::set<std::string>& disabled() const { return disabled_; }
+  bool is_disabled(const std::string& host) const { return disabled_.count(host) != 0; }
+  const std::set<std::string>& disabled_hosts() const { return disabled_; }
   void disable(const std::string& host);
   // The host counts as just started at `now`. Does nothing if it is not disabled.
   void enable(const std::string& host, core::Millis now);
   // Replaces the set of disabled hosts by that of another process.
-  void set_disabled(const std::set<std::string>& disabled_hosts, core::Millis now);
+  void set_disabled(const std::set<std::string>& hosts, core::Millis now);
 
   // Replaces the set of hosts that get no new calls because of maintenance. Hosts that leave the set and are
   // in `restarted` count as just started at `now`.
@@ -54,7 +54,7 @@
                           core::Millis now);
 
   // While suspended, no host gets new calls.
-  void suspend_all(bool suspended);
+  void set_all_suspended(bool suspended);
 
   // The host as it is on the list; nothing if it is not on it or is gone.
   std::optional<core::ListedHost> find_listed(const std::string& host) const;
--- a/src/maintenance/host_access.cpp
+++ b/src/maintenance/host_access.cpp
@@ -29,7 +29,7 @@
     log_(line);
   services_.endpoint_states.set_in_maintenance(change.avoided, change.restart_slow_start,
                                                services_.loop.now());
-  services_.endpoint_states.suspend_all(freshness.must_suspend);
+  services_.endpoint_states.set_all_suspended(freshness.must_suspend);
   if (!lease_lost)
     return;
   // Calls assigned under the lease must not be sent after it has expired.
@@ -52,7 +52,7 @@
   const Millis now = services_.loop.now();
   HostObservations out =
       drain_tracker_.observe(state, host_observer_, services_.endpoint_states.listed_hosts(),
-                             services_.endpoint_states.disabled(), now);
+                             services_.endpoint_states.disabled_hosts(), now);
   const auto& counters = services_.counters;
   const double calls = static_cast<double>(counters.value(metrics::kCallsTaken));
   const double failures =
--- a/src/xds/hosts.cpp
+++ b/src/xds/host_file.cpp
@@ -1,4 +1,4 @@
-#include "xds/hosts.h"
+#include "xds/host_file.h"
 
 #include <sys/stat.h>
 
--- a/tests/discovery/discovery_test.cpp
+++ b/tests/discovery/discovery_test.cpp
@@ -62,7 +62,7 @@
   std::vector<std::string> received, all;
   for (int i = 4; i <= 20; ++i)
     all.push_back("s" + std::to_string(i));
-  discovery::Discovery discovery(loop, pool, counters, server.listener.address(), discovery::Log(3),
+  discovery::Discovery discovery(loop, pool, counters, server.listener.address(), discovery::EventReader(3),
                                  [&](const core::HostListUpdate& list) {
                                    for (const auto& host : list.hosts)
                                      received.push_back(host.entry.host);
@@ -85,7 +85,7 @@
   old.stays_open = true;
   std::vector<std::string> received;
   discovery::Discovery discovery(
-      loop, pool, counters, old.listener.address(), discovery::Log(3),
+      loop, pool, counters, old.listener.address(), discovery::EventReader(3),
       [&](const core::HostListUpdate& list) { received.push_back(list.hosts.at(0).entry.host); });
   const auto run_until = [&](const auto& until) {
     for (int i = 0; i < 5000 && !until(); ++i)
@@ -111,7 +111,7 @@
   server.events = 1;
   server.stays_open = true;
   std::size_t updates = 0;
-  discovery::Discovery discovery(loop, pool, counters, server.listener.address(), discovery::Log(0),
+  discovery::Discovery discovery(loop, pool, counters, server.listener.address(), discovery::EventReader(0),
                                  [&](const core::HostListUpdate&) { ++updates; });
   discovery.start();
   Millis next = loop.now();
@@ -164,7 +164,7 @@
                                  pool,
                                  counters,
                                  server.listener.address(),
-                                 discovery::Log(40),
+                                 discovery::EventReader(40),
                                  [](const core::HostListUpdate&) {},
                                  [this](Millis at) { confirmed.push_back(at); }};
   void run_for(Millis duration) {
--- a/tests/endpoints/endpoint_states_test.cpp
+++ b/tests/endpoints/endpoint_states_test.cpp
@@ -131,7 +131,7 @@
 
   void check() {
     for (const auto& process : processes_) {
-      REQUIRE(process->states.disabled() == disabled_);
+      REQUIRE(process->states.disabled_hosts() == disabled_);
       for (const auto& [id, host] : listed_) {
         const bool ready = host.entry.state == HostState::ready && disabled_.count(id) == 0;
         REQUIRE((process->hosts[id].state == HostState::ready) == ready);
--- a/tests/net/parsers_test.cpp
+++ b/tests/net/parsers_test.cpp
@@ -152,9 +152,9 @@
     amqp::Reader reader(wild);
     reader.table();
     net::parse_fields(garbage(random, "a=b,;:"));
-    discovery::Log log;
+    discovery::EventReader log;
     core::HostListUpdate list;
-    log.line(R"({"seq":1,"fleet":{"members":[)" + garbage(random, "{}\"id:,") + "]}}", list);
+    log.read_line(R"({"seq":1,"fleet":{"members":[)" + garbage(random, "{}\"id:,") + "]}}", list);
   }
 }
 
@@ -164,24 +164,24 @@
            R"(,"fleet":{"complete":false,"members":[{"id":"s","host_port":"127.0.0.1:9",)"
            R"("phase":"draining","up_since_ms":5}]}})";
   };
-  discovery::Log log(3);
+  discovery::EventReader log(3);
   core::HostListUpdate list;
-  CHECK(log.line(event(4), list) == discovery::Log::Read::news);
+  CHECK(log.read_line(event(4), list) == discovery::EventReader::Result::list_update);
   REQUIRE(list.hosts.size() == 1);
   CHECK(list.hosts[0].entry.state == core::HostState::draining);
   CHECK(list.hosts[0].entry.started == Millis(5));
-  CHECK(log.line(event(4), list) == discovery::Log::Read::nothing);
+  CHECK(log.read_line(event(4), list) == discovery::EventReader::Result::ignored);
   // A heartbeat tells whether an event is missing, as a bare number or as an object with nothing else.
-  CHECK(log.line("4", list) == discovery::Log::Read::heartbeat);
-  CHECK(log.line(R"({"seq":4})", list) == discovery::Log::Read::heartbeat);
-  CHECK(log.line("3", list) == discovery::Log::Read::nothing);
-  CHECK(log.line(R"({"seq":3})", list) == discovery::Log::Read::nothing);
-  CHECK(log.line(R"({"seq":5})", list) == discovery::Log::Read::gap);  // it is not event 5
-  CHECK(log.last() == 4);
-  CHECK(log.line("6", list) == discovery::Log::Read::gap);
-  CHECK(log.line(event(6), list) == discovery::Log::Read::gap);
-  CHECK(log.line("{", list) == discovery::Log::Read::malformed);
-  CHECK(log.last() == 4);
+  CHECK(log.read_line("4", list) == discovery::EventReader::Result::heartbeat);
+  CHECK(log.read_line(R"({"seq":4})", list) == discovery::EventReader::Result::heartbeat);
+  CHECK(log.read_line("3", list) == discovery::EventReader::Result::ignored);
+  CHECK(log.read_line(R"({"seq":3})", list) == discovery::EventReader::Result::ignored);
+  CHECK(log.read_line(R"({"seq":5})", list) == discovery::EventReader::Result::gap);  // it is not event 5
+  CHECK(log.last_sequence() == 4);
+  CHECK(log.read_line("6", list) == discovery::EventReader::Result::gap);
+  CHECK(log.read_line(event(6), list) == discovery::EventReader::Result::gap);
+  CHECK(log.read_line("{", list) == discovery::EventReader::Result::malformed);
+  CHECK(log.last_sequence() == 4);
 }
 
 }  // namespace
--- a/tests/net/system_call_storm_test.cpp
+++ b/tests/net/system_call_storm_test.cpp
@@ -130,7 +130,8 @@
       for (const auto& member : list.hosts)
         hosts.push_back(member.entry.host);
     };
-    discovery::Discovery discovery(loop, pool, counters, log.server.address(), discovery::Log(0), on_update);
+    discovery::Discovery discovery(loop, pool, counters, log.server.address(), discovery::EventReader(0),
+                                   on_update);
     begin();
     discovery.start();
     for (int i = 0; i < 20000 && hosts.size() < 20; ++i)
--- a/tests/xds/host_file_test.cpp
+++ b/tests/xds/host_file_test.cpp
@@ -1,4 +1,6 @@
 // Envoy's endpoint list: parsing it, and a file that changes.
+#include "xds/host_file.h"
+
 #include <unistd.h>
 
 #include <catch2/catch.hpp>
@@ -11,7 +13,6 @@
 #include "net/event_loop.h"
 #include "support/test_settings.h"
 #include "xds/host_list_parser.h"
-#include "xds/hosts.h"
 
 namespace lotusyard::test {
 namespace {
