--- a/src/core/attempt.h
+++ b/src/core/attempt.h
@@ -1,4 +1,4 @@
-// One attempt to have a call run at a host, and how it ended.
+// One attempt to run a call at a host, and its outcome.
 #pragma once
 
 #include <string>
@@ -9,7 +9,7 @@
 
 namespace lotusyard::core {
 
-// Attempts of a call are numbered from 0, in the order in which the policy asked for them.
+// Attempts of a call are numbered from 0, in the order in which the policy requested them.
 struct Attempt {
   CallId call = 0;
   int number = 0;
--- a/src/core/attempt_guard.cpp
+++ b/src/core/attempt_guard.cpp
@@ -3,7 +3,7 @@
 namespace lotusyard::core {
 namespace {
 
-// No host can answer within less than this.
+// No host can answer in less than this.
 constexpr Millis kMinAttemptTimeout{1};
 
 // The settings allow one hedged request beside an attempt, or none.
--- a/src/core/call.h
+++ b/src/core/call.h
@@ -17,15 +17,15 @@
   std::string class_name;
   std::string tenant;
   std::string function_name;   // as the client wrote it
-  std::uint64_t function = 0;  // the same as a number, for the policy
+  std::uint64_t function = 0;  // the function as a number, for the policy
   std::optional<double> cost_hint;
   bool retry = false;  // the client's own retry of an earlier call
   std::string key;     // the client's idempotency key, passed on to hosts unchanged; empty: none
   // The earliest time at which another invoker, or this one before a restart, may have run a call with the
-  // key.
+  // same key.
   std::optional<Millis> may_have_run_since;
   double memory_mb = 0;
-  int lanes = 1;  // calls that one instance serves at once
+  int lanes = 1;  // calls that one instance serves concurrently
   Millis arrived{0};
   Millis timeout{0};  // from `arrived`
   std::string body;
--- a/src/core/call_completion.cpp
+++ b/src/core/call_completion.cpp
@@ -65,7 +65,7 @@
   if (calls_.find(id) == nullptr)
     return;
   counters_.add(metrics::kCallsLeft);
-  // Before the attempts end, so that the policy does not retry a call for which nobody waits.
+  // Reported before the attempts end, so that the policy does not retry a call for which nobody waits.
   policy_.report(clock_(), ClientDisconnected{id});
   if (OpenCall* open = calls_.find(id))
     cancel_all_attempts(*open);
--- a/src/core/call_completion.h
+++ b/src/core/call_completion.h
@@ -1,4 +1,4 @@
-// How calls and attempts end: each call gets one final answer, or none if its client has disconnected.
+// Ends calls and attempts: each call gets one final answer, or none if its client has disconnected.
 #pragma once
 
 #include <functional>
@@ -33,8 +33,8 @@
   // Ends the call without an answer.
   void client_disconnected(CallId id);
 
-  // Removes the attempt from those in flight and records what its outcome proves. Returns nothing if it was
-  // not in flight. The caller has to report the end to the policy.
+  // Removes the attempt from those in flight and records whether its outcome proves that it never ran.
+  // Returns nothing if it was not in flight. The caller has to report the end to the policy.
   std::optional<InFlightAttempt> end_attempt(OpenCall& open, int attempt_number, Outcome outcome);
   // Cancels the attempt at its host and reports to the policy that it ended: with the outcome
   // `if_may_have_run`, or `if_never_ran` if the host provably did not run it. Does nothing if it is not in
--- a/src/core/call_table.h
+++ b/src/core/call_table.h
@@ -10,7 +10,7 @@
 
 namespace lotusyard::core {
 
-// Decides by removal who ends a call: remove() returns a call once.
+// Ensures that each call is ended once: remove() returns it to the first caller only.
 class CallTable {
  public:
   // The result is valid until the call is removed.
--- a/src/core/call_validation.cpp
+++ b/src/core/call_validation.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr int kMaxLanes = 1024;
-// For settings that name no kinds of hosts, whose memory would be the limit.
+// The limit if the settings list no kinds of hosts. Otherwise it is the memory of the largest kind.
 constexpr double kMaxMemoryMb = 1e6;
 // Clients send their time-out rounded, so that it may exceed the deadline of the class by this much.
 constexpr Millis kTimeoutRounding{1};
@@ -19,7 +19,7 @@
 
 bool has_invalid_key(const Call& call) { return !call.key.empty() && !IdempotencyKeys::is_valid(call.key); }
 
-// Settings without tenants allow any; a call need not have one.
+// Settings without tenants allow any tenant; a call need not have one.
 bool has_unknown_tenant(const Call& call, const Settings& settings) {
   if (call.tenant.empty() || settings.tenants.empty())
     return false;
--- a/src/core/deadline_queue.h
+++ b/src/core/deadline_queue.h
@@ -23,7 +23,8 @@
   }
 };
 
-// Deadlines are not removed when their call or attempt ends; whoever pops them looks up whether it is open.
+// Deadlines are not removed when their call or attempt ends; the caller of pop_expired() checks whether it is
+// still open.
 class DeadlineQueue {
  public:
   void add_call(CallId call, Millis expires_at) { deadlines_.push({expires_at, call, std::nullopt}); }
--- a/src/core/dispatcher.cpp
+++ b/src/core/dispatcher.cpp
@@ -8,8 +8,8 @@
 namespace lotusyard::core {
 namespace {
 
-// A call that the policy leaves open is ended this long after its deadline, which is within the grace that
-// the platform allows for answers.
+// A call that the policy has not ended is ended this long after its deadline. This is within the grace in
+// which an answer after the deadline still counts.
 constexpr Millis kOverdueGrace{2};
 
 std::optional<RejectionReason> rejection_reason(IdempotencyKeys::KeyDecision decision) {
@@ -56,7 +56,7 @@
   return std::nullopt;
 }
 
-// If it returns nothing, the call holds its idempotency key.
+// If it returns nothing, the call has been registered with its idempotency key, if it needs one.
 std::optional<RejectionReason> Dispatcher::check_admission(const Call& call) {
   if (const auto reason = validate_call(call, *settings_))
     return reason;
@@ -120,7 +120,7 @@
                          std::move(end.report)};
   if (attempt_observer_)
     attempt_observer_(ended->host, open->call(), end.outcome);
-  // The client's answer goes out before the policy is asked, which may take long.
+  // The client's answer is sent before the policy runs, which may take long.
   if (succeeded)
     completion_.finish(attempt.call, {CallStatus::succeeded, Millis(0), std::move(end.body)});
   policy_.report(now, std::move(outcome));
@@ -166,14 +166,14 @@
   if (expired == nullptr)
     return;
   counters_.add(metrics::kAttemptsTimedOut);
-  // If the attempt was not written because of unread input of its client, that is not the host's fault.
+  // If unread input of the client kept the attempt from being written, the host is not at fault.
   const auto write_check = check_before_write(expired->attempt, expired->sent_at);
   const bool waited_for_client = write_check == WriteCheck::after_reading_client;
   const Outcome if_never_ran = waited_for_client ? Outcome::never_ran : Outcome::connect_failed;
   completion_.cancel_attempt(open, attempt_number, Outcome::timeout, if_never_ran);
 }
 
-// The policy ends each call by its deadline; this is for one that it has lost.
+// The policy ends each call by its deadline. This handles a call that it has lost track of.
 void Dispatcher::on_call_overdue(CallId id, Millis now) {
   counters_.add(metrics::kCallsOverdue);
   policy_.report(now, ClientDisconnected{id});
--- a/src/core/dispatcher.h
+++ b/src/core/dispatcher.h
@@ -1,5 +1,5 @@
-// The life of a call: admitted from a front end, attempted at hosts as the policy decides, and ended with one
-// final answer. Joins the parts of the core.
+// Runs the life cycle of calls: admission from a front end, attempts at hosts as the policy decides, and one
+// final answer. Connects the components of the core.
 #pragma once
 
 #include <cstddef>
@@ -38,8 +38,8 @@
 
   // The id is allocated before admit() so that the front end can register the call before its answer comes.
   CallId allocate_call_id() { return ++last_id_; }
-  // Returns why the call is not admitted; its front end then has to answer the client. An admitted call gets
-  // one answer, possibly before this returns.
+  // Returns why the call is not admitted, or nothing if it is. The front end has to answer the client of a
+  // call that is not admitted. An admitted call gets one answer, possibly before this returns.
   std::optional<RejectionReason> admit(CallId id, Call&& call, FrontEnd& front_end);
   // The client has cancelled the call or closed its connection: the call ends without an answer.
   void client_disconnected(CallId id) { completion_.client_disconnected(id); }
@@ -54,8 +54,8 @@
   // Whether the attempt may be written now. `decided_at` is when it was passed to send_attempt(). An attempt
   // without an open call is allowed.
   WriteCheck check_before_write(const Attempt& attempt, Millis decided_at);
-  // Reads what the attempt's client has sent, so that the next check_before_write() finds it read. May end
-  // calls.
+  // Reads the input that the attempt's client has sent, so that the next check_before_write() takes it into
+  // account. May end calls.
   void read_client_input(const Attempt& attempt);
   // Null if the call has ended. The result is valid until the call ends.
   const Call* find_call(CallId id) const;
--- a/src/core/front_end.h
+++ b/src/core/front_end.h
@@ -1,11 +1,11 @@
-// The interface of the parts that accept calls from clients.
+// The interface of the components that accept calls from clients.
 #pragma once
 
 #include "core/call.h"
 
 namespace lotusyard::core {
 
-// A front end must outlive the calls that it had admitted.
+// A front end must outlive the calls that it has passed to Dispatcher::admit().
 class FrontEnd {
  public:
   virtual ~FrontEnd() = default;
@@ -18,12 +18,12 @@
   // call ends.
   virtual bool before_attempt(CallId) { return true; }
 
-  // waiting: the client is connected, and all input that it had sent by `heard_since` has been read.
+  // waiting: the client is connected, and all input that it had sent by `read_since` has been read.
   // has_unread_input: older input may be unread, and it may be a CANCEL; or it is not known yet whether the
-  //   client still waits for the answer. No attempt may be sent until this is known.
+  //   client still waits for the answer. No attempt may be sent in this state.
   // disconnected: nobody waits for the answer.
   enum class ClientState { waiting, has_unread_input, disconnected };
-  virtual ClientState client_state(CallId, Millis /*heard_since*/) { return ClientState::waiting; }
+  virtual ClientState client_state(CallId, Millis /*read_since*/) { return ClientState::waiting; }
 
   // Reads the input that the client has sent by now. It may end calls, so it must not be called while the
   // dispatcher executes a step.
--- a/src/core/host_locations.h
+++ b/src/core/host_locations.h
@@ -1,4 +1,4 @@
-// Where hosts are, as far as it decides which of them recognise a repeated idempotency key.
+// The zone and cell of each host, which determine the hosts that recognise a repeated idempotency key.
 #pragma once
 
 #include <string>
--- a/src/core/host_transport.h
+++ b/src/core/host_transport.h
@@ -1,4 +1,4 @@
-// The interface of the part that sends attempts and other requests to hosts.
+// The interface of the component that sends attempts and other requests to hosts.
 #pragma once
 
 #include <cstdint>
@@ -27,7 +27,7 @@
   // Orders the host to hold that many instances of the function; ends with Dispatcher::load_ended().
   virtual void load_copies(const std::string& host, std::uint64_t function, int copies) = 0;
 
-  // Tells the host that it need not keep instances of the function.
+  // Notifies the host that it may unload its instances of the function.
   virtual void unload(const std::string& host, std::uint64_t function) = 0;
 };
 
--- a/src/core/idempotency_keys.cpp
+++ b/src/core/idempotency_keys.cpp
@@ -9,8 +9,8 @@
 
 std::uint64_t body_hash(const Call& call) { return std::hash<std::string>()(call.body); }
 
-// In a host's line, commas and equals signs separate fields.
-bool is_plain(char c) { return c > ' ' && c <= '~' && c != ',' && c != '='; }
+// Commas and equals signs separate the fields of a line to a host.
+bool is_key_character(char c) { return c > ' ' && c <= '~' && c != ',' && c != '='; }
 
 bool shares_keys(policy::KeyScope scope, const HostLocation& one, const HostLocation& other) {
   switch (scope) {
@@ -27,7 +27,7 @@
 }  // namespace
 
 bool IdempotencyKeys::is_valid(const std::string& key) {
-  return !key.empty() && key.size() <= kMaxKeyBytes && std::all_of(key.begin(), key.end(), is_plain);
+  return !key.empty() && key.size() <= kMaxKeyBytes && std::all_of(key.begin(), key.end(), is_key_character);
 }
 
 IdempotencyKeys::KeyDecision IdempotencyKeys::begin(const Call& call, const KeyRule& rule, Millis now) {
@@ -62,8 +62,9 @@
   return KeyDecision::accepted;
 }
 
-// After a restart, or if another invoker had it, the client's first attempt is not known here. A client waits
-// at most `hard_limit` over all of its retries, and the time-out of this call is what is left of that.
+// After a restart, or if another invoker served it, this process has no record of the client's first attempt.
+// A client waits at most `hard_limit` over all of its retries, and the time-out of this call is the rest of
+// that.
 std::optional<Millis> IdempotencyKeys::may_have_run_since(const Call& call, const KeyRule& rule, Millis now) {
   if (call.may_have_run_since || !call.retry)
     return call.may_have_run_since;
@@ -80,7 +81,7 @@
     return true;
   if (now - *since >= rule.window || record->sent.size() >= kMaxSendsPerKey)
     return false;
-  // It is not known where an attempt of another invoker was sent.
+  // It is not known to which host another invoker sent its attempt.
   if (record->may_have_run_since && rule.scope != policy::KeyScope::all)
     return false;
   return std::all_of(record->sent.begin(), record->sent.end(), [&](const SentAttempt& sent) {
@@ -108,7 +109,7 @@
   if (record == nullptr || --record->open_calls > 0)
     return;
   // Each host recognises the key for one window after it has run an attempt. If the record were dropped
-  // earlier, the key would count as new while some hosts still recognise it and others do not.
+  // earlier, the key would count as new while some hosts still recognise it and others no longer do.
   const Millis until = last_send(*record) + rule.window * 2;
   if (!first_send(*record) || until <= now) {
     records_.erase(record_name(call));
@@ -141,7 +142,7 @@
   return found == records_.end() ? nullptr : &found->second;
 }
 
-// Records are dropped here, and in end() if there is nothing to retain.
+// Records are removed only here, and in end() if there is nothing to retain.
 void IdempotencyKeys::expire(Millis now) {
   while (!expirations_.empty() && expirations_.front().due <= now) {
     const auto found = records_.find(expirations_.front().record_name);
--- a/src/core/idempotency_keys.h
+++ b/src/core/idempotency_keys.h
@@ -1,5 +1,5 @@
-// Idempotency keys: a call with a key may run again only with the same key, at hosts that recognise it, and
-// for as long as they do.
+// Tracks idempotency keys: a call with a key may run again only with the same key, at hosts that recognise
+// it, and only while they do.
 #pragma once
 
 #include <cstddef>
@@ -16,10 +16,10 @@
 
 namespace lotusyard::core {
 
-// What the settings say of the keys of a class.
+// The settings of a class for its keys.
 struct KeyRule {
   policy::KeyScope scope = policy::KeyScope::all;
-  // How long hosts recognise a key, from the first attempt that may have run; 0: they recognise none.
+  // How long hosts recognise a key, from the first attempt that may have run; 0: hosts recognise no keys.
   Millis window{0};
   // The longest that a client waits over all of its retries.
   Millis hard_limit{0};
@@ -29,28 +29,28 @@
   return {call_class.scope, call_class.key_window, call_class.deadline};
 }
 
-// Keeps for each key the attempts that may have run: when and where. Keys of different classes are different.
-// No I/O; the clock is passed in.
+// Records for each key when and where attempts that may have run were sent. Equal keys of different classes
+// are separate. No I/O; the clock is passed in.
 class IdempotencyKeys {
  public:
   static constexpr std::size_t kMaxKeys = 8192;  // bounds the memory
   static constexpr std::size_t kMaxKeyBytes = 128;
-  // Of attempts that may have run, over all calls with the key; bounds the memory.
+  // The limit on attempts that may have run, over all calls with the key; bounds the memory.
   static constexpr std::size_t kMaxSendsPerKey = 16;
 
   // Whether the key can be passed on to hosts unchanged.
   static bool is_valid(const std::string& key);
 
-  // other_request: the key belongs to another function or body; hosts would mistake this call for that one.
+  // other_request: the key belongs to another function or body; hosts would take this call for its repeat.
   // window_over: an attempt with the key may have run so long ago that hosts do not recognise it any more.
   // full: no more keys can be tracked.
   enum class KeyDecision { accepted, other_request, window_over, full };
   // Begins a call with a key. Several calls with the same key may be open; each has attempts of its own, and
   // hosts recognise the repeats. If the call is accepted, end() must follow.
   KeyDecision begin(const Call& call, const KeyRule& rule, Millis now);
-  // Whether an attempt of a call that was begun may be sent to a host at that location.
+  // Whether an attempt of a call that was begun may be sent to a host at the location.
   bool may_send_to(const Call& call, const KeyRule& rule, const HostLocation& location, Millis now) const;
-  // An attempt is sent; it may have run until record_not_run() says otherwise.
+  // An attempt is sent; it counts as one that may have run unless record_not_run() is called for it.
   void record_send(const Call& call, const Attempt& attempt, const HostLocation& location, Millis now);
   void record_not_run(const Call& call, const Attempt& attempt);
   // Ends a call that was begun.
--- a/src/core/listed_host.h
+++ b/src/core/listed_host.h
@@ -1,4 +1,4 @@
-// A host with its address, as the change log or an operator's xDS file lists it.
+// A host with its address, as listed by the discovery stream or by an operator's xDS file.
 #pragma once
 
 #include <string>
--- a/src/core/open_call.h
+++ b/src/core/open_call.h
@@ -18,7 +18,7 @@
   Millis sent_at{0};
 };
 
-// Keeps the settings under which the call was admitted: changes apply to later calls only.
+// Retains the settings under which the call was admitted; changed settings apply to later calls only.
 class OpenCall {
  public:
   // `settings` must have the call's class. `front_end` must outlive the call.
@@ -33,7 +33,7 @@
   // Whether the call may be repeated only with its idempotency key.
   bool needs_key() const { return call_class_->semantics == policy::Semantics::idempotent_with_key; }
 
-  // Uses up the number of the next attempt, also if that attempt is not sent in the end.
+  // Allocates the number of the next attempt. The number counts even if that attempt is not sent in the end.
   Attempt allocate_attempt() { return {id_, attempts_allocated_++}; }
   int attempts_allocated() const { return attempts_allocated_; }
 
@@ -43,8 +43,8 @@
   bool is_in_flight_at(const std::string& host) const;
   // Null if the attempt is not in flight. The result is valid until attempts are added or removed.
   const InFlightAttempt* find_in_flight(int attempt_number) const;
-  // Removes and returns the attempt; nothing if it is not in flight. An outcome that does not prove that the
-  // attempt never ran is remembered by may_have_run().
+  // Removes and returns the attempt; nothing if it is not in flight. After an outcome that does not prove
+  // that the attempt never ran, may_have_run() returns true.
   std::optional<InFlightAttempt> remove_in_flight(int attempt_number, Outcome outcome);
   // Whether an attempt that has ended may have run.
   bool may_have_run() const { return may_have_run_; }
--- a/src/core/policy_driver.cpp
+++ b/src/core/policy_driver.cpp
@@ -12,7 +12,7 @@
 namespace event = policy::event;
 namespace action = policy::action;
 
-// The policy knows calls by strings. Each is made by request_id(), so that call_id() can read it.
+// The policy identifies calls by strings. All of them come from request_id(), so call_id() can parse them.
 std::string request_id(CallId id) { return std::to_string(id); }
 CallId call_id(const std::string& request_id) { return std::stoull(request_id); }
 
@@ -66,7 +66,7 @@
 Step step_for(const action::Probe& probe) { return ProbeStep{probe.host}; }
 Step step_for(const action::Load& load) { return LoadStep{load.host, load.function, load.copies}; }
 Step step_for(const action::Unload& unload) { return UnloadStep{unload.host, unload.function}; }
-// The core ignores these actions: it is sent its endpoint list unasked, and passes on no messages or logs.
+// The core ignores these actions: the endpoint list is pushed to it, and it passes on no messages or logs.
 std::optional<Step> step_for(const action::SendToPeers&) { return std::nullopt; }
 std::optional<Step> step_for(const action::Watch&) { return std::nullopt; }
 std::optional<Step> step_for(const action::Log&) { return std::nullopt; }
@@ -91,8 +91,8 @@
 
 Steps PolicyDriver::tick(Millis now) {
   Steps all;
-  // A timer that is set while others fire waits for the next tick; otherwise one of length zero would make
-  // this loop endless.
+  // A timer that is set while others fire waits for the next tick; otherwise a timer of zero length would
+  // make this loop endless.
   const std::uint64_t set_before = timers_set_;
   while (!timers_.empty() && timers_.top().due <= now && timers_.top().sequence < set_before) {
     const std::uint64_t token = timers_.top().token;
--- a/src/core/policy_driver.h
+++ b/src/core/policy_driver.h
@@ -1,4 +1,5 @@
-// Drives the policy: turns calls and outcomes into its events, its actions into steps, and keeps its timers.
+// Drives the policy: converts calls and outcomes into its events and its actions into steps, and runs its
+// timers.
 #pragma once
 
 #include <cstdint>
@@ -31,8 +32,8 @@
  private:
   struct Timer {
     Millis due{0};
-    std::uint64_t sequence =
-        0;  // timers that are due at the same time fire in the order in which they were set
+    // Timers that are due at the same time fire in the order in which they were set.
+    std::uint64_t sequence = 0;
     std::uint64_t token = 0;
     bool operator>(const Timer& other) const {
       return std::tie(due, sequence) > std::tie(other.due, other.sequence);
--- a/src/core/policy_input.h
+++ b/src/core/policy_input.h
@@ -1,4 +1,4 @@
-// What is reported to the policy.
+// The reports that the policy receives.
 #pragma once
 
 #include <cstdint>
--- a/src/core/policy_runner.cpp
+++ b/src/core/policy_runner.cpp
@@ -8,7 +8,7 @@
   for (auto& step : steps)
     queue_.push_back(std::move(step));
   if (executing_)
-    return;  // the outer call executes them
+    return;  // the outer call of this function executes them
   executing_ = true;
   while (!queue_.empty()) {
     const Step step = std::move(queue_.front());
--- a/src/core/policy_runner.h
+++ b/src/core/policy_runner.h
@@ -1,4 +1,4 @@
-// Reports to the policy and has the steps that it asks for executed, one after the other.
+// Passes reports to the policy and executes the steps that it requests, one after the other.
 #pragma once
 
 #include <deque>
@@ -9,8 +9,8 @@
 
 namespace lotusyard::core {
 
-// Executing a step may lead to further reports. The steps that these ask for are queued behind those that
-// wait already, so that no step is executed inside another one.
+// Executing a step may lead to further reports. The steps that these request are queued behind the waiting
+// ones, so that no step is executed inside another one.
 class PolicyRunner {
  public:
   using Execute = std::function<void(const Step&)>;
--- a/src/core/policy_types.h
+++ b/src/core/policy_types.h
@@ -1,4 +1,4 @@
-// The types of the decision module that the core passes on, and lookups in its settings.
+// The types of the policy that the core passes on, and lookups in its settings.
 #pragma once
 
 #include <functional>
--- a/src/core/ref_retention.cpp
+++ b/src/core/ref_retention.cpp
@@ -5,9 +5,9 @@
 namespace lotusyard::core {
 namespace {
 
-// A host may answer so long after the call has ended; or as long as the longest deadline, if that is longer.
+// A host may answer this long after the call has ended, or for the longest deadline if that is longer.
 constexpr Millis kMinRefRetention{10000};
-// Bounds the memory of refs; the oldest go first.
+// Bounds the memory; the oldest refs are dropped first.
 constexpr std::size_t kMaxEndedRefs = 8192;
 
 }  // namespace
--- a/src/core/ref_retention.h
+++ b/src/core/ref_retention.h
@@ -1,5 +1,5 @@
-// Which refs no new call may have. Hosts know a call by its ref, so that two calls with one ref could get
-// each other's answers.
+// Tracks the refs that new calls must not have. Hosts identify a call by its ref, so two calls with the same
+// ref could get each other's answers.
 #pragma once
 
 #include <deque>
@@ -20,7 +20,8 @@
   void add(const std::string& ref) { refs_.insert(ref); }
   // The call with the ref has ended; the ref is retained from now on.
   void retain(const std::string& ref, Millis now);
-  // Drops the refs whose retention has ended. To be called before contains() as well: calls may end rarely.
+  // Drops the refs whose retention has ended. Must be called before contains() too, because retain(), which
+  // also drops them, may be called rarely.
   void expire(Millis now);
   bool contains(const std::string& ref) const { return refs_.count(ref) != 0; }
 
--- a/src/core/step_executor.cpp
+++ b/src/core/step_executor.cpp
@@ -9,7 +9,7 @@
 namespace lotusyard::core {
 namespace {
 
-// What the policy gives the attempt, but no longer than the call's own time-out.
+// The time-out that the policy sets for the attempt, limited to the rest of the call's own time-out.
 Millis attempt_timeout(const SendStep& step, const OpenCall& open, Millis now) {
   const Millis left = open.expires_at() - now;
   return step.attempt_timeout > Millis(0) ? std::min(step.attempt_timeout, left) : left;
--- a/src/core/step_executor.h
+++ b/src/core/step_executor.h
@@ -1,4 +1,4 @@
-// Executes the steps that the policy asks for.
+// Executes the steps that the policy requests.
 #pragma once
 
 #include <string>
@@ -15,7 +15,7 @@
 
 namespace lotusyard::core {
 
-// Steps for calls that have ended meanwhile are ignored.
+// Ignores steps for calls that have ended meanwhile.
 class StepExecutor {
  public:
   struct Parts {
--- a/src/core/steps.h
+++ b/src/core/steps.h
@@ -1,4 +1,4 @@
-// The steps that the policy asks for: its actions with the ids of this process.
+// The steps that the policy requests: its actions with the call ids of this process.
 #pragma once
 
 #include <cstdint>
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -1,4 +1,4 @@
-// All types that the core shares with the folders that use it.
+// Includes all types that the core shares with the code that uses it.
 #pragma once
 
 #include "core/attempt.h"
--- a/src/core/write_check.cpp
+++ b/src/core/write_check.cpp
@@ -5,8 +5,8 @@
 namespace lotusyard::core {
 namespace {
 
-// An attempt that begins 100 ms after its client has cancelled is a fault. Half of that is left for the time
-// between this check and the host.
+// An attempt must not begin 100 ms or more after its client has cancelled. Half of that is left for the time
+// between this check and the beginning at the host.
 constexpr Millis kMaxUnreadDuration{50};
 
 }  // namespace
--- a/src/core/write_check.h
+++ b/src/core/write_check.h
@@ -16,8 +16,8 @@
   deadline_passed
 };
 
-// `decided_at` is when it was decided to send the attempt; all that the client sent before then must have
-// been read.
+// `decided_at` is when the decision to send the attempt was made; all input that the client sent before then
+// must have been read.
 WriteCheck check_before_write(const OpenCall& open, Millis decided_at, Millis now);
 
 }  // namespace lotusyard::core
