--- a/src/endpoints/disabled_host_files.cpp
+++ b/src/endpoints/disabled_host_files.cpp
@@ -20,7 +20,7 @@
 constexpr mode_t kFolderMode = 0700;
 constexpr mode_t kFileMode = 0600;
 
-bool is_plain(char character) {
+bool needs_no_escape(char character) {
   const bool is_digit = character >= '0' && character <= '9';
   const bool is_lower = character >= 'a' && character <= 'z';
   const bool is_upper = character >= 'A' && character <= 'Z';
@@ -37,7 +37,7 @@
 std::string DisabledHostFiles::file_name(const std::string& host) {
   std::string name;
   for (const char character : host) {
-    if (is_plain(character))
+    if (needs_no_escape(character))
       name += character;
     else
       name += escape(character);
@@ -58,7 +58,7 @@
     host += static_cast<char>(std::stoi(digits, nullptr, 16));
     i += 2;
   }
-  // A name that file_name() would not produce was made by something else.
+  // A file whose name file_name() would not produce was not created by this class.
   if (host.empty() || file_name(host) != file)
     return std::nullopt;
   return host;
--- a/src/endpoints/disabled_host_files.h
+++ b/src/endpoints/disabled_host_files.h
@@ -1,4 +1,4 @@
-// Stores which hosts operators disabled, where a process and its replacement both find it.
+// Stores the hosts that operators have disabled in files, which a process and its replacement share.
 #pragma once
 
 #include <optional>
@@ -8,14 +8,14 @@
 
 namespace lotusyard::endpoints {
 
-// One empty file for each disabled host. Each change is one system call, so neither a crash nor another
-// process leaves or sees half of it.
+// There is one empty file for each disabled host. Each change is one system call, so a crash leaves no
+// partial change, and another process sees none.
 class DisabledHostFiles {
  public:
   // An empty folder name: there is no storage, and every call fails.
   explicit DisabledHostFiles(std::string folder) : folder_(std::move(folder)) {}
 
-  // Returns false if the change could not be stored. Storing it again is no error.
+  // Returns false if the change could not be stored. Repeating a change is no error.
   bool add(const std::string& host);
   bool remove(const std::string& host);
 
--- a/src/endpoints/endpoint_states.cpp
+++ b/src/endpoints/endpoint_states.cpp
@@ -14,16 +14,16 @@
   const bool is_excluded = suspended_ || is_disabled(id) || in_maintenance_.count(id) != 0;
   if (is_excluded && state.entry.state == HostState::ready)
     state.entry.state = HostState::draining;
-  // A host that was excluded may have restarted, and the list does not say so for seconds.
+  // A host that was excluded may have restarted; the list shows that only seconds later.
   state.entry.enabled_by_operator = host.enabled_at > state.entry.started;
   if (state.entry.enabled_by_operator)
     state.entry.started = host.enabled_at;
   return state;
 }
 
-// A host that has just started would be taken for a warm one if its clock is behind, and for one that warms
-// up until a time in the future if its clock is ahead. A start time that is not credible is replaced by the
-// time at which it was first seen.
+// If its clock is behind, a host that has just started would count as warm; if its clock is ahead, it would
+// count as warming up until a time in the future. A start time that is not credible is replaced by the time
+// at which it was first received.
 core::Millis EndpointStates::start_time(const Host* known, core::Millis listed_start,
                                         const ClockReading& clock) const {
   if (!read_clock_)
@@ -54,7 +54,7 @@
     listed.insert(host.entry.host);
     update.hosts.push_back(apply_host(host, clock));
     if (host.entry.state == HostState::gone)
-      forget_removed(host.entry.host);
+      add_removed(host.entry.host);
   }
   if (list.complete)
     remove_unlisted(listed);
@@ -84,11 +84,12 @@
     removed.push_back(id);
   }
   for (const auto& id : removed)
-    forget_removed(id);
+    add_removed(id);
 }
 
-// Bounds the table of hosts: the only place where it shrinks.
-void EndpointStates::forget_removed(const std::string& id) {
+// Records that the host was removed, and erases the hosts that were removed longest ago. This bounds the
+// table of hosts, which shrinks nowhere else.
+void EndpointStates::add_removed(const std::string& id) {
   removed_.push_back(id);
   while (removed_.size() > kMaxRemovedHosts) {
     const auto oldest = hosts_.find(removed_.front());
@@ -114,7 +115,7 @@
 
 void EndpointStates::enable(const std::string& host, core::Millis now) {
   if (disabled_.erase(host) == 0)
-    return;  // it may be warm
+    return;  // it has not been disabled, so it may be warm
   const auto found = hosts_.find(host);
   if (found == hosts_.end())
     return;
--- a/src/endpoints/endpoint_states.h
+++ b/src/endpoints/endpoint_states.h
@@ -13,8 +13,8 @@
 
 namespace lotusyard::endpoints {
 
-// All changes of hosts go through it; it notifies the host connections and the policy of what results. Does
-// no I/O and has no clock of its own.
+// All changes of hosts go through this class; its update handler receives the resulting states. Does no I/O;
+// the clock is passed in.
 class EndpointStates {
  public:
   // Called with the effective states of hosts that may have changed.
@@ -26,15 +26,15 @@
   };
   using ClockReader = std::function<ClockReading()>;
 
-  // Without a `read_clock`, the start times of hosts are taken as the list gives them.
+  // Without a `read_clock`, the start times of hosts are accepted as they are on the list.
   explicit EndpointStates(UpdateHandler on_update, ClockReader read_clock = nullptr)
       : update_handler_(std::move(on_update)), read_clock_(std::move(read_clock)) {}
 
-  // Takes an update of the endpoint list.
+  // Applies an update of the endpoint list.
   void apply_list(const core::HostListUpdate& list, core::ListKind kind);
 
-  // Whether the host is or was on the list, or is disabled. A host that has left the list is known for a
-  // while.
+  // Whether the host is or was on the list, or is disabled. Of the hosts that have left the list, the latest
+  // kMaxRemovedHosts are known.
   bool is_known(const std::string& host) const {
     return hosts_.count(host) != 0 || disabled_.count(host) != 0;
   }
@@ -45,7 +45,7 @@
   void disable(const std::string& host);
   // The host counts as just started at `now`. Does nothing if it is not disabled.
   void enable(const std::string& host, core::Millis now);
-  // Replaces the set of disabled hosts by that of another process.
+  // Replaces the set of disabled hosts by the one that all processes share.
   void set_disabled(const std::set<std::string>& hosts, core::Millis now);
 
   // Replaces the set of hosts that get no new calls because of maintenance. Hosts that leave the set and are
@@ -62,10 +62,10 @@
   std::map<std::string, core::ListedHost> listed_hosts() const;
 
  private:
-  // Hosts that are gone stay known, so that one that is away for a short time can still be disabled.
+  // Hosts that are gone stay known, so that one that leaves the list for a short time can still be disabled.
   static constexpr std::size_t kMaxRemovedHosts = 1024;
-  // A new host cannot have started so long before this process saw its first list: the start time is from a
-  // clock that differs.
+  // A new host cannot have started longer than this before this process received its first list; an earlier
+  // start time comes from a clock that differs.
   static constexpr core::Millis kMaxListDelay{600e3};
 
   struct Host {
@@ -89,7 +89,7 @@
   bool is_credible_start(const Host* known, core::Millis listed_start, const ClockReading& clock) const;
   void remove_unlisted(const std::set<std::string>& listed);
   void notify(const std::string& id);
-  void forget_removed(const std::string& id);
+  void add_removed(const std::string& id);
 };
 
 }  // namespace lotusyard::endpoints
