--- a/src/discovery/discovery.cpp
+++ b/src/discovery/discovery.cpp
@@ -8,22 +8,23 @@
 namespace lotusyard::discovery {
 namespace {
 
-// Short, because the platform takes an event as known 7 s after it was published, whether it arrived or not.
+// Short, because an invoker is expected to know an event 7 s after its publication, whether it arrived or
+// not.
 constexpr core::Millis kMinBackoff{50};
 constexpr core::Millis kMaxBackoff{500};
-// Time-outs of a connection double so often at most, with each one that was silent.
+// The time-outs double with each silent connection in a row, up to this many times.
 constexpr int kMaxTimeoutDoublings = 3;
 
 }  // namespace
 
 Discovery::Discovery(net::EventLoop& loop, net::BufferPool& pool, metrics::Counters& counters,
-                     std::string address, EventReader log, UpdateHandler on_update,
+                     std::string address, EventReader reader, UpdateHandler on_update,
                      ConfirmationHandler on_confirmed)
     : loop_(loop),
       pool_(pool),
       counters_(counters),
       address_(std::move(address)),
-      log_(log),
+      reader_(reader),
       on_update_(std::move(on_update)),
       on_confirmed_(std::move(on_confirmed)) {}
 
@@ -38,8 +39,8 @@
   connection_ = std::make_shared<DiscoveryConnection>(loop_, pool_, std::move(result.socket), owner);
 }
 
-// The old address sends no more events but stays open for a while and looks sound. The new one is connected
-// to at once, because its events count as known before long.
+// The old address sends no more events, but stays open for a while and appears healthy. The new one is
+// connected to at once, because its events are expected to be known soon.
 void Discovery::move(const std::string& address) {
   if (address == address_)
     return;
@@ -73,23 +74,24 @@
 
 void Discovery::on_connected() { counters_.add(metrics::kFeedConnections); }
 
-// A service that answers late would be asked anew before each of its answers.
-net::Millis Discovery::patient_timeout(net::Millis usual) const {
-  return usual * (1 << std::min(silent_connections_, kMaxTimeoutDoublings));
+// With a constant time-out, a service that answers late would be sent a new request before each of its
+// answers.
+net::Millis Discovery::extended_timeout(net::Millis base) const {
+  return base * (1 << std::min(silent_connections_, kMaxTimeoutDoublings));
 }
 
 bool Discovery::on_line(const std::string& line, net::Millis earliest_arrival) {
   core::HostListUpdate update;
-  const EventReader::Result read = log_.read_line(line, update);
-  if (read == EventReader::Result::gap || read == EventReader::Result::malformed)
+  const EventReader::Result result = reader_.read_line(line, update);
+  if (result == EventReader::Result::gap || result == EventReader::Result::malformed)
     return false;
   backoff_ = core::Millis(0);
   silent_connections_ = 0;
-  if (read == EventReader::Result::heartbeat) {
+  if (result == EventReader::Result::heartbeat) {
     counters_.add(metrics::kFeedConfirmations);
     on_confirmed_(earliest_arrival);
   }
-  if (read == EventReader::Result::list_update) {
+  if (result == EventReader::Result::list_update) {
     counters_.add(metrics::kFeedEvents);
     on_update_(update);
   }
--- a/src/discovery/discovery.h
+++ b/src/discovery/discovery.h
@@ -14,7 +14,7 @@
 
 namespace lotusyard::discovery {
 
-// Reconnects with backoff whenever a connection breaks, is silent or cannot be understood. Loop, pool and
+// Reconnects with backoff whenever a connection breaks, is silent or sends malformed data. Loop, pool and
 // counters must outlive it.
 class Discovery final : private DiscoveryConnection::Owner {
  public:
@@ -22,16 +22,16 @@
   // Called with a time before which everything that was published is known.
   using ConfirmationHandler = std::function<void(core::Millis)>;
 
-  // `log` knows the events up to the start.
+  // `reader` continues after the events that are known at the start.
   Discovery(
       net::EventLoop& loop, net::BufferPool& pool, metrics::Counters& counters, std::string address,
-      EventReader log, UpdateHandler on_update, ConfirmationHandler on_confirmed = [](core::Millis) {});
+      EventReader reader, UpdateHandler on_update, ConfirmationHandler on_confirmed = [](core::Millis) {});
   ~Discovery() override;
   Discovery(const Discovery&) = delete;
   Discovery& operator=(const Discovery&) = delete;
 
   void start() { connect(); }
-  std::uint64_t last_sequence() const override { return log_.last_sequence(); }
+  std::uint64_t last_sequence() const override { return reader_.last_sequence(); }
 
   // The stream continues at another address, with the same sequence numbers.
   void move(const std::string& address);
@@ -41,7 +41,7 @@
   net::BufferPool& pool_;
   metrics::Counters& counters_;
   std::string address_;
-  EventReader log_;
+  EventReader reader_;
   UpdateHandler on_update_;
   ConfirmationHandler on_confirmed_;
   std::shared_ptr<DiscoveryConnection> connection_;
@@ -51,7 +51,7 @@
 
   bool is_current(const DiscoveryConnection& connection) const override;
   void on_connected() override;
-  net::Millis patient_timeout(net::Millis usual) const override;
+  net::Millis extended_timeout(net::Millis base) const override;
   bool on_line(const std::string& line, net::Millis earliest_arrival) override;
   void on_stream_error() override;
   void on_silence() override;
--- a/src/discovery/discovery_connection.cpp
+++ b/src/discovery/discovery_connection.cpp
@@ -24,7 +24,7 @@
 
 void DiscoveryConnection::restart_silence_timer(net::Millis timeout) {
   loop().cancel(silence_timer_);
-  silence_timer_ = loop().schedule_at(loop().now() + owner_.patient_timeout(timeout), [this] {
+  silence_timer_ = loop().schedule_at(loop().now() + owner_.extended_timeout(timeout), [this] {
     owner_.on_silence();
     close_later();
   });
@@ -40,22 +40,23 @@
   if (!owner_.is_current(*this) || read_lines(bytes))
     return;
   owner_.on_stream_error();
-  close_later();  // the next connection subscribes from the last event that was understood
+  close_later();  // the next connection subscribes after the last event that was read
 }
 
-// Returns false if the stream cannot be understood.
+// Returns false if the stream is malformed.
 bool DiscoveryConnection::read_lines(std::string_view bytes) {
-  // A line may have waited while this process was stopped, and its sender may be gone since.
+  // A line may have waited while this process was stopped, and its sender may have disconnected since.
   const net::Millis earliest_arrival = arrivals_.earliest_arrival(loop());
   if (bytes.size() < net::BufferPool::kBlockSize)
     arrivals_.mark_all_read();
   std::vector<std::string> lines;
   const bool is_split = splitter_.parse(bytes, lines);
-  // Only a complete line counts: a stream that stops within an event, or trickles, is as good as silent.
+  // Only complete lines count: a stream that stops within an event, or sends single bytes, is treated as
+  // silent.
   if (!lines.empty())
     restart_silence_timer(kSilenceTimeout);
-  const auto is_understood = [&](const std::string& line) { return owner_.on_line(line, earliest_arrival); };
-  return std::all_of(lines.begin(), lines.end(), is_understood) && is_split;
+  const auto is_accepted = [&](const std::string& line) { return owner_.on_line(line, earliest_arrival); };
+  return std::all_of(lines.begin(), lines.end(), is_accepted) && is_split;
 }
 
 void DiscoveryConnection::on_closed() {
--- a/src/discovery/discovery_connection.h
+++ b/src/discovery/discovery_connection.h
@@ -13,10 +13,10 @@
 namespace lotusyard::discovery {
 
 // Subscribes to the events after the last known one, passes their lines on, and closes itself if the stream
-// is silent or cannot be understood.
+// is silent or malformed.
 class DiscoveryConnection final : public net::BufferedConnection {
  public:
-  // The subscriber, as its connections see it.
+  // The interface of the subscriber for its connections.
   class Owner {
    public:
     virtual ~Owner() = default;
@@ -24,8 +24,8 @@
     virtual bool is_current(const DiscoveryConnection& connection) const = 0;
     virtual std::uint64_t last_sequence() const = 0;
     virtual void on_connected() = 0;
-    // How long to wait where `usual` is the time that a sound service takes at most.
-    virtual net::Millis patient_timeout(net::Millis usual) const = 0;
+    // Returns the time-out to use where a healthy service responds within `base`.
+    virtual net::Millis extended_timeout(net::Millis base) const = 0;
     // The line has arrived at `earliest_arrival` or later. Returns false if it is malformed or does not
     // follow the previous one.
     virtual bool on_line(const std::string& line, net::Millis earliest_arrival) = 0;
--- a/src/discovery/event_reader.cpp
+++ b/src/discovery/event_reader.cpp
@@ -11,7 +11,7 @@
 using config::text;
 using core::HostState;
 
-// No new calls go to a host whose state is unknown.
+// A host whose phase is unknown gets no new calls.
 HostState read_state(const std::string& phase) {
   if (phase == "ready")
     return HostState::ready;
@@ -50,7 +50,7 @@
   if (!key(event, "seq").is_number_unsigned())
     return Result::malformed;
   const std::uint64_t sequence = config::large(key(event, "seq"));
-  // Without this, a heartbeat that names an event before it arrives would be taken for the event.
+  // A heartbeat may name an event before that event arrives; without this check it would count as the event.
   if (event.size() == 1)
     return read_heartbeat(sequence);
   if (sequence <= last_)
--- a/src/discovery/event_reader.h
+++ b/src/discovery/event_reader.h
@@ -18,10 +18,10 @@
     heartbeat,    // the number of the last event: no event is missing
     ignored,      // an event that was read before, an event of another kind, or an earlier number
     gap,          // events before this one are missing
-    malformed     // no event
+    malformed     // neither an event nor a heartbeat
   };
 
-  // `last`: the sequence number of the last event that is known already.
+  // `last`: the sequence number of the last event that is already known.
   explicit EventReader(std::uint64_t last = 0) : last_(last) {}
 
   // Reads a line of the stream: an event, or the number of the last event as a heartbeat, alone or as an
@@ -33,7 +33,7 @@
 
   std::uint64_t last_sequence() const { return last_; }
 
-  // Events up to this one are known from elsewhere.
+  // Events up to this one are known from another source.
   void skip_to(std::uint64_t sequence) { last_ = std::max(last_, sequence); }
 
  private:
--- a/src/discovery/line_splitter.h
+++ b/src/discovery/line_splitter.h
@@ -13,8 +13,8 @@
  public:
   static constexpr std::size_t kMaxLineBytes = 1U << 20;  // no event is longer
 
-  // Appends the lines that are complete now. Returns false once a line is too long; the stream cannot be read
-  // on after that.
+  // Appends the lines that are complete now. Returns false once a line is too long; the stream must not be
+  // parsed further after that.
   bool parse(std::string_view bytes, std::vector<std::string>& lines);
 
  private:
