--- a/src/xds/host_file.cpp
+++ b/src/xds/host_file.cpp
@@ -60,9 +60,9 @@
 }
 
 std::optional<HostListError> HostFile::read() {
-  const core::Millis began = loop_.now();
+  const core::Millis started_at = loop_.now();
   HostListResult result = parse();
-  is_sound_ = std::holds_alternative<core::HostListUpdate>(result);
+  is_last_read_valid_ = std::holds_alternative<core::HostListUpdate>(result);
   if (const auto* error = std::get_if<HostListError>(&result)) {
     counters_.add(metrics::kXdsRejected);
     return *error;
@@ -71,11 +71,11 @@
   auto& list = std::get<core::HostListUpdate>(result);
   set_start_times(list);
   on_update_(list);
-  on_confirmed_(began);
+  on_confirmed_(started_at);
   return std::nullopt;
 }
 
-// A host that is new on the list has no warm instances. Those on the first list may have started long ago.
+// A host that is new on the list has no warm instances. Hosts on the first list may have started long ago.
 void HostFile::set_start_times(core::HostListUpdate& list) {
   const core::Millis start_of_new_host = has_list_ ? loop_.now() : core::Millis(0);
   std::map<std::string, core::Millis> started;
@@ -94,17 +94,17 @@
 
 void HostFile::poll() {
   schedule_poll();
-  const core::Millis began = loop_.now();
+  const core::Millis started_at = loop_.now();
   const std::string version = file_version();
   if (version.empty())
-    return;  // it is just being replaced, or lost
+    return;  // the file is being replaced, or is missing
   if (version == version_) {
-    if (is_sound_)
-      on_confirmed_(began);
+    if (is_last_read_valid_)
+      on_confirmed_(started_at);
     return;
   }
   version_ = version;
-  read();  // an error is counted, and the old list stays
+  read();  // on an error, read() counts it and leaves the old list in use
 }
 
 }  // namespace lotusyard::xds
--- a/src/xds/host_file.h
+++ b/src/xds/host_file.h
@@ -13,13 +13,13 @@
 
 namespace lotusyard::xds {
 
-// Reads the file again whenever it changes. A host that is added after the first reading, or comes back,
+// Reads the file again whenever it changes. A host that is added after the first reading, or returns,
 // counts as just started. A file that cannot be read leaves the hosts as they are. Loop and counters must
 // outlive it.
 class HostFile {
  public:
   using UpdateHandler = std::function<void(const core::HostListUpdate&)>;
-  // Called with a time before which every change of the file is known.
+  // Called with a time; all changes of the file before it are known.
   using ConfirmationHandler = std::function<void(core::Millis)>;
 
   HostFile(
@@ -31,10 +31,10 @@
   HostFile& operator=(const HostFile&) = delete;
 
   // Reads the file and starts to watch it. Returns false and sets `error` if it cannot be read; it is watched
-  // all the same.
+  // even then.
   bool start(std::string& error);
 
-  // The list is in another file or another cluster from now on. Returns false, sets `error` and changes
+  // Changes the file and the cluster from which the list is read. Returns false, sets `error` and changes
   // nothing if it cannot be read.
   bool move(const std::string& path, const std::string& cluster, std::string& error);
 
@@ -49,7 +49,7 @@
   net::EventLoop::TimerId poll_timer_{};
   std::string version_;  // of the file that was read last
   bool has_list_ = false;
-  bool is_sound_ = false;                        // the last reading succeeded
+  bool is_last_read_valid_ = false;
   std::map<std::string, core::Millis> started_;  // by host, of the hosts on the last list
 
   std::string file_version() const;
--- a/src/xds/host_list_parser.cpp
+++ b/src/xds/host_list_parser.cpp
@@ -37,18 +37,18 @@
          type.compare(type.size() - kAssignmentType.size(), kAssignmentType.size(), kAssignmentType) == 0;
 }
 
-// Hosts that the list does not call able, UNHEALTHY and TIMEOUT included, get no new calls.
+// Only hosts that are unknown, healthy or degraded get new calls; those in UNHEALTHY or TIMEOUT do not.
 HostState read_state(const json& endpoint) {
   const json& health = field(endpoint, "health_status", "healthStatus");
-  bool is_able = false;
+  bool takes_calls = false;
   if (health.is_number()) {
     const int code = config::whole(health);
-    is_able = code == unknown || code == healthy || code == degraded;
+    takes_calls = code == unknown || code == healthy || code == degraded;
   } else {
     const std::string name = text(health);
-    is_able = name.empty() || name == "UNKNOWN" || name == "HEALTHY" || name == "DEGRADED";
+    takes_calls = name.empty() || name == "UNKNOWN" || name == "HEALTHY" || name == "DEGRADED";
   }
-  return is_able ? HostState::ready : HostState::draining;
+  return takes_calls ? HostState::ready : HostState::draining;
 }
 
 // Empty if the endpoint has no numeric address with a port.
@@ -61,7 +61,7 @@
   return port > 0 && net::valid_address(address) ? address : std::string();
 }
 
-// The resources of a file, which may hold a list of them or one.
+// The resources of a file, which may hold a list of them or a single one.
 std::vector<const json*> resources_of(const json& file) {
   const json& listed = key(file, "resources");
   const json& resources = listed.is_array() ? listed : file;
@@ -73,14 +73,14 @@
   return all;
 }
 
-// Where the endpoints of a cluster are.
+// Where the endpoints of a cluster are listed.
 struct ClusterSource {
   const json* inline_assignment = nullptr;
-  std::string service_name;  // of the ClusterLoadAssignment, if there is none inline
+  std::string service_name;  // of the ClusterLoadAssignment to use if there is none inline
 };
 
-// The last of several Cluster resources with the same name counts. Without one, the cluster's name is the
-// service's.
+// The last of several Cluster resources with the same name is used. Without one, the service has the name of
+// the cluster.
 ClusterSource find_cluster(const std::vector<const json*>& resources, const std::string& cluster) {
   ClusterSource source{nullptr, cluster};
   for (const json* resource : resources) {
@@ -97,7 +97,7 @@
   return source;
 }
 
-// Null if there is none. The last of several counts.
+// Null if there is none. The last of several is used.
 const json* find_assignment(const json& file, const std::string& cluster) {
   const auto resources = resources_of(file);
   const ClusterSource source = find_cluster(resources, cluster);
@@ -141,8 +141,9 @@
     for (const auto& endpoint : field(locality, "lb_endpoints", "lbEndpoints")) {
       auto host = read_host(endpoint, zone);
       if (!host || !addresses.insert(host->address).second) {
-        return HostListError{"an endpoint without a numeric address and port of its own: " +
-                             endpoint.dump().substr(0, kMaxPrintedEndpointBytes)};
+        return HostListError{
+            "endpoint without a numeric address and port, or with those of another endpoint: " +
+            endpoint.dump().substr(0, kMaxPrintedEndpointBytes)};
       }
       list.hosts.push_back(std::move(*host));
     }
--- a/src/xds/host_list_parser.h
+++ b/src/xds/host_list_parser.h
@@ -16,8 +16,8 @@
 
 using HostListResult = std::variant<core::HostListUpdate, HostListError>;
 
-// Returns the endpoints of one cluster as a complete list. A file with one faulty endpoint is rejected as a
-// whole: the hosts that are missing in half a list would count as removed.
+// Returns the endpoints of one cluster as a complete list. A file with one faulty endpoint is rejected
+// entirely: the hosts that are missing in a partial list would count as removed.
 HostListResult parse_host_list(const nlohmann::json& file, const std::string& cluster);
 
 }  // namespace lotusyard::xds
--- a/tests/xds/host_file_test.cpp
+++ b/tests/xds/host_file_test.cpp
@@ -71,9 +71,9 @@
 
 TEST_CASE("an xDS list with a faulty endpoint is rejected as a whole") {
   const json without_port = assignment(json::array({endpoint(1, "HEALTHY"), endpoint(0, "HEALTHY")}));
-  CHECK_THAT(rejected(without_port, "bins"), Catch::StartsWith("an endpoint without a numeric address"));
+  CHECK_THAT(rejected(without_port, "bins"), Catch::StartsWith("endpoint without a numeric address"));
   const json repeated = assignment(json::array({endpoint(1, "HEALTHY"), endpoint(1, "HEALTHY")}));
-  CHECK_THAT(rejected(repeated, "bins"), Catch::StartsWith("an endpoint without a numeric address"));
+  CHECK_THAT(rejected(repeated, "bins"), Catch::StartsWith("endpoint without a numeric address"));
 }
 
 TEST_CASE("an xDS file is read again when it changes; a host that was added has just started") {
