--- a/tests/core/attempt_guard_test.cpp
+++ b/tests/core/attempt_guard_test.cpp
@@ -1,4 +1,4 @@
-// The guard's rules, one by one.
+// Each rule of AttemptGuard.
 #include "core/attempt_guard.h"
 
 #include <catch2/catch.hpp>
@@ -14,7 +14,7 @@
   void answer(core::CallId, core::Answer&&) override {}
 };
 
-// A call that was admitted and has no attempts, with the hosts a1 and a2 in zone a, and b1 in zone b.
+// An admitted call without attempts, the hosts a1 and a2 in zone a, and the host b1 in zone b.
 struct GuardFixture {
   explicit GuardFixture(const std::string& class_name, const core::Settings& settings = guard_settings())
       : open(1, make_call(class_name), front_end, std::make_shared<const core::Settings>(settings)) {
@@ -66,60 +66,60 @@
 };
 
 TEST_CASE("a hedged request is allowed at another host only, and a third attempt in flight not at all") {
-  GuardFixture call("bin-check");
-  CHECK(call.allows("a1"));
-  call.send("a1");
-  CHECK_FALSE(call.allows("a1"));
-  CHECK(call.allows("a2"));
-  call.send("a2");
-  CHECK_FALSE(call.allows("b1"));
+  GuardFixture fixture("bin-check");
+  CHECK(fixture.allows("a1"));
+  fixture.send("a1");
+  CHECK_FALSE(fixture.allows("a1"));
+  CHECK(fixture.allows("a2"));
+  fixture.send("a2");
+  CHECK_FALSE(fixture.allows("b1"));
 }
 
 TEST_CASE("no second attempt is in flight if the settings do not allow hedged requests") {
   core::Settings no_hedging = GuardFixture::guard_settings();
   no_hedging.retries.hedged_requests = false;
-  GuardFixture call("bin-check", no_hedging);
-  call.send("a1");
-  CHECK_FALSE(call.allows("a2"));
+  GuardFixture fixture("bin-check", no_hedging);
+  fixture.send("a1");
+  CHECK_FALSE(fixture.allows("a2"));
 }
 
 TEST_CASE("attempts are limited in number, also those that never ran") {
-  GuardFixture call("bin-check");
+  GuardFixture fixture("bin-check");
   for (int sent = 0; sent < 3; ++sent) {
-    CHECK(call.allows("a1"));
-    call.send_and_end("a1", core::Outcome::never_ran);
+    CHECK(fixture.allows("a1"));
+    fixture.send_and_end("a1", core::Outcome::never_ran);
   }
-  CHECK_FALSE(call.allows("a1"));
+  CHECK_FALSE(fixture.allows("a1"));
 }
 
 TEST_CASE("an attempt with less than a millisecond left is not allowed") {
-  const GuardFixture call("bin-check");
-  CHECK(call.allows("a1", Millis(1)));
-  CHECK_FALSE(call.allows("a1", Millis(0.9)));
+  const GuardFixture fixture("bin-check");
+  CHECK(fixture.allows("a1", Millis(1)));
+  CHECK_FALSE(fixture.allows("a1", Millis(0.9)));
 }
 
 TEST_CASE("a non-idempotent call is retried only after attempts that never ran") {
-  GuardFixture call("bin-record");
-  call.send_and_end("a1", core::Outcome::connect_failed);
-  CHECK(call.allows("a2"));
+  GuardFixture fixture("bin-record");
+  fixture.send_and_end("a1", core::Outcome::connect_failed);
+  CHECK(fixture.allows("a2"));
   SECTION("none is sent beside another one") {
-    call.send("a2");
-    CHECK_FALSE(call.allows("b1"));
+    fixture.send("a2");
+    CHECK_FALSE(fixture.allows("b1"));
   }
   SECTION("none is sent after one that may have run") {
-    call.send_and_end("a2", core::Outcome::reset);
-    CHECK_FALSE(call.allows("b1"));
+    fixture.send_and_end("a2", core::Outcome::reset);
+    CHECK_FALSE(fixture.allows("b1"));
   }
 }
 
 TEST_CASE("a call with a key is retried only at listed hosts that recognise the key, and within its window") {
-  GuardFixture call("booking");
-  CHECK_FALSE(call.allows("unlisted"));
-  call.send_and_end("a1", core::Outcome::reset);
-  CHECK(call.allows("a2"));
-  CHECK_FALSE(call.allows("b1"));
-  call.now += Millis(5000);
-  CHECK_FALSE(call.allows("a2"));
+  GuardFixture fixture("booking");
+  CHECK_FALSE(fixture.allows("unlisted"));
+  fixture.send_and_end("a1", core::Outcome::reset);
+  CHECK(fixture.allows("a2"));
+  CHECK_FALSE(fixture.allows("b1"));
+  fixture.now += Millis(5000);
+  CHECK_FALSE(fixture.allows("a2"));
 }
 
 }  // namespace
--- a/tests/core/check_before_write_test.cpp
+++ b/tests/core/check_before_write_test.cpp
@@ -1,6 +1,6 @@
 // An attempt whose client has disconnected or cancelled by the time it would be written is not written. The
-// order of events is forced: by what is in sockets before an iteration of the event loop, and by the numbers
-// of descriptors, in whose order the loop handles them.
+// tests force the order of events by what is in sockets before an iteration of the event loop, and by the
+// numbers of descriptors, in whose order the loop handles them.
 #include <sys/socket.h>
 #include <unistd.h>
 
@@ -12,9 +12,9 @@
 namespace lotusyard::test {
 namespace {
 
-constexpr int kCalls = 12;  // with long bodies: more than one iteration reads
+constexpr int kCalls = 12;  // with long bodies, these are more than one iteration reads
 constexpr std::size_t kLongBodyBytes = 16000;
-constexpr int kIterations = 20;  // enough for all that can follow
+constexpr int kIterations = 20;  // enough for all consequences
 
 // A call of the class bin-check, or another one.
 std::string call_command(int tag, const std::string& call_class = "bin-check",
@@ -46,7 +46,7 @@
   client.socket.close();
 }
 
-// Found in review: a call that was read was sent in the same iteration, though its client had disconnected by
+// Guards against sending a call in the iteration that has read it although its client has disconnected by
 // then.
 TEST_CASE("a call whose client has disconnected before the write is not sent to a host") {
   Platform platform(1);
@@ -60,7 +60,7 @@
     client.say(call_command(1));
     turn_with(platform.world, [&] { close_with_reset(client); });
   }
-  SECTION("half closed: it cannot be told apart from one that has closed") {
+  SECTION("half closed: it cannot be distinguished from one that has closed") {
     client.say(call_command(1));
     shutdown(client.socket.fd(), SHUT_WR);
   }
@@ -84,14 +84,14 @@
   CHECK(platform.world.dispatcher.open_calls() == 0);
 }
 
-// Found in review: a connection that was established in the iteration in which the client disconnected was
-// sent the call, and its cancellation after it.
+// Guards against sending the call, and its cancellation after it, on a host connection that is established in
+// the iteration in which the client disconnects.
 TEST_CASE(
     "a host connection established in the iteration in which the client disconnects is not sent the call") {
   Platform platform(1);
   net::Socket reserved(dup(STDIN_FILENO));
   RawClient client(platform);
-  reserved.close();  // its number goes to the connection to the host, which is handled before the client
+  reserved.close();  // the connection to the host reuses its number, and is handled before the client
   client.say(call_command(1, GENERATE("bin-check", "bin-record")));
   platform.world.turn();
   REQUIRE(platform.world.counters.value("hosts.links_opened") == 1);
--- a/tests/core/client_disconnected_test.cpp
+++ b/tests/core/client_disconnected_test.cpp
@@ -1,6 +1,6 @@
-// No attempt is sent for a client that has cancelled or closed its connection, no matter how many bytes come
-// before the CANCEL and how long the iterations of the event loop take. The order of events is forced by what
-// is in sockets before an iteration.
+// No attempt is sent for a client that has cancelled or closed its connection, no matter how many bytes
+// precede the CANCEL and how long the iterations of the event loop take. The tests force the order of events
+// by what is in sockets before an iteration.
 #include "support/raw_client.h"
 
 namespace lotusyard::test {
@@ -9,7 +9,7 @@
 using Kind = Reaction::Kind;
 
 constexpr std::size_t kLongBodyBytes = 16000;
-constexpr int kCalls = 28;  // with such bodies: more than three iterations read
+constexpr int kCalls = 28;  // with such bodies, these are more than three iterations read
 
 std::string long_call_commands(int first, int count) {
   std::string out;
@@ -24,8 +24,8 @@
   return out;
 }
 
-// Found in review: a call that was checked once, with input of its client unread, was sent in the second
-// iteration, though the CANCEL was behind what two iterations read.
+// Guards against a call that is sent in the second iteration, because unread input of its client defers it
+// only once, although the CANCEL is behind the bytes that two iterations read.
 TEST_CASE("a CANCEL behind more bytes than two iterations read is handled before a first attempt is sent") {
   Platform platform(1);
   const auto first_client = connect_host(platform);
@@ -47,8 +47,8 @@
   REQUIRE(platform.world.run_until([&] { return attempts() == 1; }, 1000));
   const auto& host = platform.world.host[0]->execs == 1 ? platform.world.host[0] : platform.world.host[1];
   const auto peer = host->server.peers.front();
-  // Between the reads and the writes of an iteration: the next one reads the host's answer and a part of the
-  // client's input.
+  // This happens between the reads and the writes of an iteration: the next one reads the host's answer and
+  // only a part of the client's input.
   turn_with(platform.world, [&] {
     client.say(long_call_commands(2, kCalls) + cancel_commands(1, kCalls + 1));
     peer->write(net::hex16(1) + " full - 0\r\n\r\n");
@@ -60,7 +60,7 @@
   CHECK(platform.world.dispatcher.open_calls() == 0);
 }
 
-// Found in review: after a repeated tag no input of the client was handled, not even a CANCEL.
+// Guards against ignoring all further input of a client, even a CANCEL, after a repeated or missing tag.
 TEST_CASE("a CANCEL behind a wrong tag is handled while the connection to the host is being established") {
   Platform platform(1);
   RawClient client(platform);
@@ -78,8 +78,8 @@
   CHECK(platform.world.dispatcher.open_calls() == 0);
 }
 
-// All input of a client is read before its attempt is sent, not only a part in each iteration; otherwise such
-// a client would never be served.
+// All input of a client is read before its attempt is sent. If each iteration read only a part of it, such a
+// client would never be served.
 TEST_CASE("a client that sends more input in each iteration is served") {
   Platform platform(1);
   const auto first_client = connect_host(platform);
--- a/tests/core/client_unread_request_test.cpp
+++ b/tests/core/client_unread_request_test.cpp
@@ -1,5 +1,5 @@
-// Clients whose requests are sound are answered, though their connection is about to end: to admit another
-// client, or because of malformed input behind the requests.
+// Valid requests of a client are answered although its connection is about to be closed: to admit another
+// client, or because of malformed input after the requests.
 #include <unistd.h>
 
 #include <string>
@@ -17,7 +17,7 @@
   return {bytes, static_cast<std::size_t>(length)};
 }
 
-// Found in review: the client that had been idle longest was evicted with its request unread.
+// Guards against evicting the client that has been idle longest while its request is unread.
 TEST_CASE("a client with an unread request is not evicted for a new client, which is rejected as BUSY") {
   resp::FrontEnd::Limits one_client;
   one_client.clients = 1;
@@ -39,16 +39,16 @@
 }
 
 core::Settings settings_with_long_deadlines() {
-  core::Settings patient = settings();
-  for (auto& call_class : patient.classes)
+  core::Settings long_deadlines = settings();
+  for (auto& call_class : long_deadlines.classes)
     call_class.latency_objective = call_class.deadline = Millis(5000);
-  return patient;
+  return long_deadlines;
 }
 
 struct MalformedInput {
   void (*send)(Client& client);
   const char* counter;
-  bool later_calls_readable;  // nothing behind malformed bytes can be read; behind a wrong tag calls can
+  bool later_calls_readable;  // after malformed bytes nothing can be read; after a wrong tag calls can
 };
 
 const MalformedInput kMalformedInputs[] = {
@@ -60,9 +60,10 @@
      },
      "resp.no_tag", true}};
 
-// Found in review: malformed input behind a sound request ended the connection, and the request with it.
+// Guards against closing the connection, and losing the request, because of malformed input after a valid
+// request.
 TEST_CASE(
-    "a sound call before malformed input, half a request or a wrong tag is answered, then the connection "
+    "a valid call before malformed input, half a request or a wrong tag is answered, then the connection "
     "ends") {
   Platform platform(1, {}, InvokerFixture::limits(), settings_with_long_deadlines());
   StandInHost& host = *platform.world.host[0];
--- a/tests/core/dispatcher_admission_test.cpp
+++ b/tests/core/dispatcher_admission_test.cpp
@@ -46,8 +46,8 @@
   CHECK(fixture.counters.value("calls.bad_figures") == 7);
 }
 
-// Found in review: a ref expired only when another call ended, so that a repeat after the retention was
-// admitted or not depending on other calls.
+// Guards against refs that expire only when another call ends: whether a repeat after the retention was
+// admitted then depended on other calls.
 TEST_CASE(
     "a ref is in use until the end of its retention and free afterwards, whether or not other calls end") {
   DispatcherFixture fixture(1);
--- a/tests/core/dispatcher_fixture.h
+++ b/tests/core/dispatcher_fixture.h
@@ -1,5 +1,5 @@
-// A dispatcher with a front end and a transport that record what they are asked for, under a clock that the
-// test sets.
+// A dispatcher with a front end and a transport that record the requests to them, and a clock that the test
+// sets.
 #pragma once
 
 #include <algorithm>
@@ -20,7 +20,7 @@
   void answer(core::CallId call, core::Answer&& answer) override {
     answers_[call].push_back(std::move(answer));
   }
-  // All answers that the call got.
+  // All answers to the call.
   const std::vector<core::Answer>& answers(core::CallId call) const {
     static const std::vector<core::Answer> kNone;
     const auto found = answers_.find(call);
@@ -47,7 +47,7 @@
   int copies = 0;
 };
 
-// Checks at each attempt that the settings allow it. Ends nothing by itself.
+// Checks that the settings allow each attempt. Does not end attempts by itself.
 class RecordingTransport final : public core::HostTransport {
  public:
   RecordingTransport(const RecordingFrontEnd& front_end, const Millis& now, const core::Settings& settings)
@@ -160,7 +160,7 @@
         end_attempt(attempt, outcome);
     }
   }
-  // Lets the time pass, with a tick at each deadline.
+  // Advances the clock, with a tick at each deadline.
   void advance(Millis duration) {
     const Millis until = now + duration;
     while (dispatcher.next_deadline() <= until) {
--- a/tests/core/dispatcher_random_test.cpp
+++ b/tests/core/dispatcher_random_test.cpp
@@ -1,4 +1,4 @@
-// Random calls, outcomes and disconnects. The rules must hold for all of them.
+// The rules hold for random calls, outcomes and disconnects.
 #include <catch2/catch.hpp>
 #include <iterator>
 #include <map>
@@ -49,11 +49,11 @@
   bool one_in(std::size_t count) { return below(random_, count) == 0; }
 
   void admit_call(const std::string& ref) {
-    const bool record = one_in(2);
+    const bool non_idempotent = one_in(2);
     const Millis timeout(50.0 + static_cast<double>(below(random_, 900)));
-    const auto id = fixture_.admit_call(record ? "bin-record" : "bin-check", ref, timeout);
+    const auto id = fixture_.admit_call(non_idempotent ? "bin-record" : "bin-check", ref, timeout);
     calls_[id].expires_at = fixture_.now + timeout;
-    calls_[id].non_idempotent = record;
+    calls_[id].non_idempotent = non_idempotent;
   }
 
   void end_loads() {
@@ -73,7 +73,7 @@
         continue;
       const auto outcome = static_cast<core::Outcome>(below(random_, 9));
       if (outcome == core::Outcome::timeout || outcome == core::Outcome::cancelled)
-        continue;  // the dispatcher itself decides on these
+        continue;  // only the dispatcher itself produces these
       if (!policy::proves_never_ran(outcome))
         ++calls_.at(attempt.call).runs;
       fixture_.end_attempt(attempt, outcome, recorded.body);
--- a/tests/core/dispatcher_test.cpp
+++ b/tests/core/dispatcher_test.cpp
@@ -1,4 +1,4 @@
-// The life of a call in the core: deadlines, changes of the settings, calls that are aborted.
+// The life cycle of calls in the core: deadlines, changes of the settings, aborted calls.
 #include "core/dispatcher.h"
 
 #include <algorithm>
@@ -21,7 +21,7 @@
   CHECK(fixture.front_end.answers(id)[0].status == core::CallStatus::rejected);
 }
 
-// The class bin-check may not be repeated any more, bin-record is gone, and bin-weigh is new.
+// The class bin-check is no longer idempotent, bin-record is removed, and bin-weigh is new.
 core::Settings changed_settings() {
   core::Settings changed = settings();
   changed.retries.max_attempts = 1;
@@ -55,7 +55,7 @@
   core::Settings one_class = settings();
   one_class.classes.resize(1);
   DispatcherFixture fixture(1, one_class);
-  std::vector<core::CallId> ids;  // more than one host takes at once, so that some wait
+  std::vector<core::CallId> ids;  // more than one host serves at once, so that some wait
   for (int i = 0; i < 40; ++i)
     ids.push_back(fixture.admit_call("bin-check", "00000000000000" + std::to_string(10 + i)));
   std::set<core::CallId> sent;
--- a/tests/core/host_changed_before_write_test.cpp
+++ b/tests/core/host_changed_before_write_test.cpp
@@ -1,5 +1,5 @@
-// A host that is removed, drains or closes its connection before an attempt is written is not sent it. The
-// order of events is forced by what happens between the reads and the writes of an iteration of the event
+// A host that is removed, drains or closes its connection before an attempt is written does not receive it.
+// The tests force the order of events by acting between the reads and the writes of an iteration of the event
 // loop.
 #include <string>
 
@@ -25,8 +25,8 @@
   peer->flush();
 }
 
-// Found in review: what was decided for a host earlier in the iteration was sent, also if the host changed
-// after it.
+// Guards against sending what was decided for a host earlier in the iteration although the host has changed
+// since.
 TEST_CASE("a host that drains or is removed after the decision is sent neither the call nor the load order") {
   Platform platform(1);
   Client first_client(platform.world, platform.front.address());
@@ -50,8 +50,8 @@
   CHECK(platform.world.counters.value("hosts.withdrawn") == 2);
 }
 
-// Found in review: the call was written to a connection that its host had closed, and counted as one that may
-// have run.
+// Guards against writing a call to a connection that its host has closed: the call would count as one that
+// may have run.
 TEST_CASE(
     "a call is not written to a connection that its host has closed; an answer before the close counts") {
   Platform platform(1);
@@ -78,8 +78,8 @@
   CHECK(host.runs["second"] == 1);
 }
 
-// Found in review: a write that found the connection broken ended it with the answers unread.
-TEST_CASE("answers that came before a connection broke are read, also if a write finds it broken") {
+// Guards against ending a connection on a failed write while answers that it has received are unread.
+TEST_CASE("answers that arrived before a connection broke are read, also if a write finds it broken") {
   Platform platform(1);
   StandInHost& host = *platform.world.host[0];
   host.handler = [](const std::string&) { return Reaction{Kind::silence, ""}; };
--- a/tests/core/idempotency_keys_random_test.cpp
+++ b/tests/core/idempotency_keys_random_test.cpp
@@ -1,5 +1,5 @@
-// Random calls with and without idempotency keys, with hedged requests, changes of the endpoint list, random
-// outcomes and disconnects. The rules must hold for all of them.
+// The rules hold for random calls with and without idempotency keys, hedged requests, changes of the endpoint
+// list, random outcomes and disconnects.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <map>
@@ -98,7 +98,7 @@
     return list;
   }
 
-  // A key always comes with the same function.
+  // A key is always used with the same function.
   core::Call random_call(const std::string& ref) {
     core::Call call;
     call.ref = ref;
@@ -141,7 +141,7 @@
         continue;
       const auto outcome = static_cast<core::Outcome>(below(random_, 9));
       if (outcome == core::Outcome::timeout || outcome == core::Outcome::cancelled)
-        continue;  // the dispatcher itself decides on these
+        continue;  // only the dispatcher itself produces these
       if (policy::proves_never_ran(outcome))
         never_ran_.insert(attempt);
       fixture_.end_attempt(attempt, outcome);
--- a/tests/core/idempotency_keys_test.cpp
+++ b/tests/core/idempotency_keys_test.cpp
@@ -1,4 +1,4 @@
-// Idempotency keys: which attempts may be sent again, where and until when.
+// Which calls with an idempotency key may be sent again, where, and until when.
 #include "core/idempotency_keys.h"
 
 #include <catch2/catch.hpp>
@@ -26,12 +26,12 @@
 core::KeyRule rule(KeyScope scope = KeyScope::all) { return {scope, Millis(5000), Millis(1500)}; }
 
 TEST_CASE("a key is valid if it can be passed on in a host's line unchanged") {
-  for (const char* good : {"5c0f6e1a2b3d4c59a8b7c6d5e4f30211", "a", "~!#:;/"})
-    CHECK(IdempotencyKeys::is_valid(good));
-  for (const std::string& bad :
+  for (const char* valid : {"5c0f6e1a2b3d4c59a8b7c6d5e4f30211", "a", "~!#:;/"})
+    CHECK(IdempotencyKeys::is_valid(valid));
+  for (const std::string& invalid :
        {std::string(), std::string("a b"), std::string("a,b"), std::string("a=b"), std::string("a\r\n"),
         std::string("a\0", 2), std::string("\xC3\xA9"), std::string(129, 'a')}) {
-    CHECK_FALSE(IdempotencyKeys::is_valid(bad));
+    CHECK_FALSE(IdempotencyKeys::is_valid(invalid));
   }
 }
 
--- a/tests/discovery/discovery_test.cpp
+++ b/tests/discovery/discovery_test.cpp
@@ -1,4 +1,4 @@
-// The discovery stream over connections that break.
+// The discovery stream over connections that break, move, fall silent or send heartbeats.
 #include "discovery/discovery.h"
 
 #include <catch2/catch.hpp>
@@ -80,12 +80,12 @@
   net::EventLoop loop;
   net::BufferPool pool(64);
   metrics::Counters counters;
-  DiscoveryServer old(loop, pool), next(loop, pool);
-  old.events = 3;
-  old.stays_open = true;
+  DiscoveryServer old_server(loop, pool), new_server(loop, pool);
+  old_server.events = 3;
+  old_server.stays_open = true;
   std::vector<std::string> received;
   discovery::Discovery discovery(
-      loop, pool, counters, old.listener.address(), discovery::EventReader(3),
+      loop, pool, counters, old_server.listener.address(), discovery::EventReader(3),
       [&](const core::HostListUpdate& list) { received.push_back(list.hosts.at(0).entry.host); });
   const auto run_until = [&](const auto& until) {
     for (int i = 0; i < 5000 && !until(); ++i)
@@ -93,13 +93,13 @@
     return until();
   };
   discovery.start();
-  REQUIRE(run_until([&] { return old.requests.size() == 1; }));
-  discovery.move(next.listener.address());
+  REQUIRE(run_until([&] { return old_server.requests.size() == 1; }));
+  discovery.move(new_server.listener.address());
   REQUIRE(run_until([&] { return received.size() == 17; }));
   CHECK(received.front() == "s4");
-  CHECK(next.requests.front() == 3);
-  CHECK(run_until([&] { return old.listener.peers.empty(); }));
-  CHECK(old.requests.size() == 1);
+  CHECK(new_server.requests.front() == 3);
+  CHECK(run_until([&] { return old_server.listener.peers.empty(); }));
+  CHECK(old_server.requests.size() == 1);
   CHECK(counters.value("feed.moves") == 1);
 }
 
@@ -114,12 +114,12 @@
   discovery::Discovery discovery(loop, pool, counters, server.listener.address(), discovery::EventReader(0),
                                  [&](const core::HostListUpdate&) { ++updates; });
   discovery.start();
-  Millis next = loop.now();
+  Millis next_write = loop.now();
   for (int i = 0; i < 5000 && server.requests.size() < 2; ++i) {
     loop.run_once(loop.now() + Millis(20), [] {});
-    if (loop.now() < next)
+    if (loop.now() < next_write)
       continue;
-    next = loop.now() + Millis(20);
+    next_write = loop.now() + Millis(20);
     for (const auto& peer : server.listener.peers)
       peer->write("x");  // bytes arrive, but no line ends
   }
@@ -127,7 +127,7 @@
   CHECK(server.requests.back() == updates);
 }
 
-// Answers each subscription with one line, and after that as the test tells it.
+// Answers each subscription with `line` after `delay`.
 struct HeartbeatServer {
   class Peer final : public net::BufferedConnection {
    public:
@@ -154,7 +154,7 @@
   int subscriptions = 0;
 };
 
-struct ConfirmedDiscovery {
+struct DiscoveryFixture {
   net::EventLoop loop;
   net::BufferPool pool{64};
   metrics::Counters counters;
@@ -176,11 +176,11 @@
 
 TEST_CASE("a heartbeat with the last number confirms the list, in both of its forms; no other line does") {
   const auto confirmations = [](const std::string& line) {
-    ConfirmedDiscovery rig;
-    rig.server.line = line;
-    rig.discovery.start();
-    rig.run_for(Millis(100));
-    return rig.confirmed.size();
+    DiscoveryFixture fixture;
+    fixture.server.line = line;
+    fixture.discovery.start();
+    fixture.run_for(Millis(100));
+    return fixture.confirmed.size();
   };
   CHECK(confirmations("40\n") == 1);
   CHECK(confirmations("{\"seq\":40}\n") == 1);
@@ -191,28 +191,29 @@
   CHECK(confirmations("40") == 0);
 }
 
-TEST_CASE("a heartbeat that has waited confirms no more than what was published when it may have arrived") {
-  ConfirmedDiscovery rig;
-  rig.server.line = "40\n";
-  rig.discovery.start();
-  while (rig.server.subscriptions == 0)
-    rig.run_for(Millis(5));
-  const Millis before = rig.loop.now();
+TEST_CASE("a heartbeat that has waited confirms only what was published before it may have arrived") {
+  DiscoveryFixture fixture;
+  fixture.server.line = "40\n";
+  fixture.discovery.start();
+  while (fixture.server.subscriptions == 0)
+    fixture.run_for(Millis(5));
+  const Millis before = fixture.loop.now();
   // The iteration that reads it comes late, as after SIGSTOP.
-  rig.loop.run_once(rig.loop.now(), [] { std::this_thread::sleep_for(std::chrono::milliseconds(300)); });
-  rig.run_for(Millis(50));
-  REQUIRE(rig.confirmed.size() == 1);
-  CHECK(rig.confirmed[0] < before + Millis(150));
+  fixture.loop.run_once(fixture.loop.now(),
+                        [] { std::this_thread::sleep_for(std::chrono::milliseconds(300)); });
+  fixture.run_for(Millis(50));
+  REQUIRE(fixture.confirmed.size() == 1);
+  CHECK(fixture.confirmed[0] < before + Millis(150));
 }
 
-// Regression: a subscription was given up after 1.6 s, and the next one, for ever.
-TEST_CASE("a service that answers late is waited for in the end") {
-  ConfirmedDiscovery rig;
-  rig.server.line = "40\n";
-  rig.server.delay = Millis(2500);
-  rig.discovery.start();
-  rig.run_for(Millis(6500));
-  CHECK(rig.confirmed.size() >= 1);
+// Guards against a constant time-out of 1.6 s, with which every subscription to such a service was given up.
+TEST_CASE("time-outs grow until a service that always answers late is waited for") {
+  DiscoveryFixture fixture;
+  fixture.server.line = "40\n";
+  fixture.server.delay = Millis(2500);
+  fixture.discovery.start();
+  fixture.run_for(Millis(6500));
+  CHECK(fixture.confirmed.size() >= 1);
 }
 
 }  // namespace
--- a/tests/endpoints/endpoint_states_test.cpp
+++ b/tests/endpoints/endpoint_states_test.cpp
@@ -1,4 +1,5 @@
-// Effective states of hosts that are on the list and may be disabled, and the files that store the latter.
+// Effective states of hosts that are on the list and may be disabled, and the files that store disabled
+// hosts.
 #include "endpoints/endpoint_states.h"
 
 #include <sys/stat.h>
@@ -59,7 +60,7 @@
   recorded.states.disable("a");
   const int updates = recorded.updates;
   recorded.states.disable("a");
-  CHECK(recorded.updates == updates);  // is disabled already
+  CHECK(recorded.updates == updates);  // it is already disabled
   CHECK(recorded.hosts["a"].state == HostState::draining);
   recorded.states.apply_list({false, {listed_host("a", HostState::ready, 900)}}, core::ListKind::delta);
   recorded.states.apply_list({true, {listed_host("a", HostState::ready, 900)}}, core::ListKind::full);
@@ -80,7 +81,7 @@
   recorded.states.apply_list({true, {listed_host("a", HostState::ready)}}, core::ListKind::cached);
   recorded.states.disable("a");
   recorded.states.apply_list({false, {listed_host("a", HostState::gone)}}, core::ListKind::delta);
-  for (int i = 0; i < 3000; ++i) {  // much later, thousands of others have come and gone
+  for (int i = 0; i < 3000; ++i) {  // thousands of other hosts are added and removed
     const std::string id = "x" + std::to_string(i);
     recorded.states.apply_list({false, {listed_host(id, HostState::ready)}}, core::ListKind::delta);
     recorded.states.apply_list({false, {listed_host(id, HostState::gone)}}, core::ListKind::delta);
@@ -94,9 +95,9 @@
   CHECK(recorded.hosts["a"].state == HostState::ready);
 }
 
-// Two processes of one invoker that share a folder, and the plain rule for them: the disabled hosts are those
-// that were disabled last and not enabled since, and a host is ready if the list says so and it is not
-// disabled.
+// Two processes of one invoker that share a folder, and a reference model of them: the disabled hosts are
+// those that have not been enabled since they were last disabled, and a host is ready if it is ready on the
+// list and not disabled.
 class TwoProcesses {
  public:
   explicit TwoProcesses(Random& random) : random_(random) {
@@ -160,7 +161,7 @@
     for (auto& process : processes_)
       process->states.apply_list({false, {listed_[id]}}, core::ListKind::delta);
   }
-  // Sometimes a process is killed between the file and the state in memory.
+  // Sometimes a process is killed after the file has changed and before the state in memory does.
   void disable(RecordedStates& process, const std::string& id) {
     if (!process.states.is_known(id))
       return;
@@ -211,18 +212,18 @@
 }
 
 TEST_CASE("a change that cannot be stored fails") {
-  DisabledHostFiles nowhere("");
-  CHECK_FALSE(nowhere.add("a"));
-  CHECK_FALSE(nowhere.read());
+  DisabledHostFiles without_folder("");
+  CHECK_FALSE(without_folder.add("a"));
+  CHECK_FALSE(without_folder.read());
   const Folder folder;
-  DisabledHostFiles missing(folder.path + "/not/there");  // the folder above it is missing
-  CHECK_FALSE(missing.add("a"));
+  DisabledHostFiles without_parent(folder.path + "/not/there");  // the folder above it is missing
+  CHECK_FALSE(without_parent.add("a"));
   const std::string file = folder.path + "/out.file";
   REQUIRE(DisabledHostFiles(folder.path).add("file"));
-  DisabledHostFiles under(file);  // a file is in place of the folder
-  CHECK_FALSE(under.add("a"));
-  CHECK_FALSE(under.remove("a"));
-  CHECK_FALSE(under.read());
+  DisabledHostFiles file_as_folder(file);  // a file is in place of the folder
+  CHECK_FALSE(file_as_folder.add("a"));
+  CHECK_FALSE(file_as_folder.remove("a"));
+  CHECK_FALSE(file_as_folder.read());
 }
 
 }  // namespace
--- a/tests/xds/host_file_test.cpp
+++ b/tests/xds/host_file_test.cpp
@@ -1,4 +1,4 @@
-// Envoy's endpoint list: parsing it, and a file that changes.
+// Parsing Envoy's endpoint list, and reading it again when its file changes.
 #include "xds/host_file.h"
 
 #include <unistd.h>
@@ -69,7 +69,7 @@
   CHECK(rejected(both, "other") == "no endpoints of cluster 'other'");
 }
 
-TEST_CASE("an xDS list with a faulty endpoint is rejected as a whole") {
+TEST_CASE("an xDS list with a faulty endpoint is rejected entirely") {
   const json without_port = assignment(json::array({endpoint(1, "HEALTHY"), endpoint(0, "HEALTHY")}));
   CHECK_THAT(rejected(without_port, "bins"), Catch::StartsWith("endpoint without a numeric address"));
   const json repeated = assignment(json::array({endpoint(1, "HEALTHY"), endpoint(1, "HEALTHY")}));
@@ -80,7 +80,7 @@
   net::EventLoop loop;
   metrics::Counters counters;
   char path[] = "/tmp/lotusyard-xds-XXXXXX";
-  const net::Socket made(mkstemp(path));
+  const net::Socket created(mkstemp(path));
   const auto write = [&](const std::string& text) {
     const std::string next = std::string(path) + ".next";
     std::ofstream(next) << text;
@@ -108,7 +108,7 @@
   std::remove(path);
 }
 
-TEST_CASE("looks at a sound file confirm its list; a file that is lost or malformed confirms nothing") {
+TEST_CASE("polls of a valid file confirm its list; a file that is missing or malformed confirms nothing") {
   net::EventLoop loop;
   metrics::Counters counters;
   char path[] = "/tmp/lotusyard-xds-XXXXXX";
