--- a/tests/endpoints/endpoint_states_test.cpp
+++ b/tests/endpoints/endpoint_states_test.cpp
@@ -141,7 +141,7 @@
   }
 
  private:
-  const Folder folder_;
+  const TemporaryFolder folder_;
   Random& random_;
   std::map<std::string, core::ListedHost> listed_;
   std::set<std::string> disabled_;
@@ -215,7 +215,7 @@
   DisabledHostFiles without_folder("");
   CHECK_FALSE(without_folder.add("a"));
   CHECK_FALSE(without_folder.read());
-  const Folder folder;
+  const TemporaryFolder folder;
   DisabledHostFiles without_parent(folder.path + "/not/there");  // the folder above it is missing
   CHECK_FALSE(without_parent.add("a"));
   const std::string file = folder.path + "/out.file";
