--- a/src/app/resource_limits.cpp
+++ b/src/app/resource_limits.cpp
@@ -55,18 +55,18 @@
   const core::Settings& settings = config.settings;
   hosts::Limits limits;
   limits.connect_timeout = settings.host_protocol.connect_timeout;
-  limits.idle = config.connection_idle;
+  limits.idle_timeout = config.connection_idle;
   limits.order_timeout = settings.load_orders.timeout;
-  limits.attempts_a_link = config.attempts_a_link;
-  limits.links = shares.links;
-  limits.incoming = shares.incoming;
-  limits.longest_answer = longest_answer(config, shares);
+  limits.max_attempts_per_connection = config.attempts_a_link;
+  limits.max_connections = shares.links;
+  limits.max_incoming_bytes = shares.incoming;
+  limits.max_answer_bytes = longest_answer(config, shares);
   limits.report_fields = config.report_fields;
   limits.liveness = liveness_probe(settings);
-  limits.past_kept = std::max(limits.past_kept, core::longest_deadline(settings));
+  limits.late_answer_window = std::max(limits.late_answer_window, core::longest_deadline(settings));
   const Millis objective = shortest_latency_objective(settings);
   if (objective.count() > 0)
-    limits.quiet = objective * kProbeDelayPart;
+    limits.max_silence = objective * kProbeDelayPart;
   return limits;
 }
 
--- a/src/hosts/connection_pool_listener.cpp
+++ b/src/hosts/connection_pool_listener.cpp
@@ -59,7 +59,7 @@
 void HostConnectionPool::on_buffered_bytes_changed(HostConnection& connection, std::size_t before,
                                                    std::size_t now) {
   incoming_bytes_ = incoming_bytes_ + now - before;
-  if (now <= before || incoming_bytes_ <= services_.limits.incoming)
+  if (now <= before || incoming_bytes_ <= services_.limits.max_incoming_bytes)
     return;
   HostConnection* largest = &connection;
   std::size_t largest_bytes = now;
--- a/src/hosts/connection_selector.cpp
+++ b/src/hosts/connection_selector.cpp
@@ -52,8 +52,8 @@
   const auto usable = std::count_if(connections.begin(), connections.end(), [](const auto& connection) {
     return connection->is_open() || connection->is_connecting();
   });
-  return static_cast<std::size_t>(usable) < services_.limits.links_a_host &&
-         connection_count_ < services_.limits.links;
+  return static_cast<std::size_t>(usable) < services_.limits.max_connections_per_host &&
+         connection_count_ < services_.limits.max_connections;
 }
 
 ConnectionChoice ConnectionSelector::open(PooledHost& host) {
--- a/src/hosts/host_connection.cpp
+++ b/src/hosts/host_connection.cpp
@@ -20,7 +20,7 @@
     : BufferedConnection(services.loop, services.buffers, std::move(socket), true),
       services_(services),
       host_(std::move(host)),
-      parser_(services.limits.longest_answer) {
+      parser_(services.limits.max_answer_bytes) {
   connect_or_idle_timer_ =
       loop().schedule_at(loop().now() + services_.limits.connect_timeout, [this] { on_connect_timeout(); });
 }
@@ -28,7 +28,7 @@
 HostConnection::~HostConnection() { cancel_timers(); }
 
 bool HostConnection::has_capacity(const std::string& ref) const {
-  if (is_closing() || retired_ || attempts_.size() >= services_.limits.attempts_a_link)
+  if (is_closing() || retired_ || attempts_.size() >= services_.limits.max_attempts_per_connection)
     return false;
   return attempts_.count(ref) == 0 && !ended_refs_.contains(ref);
 }
@@ -73,7 +73,7 @@
 
 bool HostConnection::cancel_written_attempt(const std::string& ref, const InFlightAttempt& sent) {
   const Millis now = loop().now();
-  ended_refs_.add(ref, EndedRefs::State::cancelled, now, services_.limits.past_kept);
+  ended_refs_.add(ref, EndedRefs::State::cancelled, now, services_.limits.late_answer_window);
   // A host that is cut off is silent for ever. The next attempt opens a new connection, which shows more.
   if (now - std::max(silence_.last_received_at(), sent.sent_at) > kPartitionSilence)
     possibly_partitioned_ = true;
--- a/src/hosts/host_connection_read.cpp
+++ b/src/hosts/host_connection_read.cpp
@@ -72,7 +72,7 @@
   attempts_.erase(found);
   services_.response_times.record(now - answered.sent_at);
   silence_.record_attempt_answered();
-  ended_refs_.add(reply.id, EndedRefs::State::answered, now, services_.limits.past_kept);
+  ended_refs_.add(reply.id, EndedRefs::State::answered, now, services_.limits.late_answer_window);
   services_.counters.add(metrics::kHostsAnswers, wire_word(reply.status));
   services_.listener.on_call_answered(*this, answered.sent_at, outcome_of(reply.status));
   services_.listener.on_attempt_answered(answered.attempt, {outcome_of(reply.status), reply.host_concurrency,
--- a/src/hosts/host_connection_timers.cpp
+++ b/src/hosts/host_connection_timers.cpp
@@ -31,7 +31,7 @@
   if (in_flight() > 0)
     return;
   const bool is_kept = !retired_ && (!possibly_partitioned_ || services_.in_local_trouble());
-  const Millis limit = is_kept ? services_.limits.idle : Millis(0);
+  const Millis limit = is_kept ? services_.limits.idle_timeout : Millis(0);
   const Millis now = loop().now();
   idle_deadline_ = now + limit * kMaxIdleShare;
   connect_or_idle_timer_ = loop().schedule_at(now + limit * kIdleShare, [this] { on_idle_timeout(); });
@@ -61,7 +61,7 @@
     return;
   const Millis now = loop().now();
   if (is_open()) {
-    const Millis max_silence = services_.response_times.max_silence(services_.limits.quiet);
+    const Millis max_silence = services_.response_times.max_silence(services_.limits.max_silence);
     switch (silence_.check(now, max_silence, !attempts_.empty())) {
       case SilenceMonitor::Action::none:
         break;
--- a/src/hosts/limits.h
+++ b/src/hosts/limits.h
@@ -18,20 +18,20 @@
 struct Limits {
   Millis connect_timeout{250};
   // Hosts close a connection that was idle for this long.
-  Millis idle{15000};
+  Millis idle_timeout{15000};
   // Timeout of load requests and of probes.
   Millis order_timeout{10000};
   LivenessProbe liveness = LivenessProbe::health;
   // Silence after which a connection is probed at the latest, where answers usually take long.
-  Millis quiet{400};
+  Millis max_silence{400};
   // For this long after an attempt ended, a late answer to it may still arrive.
-  Millis past_kept{10000};
+  Millis late_answer_window{10000};
   // Attempts in flight per connection, connections per host, connections of the process.
-  std::size_t attempts_a_link = 32, links_a_host = 4, links = 256;
+  std::size_t max_attempts_per_connection = 32, max_connections_per_host = 4, max_connections = 256;
   // Bytes of one answer's body. A connection buffers at most one incomplete answer.
-  std::size_t longest_answer = 1U << 20;
+  std::size_t max_answer_bytes = 1U << 20;
   // Bytes of incomplete answers over all connections.
-  std::size_t incoming = 32U << 20;
+  std::size_t max_incoming_bytes = 32U << 20;
   // Names of the fields of a host's load report, in the order in which the policy expects their values.
   std::vector<std::string> report_fields;
 };
--- a/tests/app/host_answers_test.cpp
+++ b/tests/app/host_answers_test.cpp
@@ -8,8 +8,8 @@
 
 TEST_CASE("incomplete answers are bounded over all connections: the one that holds most memory is closed") {
   hosts::Limits limits = InvokerFixture::limits();
-  limits.incoming = 300000;
-  limits.attempts_a_link = 1;
+  limits.max_incoming_bytes = 300000;
+  limits.max_attempts_per_connection = 1;
   Platform platform(1, {}, limits);
   platform.world.host[0]->handler = [](const std::string& body) {  // half of each comes, and then nothing
     return Reaction{Kind::stall, "data", body == "most" ? std::size_t{500000} : std::size_t{200000}};
@@ -91,7 +91,7 @@
 
 TEST_CASE("an answer that is announced longer than the limit closes its connection before it arrives") {
   hosts::Limits limits = InvokerFixture::limits();
-  limits.longest_answer = 100;
+  limits.max_answer_bytes = 100;
   Platform platform(1, {}, limits);
   Client client(platform.world, platform.front.address());
   client.call("1", "bin-record", std::string(100, 'x'));
--- a/tests/app/host_changes_test.cpp
+++ b/tests/app/host_changes_test.cpp
@@ -43,7 +43,7 @@
 TEST_CASE("a call that arrives in the iteration in which an idle connection closes is sent on a new one") {
   StatusRecorder recorder;
   hosts::Limits limits = InvokerFixture::limits();
-  limits.idle = Millis(50);
+  limits.idle_timeout = Millis(50);
   InvokerFixture fixture(1, settings(), limits);
   const auto admit_call = [&](const char* ref) {
     core::Call call;
--- a/tests/app/second_site_test.cpp
+++ b/tests/app/second_site_test.cpp
@@ -38,7 +38,7 @@
   hosts::Limits limits;
   limits.report_fields = {"inflight", "x0", "x1"};
   limits.liveness = hosts::LivenessProbe::order;
-  limits.quiet = Millis(120);
+  limits.max_silence = Millis(120);
   return limits;
 }
 
--- a/tests/app/slow_client_test.cpp
+++ b/tests/app/slow_client_test.cpp
@@ -89,8 +89,8 @@
     "answers of 230,000 bytes reach clients that read a megabyte a second, at half of the least limits") {
   const auto shares = hot_restart::shares_of(16, 128, hot_restart::ProcessRole::sole);
   hosts::Limits host_limits = InvokerFixture::limits();
-  host_limits.incoming = shares.incoming;
-  host_limits.longest_answer = 256U << 10;
+  host_limits.max_incoming_bytes = shares.incoming;
+  host_limits.max_answer_bytes = 256U << 10;
   resp::FrontEnd::Limits limits;
   limits.unread_bytes = shares.unwritten / 2;
   Platform platform(1, limits, host_limits);
