--- a/src/hosts/connection_pool.cpp
+++ b/src/hosts/connection_pool.cpp
@@ -1,4 +1,4 @@
-// What the dispatcher and the rest of the program ask of the pool.
+// The pool's interface to the dispatcher and the rest of the program.
 #include "hosts/connection_pool.h"
 
 #include <algorithm>
@@ -99,7 +99,7 @@
 }
 
 void HostConnectionPool::load_copies(const std::string& id, std::uint64_t function, int copies) {
-  // A request for no copy loads nothing, so it is not checked as a load.
+  // A request for 0 copies loads nothing, so it is not checked as a load.
   PooledHost* host = find_sendable_host(id, nullptr, copies > 0 ? function : 0);
   const ConnectionChoice choice = host == nullptr ? ConnectionChoice() : selector_.select(*host, {});
   if (choice.connection != nullptr)
--- a/src/hosts/connection_pool.h
+++ b/src/hosts/connection_pool.h
@@ -1,4 +1,4 @@
-// The connections to all hosts: sends attempts, load requests and probes, and reports how they ended.
+// Connection pool to all hosts: sends attempts, load requests and probes, and reports their results.
 #pragma once
 
 #include <cstdint>
@@ -21,9 +21,9 @@
 
 namespace lotusyard::hosts {
 
-// Ends are reported to the dispatcher from the event loop, never from within a call to the pool. What cannot
-// be sent because this machine can make no connection waits for one; what cannot be sent for another reason
-// ends as a failed connect.
+// Results are reported to the dispatcher from the event loop, never from within a call to the pool. A request
+// that cannot be sent because this machine cannot make a connection is queued until it can; one that cannot
+// be sent for another reason ends as a failed connect.
 class HostConnectionPool final : public core::HostTransport, private HostConnectionListener {
  public:
   // All references have to outlive the pool.
@@ -31,21 +31,23 @@
                      Limits limits);
   ~HostConnectionPool() override;
 
-  // Reports ends to this dispatcher from now on, and filters its hosts. Call it before anything is sent.
+  // Sets the dispatcher that receives the results, and installs the pool's host filter in it. Must be called
+  // before anything is sent.
   void attach(core::Dispatcher& dispatcher);
-  // The filter of hosts by connections; hosts have to pass `next` as well, unless it is null.
+  // The filter of hosts by connection and readiness; hosts have to pass `next` as well, unless it is null.
   policy::HostFilter* host_filter(policy::HostFilter* next);
 
-  // Applies a list of hosts, or a change of it. Connections to hosts that are not ready any more are retired.
+  // Applies a complete list of hosts, or a change of it. Retires connections to hosts that are no longer
+  // ready.
   void update_endpoints(const core::HostListUpdate& list);
-  // Withdraws all that was decided for the host and is not with the kernel yet.
+  // Withdraws all requests to the host that the kernel does not have in full yet.
   void abort_unsent(const std::string& host);
   // True if no call of this process runs at the host: none is in flight, and none that was cancelled or lost
   // may still be running.
   bool has_no_calls(const std::string& host) const;
 
-  // Decides whether a host may be sent something new: a call, a load of the function, or, where both are
-  // empty, what is neither.
+  // Decides whether a new request may be sent to a host: a call, a load of the function, or, if the call is
+  // null and the function 0, any other request.
   using SendFilter =
       std::function<bool(const std::string& host, const core::Call* call, std::uint64_t function)>;
   // An empty filter allows everything.
@@ -53,7 +55,7 @@
   // Applies to open connections as well.
   void set_limits(const Limits& limits) { services_.limits = limits; }
 
-  // Confirmations of the endpoint list, and what is known of hosts meanwhile.
+  // Receives the confirmations of the endpoint list, and tracks the readiness of the hosts.
   ReadinessMonitor& readiness_monitor() { return readiness_monitor_; }
 
   // See core::HostTransport.
@@ -70,10 +72,10 @@
   // The endpoint list: connection_pool_endpoints.cpp.
   void update_endpoint(const core::ListedHost& endpoint);
   void retire_others_at_address(const core::ListedHost& endpoint);
-  void forget_unused_hosts();
+  void remove_unused_hosts();
   void retire(PooledHost& host);
 
-  // The host if it may be sent this now, or null.
+  // Returns null if the request may not be sent to the host now.
   PooledHost* find_sendable_host(const std::string& host, const core::Call* call, std::uint64_t function);
   void send_attempt_on(HostConnection& connection, const core::Attempt& attempt, const core::Call& call,
                        Millis attempt_timeout);
@@ -90,9 +92,9 @@
   void end_unreachable(const WaitingSend& send);
   void withdraw_waiting(const std::string& host);
 
-  // What connections report: connection_pool_listener.cpp, connection_pool_readiness.cpp.
+  // HostConnectionListener: connection_pool_listener.cpp, connection_pool_readiness.cpp.
   bool may_send(const std::string& host, const core::Call* call, std::uint64_t function) const override;
-  ReadinessVerdict readiness(const HostConnection& connection) const override;
+  ReadinessResult readiness(const HostConnection& connection) const override;
   bool keeps_when_idle(const HostConnection& connection) const override;
   void on_call_answered(const HostConnection& connection, Millis sent_at, core::Outcome outcome) override;
   void on_readiness_checked(const HostConnection& connection, Millis sent_at, core::Outcome outcome) override;
--- a/src/hosts/connection_pool_endpoints.cpp
+++ b/src/hosts/connection_pool_endpoints.cpp
@@ -1,4 +1,4 @@
-// What changes of the endpoint list mean for connections.
+// Applies changes of the endpoint list to the connections.
 #include <set>
 
 #include "hosts/connection_pool.h"
@@ -21,7 +21,7 @@
       retire(host);
     }
   }
-  forget_unused_hosts();
+  remove_unused_hosts();
 }
 
 void HostConnectionPool::update_endpoint(const core::ListedHost& endpoint) {
@@ -36,7 +36,7 @@
   }
 }
 
-// A new host may have the address of one that is gone, and be taken for it.
+// A new host may reuse the address of one that is gone: a connection to the old host would then reach it.
 void HostConnectionPool::retire_others_at_address(const core::ListedHost& endpoint) {
   for (auto& [id, other] : hosts_) {
     if (id != endpoint.entry.host && other.endpoint().address == endpoint.address)
@@ -44,11 +44,12 @@
   }
 }
 
-// Hosts that are gone are forgotten with their last connection, or each deployment would leave some behind.
-void HostConnectionPool::forget_unused_hosts() {
+// A host that is gone is removed once its last connection has closed; otherwise each deployment would leave
+// some records behind.
+void HostConnectionPool::remove_unused_hosts() {
   const Millis now = services_.loop.now();
   for (auto host = hosts_.begin(); host != hosts_.end();)
-    host = host->second.may_be_forgotten(now) ? hosts_.erase(host) : std::next(host);
+    host = host->second.may_be_removed(now) ? hosts_.erase(host) : std::next(host);
 }
 
 void HostConnectionPool::retire(PooledHost& host) {
--- a/src/hosts/connection_pool_listener.cpp
+++ b/src/hosts/connection_pool_listener.cpp
@@ -1,4 +1,4 @@
-// What connections report to the pool.
+// Handles the events that connections report to the pool.
 #include <utility>
 
 #include "hosts/connection_pool.h"
@@ -8,7 +8,7 @@
 
 using core::Outcome;
 
-// The host may have been ready when this was decided, and not be now.
+// The host may have been ready when the request was queued and no longer be.
 bool HostConnectionPool::may_send(const std::string& id, const core::Call* call,
                                   std::uint64_t function) const {
   const auto found = hosts_.find(id);
@@ -30,7 +30,7 @@
 void HostConnectionPool::on_attempts_lost(const std::string& host, const std::vector<LostAttempt>& lost) {
   if (lost.empty())
     return;
-  // All are removed before the first is reported: the dispatcher may cancel others, or send anew.
+  // All are removed before the first is reported: the dispatcher may cancel others, or send new attempts.
   for (const auto& ended : lost)
     attempts_.erase(ended.attempt);
   hosts_.at(host).record_unfinished_call();
@@ -54,8 +54,8 @@
   deferred_ends_.load_ended(host, function, Outcome::connect_failed);
 }
 
-// Divided among the connections, the memory would be too little for one long answer. So all connections
-// together are limited, and the one that buffers most is closed.
+// The limit applies to all connections together, because an equal share of the memory would be too small for
+// one long answer. When it is exceeded, the connection that buffers most is closed.
 void HostConnectionPool::on_buffered_bytes_changed(HostConnection& connection, std::size_t before,
                                                    std::size_t now) {
   incoming_bytes_ = incoming_bytes_ + now - before;
--- a/src/hosts/connection_pool_waiting.cpp
+++ b/src/hosts/connection_pool_waiting.cpp
@@ -1,4 +1,4 @@
-// What waits while this machine cannot make connections, and how it is retried.
+// Queues requests while this machine cannot make connections, and retries them.
 #include <algorithm>
 #include <utility>
 
@@ -10,9 +10,9 @@
 
 using core::Outcome;
 
-// An attempt waits this long before another host with an open connection may have it.
+// An attempt waits this long before it may move to another host with an open connection.
 constexpr Millis kMinWaitBeforeMove{10};
-// What waits is ended this long before its call's deadline, so that the call can still be retried or
+// A waiting send ends this long before its call's deadline, so that the call can still be retried or
 // rejected.
 constexpr Millis kDeadlineMargin{3};
 
@@ -30,7 +30,7 @@
   send.call = call;
   send.since = now;
   send.deadline = deadline - kDeadlineMargin;
-  // It keeps its place at the host for a part of the call's time; then the policy may choose anew.
+  // It waits for this host for a part of the call's time; then the policy may choose another host.
   send.may_move_at = now + (deadline - now) / attempts_left;
   enqueue_waiting(std::move(send));
 }
@@ -138,7 +138,7 @@
   }
 }
 
-// Nothing of it was sent, and nothing is known of the host.
+// Nothing of it was sent, so the outcome must not count against the host.
 void HostConnectionPool::abort_waiting(const WaitingSend& send) {
   services_.counters.add(metrics::kHostsWaitsEnded);
   switch (send.kind) {
--- a/src/hosts/connection_selector.h
+++ b/src/hosts/connection_selector.h
@@ -1,4 +1,4 @@
-// Which connection a request to a host is sent on, and whether a new one is made.
+// Selects the connection on which a request to a host is sent, and opens new ones.
 #pragma once
 
 #include <cstddef>
@@ -12,18 +12,18 @@
 
 struct ConnectionChoice {
   HostConnection* connection = nullptr;
-  // There is none for a local reason: this machine could not make one now, but may soon.
+  // No connection could be made for a local reason; one may be possible soon.
   bool should_wait = false;
 };
 
-// Prefers the least busy connection, opens one where none has room, and keeps to the limits.
+// Selects the least busy connection, or opens one if none has capacity and the limits allow it.
 class ConnectionSelector {
  public:
   explicit ConnectionSelector(ConnectionServices& services) : services_(services) {}
 
-  // `ref`: of the attempt, or empty for any other request.
+  // `ref`: the attempt's ref, or empty for any other request.
   ConnectionChoice select(PooledHost& host, const std::string& ref);
-  // A connection that was opened here has closed.
+  // Must be called for each connection of this selector that has closed.
   void record_closed() { --connection_count_; }
 
  private:
--- a/src/hosts/connection_services.h
+++ b/src/hosts/connection_services.h
@@ -1,4 +1,4 @@
-// What the connections of one pool share.
+// Services, limits and state that the connections of one pool share.
 #pragma once
 
 #include "core/dispatcher.h"
@@ -15,7 +15,7 @@
 
 class HostConnectionListener;
 
-// Owned by the pool, which outlives what it is passed to.
+// Owned by the pool, which outlives all users of it.
 struct ConnectionServices {
   net::EventLoop& loop;
   net::BufferPool& buffers;
@@ -28,10 +28,10 @@
   ResponseTimeEstimate response_times{};
   TagSequence tags{};
 
-  // True while this machine may be unable to make new connections. It is asked for each host of each call, so
+  // True while this machine may be unable to make new connections. Evaluated for each host of each call, so
   // it reads the clock only after a failure.
-  bool in_local_trouble() const {
-    return !connect_backoff.has_no_failure() && connect_backoff.is_in_trouble(loop.now());
+  bool is_connecting_impaired() const {
+    return !connect_backoff.has_no_failure() && connect_backoff.is_impaired(loop.now());
   }
 };
 
--- a/src/hosts/deferred_ends.h
+++ b/src/hosts/deferred_ends.h
@@ -1,4 +1,4 @@
-// Reports to the dispatcher, in the next iteration of the event loop, how something ended that was never
+// Reports to the dispatcher, in the next iteration of the event loop, the results of requests that were never
 // sent.
 #pragma once
 
--- a/src/hosts/ended_refs.h
+++ b/src/hosts/ended_refs.h
@@ -1,4 +1,4 @@
-// Refs of the attempts that have ended on one connection.
+// The refs of the attempts that have ended on one connection.
 #pragma once
 
 #include <deque>
@@ -12,17 +12,17 @@
 
 using core::Millis;
 
-// A late or second answer would end another attempt of the same ref, so a ref is not used again on its
-// connection for a while.
+// A late or duplicate answer would be taken for the answer to another attempt with the same ref, so a ref is
+// not reused on its connection for a while.
 class EndedRefs {
  public:
   enum class State { cancelled, answered };
 
-  // Remembers the ref for at least `retention`, unless very many refs end meanwhile.
+  // Stores the ref for at least `retention`, unless the number of refs exceeds a limit before.
   void add(const std::string& ref, State state, Millis now, Millis retention);
   bool contains(const std::string& ref) const { return states_.count(ref) != 0; }
-  // Takes note of an answer that came after the attempt was cancelled. Returns false if none is expected:
-  // the ref is unknown, or its answer has come.
+  // Records an answer that arrived after its attempt was cancelled. Returns false if none is expected: the
+  // ref is unknown, or was answered already.
   bool accept_late_answer(const std::string& ref);
 
  private:
--- a/src/hosts/host_connection.cpp
+++ b/src/hosts/host_connection.cpp
@@ -1,4 +1,4 @@
-// Requests to a host, and their cancellation.
+// Queues requests to a host, and cancels them.
 #include "hosts/host_connection.h"
 
 #include <algorithm>
@@ -11,7 +11,7 @@
 
 // If the host was silent for this long when an attempt is cancelled, the connection may be partitioned.
 constexpr Millis kPartitionSilence{400};
-// Bytes that a draining host has not read after this time are not sent any more.
+// A retired connection is closed if its host has not read all bytes after this time.
 constexpr Millis kUnreadTimeout{1000};
 
 }  // namespace
@@ -74,19 +74,21 @@
 bool HostConnection::cancel_written_attempt(const std::string& ref, const InFlightAttempt& sent) {
   const Millis now = loop().now();
   ended_refs_.add(ref, EndedRefs::State::cancelled, now, services_.limits.late_answer_window);
-  // A host that is cut off is silent for ever. The next attempt opens a new connection, which shows more.
+  // A partitioned host stays silent. The next attempt opens a new connection, which shows whether the host
+  // can be reached.
   if (now - std::max(silence_.last_received_at(), sent.sent_at) > kPartitionSilence)
     possibly_partitioned_ = true;
-  // At once: the next attempt may be sent on another connection in this iteration of the event loop.
+  // Flushed immediately: the next attempt may be sent on another connection in this iteration of the event
+  // loop.
   write(encode(CancelRequest{ref}));
   const bool flushed = flush_now();
-  // If memory is short, the request to cancel is sent later. Otherwise the host does not read; closing the
+  // If memory is short, the CancelRequest is sent later. Otherwise the host is not reading, and closing the
   // connection cancels the attempt.
   const bool is_sent_later = short_of_memory() && sent.progress.is_with_kernel(send_queue());
   if (!flushed && !is_sent_later)
     close_later();
   arm_idle_timer();
-  // What the kernel does not have in full by now, it never gets.
+  // A message that the kernel does not have in full by now is never completed.
   return sent.progress.is_with_kernel(send_queue());
 }
 
@@ -108,10 +110,10 @@
 }
 
 void HostConnection::send_readiness_check() {
-  const bool is_asked = std::any_of(queries_.begin(), queries_.end(), [](const auto& entry) {
+  const bool is_outstanding = std::any_of(queries_.begin(), queries_.end(), [](const auto& entry) {
     return entry.second.kind == Query::Kind::readiness;
   });
-  if (is_asked || is_closing())
+  if (is_outstanding || is_closing())
     return;
   services_.counters.add(metrics::kHostsReadinessChecks);
   const std::string tag = services_.tags.next_readiness_tag();
@@ -159,7 +161,7 @@
   arm_idle_timer();
 }
 
-// Bytes that the host does not read could arrive long after it began to drain.
+// Bytes that the host does not read in time could reach it long after its drain began.
 void HostConnection::close_if_unread() {
   if (send_queue().empty())
     return;
--- a/src/hosts/host_connection.h
+++ b/src/hosts/host_connection.h
@@ -1,4 +1,4 @@
-// One connection to a host: what is in flight on it, what arrives, and how it ends.
+// One connection to a host: requests in flight, incoming answers, timeouts and closing.
 #pragma once
 
 #include <deque>
@@ -18,12 +18,11 @@
 
 namespace lotusyard::hosts {
 
-// Whether requests that are not written yet still may be, once a connection takes no new ones.
+// Whether requests that are not written yet are still sent after a connection is retired.
 enum class UnsentRequests { keep, abort };
 
-// Requests are queued until the moment at which their bytes go to the kernel. Until then they can be
-// withdrawn; only then, in before_write(), it is checked whether they may be sent. Ends are reported to the
-// listener.
+// Requests are queued until their bytes go to the kernel, and can be withdrawn until then. Whether they may
+// be sent is checked immediately before, in before_write(). Results are reported to the listener.
 class HostConnection final : public net::BufferedConnection {
  public:
   // `services` has to outlive the connection. The socket is connecting.
@@ -37,9 +36,9 @@
   std::size_t buffered_bytes() const { return buffered_bytes_; }
   // True if an attempt of this ref can be sent here. An empty ref stands for any request.
   bool has_capacity(const std::string& ref) const;
-  // When the connection was established; until then, the present.
+  // When the connection was established; the current time while it is connecting.
   Millis connected_at() const { return is_connecting() ? services_.loop.now() : connected_at_; }
-  // The host was silent for long when an attempt was cancelled; it may never answer.
+  // True if the host had been silent for long when an attempt was cancelled: it may never answer.
   bool is_possibly_partitioned() const { return possibly_partitioned_; }
 
   void send_attempt(const core::Attempt& attempt, const core::Call& call, Millis attempt_timeout);
@@ -47,12 +46,12 @@
   bool cancel_attempt(const core::Attempt& attempt);
   void load_copies(std::uint64_t function, int copies);
   void probe();
-  // Asks the host whether it takes new work, unless it has just been asked.
+  // Sends a health check that asks whether the host takes new work, unless one is outstanding.
   void send_readiness_check();
   void unload(std::uint64_t function);
-  // Withdraws all requests that are not written.
+  // Withdraws all requests that are not written yet.
   void abort_pending_writes();
-  // Takes no new requests, and closes once what is in flight has ended. For hosts that are draining, gone or
+  // Accepts no new requests, and closes once those in flight have ended. For hosts that are draining, gone or
   // restarted.
   void retire(UnsentRequests unsent);
 
@@ -74,7 +73,7 @@
   WriteDecision check_attempt_before_write(const PendingWrite& pending);
   WriteDecision check_readiness_before_write();
   void withhold_write(const PendingWrite& pending);
-  // Removes what is in flight and was never written.
+  // Remove a request in flight that was never written.
   core::Attempt remove_attempt(const std::string& ref);
   std::optional<Query> remove_query(const std::string& tag);
   void write_pending(const PendingWrite& pending);
@@ -95,7 +94,7 @@
   void on_query_timeout(const std::string& tag);
   void cancel_timers();
 
-  // Reading and the end: host_connection_read.cpp.
+  // Reading and closing: host_connection_read.cpp.
   void on_connected() override;
   void on_received(std::string_view bytes) override;
   ReplyCheck handle_reply(Reply&& reply);
@@ -104,9 +103,9 @@
   void finish_query(const Query& query, core::Outcome outcome, int copies, core::Report report);
   void set_buffered_bytes(std::size_t bytes);
   void on_closed() override;
-  void hand_back(const std::deque<PendingWrite>& pending);
-  void hand_back_attempt(const PendingWrite& pending);
-  void hand_back_query(const std::string& tag);
+  void requeue_pending(const std::deque<PendingWrite>& pending);
+  void requeue_attempt(const PendingWrite& pending);
+  void requeue_query(const std::string& tag);
   void end_lost_requests();
   core::Outcome lost_outcome(const WriteProgress& progress) const;
   bool reads_after_write_failure() const override { return true; }
@@ -121,7 +120,7 @@
   SilenceMonitor silence_;
   std::size_t buffered_bytes_ = 0;
   Millis connected_at_{0};
-  Millis idle_deadline_{0};  // the latest end of an idle connection
+  Millis idle_deadline_{0};  // when an idle connection is closed at the latest
   bool retired_ = false;
   bool possibly_partitioned_ = false;
   bool silence_timer_armed_ = false;
--- a/src/hosts/host_connection_read.cpp
+++ b/src/hosts/host_connection_read.cpp
@@ -1,4 +1,4 @@
-// What a host sends, and the end of a connection.
+// Handles answers of the host, and the closing of the connection.
 #include <utility>
 #include <vector>
 
@@ -24,14 +24,14 @@
   std::vector<Reply> replies;
   bool is_malformed = !parser_.parse(bytes, replies);
   for (auto& reply : replies) {
-    // Also if the connection ends meanwhile: the reply came in full.
+    // Handled even if the connection is closed meanwhile: the reply has arrived in full.
     if (handle_reply(std::move(reply)) == ReplyCheck::valid)
       continue;
     is_malformed = true;
-    break;  // what follows a malformed reply cannot be believed either
+    break;  // what follows a malformed reply is not reliable either
   }
-  silence_.record_parsed(parser_.begun(), !replies.empty());
-  set_buffered_bytes(parser_.held());
+  silence_.record_parsed(parser_.has_partial_message(), !replies.empty());
+  set_buffered_bytes(parser_.buffered_bytes());
   if (is_malformed) {
     services_.counters.add(metrics::kHostsMalformed);
     close_later();
@@ -39,7 +39,7 @@
   arm_idle_timer();
 }
 
-// After a malformed reply the connection is closed, and what is in flight on it may have run.
+// After a malformed reply the connection is closed, and the attempts in flight on it may have run.
 HostConnection::ReplyCheck HostConnection::handle_reply(Reply&& reply) {
   std::optional<HostReply> decoded = decode_reply(std::move(reply), services_.limits.report_fields);
   if (!decoded)
@@ -60,7 +60,8 @@
     services_.counters.add(metrics::kHostsLateAnswers);
     return ReplyCheck::valid;
   }
-  // An answer to nothing: what is in flight may still be answered here, but nothing new is sent.
+  // An unexpected answer: requests in flight may still be answered on this connection, but nothing new is
+  // sent on it.
   services_.counters.add(metrics::kHostsSurplusAnswers);
   retire(UnsentRequests::keep);
   return ReplyCheck::valid;
@@ -85,7 +86,7 @@
   queries_.erase(found);
   finish_query(query, outcome_of(reply.status), reply.copies, std::move(reply.report));
   if (query.kind == Query::Kind::readiness)
-    loop().flush_later(*this);  // calls may have waited for it
+    loop().flush_later(*this);  // calls may be waiting for it
 }
 
 void HostConnection::finish_query(const Query& query, Outcome outcome, int copies, core::Report report) {
@@ -96,7 +97,7 @@
     case Query::Kind::probe:
       return services_.listener.on_probe_ended({host_, outcome, elapsed, std::move(report)});
     case Query::Kind::liveness:
-      return;  // that something came is all there is to know
+      return;  // only the arrival of an answer matters
     case Query::Kind::readiness:
       return services_.listener.on_readiness_checked(*this, query.sent_at, outcome);
   }
@@ -114,23 +115,23 @@
   services_.listener.on_connection_closed(*this);
   const auto& error = connect_error();
   if (error && error->kind == net::ConnectErrorKind::local_resource && !retired_)
-    hand_back(pending);
+    requeue_pending(pending);
   end_lost_requests();
 }
 
-// The connection was never made, for a local reason: what is pending waits for another one.
-void HostConnection::hand_back(const std::deque<PendingWrite>& pending) {
+// The connect failed for a local reason: the pending requests wait for another connection.
+void HostConnection::requeue_pending(const std::deque<PendingWrite>& pending) {
   services_.connect_backoff.record_local_failure(loop().now());
   for (const auto& write : pending) {
     if (write.kind == PendingWrite::Kind::attempt) {
-      hand_back_attempt(write);
+      requeue_attempt(write);
     } else {
-      hand_back_query(write.id);
+      requeue_query(write.id);
     }
   }
 }
 
-void HostConnection::hand_back_attempt(const PendingWrite& pending) {
+void HostConnection::requeue_attempt(const PendingWrite& pending) {
   const core::Attempt attempt = attempts_.at(pending.id).attempt;
   const core::Call* call = services_.dispatcher->find_call(attempt.call);
   if (call == nullptr)
@@ -139,7 +140,7 @@
   services_.listener.on_attempt_needs_connection(attempt, host_, *call, pending.deadline);
 }
 
-void HostConnection::hand_back_query(const std::string& tag) {
+void HostConnection::requeue_query(const std::string& tag) {
   const auto found = queries_.find(tag);
   if (found == queries_.end())
     return;
--- a/src/hosts/host_connection_timers.cpp
+++ b/src/hosts/host_connection_timers.cpp
@@ -1,4 +1,4 @@
-// When a connection is closed: not made in time, idle for long, silent, or broken off within an answer.
+// Closes a connection that is not established in time, idle for long, silent, or stalled within an answer.
 #include <utility>
 
 #include "hosts/host_connection.h"
@@ -9,9 +9,10 @@
 
 using core::Outcome;
 
-// An idle connection is closed before the host closes it, or a request could cross that.
+// Fraction of the host's idle timeout after which an idle connection is closed. If the host closed it first,
+// a request could be sent at that very time.
 constexpr double kIdleShare = 0.8;
-// The same while no new connection can be made.
+// The same while connecting is impaired.
 constexpr double kMaxIdleShare = 0.9;
 constexpr Millis kIdleRecheckInterval{50};
 constexpr Millis kSilenceCheckInterval{50};
@@ -23,26 +24,26 @@
   close_later();
 }
 
-// The connection is idle from now on, until something is sent.
+// Starts the idle timeout, unless a request is in flight.
 void HostConnection::arm_idle_timer() {
   if (is_connecting())
     return;
   loop().cancel(connect_or_idle_timer_);
   if (in_flight() > 0)
     return;
-  const bool is_kept = !retired_ && (!possibly_partitioned_ || services_.in_local_trouble());
+  const bool is_kept = !retired_ && (!possibly_partitioned_ || services_.is_connecting_impaired());
   const Millis limit = is_kept ? services_.limits.idle_timeout : Millis(0);
   const Millis now = loop().now();
   idle_deadline_ = now + limit * kMaxIdleShare;
   connect_or_idle_timer_ = loop().schedule_at(now + limit * kIdleShare, [this] { on_idle_timeout(); });
 }
 
-// While no new connection can be made, an open one is kept for as long as its host surely keeps it.
+// While connecting is impaired, an open connection is kept for as long as the host is certain to keep it.
 void HostConnection::on_idle_timeout() {
   if (!retired_ && services_.listener.keeps_when_idle(*this))
-    return send_readiness_check();  // its answer starts the idle time anew
+    return send_readiness_check();  // its answer restarts the idle timeout
   const Millis next = loop().now() + kIdleRecheckInterval;
-  if (!services_.in_local_trouble() || retired_ || next > idle_deadline_)
+  if (!services_.is_connecting_impaired() || retired_ || next > idle_deadline_)
     return close_later();
   connect_or_idle_timer_ = loop().schedule_at(next, [this] { on_idle_timeout(); });
 }
@@ -77,12 +78,12 @@
     }
   }
   if (std::exchange(silence_timer_armed_, true))
-    return;  // the probe has armed it
+    return;  // sending the probe has armed it
   silence_timer_ = loop().schedule_at(now + kSilenceCheckInterval, [this] { check_silence(); });
 }
 
-// Where the settings forbid health checks, a load request for no copy is allowed, and shows as much; its
-// function is one that a client has called. It must not be sent to a host that drains.
+// Where the settings forbid health checks, a load request for 0 copies serves the same purpose; it names a
+// function that a client has called. It must not be sent to a draining host.
 void HostConnection::send_liveness_probe() {
   const LivenessProbe probe = services_.limits.liveness;
   if (probe == LivenessProbe::none)
@@ -103,7 +104,7 @@
   send_query(tag, Query::Kind::liveness, std::move(request), 0);
 }
 
-// A call waits for the answer to a health check.
+// Calls may be waiting for the answer to a readiness check, so its timeout is short.
 Millis HostConnection::timeout_of(Query::Kind kind) const {
   return kind == Query::Kind::readiness ? services_.limits.connect_timeout : services_.limits.order_timeout;
 }
--- a/src/hosts/host_connection_write.cpp
+++ b/src/hosts/host_connection_write.cpp
@@ -1,4 +1,4 @@
-// The last check of each request before its bytes go to the kernel, and the write itself.
+// Checks each request immediately before its bytes go to the kernel, and writes it.
 #include <utility>
 
 #include "hosts/host_connection.h"
@@ -7,19 +7,20 @@
 namespace lotusyard::hosts {
 namespace {
 
-// Requests that may not be written yet are checked again after this time.
+// Interval at which requests that may not be written yet are checked again.
 constexpr Millis kRecheckInterval{1};
-// The shortest attempt timeout: hosts get it in whole milliseconds.
+// The shortest attempt timeout: it is sent in whole milliseconds.
 constexpr Millis kMinAttemptTimeout{1};
-// A connection is closed if the kernel has had a part of a call for this long, but has no room for the rest:
-// the timeout that it states is too long by then.
+// A connection is closed if the kernel has had only a part of a call for this long, and no room for the rest:
+// the timeout that the call states is too long by then.
 constexpr Millis kStalledWriteTimeout{100};
 
 }  // namespace
 
-// The only place from which attempts, load requests and probes are written.
+// Attempts, load requests and probes are written only here.
 void HostConnection::before_write() {
-  // If the host has closed, that is read first: what is pending is sent elsewhere, and provably never ran.
+  // If the host has closed the connection, that is handled first: the pending requests provably never ran,
+  // and are sent elsewhere.
   if (pending_writes_.empty() || peer_state() == net::PeerState::disconnected)
     return;
   bool kernel_full = false;
@@ -27,8 +28,8 @@
     const WriteDecision decision = kernel_full ? WriteDecision::wait : check_before_write(pending);
     if (decision == WriteDecision::write) {
       write_pending(pending);
-      // Behind bytes that the kernel has no room for, a request would keep the timeout of now, and be sent
-      // for a caller who has cancelled. At most one call is ever split.
+      // Queued behind bytes that the kernel has no room for, a request would carry an outdated timeout, and
+      // be sent even after its client has cancelled. So at most one call is ever split.
       kernel_full = !flush_now();
       if (kernel_full && pending.kind != PendingWrite::Kind::unchecked)
         limit_stalled_write();
@@ -40,12 +41,12 @@
     if (decision == WriteDecision::wait)
       pending_writes_.push_back(std::move(pending));
   }
-  // With the kernel full, the check is repeated once it has room.
+  // If the kernel has no room, the check is repeated once it has.
   if (!pending_writes_.empty() && !kernel_full)
     schedule_recheck();
 }
 
-// Wait: until the next check, before which it is withdrawn if its call has ended.
+// WriteDecision::wait: until the next check, or until it is withdrawn because its call has ended.
 HostConnection::WriteDecision HostConnection::check_before_write(const PendingWrite& pending) {
   switch (pending.kind) {
     case PendingWrite::Kind::attempt:
@@ -72,8 +73,8 @@
                                                         : WriteDecision::wait;
 }
 
-// The clock is read here and not when the host was chosen: the process may have been stopped in between, and
-// the list may have expired since.
+// The clock is read here rather than when the host was chosen: the process may have been stopped in between,
+// and the endpoint list may have expired.
 HostConnection::WriteDecision HostConnection::check_readiness_before_write() {
   switch (services_.listener.readiness(*this).readiness) {
     case Readiness::confirmed:
@@ -95,7 +96,7 @@
   });
 }
 
-// A client's cancellation may be behind more bytes than one iteration of the event loop reads.
+// A client's cancellation may be queued behind more bytes than one iteration of the event loop reads.
 void HostConnection::read_client_input() {
   std::vector<core::Attempt> waiting;
   for (const auto& pending : pending_writes_) {
--- a/src/hosts/host_protocol.cpp
+++ b/src/hosts/host_protocol.cpp
@@ -27,11 +27,11 @@
                                                  {ReplyStatus::healthy, "well", Outcome::ok},
                                                  {ReplyStatus::unhealthy, "ill", Outcome::error}}};
 
-// A larger number of calls is not believed, and counts as not reported.
+// A larger number of calls is not plausible, and counts as not reported.
 constexpr std::uint64_t kMaxParsedConcurrency = 1000000;
 // More calls than this make no difference to the policy.
 constexpr int kMaxHostConcurrency = 30;
-// A larger number of copies is not believed, and counts as none.
+// A larger number of copies is not plausible, and counts as 0.
 constexpr std::uint64_t kMaxParsedCopies = 1000;
 // The shortest timeout that can be sent.
 constexpr std::int64_t kMinTimeoutMs = 1;
@@ -49,7 +49,7 @@
   return found->status;
 }
 
-// Refs and tags, as this process makes them, are of digits and lower-case letters.
+// Refs and tags that this process generates consist of digits and lower-case letters.
 bool is_valid_id(const std::string& id) {
   return std::all_of(id.begin(), id.end(), [](char character) {
     return (character >= '0' && character <= '9') || (character >= 'a' && character <= 'z');
@@ -67,7 +67,7 @@
   std::vector<double> values;
   for (const auto& name : names) {
     const auto value = net::parse_number(field(*fields, name));
-    // The policy finds a value by its position: a gap would shift the ones behind it.
+    // The policy reads values by position: a gap would shift those behind it.
     if (!value)
       return std::nullopt;
     values.push_back(*value);
--- a/src/hosts/host_protocol.h
+++ b/src/hosts/host_protocol.h
@@ -1,6 +1,7 @@
 // The messages between invoker and host, and their codec.
 //
-// This is the one place that knows the words of the platform's page PROTOCOL. They are, with our names:
+// Only this codec uses the words on the wire, which the document PROTOCOL specifies. The messages and the
+// types that represent them:
 //   exec REF sort=CLASS,asset=FUNCTION[,op=KEY],patience=MS LENGTH   AttemptRequest (op: idempotency key,
 //                                                                    patience: the attempt's timeout)
 //   drop REF                                                         CancelRequest
@@ -26,7 +27,7 @@
 
 using core::Millis;
 
-// Runs a call. The ref names the attempt on its connection.
+// Runs a call. The ref identifies the attempt on its connection.
 struct AttemptRequest {
   std::string ref;
   std::string class_name, function_name;
@@ -34,12 +35,12 @@
   std::string body;
 };
 
-// Cancels the attempt of that ref.
+// Cancels the attempt with this ref.
 struct CancelRequest {
   std::string ref;
 };
 
-// Asks the host to hold this many copies of the function; 0 changes nothing, but is answered.
+// Asks the host to have this many copies of the function loaded; 0 changes nothing, but is answered.
 struct LoadRequest {
   std::string tag;
   std::uint64_t function = 0;
@@ -56,12 +57,12 @@
   std::string tag;
 };
 
-// Asks whether the host is there. It answers beside its queue of calls.
+// Asks for the host's health. The answer does not wait in the host's queue of calls.
 struct HealthCheckRequest {
   std::string tag;
 };
 
-// `timeout` is counted from the moment at which the bytes are sent, and is sent in whole milliseconds.
+// `timeout` counts from the time at which the bytes are sent, and is sent in whole milliseconds.
 std::string encode(const AttemptRequest& request, Millis timeout);
 std::string encode(const CancelRequest& request);
 std::string encode(const LoadRequest& request);
@@ -79,17 +80,17 @@
   unhealthy     // ill
 };
 
-// True for the answers to LoadReportRequest and HealthCheckRequest. An attempt is never answered by one.
+// True for the answers to LoadReportRequest and HealthCheckRequest, which are not valid for an attempt.
 bool is_health_status(ReplyStatus status);
 core::Outcome outcome_of(ReplyStatus status);
-// The word on the wire; counters are labelled with it.
+// The word on the wire, which also labels the counters.
 std::string_view wire_word(ReplyStatus status);
 
 struct HostReply {
   std::string id;  // the ref of an attempt, or a tag
   ReplyStatus status = ReplyStatus::failed;
   int host_concurrency = 0;  // calls of the same function in flight at the host; 0: not reported
-  int copies = 0;            // copies that the host holds, in answer to a LoadRequest
+  int copies = 0;            // copies that the host has loaded, in answer to a LoadRequest
   core::Report report;       // nothing if any of the requested fields is missing
   std::string body;
 };
--- a/src/hosts/host_readiness.cpp
+++ b/src/hosts/host_readiness.cpp
@@ -5,21 +5,21 @@
 namespace lotusyard::hosts {
 namespace {
 
-// The shortest time after which the platform takes a change as notified that did not arrive.
+// The shortest time after which a published change that did not arrive counts as notified.
 constexpr Millis kMinNotificationDelay{2000};
-// The longest. Without health checks, a host's answer is relied on for as long.
+// The longest such time. Without health checks, a host's answer is valid for as long.
 constexpr Millis kMaxNotificationDelay{7000};
-// Between the check of a request and its first byte at the host, at most.
+// The longest time between the check of a request and the arrival of its first byte at the host.
 constexpr Millis kWriteMargin{200};
-// A list is confirmed at least once in so many intervals, unless the source has failed.
+// A list is confirmed at least once in this many intervals, unless the source has failed.
 constexpr int kMissedConfirmations = 2;
-// So many refusals in a row, or one of a host that has taken no call for kMaxNotificationDelay, may be a
-// drain.
+// This many refusals in a row, or one by a host that has taken no call for kMaxNotificationDelay, may mean
+// that the host is draining.
 constexpr int kSuspectRefusals = 3;
-// A host that did not answer a health check is left alone for this long.
+// A host that did not answer a health check gets no new work for this long.
 constexpr Millis kUnresponsivePause{1000};
 
-// Short graces leave the larger part of themselves.
+// The margin takes at most half of a short grace.
 Millis with_margin(Millis grace) { return std::max(grace - kWriteMargin, grace / 2); }
 
 bool is_suspect(const HostReadiness& host) {
@@ -28,7 +28,7 @@
   return host.refusals >= kSuspectRefusals || host.refused_at - host.accepted_at > kMaxNotificationDelay;
 }
 
-ReadinessVerdict withheld(WithheldReason reason) { return {Readiness::withheld, reason}; }
+ReadinessResult withheld(WithheldReason reason) { return {Readiness::withheld, reason}; }
 
 }  // namespace
 
@@ -73,7 +73,7 @@
   record_accepted(sent_at);
   checked_at = now;
   declared_draining = false;
-  unresponsive_until = kNeverAnswered;
+  unresponsive_until = kNever;
 }
 
 void HostReadiness::record_unhealthy(Millis now) {
@@ -86,7 +86,8 @@
   unresponsive_until = now + kUnresponsivePause;
 }
 
-// Discovery may have been away for long already, so that what comes next counts as notified at once.
+// Discovery may have been unavailable for long already, in which case a new change counts as notified at
+// once.
 void ReadinessRules::confirm_configured_list(Millis at) { confirm_list(at - kMinNotificationDelay); }
 
 bool ReadinessRules::is_list_current(Millis now) const {
@@ -97,29 +98,29 @@
   return terms_.list_validity.count() > 0 && list_age(now) > terms_.list_validity / 2;
 }
 
-ReadinessVerdict ReadinessRules::judge(const HostReadiness& host, bool has_known_connection,
-                                       Millis now) const {
+ReadinessResult ReadinessRules::evaluate(const HostReadiness& host, bool has_known_connection,
+                                         Millis now) const {
   if (terms_.list_validity.count() <= 0)
     return {};
   if (host.declared_draining)
     return withheld(WithheldReason::declared_draining);
   if (now < host.unresponsive_until)
     return withheld(WithheldReason::unresponsive);
-  return is_list_current(now) ? judge_by_list(host) : judge_by_answers(host, has_known_connection, now);
+  return is_list_current(now) ? evaluate_by_list(host) : evaluate_by_answers(host, has_known_connection, now);
 }
 
-// Lists come late: a host that turns calls away may be draining although the list is confirmed.
-ReadinessVerdict ReadinessRules::judge_by_list(const HostReadiness& host) const {
+// Lists arrive late: a host that rejects calls may be draining although the list is confirmed.
+ReadinessResult ReadinessRules::evaluate_by_list(const HostReadiness& host) const {
   return {terms_.checks_hosts && is_suspect(host) ? Readiness::unconfirmed : Readiness::confirmed, {}};
 }
 
-ReadinessVerdict ReadinessRules::judge_by_answers(const HostReadiness& host, bool has_known_connection,
-                                                  Millis now) const {
+ReadinessResult ReadinessRules::evaluate_by_answers(const HostReadiness& host, bool has_known_connection,
+                                                    Millis now) const {
   const bool is_proven = now - host.accepted_at <= terms_.answer_validity;
   if (!terms_.checks_hosts) {
     if (host.refusals >= kSuspectRefusals)
       return withheld(WithheldReason::refuses_calls);
-    return is_proven ? ReadinessVerdict() : withheld(WithheldReason::list_too_old);
+    return is_proven ? ReadinessResult() : withheld(WithheldReason::list_too_old);
   }
   if (is_proven && host.refusals == 0)
     return {};
--- a/src/hosts/limits.h
+++ b/src/hosts/limits.h
@@ -1,4 +1,4 @@
-// Settings of the connections to hosts.
+// Limits and timeouts of the connections to hosts.
 #pragma once
 
 #include <cstddef>
@@ -11,8 +11,8 @@
 
 using core::Millis;
 
-// How a connection that has been silent for long is checked. Where the deployment forbids health checks, a
-// load request for 0 copies (`order`) gets an answer just as well.
+// The request that checks a connection that has been silent for long. Where the deployment forbids health
+// checks, a load request for 0 copies (`order`) is answered as well.
 enum class LivenessProbe { none, health, order };
 
 struct Limits {
@@ -22,11 +22,11 @@
   // Timeout of load requests and of probes.
   Millis order_timeout{10000};
   LivenessProbe liveness = LivenessProbe::health;
-  // Silence after which a connection is probed at the latest, where answers usually take long.
+  // Upper bound of the silence after which a connection is probed, where answers usually take long.
   Millis max_silence{400};
-  // For this long after an attempt ended, a late answer to it may still arrive.
+  // For this long after an attempt has ended, a late answer to it may still arrive.
   Millis late_answer_window{10000};
-  // Attempts in flight per connection, connections per host, connections of the process.
+  // Attempts in flight on one connection, connections to one host, connections of the process.
   std::size_t max_attempts_per_connection = 32, max_connections_per_host = 4, max_connections = 256;
   // Bytes of one answer's body. A connection buffers at most one incomplete answer.
   std::size_t max_answer_bytes = 1U << 20;
--- a/src/hosts/line_parser.h
+++ b/src/hosts/line_parser.h
@@ -7,32 +7,34 @@
 
 namespace lotusyard::hosts {
 
-// One message as it is framed; hosts/host_protocol.h decodes it. Requests have the same form.
+// One framed message, which hosts/host_protocol.h decodes. Requests have the same form.
 struct Reply {
   std::string id, word, fields;  // fields: empty where the wire has '-' or nothing
   std::string body;
 };
 
-// Cuts a byte stream into messages, however the bytes are split over reads. Memory is bounded by the longest
-// line and the longest body.
+// Incremental parser that splits a byte stream into messages. Memory is bounded by the longest line and the
+// longest body.
 class LineParser {
  public:
-  // Bytes. Guards memory against a line without an end.
+  // Bytes. Bounds the memory that a line without an end can take.
   static constexpr std::size_t kMaxLineLength = 2048;
   explicit LineParser(std::size_t longest_body = 1U << 20) : longest_body_(longest_body) {}
 
   // Consumes all bytes and appends the completed messages to `out`. Returns false once the stream is
-  // malformed, from then on for ever.
+  // malformed, and on every later call.
   bool parse(std::string_view bytes, std::vector<Reply>& out);
-  // Bytes of an incomplete message that are buffered.
-  std::size_t held() const { return line_.size() + reply_.body.size(); }
-  // True if a message has begun whose rest has to come.
-  bool begun() const { return state_ == State::body || state_ == State::body_end || !line_.empty(); }
+  // Buffered bytes of an incomplete message.
+  std::size_t buffered_bytes() const { return line_.size() + reply_.body.size(); }
+  // True if the rest of a message is still to arrive.
+  bool has_partial_message() const {
+    return state_ == State::body || state_ == State::body_end || !line_.empty();
+  }
 
  private:
   enum class State { line, body, body_end, malformed };
 
-  // Each consumes at least one byte, or finds the stream malformed.
+  // Each consumes at least one byte, or marks the stream as malformed.
   void read_line(std::string_view& bytes, std::vector<Reply>& out);
   void read_body(std::string_view& bytes);
   void read_body_end(std::string_view& bytes, std::vector<Reply>& out);
--- a/src/hosts/liveness_probe_budget.h
+++ b/src/hosts/liveness_probe_budget.h
@@ -1,13 +1,13 @@
-// Limits the liveness probes to a small part of the traffic.
+// Limits liveness probes to a small part of the traffic.
 #pragma once
 
 #include <algorithm>
 
 namespace lotusyard::hosts {
 
-// A token bucket over all connections, filled by the attempts that are sent. Calls that wait for a load are
-// silent as well: if each late answer caused a probe, the probes of a hundred invokers would outnumber their
-// calls.
+// A token bucket over all connections, filled by the attempts that are sent. A connection is also silent
+// while its calls wait for a load: if each late answer caused a probe, the probes of a hundred invokers would
+// outnumber their calls.
 class LivenessProbeBudget {
  public:
   void record_attempt() { tokens_ = std::min(tokens_ + kTokensPerAttempt, kMaxTokens); }
--- a/src/hosts/pending_write.h
+++ b/src/hosts/pending_write.h
@@ -1,4 +1,4 @@
-// What a connection has queued or sent, and which answers it expects.
+// The requests that a connection has queued or sent, and the answers that it expects.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 
 namespace lotusyard::hosts {
 
-// Decided, but not written: it can still be withdrawn without a trace at the host.
+// A queued request. It can still be withdrawn, as nothing of it has reached the host.
 struct PendingWrite {
   enum class Kind { attempt, load, unchecked };  // unchecked: neither a call nor a load, allowed at any time
 
@@ -22,10 +22,10 @@
   AttemptRequest attempt;      // of an attempt
   Millis deadline{0};          // of an attempt
   std::uint64_t function = 0;  // of an attempt or a load
-  int copies = 0;              // of a load; 0 loads nothing, and only asks
+  int copies = 0;              // of a load; 0: loads nothing, but is answered
 };
 
-// Whether a message has been written, and how far it got.
+// Whether a message has been written, and whether the kernel has all of it.
 class WriteProgress {
  public:
   // `end_offset`: the offset in the send queue behind the message's last byte.
@@ -47,9 +47,9 @@
   WriteProgress progress;
 };
 
-// A request other than an attempt that the host answers.
+// A request that the host answers, other than an attempt.
 struct Query {
-  // liveness: whether anything comes over this connection at all; readiness: whether the host takes new work
+  // liveness: checks that the connection works at all; readiness: asks whether the host takes new work
   enum class Kind { load, probe, liveness, readiness };
 
   Kind kind = Kind::load;
--- a/src/hosts/pooled_host.cpp
+++ b/src/hosts/pooled_host.cpp
@@ -20,7 +20,7 @@
     if (!is_other_process)
       readiness_.accepted_at = accepted_at;
   }
-  // An operator who puts a host back vouches for it as the list would.
+  // A host that an operator has enabled counts as ready, as if the list confirmed it.
   if (endpoint.entry.enabled_by_operator)
     readiness_.record_accepted(endpoint.entry.started);
   endpoint_ = endpoint;
@@ -36,7 +36,7 @@
 
 bool PooledHost::has_open_connection() const { return find_open_connection() != nullptr; }
 
-bool PooledHost::may_be_forgotten(Millis now) const {
+bool PooledHost::may_be_removed(Millis now) const {
   const bool is_gone = endpoint_.entry.state == core::HostState::gone;
   return is_gone && connections_.empty() && !may_run_unfinished_calls(now);
 }
@@ -61,7 +61,7 @@
 }
 
 void PooledHost::retire_connections(UnsentRequests unsent) {
-  // A copy: a connection may end, and be removed, meanwhile.
+  // A copy, because connections may close and be removed during the loop.
   const auto connections = connections_;
   for (const auto& connection : connections)
     connection->retire(unsent);
--- a/src/hosts/pooled_host.h
+++ b/src/hosts/pooled_host.h
@@ -1,4 +1,4 @@
-// A host as the pool knows it: its endpoint, its connections, and the calls that may still run there.
+// The pool's record of a host: its endpoint, its connections, and the calls that may still run there.
 #pragma once
 
 #include <cstddef>
@@ -16,32 +16,32 @@
 class PooledHost {
  public:
   const core::ListedHost& endpoint() const { return endpoint_; }
-  // What its answers have shown is forgotten if the list tells more than it did.
+  // Discards what the host's answers have shown if its process or state has changed.
   void set_endpoint(const core::ListedHost& endpoint);
   void set_state(core::HostState state) { endpoint_.entry.state = state; }
-  // True if the entry is about another process than the one that is known: it moved or started anew.
+  // True if the entry names another process than the recorded one: the host has moved or restarted.
   bool is_replaced_by(const core::ListedHost& endpoint) const;
   bool is_ready() const { return endpoint_.entry.state == core::HostState::ready; }
-  // True if an open connection has room for an attempt.
+  // True if an open connection has capacity for an attempt.
   bool has_open_connection() const;
   bool is_reachable() const { return is_ready() && has_open_connection(); }
-  // True once nothing needs the record any more.
-  bool may_be_forgotten(Millis now) const;
+  // True once the record is no longer needed.
+  bool may_be_removed(Millis now) const;
 
   // A call was sent, and may run there for at most `attempt_timeout`.
   void record_call(Millis now, Millis attempt_timeout);
-  // A call was cancelled or its connection lost: it may go on until its time has run out.
+  // A call was cancelled or its connection lost: it may run until its timeout has passed.
   void record_unfinished_call() { has_unfinished_calls_ = true; }
   bool may_run_unfinished_calls(Millis now) const { return has_unfinished_calls_ && calls_expire_at_ > now; }
 
   HostReadiness& readiness() { return readiness_; }
   const HostReadiness& readiness() const { return readiness_; }
 
-  // A connection that is open and takes requests, or null.
+  // A connection that is open and accepts requests, or null.
   HostConnection* find_open_connection() const;
   const std::vector<std::shared_ptr<HostConnection>>& connections() const { return connections_; }
   HostConnection& add(std::shared_ptr<HostConnection> connection);
-  // Removes the connection and returns what owns it.
+  // Removes the connection and returns its owning pointer.
   std::shared_ptr<HostConnection> remove(const HostConnection& connection);
   void retire_connections(UnsentRequests unsent);
 
--- a/src/hosts/reachable_hosts.h
+++ b/src/hosts/reachable_hosts.h
@@ -1,5 +1,5 @@
-// The host filter for connections: leaves out hosts that are not known to take new work, and prefers those
-// that can be reached at once.
+// Host filter that excludes hosts that are not known to take new work, and prefers those with an open
+// connection.
 #pragma once
 
 #include <map>
@@ -20,7 +20,7 @@
                  const std::map<std::string, PooledHost>& hosts)
       : services_(services), readiness_(readiness), hosts_(hosts) {}
 
-  // A host has to pass this filter as well; null: none.
+  // Hosts have to pass `next` as well; null: no other filter.
   void chain(policy::HostFilter* next) { next_ = next; }
 
   bool allows(const std::string& tenant, std::uint64_t function, const std::string& host) override;
--- a/src/hosts/readiness_monitor.cpp
+++ b/src/hosts/readiness_monitor.cpp
@@ -10,13 +10,13 @@
 namespace {
 
 constexpr Millis kStepInterval{250};
-// A host that is declared draining is asked again after this long: it may have been a passing state.
+// A host that is declared draining is checked again after this time, because the state may be temporary.
 constexpr Millis kRecheckInterval{2000};
-// While the list ages, so many hosts are kept connected: one without a connection cannot be told from another
-// process at its address later on. Few, because all invokers do it at the same time.
+// While the list ages, connections to this many hosts are kept open: without one, a host cannot be told later
+// from another process at its address. The number is small because all invokers do this at the same time.
 constexpr std::size_t kStandbyHosts = 16;
 
-bool is_distrusted(const HostReadiness& readiness, Millis now) {
+bool is_unavailable(const HostReadiness& readiness, Millis now) {
   return readiness.declared_draining || now < readiness.unresponsive_until;
 }
 
@@ -51,16 +51,17 @@
 bool ReadinessMonitor::may_choose(const PooledHost& host) const {
   const Millis now = services_.loop.iteration_started();
   return host.is_ready() &&
-         rules_.judge(host.readiness(), has_known_connection(host), now).readiness != Readiness::withheld;
+         rules_.evaluate(host.readiness(), has_known_connection(host), now).readiness != Readiness::withheld;
 }
 
-ReadinessVerdict ReadinessMonitor::judge(const PooledHost& host, const HostConnection& connection) const {
-  return rules_.judge(host.readiness(), rules_.is_same_process(host.readiness(), connection.connected_at()),
-                      services_.loop.now());
+ReadinessResult ReadinessMonitor::evaluate(const PooledHost& host, const HostConnection& connection) const {
+  return rules_.evaluate(host.readiness(),
+                         rules_.is_same_process(host.readiness(), connection.connected_at()),
+                         services_.loop.now());
 }
 
-ReadinessVerdict ReadinessMonitor::judge(const PooledHost& host) const {
-  return rules_.judge(host.readiness(), has_known_connection(host), services_.loop.now());
+ReadinessResult ReadinessMonitor::evaluate(const PooledHost& host) const {
+  return rules_.evaluate(host.readiness(), has_known_connection(host), services_.loop.now());
 }
 
 bool ReadinessMonitor::accepts_proof(const PooledHost& host, const HostConnection& connection) const {
@@ -76,7 +77,8 @@
   });
 }
 
-// Only a served call proves that the host is not draining: what it has loaded, it still tells then.
+// Only a served call proves that the host is not draining: a draining host still answers whether a function
+// is loaded.
 void ReadinessMonitor::on_call_answered(PooledHost& host, const HostConnection& connection, Millis sent_at,
                                         core::Outcome outcome) {
   if (outcome == core::Outcome::at_capacity)
@@ -104,7 +106,7 @@
     report(ReadinessEvent::Kind::host_withheld, host.endpoint().entry.host);
   if (was_draining && !is_draining)
     report(ReadinessEvent::Kind::host_readmitted, host.endpoint().entry.host);
-  count_distrusted();
+  count_unavailable();
 }
 
 bool ReadinessMonitor::keeps_when_idle(const PooledHost& host, const HostConnection& connection) const {
@@ -121,10 +123,10 @@
 void ReadinessMonitor::print_withheld(std::ostream& out, std::size_t max_lines) const {
   std::size_t lines = 0;
   for (const auto& [id, host] : hosts_) {
-    const ReadinessVerdict verdict = judge(host);
-    if (!host.is_ready() || !verdict.reason || ++lines > max_lines)
+    const ReadinessResult result = evaluate(host);
+    if (!host.is_ready() || !result.reason || ++lines > max_lines)
       continue;
-    out << "host " << id << " gets no new work: " << name_of(*verdict.reason) << '\n';
+    out << "host " << id << " gets no new work: " << name_of(*result.reason) << '\n';
   }
   if (lines > max_lines)
     out << "and " << lines - max_lines << " hosts more\n";
@@ -144,9 +146,9 @@
     services_.counters.add(metrics::kEndpointsListExpired);
     report(ReadinessEvent::Kind::list_expired);
   }
-  if (distrusted_ > 0) {
-    count_distrusted();
-    recheck_distrusted();
+  if (unavailable_hosts_ > 0) {
+    count_unavailable();
+    recheck_draining();
   }
   if (rules_.terms().checks_hosts && rules_.is_list_ageing(now))
     open_standby_connections();
@@ -166,19 +168,19 @@
 
 std::size_t ReadinessMonitor::count_withheld() const {
   return static_cast<std::size_t>(std::count_if(hosts_.begin(), hosts_.end(), [this](const auto& entry) {
-    return entry.second.is_ready() && judge(entry.second).readiness == Readiness::withheld;
+    return entry.second.is_ready() && evaluate(entry.second).readiness == Readiness::withheld;
   }));
 }
 
-void ReadinessMonitor::count_distrusted() {
+void ReadinessMonitor::count_unavailable() {
   const Millis now = services_.loop.now();
-  distrusted_ =
+  unavailable_hosts_ =
       static_cast<std::size_t>(std::count_if(hosts_.begin(), hosts_.end(), [now](const auto& entry) {
-        return entry.second.is_ready() && is_distrusted(entry.second.readiness(), now);
+        return entry.second.is_ready() && is_unavailable(entry.second.readiness(), now);
       }));
 }
 
-void ReadinessMonitor::recheck_distrusted() {
+void ReadinessMonitor::recheck_draining() {
   const Millis now = services_.loop.now();
   for (auto& [id, host] : hosts_) {
     if (!host.is_ready() || !host.readiness().declared_draining)
@@ -190,12 +192,12 @@
     if (open != nullptr) {
       open->send_readiness_check();
     } else if (rules_.is_list_current(now)) {
-      open_connection(host);  // it is asked at the next step but some
+      open_connection(host);  // a later step sends the check
     }
   }
 }
 
-// Begins at another host in each process, so that all together spread over the hosts.
+// Starts at a different host in each process, so that the processes together spread over the hosts.
 void ReadinessMonitor::open_standby_connections() {
   std::vector<PooledHost*> unconnected;
   std::size_t connected = 0;
@@ -219,7 +221,7 @@
   }
 }
 
-// Returns false if this machine can make no connections now.
+// Returns false if this machine cannot make connections now.
 bool ReadinessMonitor::open_connection(PooledHost& host) {
   const ConnectionChoice choice = selector_.select(host, {});
   if (choice.connection != nullptr)
--- a/src/hosts/response_time_estimate.h
+++ b/src/hosts/response_time_estimate.h
@@ -1,4 +1,4 @@
-// How long answers of hosts usually take, and from it how long a connection may be silent.
+// Estimates how long hosts usually take to answer, and from that how long a connection may be silent.
 #pragma once
 
 #include <algorithm>
@@ -9,24 +9,24 @@
 
 using core::Millis;
 
-// Moving average over the answers of all hosts.
+// Exponential moving average over the answers of all hosts.
 class ResponseTimeEstimate {
  public:
   void record(Millis elapsed) { average_response_time_ += kAverageGain * (elapsed - average_response_time_); }
 
-  // How long a connection with an attempt in flight may be silent before it is probed; `limit` is the most
-  // that the settings allow.
+  // How long a connection with an attempt in flight may be silent before it is probed; `limit` is the maximum
+  // from the settings.
   Millis max_silence(Millis limit) const {
     const Millis usual = std::max(average_response_time_ * kSilenceFactor, kMinSilence);
     return std::min(usual, std::max(limit, kMinSilence));
   }
 
  private:
-  // About the last 20 answers count.
+  // The average covers about the last 20 answers.
   static constexpr double kAverageGain = 0.05;
   // Silence of this many average response times is unusual.
   static constexpr double kSilenceFactor = 2;
-  // Less than this is no silence: a probe would cost more than it finds.
+  // After a shorter silence, a probe would cost more than it could detect.
   static constexpr Millis kMinSilence{200};
 
   Millis average_response_time_{0};
--- a/src/hosts/silence_monitor.cpp
+++ b/src/hosts/silence_monitor.cpp
@@ -7,9 +7,9 @@
 
 // The allowed silence doubles with each probe since the last answer, up to this many times.
 constexpr int kMaxSilenceDoublings = 4;
-// A host answers a probe at once, beside its queue of calls.
+// The answer to a probe does not wait in the host's queue of calls.
 constexpr Millis kProbeTimeout{250};
-// The longest pause between two pieces of an answer; after it, the rest never comes.
+// The longest pause between two pieces of an answer; after a longer one, the rest is taken to be lost.
 constexpr Millis kMaxPauseInAnswer{200};
 // The longest time between the first and the last piece of an answer.
 constexpr Millis kMaxAnswerDuration{2000};
@@ -41,7 +41,8 @@
   return silent_for > allowed ? Action::send_probe : Action::none;
 }
 
-// A long answer, or one that comes in small pieces, takes long though nothing is wrong.
+// A long answer, or one that arrives in small pieces, may take long without a fault, so pauses and the total
+// duration have separate limits.
 bool SilenceMonitor::is_answer_broken_off(Millis now) const {
   if (partial_answer_since_.count() <= 0)
     return false;
--- a/src/hosts/tag_sequence.h
+++ b/src/hosts/tag_sequence.h
@@ -6,7 +6,7 @@
 
 namespace lotusyard::hosts {
 
-// Makes tags that are unique in this process. One sequence serves all connections.
+// Generates tags that are unique in this process. One sequence serves all connections.
 class TagSequence {
  public:
   std::string next_load_tag() { return next('t'); }
@@ -15,7 +15,7 @@
   std::string next_readiness_tag() { return next('r'); }
 
  private:
-  // The prefix keeps a tag apart from the ref of an attempt, which is 16 hexadecimal digits.
+  // The prefix distinguishes a tag from the ref of an attempt, which is 16 hexadecimal digits.
   std::string next(char prefix) { return prefix + std::to_string(++last_); }
 
   std::uint64_t last_ = 0;
--- a/src/hosts/waiting_sends.h
+++ b/src/hosts/waiting_sends.h
@@ -1,4 +1,4 @@
-// What was decided for a host while this machine could not make the connection that it needs.
+// Requests that wait because this machine could not make the connection that they need.
 #pragma once
 
 #include <cstdint>
@@ -19,9 +19,9 @@
   Kind kind = Kind::attempt;
   std::string host;
   Millis since{0};
-  Millis deadline{0};  // it is ended at this time
+  Millis deadline{0};  // when it stops waiting
   // Of an attempt:
-  Millis may_move_at{0};  // from then on another host may have it
+  Millis may_move_at{0};  // from then on it may go to another host
   core::Attempt attempt;
   core::Call call;
   // Of a load request:
@@ -29,8 +29,8 @@
   int copies = 0;
 };
 
-// The queue of waiting sends, in the order of their arrival. Its length is bounded by the open calls and by
-// the load requests and probes of the policy.
+// Queue of waiting sends in the order of their arrival. Its length is bounded by the open calls and by the
+// load requests and probes of the policy.
 class WaitingSends {
  public:
   void add(WaitingSend&& send) { sends_.push_back(std::move(send)); }
--- a/tests/hosts/connection_decisions_test.cpp
+++ b/tests/hosts/connection_decisions_test.cpp
@@ -1,4 +1,4 @@
-// The decisions about connections to hosts that need no I/O, and the codec of the host protocol.
+// Unit tests of the parts of the connection pool that do no I/O, and of the codec of the host protocol.
 #include <catch2/catch.hpp>
 #include <map>
 #include <string>
@@ -43,7 +43,7 @@
   CHECK(monitor.check(Millis(2001), kMaxSilence, true) == Action::send_probe);
 }
 
-TEST_CASE("a probe that was discarded is not waited for") {
+TEST_CASE("a discarded probe does not count as outstanding") {
   SilenceMonitor monitor;
   monitor.record_received(Millis(1000));
   monitor.record_probe(Millis(1500));
@@ -52,7 +52,7 @@
   CHECK(monitor.check(Millis(1801), kMaxSilence, true) == Action::send_probe);
 }
 
-TEST_CASE("an answer that breaks off ends its connection, after a pause or after too long in all") {
+TEST_CASE("an incomplete answer closes its connection after a long pause or a long total duration") {
   SilenceMonitor monitor;
   monitor.record_received(Millis(1000));
   monitor.record_parsed(true, false);
@@ -101,14 +101,14 @@
     CHECK_FALSE(backoff.may_connect(now));
     now = backoff.next_attempt_at();
     CHECK(backoff.may_connect(now));
-    CHECK(backoff.is_in_trouble(now));
+    CHECK(backoff.is_impaired(now));
   }
-  CHECK_FALSE(backoff.is_in_trouble(now + Millis(20)));
+  CHECK_FALSE(backoff.is_impaired(now + Millis(20)));
   backoff.record_success();
   CHECK(backoff.has_no_failure());
 }
 
-TEST_CASE("an ended ref expects one late answer if it was cancelled, and is forgotten after a while") {
+TEST_CASE("an ended ref accepts one late answer if it was cancelled, and expires after its retention") {
   constexpr Millis kRetention{100};
   EndedRefs refs;
   refs.add("a1", EndedRefs::State::cancelled, Millis(0), kRetention);
@@ -129,7 +129,7 @@
   return send;
 }
 
-TEST_CASE("waiting sends keep their order, and are taken by attempt or by host") {
+TEST_CASE("waiting sends keep their order, and are removed by attempt or by host") {
   WaitingSends sends;
   sends.add(waiting_attempt("h1", 1));
   sends.add(waiting_attempt("h2", 2));
