--- a/tests/outage/checker.cpp
+++ b/tests/outage/checker.cpp
@@ -22,19 +22,19 @@
   return nullptr;
 }
 
-// When a host's drain counts as notified at the latest.
+// The latest time at which a host's drain counts as notified.
 double notified_at(const History& history, const PhaseChange& change, const Rules& rules) {
   const Outage* outage = outage_at(history, change.at);
   if (outage == nullptr)
     return change.at;
-  const bool per_event = rules.clock == NoticeClock::per_event;
-  const double by_clock =
-      per_event ? change.at + rules.notice : std::max(change.at, outage->from + rules.notice);
+  const bool per_event = rules.clock == NotificationClock::per_event;
+  const double by_clock = per_event ? change.at + rules.notification_delay
+                                    : std::max(change.at, outage->from + rules.notification_delay);
   return std::min(by_clock, outage->to);
 }
 
-// A host that is back counts as ready only when that could be read, from discovery or from a configuration.
-// An invoker that does not know of the return may still be bound by the drain that it counts as notified of.
+// A host that has returned counts as ready only once the change could be read, from discovery or from a
+// configuration. Until then an invoker may still have to observe the drain that counts as notified.
 double readable_at(const History& history, const PhaseChange& change) {
   const Outage* outage = outage_at(history, change.at);
   if (outage == nullptr || outage->answers_late)
@@ -47,14 +47,15 @@
   return readable;
 }
 
-struct Forbidden {
+struct ForbiddenSpan {
   double from = 0;
   double to = kNever;
 };
 
-// The spans in which the host must get nothing new.
-std::vector<Forbidden> forbidden_spans(const History& history, const std::string& host, const Rules& rules) {
-  std::vector<Forbidden> spans;
+// The time spans in which the host must get no new requests.
+std::vector<ForbiddenSpan> forbidden_spans(const History& history, const std::string& host,
+                                           const Rules& rules) {
+  std::vector<ForbiddenSpan> spans;
   bool is_ready = true;
   for (const auto& change : history.phases) {
     if (change.host != host)
@@ -71,12 +72,12 @@
   return spans;
 }
 
-bool is_forbidden(const std::vector<Forbidden>& spans, double at) {
+bool is_forbidden(const std::vector<ForbiddenSpan>& spans, double at) {
   return std::any_of(spans.begin(), spans.end(),
-                     [at](const Forbidden& span) { return at > span.from && at < span.to; });
+                     [at](const ForbiddenSpan& span) { return at > span.from && at < span.to; });
 }
 
-// The part of its capacity that a host has so long after its start.
+// The fraction of its capacity that a host has at this age.
 double capacity_after(double age, const Rules& rules) {
   return std::min(1.0, rules.cold_initial + (1 - rules.cold_initial) * age / rules.cold_duration);
 }
@@ -90,7 +91,7 @@
       }));
 }
 
-// What a warm host got at most in a window of the run.
+// The most calls that a warm host got in one window of the run.
 int busiest_warm_window(const History& history, const std::string& cold, const Rules& rules) {
   std::map<std::string, std::map<long, int>> windows;
   for (const auto& request : history.requests) {
@@ -112,7 +113,7 @@
 }  // namespace
 
 std::vector<std::string> drain_violations(const History& history, const Rules& rules) {
-  std::map<std::string, std::vector<Forbidden>> spans;
+  std::map<std::string, std::vector<ForbiddenSpan>> spans;
   for (const auto& change : history.phases)
     spans.emplace(change.host, forbidden_spans(history, change.host, rules));
   std::vector<std::string> broken;
@@ -143,12 +144,12 @@
 std::vector<std::string> duplicate_runs(const History& history) {
   std::map<std::string, int> runs;
   for (const auto& request : history.requests) {
-    if (request.kind == HostRequest::Kind::call && !request.turned_away)
+    if (request.kind == HostRequest::Kind::call && !request.rejected)
       ++runs[request.body];
   }
   std::vector<std::string> broken;
   for (const auto& call : history.calls) {
-    if (!call.repeatable && runs[call.body] > 1)
+    if (!call.idempotent && runs[call.body] > 1)
       broken.push_back("duplicate: " + call.body + " ran " + std::to_string(runs[call.body]) + " times");
   }
   return broken;
@@ -197,7 +198,7 @@
 int calls_served_by(const History& history, const std::string& host, double from, double to) {
   return static_cast<int>(
       std::count_if(history.requests.begin(), history.requests.end(), [&](const HostRequest& request) {
-        const bool is_served_call = request.kind == HostRequest::Kind::call && !request.turned_away;
+        const bool is_served_call = request.kind == HostRequest::Kind::call && !request.rejected;
         return is_served_call && request.host == host && request.at >= from && request.at < to;
       }));
 }
--- a/tests/outage/history.h
+++ b/tests/outage/history.h
@@ -1,5 +1,5 @@
-// What hosts, clients and the discovery service of a run recorded: the only input of the checker. Times are
-// milliseconds on one clock.
+// Record of what the hosts, clients and discovery service of a run observed: the only input of the checker.
+// All times are milliseconds of one clock.
 #pragma once
 
 #include <limits>
@@ -12,7 +12,7 @@
 
 enum class HostPhase { ready, draining, gone };
 
-// A change of a host that the discovery service has published, whether or not anybody could read it.
+// A change of a host that the discovery service has published, whether or not any reader received it.
 struct PhaseChange {
   double at = 0;
   std::string host;
@@ -27,13 +27,13 @@
   std::string host;
   Kind kind = Kind::call;
   std::string body;  // of a call
-  bool turned_away = false;
+  bool rejected = false;
 };
 
-// What a client saw of one call.
+// One call as its client observed it.
 struct ClientCall {
   std::string body;
-  bool repeatable = true;
+  bool idempotent = true;
   double sent_at = 0;
   double timeout = 0;
   double answered_at = kNever;
@@ -42,11 +42,11 @@
   bool excused = false;  // its invoker was killed or stopped while the call was open
 };
 
-// A time during which the discovery service could not be read.
+// A period during which the discovery service could not be read.
 struct Outage {
   double from = 0;
   double to = kNever;
-  bool answers_late = false;  // readers get what was published in the end, some seconds late
+  bool answers_late = false;  // readers receive what was published, some seconds late
 };
 
 struct History {
@@ -54,7 +54,7 @@
   std::vector<HostRequest> requests;
   std::vector<ClientCall> calls;
   std::vector<Outage> outages;
-  std::vector<double> starts;  // when invokers were given a configuration that holds all events up to then
+  std::vector<double> starts;  // when an invoker got a configuration that contains all events up to then
 };
 
 }  // namespace lotusyard::test::outage
--- a/tests/outage/outage_rig.cpp
+++ b/tests/outage/outage_harness.cpp
@@ -1,4 +1,4 @@
-#include "outage/outage_rig.h"
+#include "outage/outage_harness.h"
 
 #include <algorithm>
 
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-OutageRig::OutageRig(const RigOptions& given) : options(given) {
+OutageHarness::OutageHarness(const HarnessOptions& given) : options(given) {
   for (int i = 0; i < options.hosts; ++i)
     add_host(static_cast<std::size_t>(i));
   std::vector<std::size_t> all(hosts.size());
@@ -31,7 +31,7 @@
     all[i] = i;
   publish(all, HostPhase::ready, false);
   for (int i = 0; i < options.invokers; ++i) {
-    RiggedInvoker& invoker = invokers.emplace_back();
+    HarnessInvoker& invoker = invokers.emplace_back();
     const std::string name = "n" + std::to_string(i);
     invoker.listen = free_address();
     invoker.config = folder.path + "/" + name + ".json";
@@ -39,30 +39,30 @@
   }
 }
 
-// Clients, hosts and discovery end before the loop.
-OutageRig::~OutageRig() {
+// Clients and hosts must be destroyed before the event loop.
+OutageHarness::~OutageHarness() {
   invokers.clear();
   hosts.clear();
 }
 
-void OutageRig::add_host(std::size_t number) {
-  RiggedHost host;
+void OutageHarness::add_host(std::size_t number) {
+  HarnessHost host;
   host.id = "h" + std::to_string(number);
   host.address = free_address();
   hosts.push_back(std::move(host));
   serve_at(number);
 }
 
-void OutageRig::serve_at(std::size_t number) {
-  RiggedHost& host = hosts[number];
+void OutageHarness::serve_at(std::size_t number) {
+  HarnessHost& host = hosts[number];
   host.loaded.clear();
   host.hangs = false;
-  host.server = std::make_unique<StandInHost>(world.loop, world.pool, host.address);
+  host.server = std::make_unique<StandInHost>(fixture.loop, fixture.pool, host.address);
   host.server->on_request = [this, number](const hosts::Reply& line) { handle_request(number, line); };
 }
 
-void OutageRig::handle_request(std::size_t number, const hosts::Reply& line) {
-  RiggedHost& host = hosts[number];
+void OutageHarness::handle_request(std::size_t number, const hosts::Reply& line) {
+  HarnessHost& host = hosts[number];
   const bool is_loaded = update_loaded(host, line);
   Reaction reaction{Reaction::reply, "absent", 0};
   if (line.id == "exec" && is_loaded)
@@ -74,7 +74,7 @@
   record_request(host, line, !runs);
 }
 
-bool OutageRig::update_loaded(RiggedHost& host, const hosts::Reply& line) {
+bool OutageHarness::update_loaded(HarnessHost& host, const hosts::Reply& line) {
   const auto at = line.fields.find("asset=");
   if (at == std::string::npos)
     return false;
@@ -88,16 +88,16 @@
   return is_loaded;
 }
 
-void OutageRig::record_request(const RiggedHost& host, const hosts::Reply& line, bool turned_away) {
+void OutageHarness::record_request(const HarnessHost& host, const hosts::Reply& line, bool rejected) {
   HostRequest request;
   request.at = now();
   request.host = host.id;
-  request.turned_away = turned_away;
+  request.rejected = rejected;
   request.body = line.body;
   request.kind = HostRequest::Kind::call;
   if (line.id == "ensure") {
     if (line.fields.find("count=0") != std::string::npos)
-      return;  // only a question
+      return;  // loads nothing
     request.kind = HostRequest::Kind::load;
   } else if (line.id != "exec") {
     return;
@@ -105,10 +105,10 @@
   history.requests.push_back(std::move(request));
 }
 
-void OutageRig::publish(const std::vector<std::size_t>& which, HostPhase phase, bool restarted) {
+void OutageHarness::publish(const std::vector<std::size_t>& which, HostPhase phase, bool restarted) {
   nlohmann::json members = nlohmann::json::array();
   for (const std::size_t i : which) {
-    RiggedHost& host = hosts[i];
+    HarnessHost& host = hosts[i];
     host.phase = phase;
     if (restarted)
       host.started = now();
@@ -125,7 +125,7 @@
   discovery.publish(members);
 }
 
-std::vector<std::size_t> OutageRig::busiest(std::size_t count) const {
+std::vector<std::size_t> OutageHarness::busiest(std::size_t count) const {
   std::vector<std::pair<int, std::size_t>> order;
   for (std::size_t i = 0; i < hosts.size(); ++i)
     order.emplace_back(-calls_served_by(history, hosts[i].id, 0, now()), i);
@@ -136,43 +136,43 @@
   return first;
 }
 
-void OutageRig::drain(const std::vector<std::size_t>& which) {
+void OutageHarness::drain(const std::vector<std::size_t>& which) {
   for (const std::size_t i : which)
     hosts[i].server->draining = true;
   publish(which, HostPhase::draining, false);
 }
 
-void OutageRig::remove(const std::vector<std::size_t>& which) {
+void OutageHarness::remove(const std::vector<std::size_t>& which) {
   for (const std::size_t i : which)
     hosts[i].server.reset();
   publish(which, HostPhase::gone, false);
 }
 
-void OutageRig::restart(const std::vector<std::size_t>& which) {
+void OutageHarness::restart(const std::vector<std::size_t>& which) {
   for (const std::size_t i : which)
     serve_at(i);
   publish(which, HostPhase::ready, true);
 }
 
-void OutageRig::hang(std::size_t host, bool hangs) {
+void OutageHarness::hang(std::size_t host, bool hangs) {
   hosts[host].hangs = hangs;
   hosts[host].server->mute = hangs;
 }
 
-void OutageRig::begin_outage(OutageForm form) {
+void OutageHarness::begin_outage(OutageForm form) {
   history.outages.push_back({now(), kNever, form == OutageForm::slow_answer});
   discovery.fail(form);
 }
 
-void OutageRig::end_outage() {
+void OutageHarness::end_outage() {
   history.outages.back().to = now();
   discovery.fail(OutageForm::none);
 }
 
-void OutageRig::write_configuration(const RiggedInvoker& invoker, const std::string& address) const {
+void OutageHarness::write_configuration(const HarnessInvoker& invoker, const std::string& address) const {
   nlohmann::json file = platform_file(invoker.listen, address);
   file["name"] = invoker.listen;
-  file["known"] = discovery.known();
+  file["known"] = discovery.to_configuration();
   file["limits"]["sockets"] = 256;
   auto& settings = file["settings"];
   settings["Balancers"] = options.invokers;
@@ -184,7 +184,7 @@
   std::ofstream(invoker.config, std::ios::trunc) << file.dump();
 }
 
-void OutageRig::start(RiggedInvoker& invoker, bool waits) {
+void OutageHarness::start(HarnessInvoker& invoker, bool waits) {
   write_configuration(invoker, discovery.address());
   history.starts.push_back(now());
   const std::map<std::string, std::string> environment = {{"BALANCER_CONFIG", invoker.config},
@@ -196,19 +196,19 @@
     REQUIRE(run_until([&] { return invoker.takes_calls; }, kReadyTimeout));
 }
 
-void OutageRig::start_all() {
+void OutageHarness::start_all() {
   for (auto& invoker : invokers)
     start(invoker);
 }
 
-void OutageRig::kill(RiggedInvoker& invoker) {
+void OutageHarness::kill(HarnessInvoker& invoker) {
   invoker.process.reset();
   excuse_open_calls(invoker);
   invoker.client.reset();
   invoker.takes_calls = false;
 }
 
-long OutageRig::counter(RiggedInvoker& invoker, const std::string& name) {
+long OutageHarness::counter(HarnessInvoker& invoker, const std::string& name) {
   const auto printed = [&] {
     const std::string log = invoker.process->log();
     return std::count(log.begin(), log.end(), '\n');
@@ -220,29 +220,29 @@
   return invoker.process->counter(name);
 }
 
-void OutageRig::run_for(Millis duration) {
+void OutageHarness::run_for(Millis duration) {
   run_until([] { return false; }, duration);
 }
 
-bool OutageRig::run_until(const std::function<bool()>& done, Millis limit) {
-  const Millis end = world.loop.now() + limit;
-  while (world.loop.now() < end) {
+bool OutageHarness::run_until(const std::function<bool()>& done, Millis limit) {
+  const Millis end = fixture.loop.now() + limit;
+  while (fixture.loop.now() < end) {
     if (done())
       return true;
-    turn();
+    run_once();
   }
   return done();
 }
 
-void OutageRig::settle() {
-  quiet_ = true;
+void OutageHarness::finish_calls() {
+  clients_stopped_ = true;
   run_for(options.call_timeout + Millis(100));
 }
 
-void OutageRig::turn() {
+void OutageHarness::run_once() {
   for (auto& invoker : invokers)
     step_client(invoker);
-  world.loop.run_once(world.loop.now() + Millis(2), [] {});
+  fixture.loop.run_once(fixture.loop.now() + Millis(2), [] {});
 }
 
 }  // namespace lotusyard::test::outage
--- a/tests/outage/soak.cpp
+++ b/tests/outage/soak.cpp
@@ -5,17 +5,17 @@
 namespace lotusyard::test::outage {
 namespace {
 
-constexpr double kNoticeWithoutChecks = 7000;
+constexpr double kNotificationDelayWithoutChecks = 7000;
 constexpr Millis kRecovery{6000};
 constexpr Millis kFinalCalls{1500};
 bool has_checks(std::uint64_t seed) { return seed % 5 != 0; }
 
 }  // namespace
 
-// Every fifth seed has hosts that cannot be asked for their health.
-RigOptions Soak::options_for(std::uint64_t seed) {
+// In every fifth seed the settings forbid health checks.
+HarnessOptions Soak::options_for(std::uint64_t seed) {
   constexpr double kGraces[] = {500, 1000, 2000};
-  RigOptions options;
+  HarnessOptions options;
   options.invokers = 2 + static_cast<int>(seed % 3);
   options.hosts = 6 + static_cast<int>(seed % 4);
   options.drain_grace = kGraces[seed / 3 % 3];
@@ -32,63 +32,64 @@
   return options;
 }
 
-Soak::Soak(std::uint64_t seed) : rig(options_for(seed)), random_(seed) {
-  rules.drain_grace = rig.options.drain_grace;
-  rules.clock = has_checks(seed) ? NoticeClock::per_outage : NoticeClock::per_event;
-  rules.notice = has_checks(seed) ? 2000 : kNoticeWithoutChecks;
+Soak::Soak(std::uint64_t seed) : harness(options_for(seed)), random_(seed) {
+  rules.drain_grace = harness.options.drain_grace;
+  rules.clock = has_checks(seed) ? NotificationClock::per_outage : NotificationClock::per_event;
+  rules.notification_delay = has_checks(seed) ? 2000 : kNotificationDelayWithoutChecks;
   rules.cold_duration = 4000;
-  busy_hosts_.resize(rig.hosts.size());
+  busy_hosts_.resize(harness.hosts.size());
 }
 
-double Soak::between(double least, double most) {
+double Soak::random_between(double least, double most) {
   return std::uniform_real_distribution<double>(least, most)(random_);
 }
 
-void Soak::note(const std::string& step) {
-  steps.push_back(std::to_string(static_cast<long>(rig.now() - rig.history.phases[0].at)) + " " + step);
+void Soak::log_step(const std::string& step) {
+  steps.push_back(std::to_string(static_cast<long>(harness.now() - harness.history.phases[0].at)) + " " +
+                  step);
 }
 
-void Soak::end_later(double after, std::function<void()> end) {
-  endings_.push_back({rig.now() + after, std::move(end)});
+void Soak::schedule_end(double after, std::function<void()> end) {
+  scheduled_ends_.push_back({harness.now() + after, std::move(end)});
 }
 
-void Soak::run_endings(bool all) {
-  std::vector<Ending> due;
-  for (std::size_t i = 0; i < endings_.size();) {
-    if (!all && endings_[i].at > rig.now()) {
+void Soak::run_ends(bool all) {
+  std::vector<ScheduledEnd> due;
+  for (std::size_t i = 0; i < scheduled_ends_.size();) {
+    if (!all && scheduled_ends_[i].at > harness.now()) {
       ++i;
       continue;
     }
-    due.push_back(std::move(endings_[i]));
-    endings_.erase(endings_.begin() + static_cast<std::ptrdiff_t>(i));
+    due.push_back(std::move(scheduled_ends_[i]));
+    scheduled_ends_.erase(scheduled_ends_.begin() + static_cast<std::ptrdiff_t>(i));
   }
-  for (const auto& ending : due)
-    ending.end();
+  for (const auto& scheduled : due)
+    scheduled.end();
 }
 
 void Soak::run(Millis duration) {
-  rig.start_all();
-  rig.run_for(Millis(1500));
-  const double end = rig.now() + duration.count();
-  double next_step = rig.now();
-  while (rig.now() < end) {
-    if (rig.now() >= next_step) {
-      next_step = rig.now() + between(200, 1200);
+  harness.start_all();
+  harness.run_for(Millis(1500));
+  const double end = harness.now() + duration.count();
+  double next_step = harness.now();
+  while (harness.now() < end) {
+    if (harness.now() >= next_step) {
+      next_step = harness.now() + random_between(200, 1200);
       step();
     }
-    run_endings(false);
-    rig.run_for(Millis(20));
+    run_ends(false);
+    harness.run_for(Millis(20));
   }
-  note("the faults end");
-  while (!endings_.empty()) {
-    run_endings(true);
-    rig.run_for(Millis(100));
+  log_step("the faults end");
+  while (!scheduled_ends_.empty()) {
+    run_ends(true);
+    harness.run_for(Millis(100));
   }
-  rig.run_for(kRecovery);
-  const double from = rig.now();
-  rig.run_for(kFinalCalls);
-  rig.settle();
-  served_at_the_end = served_share(rig.history, from, rig.now());
+  harness.run_for(kRecovery);
+  const double from = harness.now();
+  harness.run_for(kFinalCalls);
+  harness.finish_calls();
+  final_served_share = served_share(harness.history, from, harness.now());
 }
 
 void Soak::step() {
@@ -116,7 +117,7 @@
     case 12:
       return terminate_invoker();
     default:
-      return gather_crowd();
+      return open_idle_connections();
   }
 }
 
--- a/tests/outage/soak.h
+++ b/tests/outage/soak.h
@@ -1,4 +1,4 @@
-// A run in which discovery, hosts and processes fail at random, from one seed.
+// A run with random faults of discovery, hosts and processes, generated from one seed.
 #pragma once
 
 #include <cstdint>
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "outage/checker.h"
-#include "outage/outage_rig.h"
+#include "outage/outage_harness.h"
 #include "support/random_input.h"
 
 namespace lotusyard::test::outage {
@@ -15,50 +15,50 @@
  public:
   explicit Soak(std::uint64_t seed);
 
-  // Runs for so long, then ends all faults and waits until calls are served again.
+  // Injects faults for this long, then ends all faults and waits until calls are served again.
   void run(Millis duration);
 
-  OutageRig rig;
+  OutageHarness harness;
   Rules rules;
-  // What happened, for the report of a failure.
+  // Log of the steps, printed if a check fails.
   std::vector<std::string> steps;
-  double served_at_the_end = 0;
+  double final_served_share = 0;
 
  private:
-  // A fault that ends by itself.
-  struct Ending {
+  // The scheduled end of a fault, or of a stage of it.
+  struct ScheduledEnd {
     double at = 0;
     std::function<void()> end;
   };
 
   Random random_;
-  std::vector<Ending> endings_;
+  std::vector<ScheduledEnd> scheduled_ends_;
   bool outage_ = false;
-  std::vector<std::shared_ptr<Tablet>> crowd_;
-  std::vector<bool> busy_hosts_;                     // something happens to the host
-  std::vector<const RiggedInvoker*> busy_invokers_;  // or to the invoker
+  std::vector<std::shared_ptr<Tablet>> idle_clients_;
+  std::vector<bool> busy_hosts_;                      // hosts that a fault is affecting
+  std::vector<const HarnessInvoker*> busy_invokers_;  // invokers that a fault is affecting
 
-  static RigOptions options_for(std::uint64_t seed);
-  double between(double least, double most);
-  void note(const std::string& step);
-  void end_later(double after, std::function<void()> end);
-  void run_endings(bool all);
+  static HarnessOptions options_for(std::uint64_t seed);
+  double random_between(double least, double most);
+  void log_step(const std::string& step);
+  void schedule_end(double after, std::function<void()> end);
+  void run_ends(bool all);
   void step();
   void begin_outage();
-  bool take_host(std::size_t& host);
-  // The host leaves after the first span, and is back after the second one.
-  void leave_and_return(std::size_t host, double leaves_after, double is_away_for);
+  bool pick_host(std::size_t& host);
+  // Removes the host after the first delay, and restarts it after the second one.
+  void remove_and_restart(std::size_t host, double leaves_after, double is_away_for);
   void drain_hosts();
   void kill_host();
   void hang_host();
   void reset_connections();
-  RiggedInvoker* take_invoker();
-  void release(const RiggedInvoker& invoker);
+  HarnessInvoker* pick_invoker();
+  void release(const HarnessInvoker& invoker);
   void reload_invoker();
   void stop_invoker();
   void kill_invoker();
   void terminate_invoker();
-  void gather_crowd();
+  void open_idle_connections();
 };
 
 }  // namespace lotusyard::test::outage
--- a/tests/outage/soak_faults.cpp
+++ b/tests/outage/soak_faults.cpp
@@ -1,4 +1,4 @@
-// The faults that a soak draws from, and how each ends.
+// The faults that a soak selects from, and how each ends.
 #include <algorithm>
 
 #include "outage/soak.h"
@@ -7,8 +7,8 @@
 namespace {
 
 constexpr std::size_t kMinReadyHosts = 3;
-constexpr std::size_t kCrowd = 150;
-// How a process that is told to end is treated: new calls for a while, then SIGKILL.
+constexpr std::size_t kIdleConnections = 150;
+// Milliseconds after SIGTERM until the process gets no new calls, and until it gets SIGKILL.
 constexpr double kCallsAfterTerm = 200;
 constexpr double kKillAfterTerm = 3700;
 
@@ -22,19 +22,19 @@
   if (std::exchange(outage_, true))
     return;
   const std::size_t form = below(random_, std::size(kForms));
-  note("outage of form " + std::to_string(form + 1));
-  rig.begin_outage(kForms[form]);
-  end_later(between(500, 9000), [this] {
-    note("outage ends");
-    rig.end_outage();
+  log_step("outage of form " + std::to_string(form + 1));
+  harness.begin_outage(kForms[form]);
+  schedule_end(random_between(500, 9000), [this] {
+    log_step("outage ends");
+    harness.end_outage();
     outage_ = false;
   });
 }
 
-// Chooses a ready host, unless too few would be left.
-bool Soak::take_host(std::size_t& host) {
+// Selects a host that no fault is affecting, unless too few such hosts would be left.
+bool Soak::pick_host(std::size_t& host) {
   std::vector<std::size_t> free;
-  for (std::size_t i = 0; i < rig.hosts.size(); ++i) {
+  for (std::size_t i = 0; i < harness.hosts.size(); ++i) {
     if (!busy_hosts_[i])
       free.push_back(i);
   }
@@ -45,12 +45,12 @@
   return true;
 }
 
-void Soak::leave_and_return(std::size_t host, double leaves_after, double is_away_for) {
-  end_later(leaves_after, [this, host, is_away_for] {
-    rig.remove({host});
-    end_later(is_away_for, [this, host] {
-      note("return of " + rig.hosts[host].id);
-      rig.restart({host});
+void Soak::remove_and_restart(std::size_t host, double leaves_after, double is_away_for) {
+  schedule_end(leaves_after, [this, host, is_away_for] {
+    harness.remove({host});
+    schedule_end(is_away_for, [this, host] {
+      log_step("restart of " + harness.hosts[host].id);
+      harness.restart({host});
       busy_hosts_[host] = false;
     });
   });
@@ -58,80 +58,82 @@
 
 void Soak::drain_hosts() {
   std::size_t host = 0;
-  if (!take_host(host))
+  if (!pick_host(host))
     return;
-  note("drain of " + rig.hosts[host].id);
-  rig.drain({host});
-  leave_and_return(host, between(3000, 8000), between(1500, 3000));
+  log_step("drain of " + harness.hosts[host].id);
+  harness.drain({host});
+  remove_and_restart(host, random_between(3000, 8000), random_between(1500, 3000));
 }
 
-// Discovery notices late.
+// Discovery publishes the removal with a delay.
 void Soak::kill_host() {
   std::size_t host = 0;
-  if (!take_host(host))
+  if (!pick_host(host))
     return;
-  note("death of " + rig.hosts[host].id);
-  rig.hosts[host].server.reset();
-  leave_and_return(host, between(1000, 2500), between(4000, 6000));
+  log_step("crash of " + harness.hosts[host].id);
+  harness.hosts[host].server.reset();
+  remove_and_restart(host, random_between(1000, 2500), random_between(4000, 6000));
 }
 
 void Soak::hang_host() {
   std::size_t host = 0;
-  if (!take_host(host))
+  if (!pick_host(host))
     return;
-  note("hang of " + rig.hosts[host].id);
-  rig.hang(host, true);
-  end_later(between(300, 3000), [this, host] {
-    rig.hang(host, false);
+  log_step("hang of " + harness.hosts[host].id);
+  harness.hang(host, true);
+  schedule_end(random_between(300, 3000), [this, host] {
+    harness.hang(host, false);
     busy_hosts_[host] = false;
   });
 }
 
 void Soak::reset_connections() {
-  const auto& host = rig.hosts[below(random_, rig.hosts.size())];
+  const auto& host = harness.hosts[below(random_, harness.hosts.size())];
   if (!host.server)
     return;
-  note("resets at " + host.id);
+  log_step("resets at " + host.id);
   for (const auto& peer : host.server->server.peers)
     peer->close_later();
 }
 
-// Chooses an invoker to which nothing happens; one of them always stays so.
-RiggedInvoker* Soak::take_invoker() {
-  if (busy_invokers_.size() + 1 >= rig.invokers.size())
+// Selects an invoker at random. Returns null if a fault is affecting it already, or if no other invoker would
+// be left unaffected.
+HarnessInvoker* Soak::pick_invoker() {
+  if (busy_invokers_.size() + 1 >= harness.invokers.size())
     return nullptr;
-  auto chosen = std::next(rig.invokers.begin(), static_cast<long>(below(random_, rig.invokers.size())));
+  auto chosen =
+      std::next(harness.invokers.begin(), static_cast<long>(below(random_, harness.invokers.size())));
   if (std::count(busy_invokers_.begin(), busy_invokers_.end(), &*chosen) > 0)
     return nullptr;
   busy_invokers_.push_back(&*chosen);
   return &*chosen;
 }
 
-void Soak::release(const RiggedInvoker& invoker) {
+void Soak::release(const HarnessInvoker& invoker) {
   busy_invokers_.erase(std::find(busy_invokers_.begin(), busy_invokers_.end(), &invoker));
 }
 
 void Soak::reload_invoker() {
-  RiggedInvoker* invoker = take_invoker();
+  HarnessInvoker* invoker = pick_invoker();
   if (invoker == nullptr)
     return;
-  note("SIGHUP");
-  rig.write_configuration(*invoker, rig.discovery.address());
+  log_step("SIGHUP");
+  harness.write_configuration(*invoker, harness.discovery.address());
   invoker->process->signal(SIGHUP);
   release(*invoker);
 }
 
-// What was open, or came, while it was stopped is answered late.
+// Calls that are open or arrive while the process is stopped are answered late.
 void Soak::stop_invoker() {
-  RiggedInvoker* invoker = take_invoker();
+  HarnessInvoker* invoker = pick_invoker();
   if (invoker == nullptr)
     return;
-  note("SIGSTOP");
+  log_step("SIGSTOP");
   invoker->sends_calls = false;
   invoker->process->signal(SIGSTOP);
-  rig.excuse_open_calls(*invoker);
-  end_later(between(200, 6000), [this, invoker] {
-    note("SIGCONT");
+  harness.excuse_open_calls(*invoker);
+  schedule_end(random_between(200, 6000), [this, invoker] {
+    log_step("SIGCONT");
     invoker->process->signal(SIGCONT);
     invoker->sends_calls = true;
     release(*invoker);
@@ -139,46 +141,46 @@
 }
 
 void Soak::kill_invoker() {
-  RiggedInvoker* invoker = take_invoker();
+  HarnessInvoker* invoker = pick_invoker();
   if (invoker == nullptr)
     return;
-  note("SIGKILL");
-  rig.kill(*invoker);
-  end_later(between(100, 1500), [this, invoker] {
-    rig.start(*invoker, false);
+  log_step("SIGKILL");
+  harness.kill(*invoker);
+  schedule_end(random_between(100, 1500), [this, invoker] {
+    harness.start(*invoker, false);
     release(*invoker);
   });
 }
 
-// Clients use open connections for a while, and keep them until the kill.
+// Clients continue to use open connections for a while, and keep them open until the process is killed.
 void Soak::terminate_invoker() {
-  RiggedInvoker* invoker = take_invoker();
+  HarnessInvoker* invoker = pick_invoker();
   if (invoker == nullptr)
     return;
-  note("SIGTERM");
+  log_step("SIGTERM");
   invoker->process->signal(SIGTERM);
-  end_later(kCallsAfterTerm, [invoker] { invoker->sends_calls = false; });
-  end_later(kKillAfterTerm, [this, invoker] {
+  schedule_end(kCallsAfterTerm, [invoker] { invoker->sends_calls = false; });
+  schedule_end(kKillAfterTerm, [this, invoker] {
     if (invoker->process->status() > 0)
-      note("ended with status " + std::to_string(invoker->process->status()));
+      log_step("ended with status " + std::to_string(invoker->process->status()));
     invoker->process.reset();
     invoker->client.reset();
     invoker->open.clear();
     invoker->sends_calls = true;
-    rig.start(*invoker, false);
+    harness.start(*invoker, false);
     release(*invoker);
   });
 }
 
-// Connections that say nothing.
-void Soak::gather_crowd() {
-  if (!crowd_.empty())
+// Opens connections that send nothing.
+void Soak::open_idle_connections() {
+  if (!idle_clients_.empty())
     return;
-  note("crowd");
-  const RiggedInvoker& invoker = rig.invokers.front();
-  for (std::size_t i = 0; i < kCrowd; ++i)
-    crowd_.push_back(std::make_shared<Tablet>(rig.world, invoker.listen));
-  end_later(between(500, 3000), [this] { crowd_.clear(); });
+  log_step("idle connections");
+  const HarnessInvoker& invoker = harness.invokers.front();
+  for (std::size_t i = 0; i < kIdleConnections; ++i)
+    idle_clients_.push_back(std::make_shared<Tablet>(harness.fixture, invoker.listen));
+  schedule_end(random_between(500, 3000), [this] { idle_clients_.clear(); });
 }
 
 }  // namespace lotusyard::test::outage
--- a/tests/outage/soak_test.cpp
+++ b/tests/outage/soak_test.cpp
@@ -1,4 +1,4 @@
-// Faults of discovery, hosts and processes together, judged by what hosts and clients recorded.
+// Random faults of discovery, hosts and processes together, checked by what hosts and clients recorded.
 #include "outage/soak.h"
 
 #include <cstdlib>
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr Millis kDuration{25000};
-// Faults that leave no host are not drawn, but calls at a host that dies or hangs fail.
+// Some hosts always stay usable, but calls at a host that crashes or hangs fail.
 constexpr double kMinServedShare = 0.75;
 
 void check_seed(std::uint64_t seed) {
@@ -18,10 +18,10 @@
   for (const auto& step : soak.steps)
     steps += step + "\n";
   INFO("seed " << seed << "\n" << steps);
-  CHECK(violations(soak.rig.history, soak.rules) == std::vector<std::string>());
-  CHECK(served_share(soak.rig.history, 0, kNever) > kMinServedShare);
-  CHECK(soak.served_at_the_end > 0.97);
-  for (const auto& invoker : soak.rig.invokers)
+  CHECK(violations(soak.harness.history, soak.rules) == std::vector<std::string>());
+  CHECK(served_share(soak.harness.history, 0, kNever) > kMinServedShare);
+  CHECK(soak.final_served_share > 0.97);
+  for (const auto& invoker : soak.harness.invokers)
     CHECK(invoker.process->status() == -1);
 }
 
@@ -31,7 +31,7 @@
 
 TEST_CASE("faults from seed 5 keep every rule where no health checks are allowed") { check_seed(5); }
 
-// By hand: LOTUSYARD_SEEDS=from-to.
+// Run manually, with LOTUSYARD_SEEDS=from-to.
 TEST_CASE("faults from many seeds keep every rule", "[.][outage-soak]") {
   const char* given = std::getenv("LOTUSYARD_SEEDS");
   const std::string range = given == nullptr ? "101-110" : given;
--- a/tests/outage/stand_in_discovery.h
+++ b/tests/outage/stand_in_discovery.h
@@ -1,4 +1,4 @@
-// A discovery service with a stream of events and heartbeats that can fail in all the ways that matter.
+// Stand-in for the discovery service: a stream of events and heartbeats that can fail in several ways.
 #pragma once
 
 #include <algorithm>
@@ -14,16 +14,16 @@
 
 namespace lotusyard::test::outage {
 
-// How the service fails. In each form its events are published, and nobody gets them.
+// How the service fails. In each form events are published, and readers do not receive them.
 enum class OutageForm {
   none,
-  refused,        // nobody listens
-  reset_at_once,  // each connection ends as soon as it is made
-  silent,         // connections stay open, and nothing comes
+  refused,        // the service does not listen
+  reset_at_once,  // each connection is closed as soon as it is accepted
+  silent,         // connections stay open, and nothing is sent
   broken_event,   // the stream stops within an event
-  trickle,        // an event comes byte by byte
-  withheld,       // heartbeats go on with the old number, and no event comes
-  gap,            // the heartbeats name events that never come
+  trickle,        // an event is sent byte by byte
+  withheld,       // heartbeats continue with the old sequence number, and no event is sent
+  gap,            // the heartbeats name events that are never sent
   garbage,
   slow_answer  // a new connection is answered after kSlowAnswer
 };
@@ -33,13 +33,13 @@
   static constexpr Millis kHeartbeat{1000};
   static constexpr Millis kSlowAnswer{2500};
 
-  explicit StandInDiscovery(InvokerFixture& world) : world_(world) { listen(free_address()); }
-  ~StandInDiscovery() { world_.loop.cancel(heartbeat_timer_); }
+  explicit StandInDiscovery(InvokerFixture& fixture) : fixture_(fixture) { listen(free_address()); }
+  ~StandInDiscovery() { fixture_.loop.cancel(heartbeat_timer_); }
 
   const std::string& address() const { return address_; }
   std::uint64_t last() const { return events_.size(); }
-  // The events up to now, as the configuration of an invoker gives them.
-  nlohmann::json known() const {
+  // The events up to now, in the form of an invoker's configuration.
+  nlohmann::json to_configuration() const {
     nlohmann::json results = nlohmann::json::array();
     for (const auto& event : events_)
       results.push_back(nlohmann::json::parse(event));
@@ -54,13 +54,13 @@
       peer->catch_up();
   }
 
-  // Fails in this form from now on, or works again.
+  // Fails in this form from now on; OutageForm::none ends the failure.
   void fail(OutageForm form) {
     form_ = form;
     withheld_after_ = form == OutageForm::none ? std::nullopt : std::optional<std::uint64_t>(last());
     if (form == OutageForm::none || form == OutageForm::refused || form == OutageForm::reset_at_once ||
         form == OutageForm::slow_answer)
-      end_connections();
+      close_connections();
     if (form == OutageForm::refused)
       server_.reset();
     if (form != OutageForm::refused && !server_)
@@ -96,7 +96,7 @@
         case OutageForm::trickle:
           return;
         case OutageForm::gap:
-          // More than any reader knows, also one that a configuration has told more than this stream.
+          // Larger than the last number of any reader, even one that has newer events from its configuration.
           return write_number(service_.last() + 1);
         case OutageForm::garbage:
           return write("{]\n");
@@ -130,7 +130,7 @@
         heartbeat();
       });
     }
-    // Both forms in turn: the bare number, and an object with nothing else.
+    // Alternates between the two valid forms: the bare number, and an object with nothing else.
     void write_number(std::uint64_t number) {
       const std::string digits = std::to_string(number);
       write(++heartbeats_ % 2 == 0 ? digits + "\n" : "{\"seq\":" + digits + "}\n");
@@ -148,7 +148,7 @@
     }
   };
 
-  InvokerFixture& world_;
+  InvokerFixture& fixture_;
   std::string address_;
   std::unique_ptr<Server<Peer, StandInDiscovery>> server_;
   std::vector<std::string> events_;
@@ -156,7 +156,7 @@
   std::optional<std::uint64_t> withheld_after_;
   net::EventLoop::TimerId heartbeat_timer_{};
 
-  // How many events a reader can see. A slow service answers in the end.
+  // The number of events that a reader can receive. A slow service delivers all of them.
   std::uint64_t visible() const {
     const bool is_slow = form_ == OutageForm::slow_answer;
     return withheld_after_ && !is_slow ? std::min(*withheld_after_, last()) : last();
@@ -164,18 +164,18 @@
   std::list<std::shared_ptr<Peer>> peers() const {
     return server_ ? server_->peers : std::list<std::shared_ptr<Peer>>();
   }
-  void end_connections() {
+  void close_connections() {
     for (const auto& peer : peers())
       peer->close_later();
   }
   void listen(const std::string& address) {
-    server_ = std::make_unique<Server<Peer, StandInDiscovery>>(world_.loop, world_.pool, *this, address);
+    server_ = std::make_unique<Server<Peer, StandInDiscovery>>(fixture_.loop, fixture_.pool, *this, address);
     address_ = server_->address();
     schedule_heartbeat();
   }
   void schedule_heartbeat() {
-    world_.loop.cancel(heartbeat_timer_);
-    heartbeat_timer_ = world_.loop.schedule_at(world_.loop.now() + kHeartbeat, [this] {
+    fixture_.loop.cancel(heartbeat_timer_);
+    heartbeat_timer_ = fixture_.loop.schedule_at(fixture_.loop.now() + kHeartbeat, [this] {
       for (const auto& peer : peers())
         peer->heartbeat();
       schedule_heartbeat();
