--- a/tests/hosts/host_deadline_test.cpp
+++ b/tests/hosts/host_deadline_test.cpp
@@ -1,6 +1,6 @@
-// The timeout that a host is sent is at most the time that the client has left, however late the client's
-// bytes were read, a disk answered, or the connection had room. Checked at the host, when it has the complete
-// call.
+// The attempt timeout that a host receives is at most the time that the client has left, even if the client's
+// bytes were read late, the disk was slow, or the connection had no room. Measured at the host, once it has
+// the complete call.
 #include <dirent.h>
 #include <netinet/in.h>
 
@@ -11,9 +11,9 @@
 namespace {
 
 constexpr Millis kClientTimeout{1000};  // of each call
-constexpr Millis kTolerance{150};       // for the time that reading and writing take
+constexpr Millis kTolerance{150};       // for reading and writing
 
-// The timeout in the latest call that the host got.
+// The timeout in the last call that the host received.
 Millis sent_timeout(const StandInHost& host) {
   constexpr std::string_view kTimeoutField = "patience=";
   const std::string& fields = host.fields.back();
@@ -22,9 +22,9 @@
   return Millis(std::stod(fields.substr(position + kTimeoutField.size())));
 }
 
-// The largest difference between the timeout that a host was sent and the time that the client had left.
-struct Excess {
-  Millis client_sent_at{0};  // 0: calls are counted only
+// Measures by how much the timeout that a host received exceeds the time that the client had left, at most.
+struct TimeoutExcess {
+  Millis client_sent_at{0};  // 0: only counts calls
   Millis largest{-1e9};
   int calls = 0;
 
@@ -40,50 +40,50 @@
   }
 };
 
-// Found in review: a call's time began with the iteration of the event loop that read it.
-TEST_CASE("time that a call is unread in a long iteration counts against its timeout") {
+// Guards against counting a call's time only from the start of the event loop iteration that read it.
+TEST_CASE("time during which a call is unread in a long iteration counts against its timeout") {
   Platform platform(1);
-  const auto usual = connect_host(platform);
-  Excess excess;
-  excess.watch(platform.world.loop, *platform.world.host[0]);
+  const auto first_client = connect_host(platform);
+  TimeoutExcess timeout_excess;
+  timeout_excess.watch(platform.world.loop, *platform.world.host[0]);
   RawClient client(platform);
   turn_with(platform.world, [&] {
-    excess.client_sent_at = platform.world.loop.now();
+    timeout_excess.client_sent_at = platform.world.loop.now();
     client.say(call_bytes(1));
     usleep(300000);
   });
   run_turns(platform);
-  REQUIRE(excess.calls == 1);
-  CHECK(excess.largest.count() < kTolerance.count());
+  REQUIRE(timeout_excess.calls == 1);
+  CHECK(timeout_excess.largest.count() < kTolerance.count());
 }
 
-TEST_CASE("time of earlier iterations counts for calls behind more bytes than one iteration reads") {
+TEST_CASE("time of earlier iterations counts for calls queued behind more bytes than one iteration reads") {
   Platform platform(1);
-  const auto usual = connect_host(platform);
-  Excess excess;
-  excess.watch(platform.world.loop, *platform.world.host[0]);
+  const auto first_client = connect_host(platform);
+  TimeoutExcess timeout_excess;
+  timeout_excess.watch(platform.world.loop, *platform.world.host[0]);
   RawClient client(platform);
   std::string many;
   for (int tag = 1; tag <= 24; ++tag)
     many += call_bytes(tag, std::string(16000, 'x'));
   turn_with(platform.world, [&] {
-    excess.client_sent_at = platform.world.loop.now();
+    timeout_excess.client_sent_at = platform.world.loop.now();
     client.say(many);
   });
   for (int i = 0; i < 8; ++i)
     turn_with(platform.world, [] { usleep(100000); });
-  REQUIRE(excess.calls > 8);
-  CHECK(excess.largest.count() < kTolerance.count());
+  REQUIRE(timeout_excess.calls > 8);
+  CHECK(timeout_excess.largest.count() < kTolerance.count());
 }
 
-TEST_CASE("time until its connection is accepted counts against the timeout of a call") {
+TEST_CASE("time until its connection is accepted counts against a call's timeout") {
   Platform platform(1);
-  const auto usual = connect_host(platform);
-  Excess excess;
-  excess.watch(platform.world.loop, *platform.world.host[0]);
+  const auto first_client = connect_host(platform);
+  TimeoutExcess timeout_excess;
+  timeout_excess.watch(platform.world.loop, *platform.world.host[0]);
   net::Socket socket;
   turn_with(platform.world, [&] {
-    excess.client_sent_at = platform.world.loop.now();
+    timeout_excess.client_sent_at = platform.world.loop.now();
     socket = net::connect_to(platform.front.address()).socket;
     const std::string bytes = call_bytes(1);
     REQUIRE(::send(socket.fd(), bytes.data(), bytes.size(), MSG_NOSIGNAL) ==
@@ -91,76 +91,76 @@
     usleep(300000);
   });
   run_turns(platform);
-  REQUIRE(excess.calls == 1);
-  CHECK(excess.largest.count() < kTolerance.count());
+  REQUIRE(timeout_excess.calls == 1);
+  CHECK(timeout_excess.largest.count() < kTolerance.count());
 }
 
-TEST_CASE("a client that was idle for long has its whole timeout when it calls") {
+TEST_CASE("a client that was idle for long has its full timeout when it calls") {
   Platform platform(1);
-  const auto usual = connect_host(platform);
-  Excess excess;
-  excess.watch(platform.world.loop, *platform.world.host[0]);
+  const auto first_client = connect_host(platform);
+  TimeoutExcess timeout_excess;
+  timeout_excess.watch(platform.world.loop, *platform.world.host[0]);
   RawClient client(platform);
   const Millis until = platform.world.loop.now() + Millis(400);
   platform.world.run_until([&] { return platform.world.loop.now() >= until; });
-  excess.client_sent_at = platform.world.loop.now();
+  timeout_excess.client_sent_at = platform.world.loop.now();
   client.say(call_bytes(1));
   run_turns(platform);
-  REQUIRE(excess.calls == 1);
-  CHECK(excess.largest.count() > -100);
+  REQUIRE(timeout_excess.calls == 1);
+  CHECK(timeout_excess.largest.count() > -100);
 }
 
-// Found in review: a process that had been stopped took a waiting call for one that had just arrived.
-TEST_CASE("time that the process is stopped counts against the timeout of a call") {
+// Guards against treating a call that arrived while the process was stopped as one that has just arrived.
+TEST_CASE("time during which the process is stopped counts against a call's timeout") {
   Service service(false);
   Process& process = service.start();
   REQUIRE(service.ready(service.consoles.back()));
   REQUIRE(service.until([&] { return service.log.asked == 1; }));
-  Excess excess;
+  TimeoutExcess timeout_excess;
   for (auto& host : service.world.host)
-    excess.watch(service.world.loop, *host);
+    timeout_excess.watch(service.world.loop, *host);
   Tablet tablet(service.world, service.listen);
   tablet.call(1, "bin-record", "first", 1000);
   REQUIRE(service.until([&] { return tablet.open.empty(); }));
-  const auto pass = [&](double ms) {
+  const auto run_for = [&](double ms) {
     const Millis end = service.world.loop.now() + Millis(ms);
     while (service.world.loop.now() < end)
       service.world.turn();
   };
-  pass(300);  // the process waits in poll(2)
+  run_for(300);  // the process then waits in poll(2)
   process.signal(SIGSTOP);
-  excess.client_sent_at = service.world.loop.now();
+  timeout_excess.client_sent_at = service.world.loop.now();
   tablet.call(2, "bin-record", "second", 1000);
-  pass(500);
+  run_for(500);
   process.signal(SIGCONT);
   REQUIRE(service.until([&] { return tablet.open.empty(); }));
-  REQUIRE(excess.calls == 2);
-  CHECK(excess.largest.count() < kTolerance.count());
+  REQUIRE(timeout_excess.calls == 2);
+  CHECK(timeout_excess.largest.count() < kTolerance.count());
 }
 
-// Found in review: an attempt's timeout was counted from when its call's record was on the disk.
+// Guards against counting an attempt's timeout only from the time at which its call was recorded on disk.
 TEST_CASE("time to record an attempt counts against its timeout") {
   class SlowDisk final : public core::FrontEnd {
     void answer(core::CallId, core::Answer&&) override {}
     bool before_attempt(core::CallId) override { return usleep(300000) == 0; }
   } front;
   Platform platform(1);
-  const auto usual = connect_host(platform);
-  Excess excess;
-  excess.watch(platform.world.loop, *platform.world.host[0]);
+  const auto first_client = connect_host(platform);
+  TimeoutExcess timeout_excess;
+  timeout_excess.watch(platform.world.loop, *platform.world.host[0]);
   core::Call call;
   call.ref = net::hex16(7);
   call.class_name = "bin-record";
   call.function_name = net::hex16(0xa1);
   call.function = 0xa1;
-  call.arrived = excess.client_sent_at = platform.world.loop.now();
+  call.arrived = timeout_excess.client_sent_at = platform.world.loop.now();
   call.timeout = kClientTimeout;
   REQUIRE_FALSE(
       platform.world.dispatcher.admit(platform.world.dispatcher.allocate_call_id(), std::move(call), front)
           .has_value());
   run_turns(platform);
-  REQUIRE(excess.calls == 1);
-  CHECK(excess.largest.count() < kTolerance.count());
+  REQUIRE(timeout_excess.calls == 1);
+  CHECK(timeout_excess.largest.count() < kTolerance.count());
 }
 
 using SocketNameFunction = int (*)(int, sockaddr*, socklen_t*);  // getsockname or getpeername
@@ -173,7 +173,7 @@
   return "127.0.0.1:" + std::to_string(ntohs(found.sin_port)) == address;
 }
 
-// Sets the smallest socket buffers, for the listener at the address and for connections to it.
+// Sets the smallest buffer sizes for the sockets that listen at the address or are connected to it.
 void shrink_socket_buffers(const std::string& address) {
   const std::unique_ptr<DIR, int (*)(DIR*)> folder(opendir("/proc/self/fd"), &closedir);
   int shrunk = 0;
@@ -189,8 +189,8 @@
   REQUIRE(shrunk > 0);
 }
 
-// Found in review: calls were queued in a connection behind bytes that the host did not read, with the
-// timeout that they had when they were queued.
+// Guards against calls that are queued in a connection behind bytes that the host does not read: they would
+// carry the timeout that they had when they were queued.
 TEST_CASE("no call is queued behind bytes that its host does not read") {
   net::EventLoop host_loop;
   const auto run_host = [&] { host_loop.run_once(host_loop.now(), [] {}); };
@@ -199,30 +199,30 @@
   StandInHost& host = *platform.world.host[0];
   shrink_socket_buffers(host.server.address());
   platform.world.tell(lotusyard::policy::HostState::ready);
-  Excess excess;
-  excess.watch(host_loop, host);
+  TimeoutExcess timeout_excess;
+  timeout_excess.watch(host_loop, host);
   const auto run_both = [&] {
     platform.world.turn();
     run_host();
   };
-  RawClient usual(platform), client(platform);
-  usual.say(call_bytes(100));
-  for (int i = 0; i < 100 && usual.answers().empty(); ++i)
+  RawClient first_client(platform), client(platform);
+  first_client.say(call_bytes(100));
+  for (int i = 0; i < 100 && first_client.answers().empty(); ++i)
     run_both();
-  REQUIRE(excess.calls == 1);
+  REQUIRE(timeout_excess.calls == 1);
   shrink_socket_buffers(host.server.address());
-  excess.client_sent_at = platform.world.loop.now();
+  timeout_excess.client_sent_at = platform.world.loop.now();
   std::string many;
   for (int tag = 1; tag <= 24; ++tag)
     many += call_bytes(tag, std::string(16000, 'x'));
   client.say(many);
-  while (platform.world.loop.now() < excess.client_sent_at + Millis(60))
+  while (platform.world.loop.now() < timeout_excess.client_sent_at + Millis(60))
     platform.world.turn();
-  // One call is split; all others can still be checked, and withdrawn.
+  // Only one call is split; all others can still be checked and withdrawn.
   CHECK(platform.world.dispatcher.open_calls() > 8);
   CHECK(platform.world.pool.blocks_in_use() <= 2);
   CHECK(platform.world.counters.value("hosts.stuck_calls") == 0);
-  while (platform.world.loop.now() < excess.client_sent_at + Millis(200))
+  while (platform.world.loop.now() < timeout_excess.client_sent_at + Millis(200))
     platform.world.turn();
   CHECK(platform.world.counters.value("hosts.stuck_calls") == 1);
 }
--- a/tests/hosts/local_connect_test.cpp
+++ b/tests/hosts/local_connect_test.cpp
@@ -1,4 +1,4 @@
-// Connections to hosts that this machine cannot make for a while, which must not count against the hosts.
+// Connects that fail for a reason local to this machine must be retried and not count against the hosts.
 #include "support/platform.h"
 #include "support/system_call_faults.h"
 
@@ -28,10 +28,9 @@
   return static_cast<std::uint16_t>(std::stoi(address.substr(address.rfind(':') + 1)));
 }
 
-TEST_CASE("a connect that fails for this machine's sake is made again within the call's time",
-          "[system-calls]") {
+TEST_CASE("a connect that fails for a local reason is retried within the call's time", "[system-calls]") {
   const int error = GENERATE(EADDRNOTAVAIL, EAGAIN, ENOBUFS, ENETUNREACH);
-  // The connect fails at once, or when the kernel has decided.
+  // The connect fails immediately, or later with a pending socket error.
   const bool fails_later = GENERATE(false, true);
   Platform platform(3);
   const auto client = connect_client(platform);
@@ -50,7 +49,7 @@
   CHECK(platform.world.counters.value("net.connect.local_resource") > 0);
 }
 
-TEST_CASE("a connect that this machine fails counts against no host", "[system-calls]") {
+TEST_CASE("a connect that fails for a local reason counts against no host", "[system-calls]") {
   const SystemCall call = GENERATE(SystemCall::connect, SystemCall::pending_error);
   Platform platform(1);  // if this one were ejected, there would be no other
   const auto client = connect_client(platform);
@@ -71,11 +70,11 @@
   CHECK(platform.world.counters.value("hosts.connect_failed") == 0);
 }
 
-TEST_CASE("while one host cannot be reached from here, open connections carry its calls", "[system-calls]") {
+TEST_CASE("while no connections can be made, calls use the open ones", "[system-calls]") {
   Platform platform(3);
   const auto client = connect_client(platform);
   client->call("1000", "bin-check", "first");
-  REQUIRE(client->answer("1000") != nullptr);  // one host has a connection from here on
+  REQUIRE(client->answer("1000") != nullptr);  // one host has a connection from now on
   SystemCallFaults faults;
   faults.fail(SystemCall::connect, {EADDRNOTAVAIL});
   for (int i = 0; i < 60; ++i) {
@@ -87,10 +86,11 @@
     CHECK((platform.world.loop.now() - started_at).count() < 60);
     run_for(platform, Millis(5));
   }
-  CHECK(platform.world.counters.value("hosts.waits_for_connection") < 25);  // mostly the open ones are chosen
+  CHECK(platform.world.counters.value("hosts.waits_for_connection") <
+        25);  // open connections are used for most calls
 }
 
-TEST_CASE("what waits for a connection goes out no more once its client or its host has gone",
+TEST_CASE("a call that waits for a connection is not sent once it is cancelled or its host drains",
           "[system-calls]") {
   const bool cancels = GENERATE(true, false);
   Platform platform(1);
@@ -111,8 +111,7 @@
   CHECK(platform.world.host[0]->server.peers.empty());
 }
 
-TEST_CASE("a call for which no connection is made in its time is answered, and never goes out",
-          "[system-calls]") {
+TEST_CASE("a call for which no connection is made in time is answered and never sent", "[system-calls]") {
   Platform platform(2);
   const auto client = connect_client(platform);
   SystemCallFaults faults;
@@ -126,7 +125,7 @@
   CHECK(count_execs(platform) == 0);
 }
 
-TEST_CASE("one host that refuses is the host's own fault still", "[system-calls]") {
+TEST_CASE("a refused connection still counts against its host", "[system-calls]") {
   Platform platform(2);
   const auto client = connect_client(platform);
   SystemCallFaults faults;
