--- a/include/lotusyard/policy/events.h
+++ b/include/lotusyard/policy/events.h
@@ -11,7 +11,7 @@
 
 namespace lotusyard::policy {
 
-enum class HostState { gone, draining, ready };
+enum class HostState { removed, draining, ready };
 
 // full: all hosts; delta: those that changed; cached: an old full list; failed: no list could be had.
 enum class ListKind { delta, cached, failed, full };
--- a/include/lotusyard/policy/settings.h
+++ b/include/lotusyard/policy/settings.h
@@ -119,8 +119,8 @@
 
 struct Settings {
   std::string zone;
-  int rank = 0;     // of this invoker among all
-  int routers = 1;  // number of invokers
+  int rank = 0;      // of this invoker among all
+  int invokers = 1;  // number of invokers
   std::vector<ClassSettings> classes;
   std::vector<TenantSettings> tenants;
   std::map<std::string, double> kind_memory_mb;  // memory of a host, by kind
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -104,7 +104,7 @@
   settings.seed = seed;
   settings.zone = text(key(env, "Az"));
   settings.rank = whole(key(env, "Rank"));
-  settings.routers = whole(key(env, "Balancers"), 1);
+  settings.invokers = whole(key(env, "Balancers"), 1);
   settings.tick = millis(key(env, "Tick"));
   for (const auto& row : key(env, "Classes"))
     settings.classes.push_back(read_class(row));
--- a/src/core/host_locations.cpp
+++ b/src/core/host_locations.cpp
@@ -6,7 +6,7 @@
   if (list.kind != ListKind::delta)
     locations_.clear();
   for (const auto& entry : list.entries) {
-    if (entry.state == policy::HostState::gone) {
+    if (entry.state == policy::HostState::removed) {
       locations_.erase(entry.host);
     } else {
       locations_[entry.host] = {entry.zone, entry.cell};
--- a/src/discovery/log.cpp
+++ b/src/discovery/log.cpp
@@ -15,7 +15,7 @@
 HostState read_state(const std::string& phase) {
   if (phase == "ready")
     return HostState::ready;
-  return phase == "gone" ? HostState::gone : HostState::draining;
+  return phase == "gone" ? HostState::removed : HostState::draining;
 }
 
 core::ListedHost read_host(const nlohmann::json& row) {
--- a/src/endpoints/endpoint_states.cpp
+++ b/src/endpoints/endpoint_states.cpp
@@ -53,7 +53,7 @@
   for (const auto& host : list.hosts) {
     listed.insert(host.entry.host);
     update.hosts.push_back(apply_host(host, clock));
-    if (host.entry.state == HostState::gone)
+    if (host.entry.state == HostState::removed)
       forget_removed(host.entry.host);
   }
   if (list.complete)
@@ -78,9 +78,9 @@
 void EndpointStates::remove_unlisted(const std::set<std::string>& listed) {
   std::vector<std::string> removed;
   for (auto& [id, host] : hosts_) {
-    if (listed.count(id) != 0 || host.listed.entry.state == HostState::gone)
+    if (listed.count(id) != 0 || host.listed.entry.state == HostState::removed)
       continue;
-    host.listed.entry.state = HostState::gone;
+    host.listed.entry.state = HostState::removed;
     removed.push_back(id);
   }
   for (const auto& id : removed)
@@ -92,7 +92,7 @@
   removed_.push_back(id);
   while (removed_.size() > kMaxRemovedHosts) {
     const auto oldest = hosts_.find(removed_.front());
-    const bool is_gone = oldest != hosts_.end() && oldest->second.listed.entry.state == HostState::gone;
+    const bool is_gone = oldest != hosts_.end() && oldest->second.listed.entry.state == HostState::removed;
     const bool was_removed_again = std::count(removed_.begin(), removed_.end(), removed_.front()) > 1;
     if (is_gone && !was_removed_again)
       hosts_.erase(oldest);
@@ -102,7 +102,7 @@
 
 void EndpointStates::notify(const std::string& id) {
   const auto found = hosts_.find(id);
-  if (found == hosts_.end() || found->second.listed.entry.state == HostState::gone)
+  if (found == hosts_.end() || found->second.listed.entry.state == HostState::removed)
     return;
   update_handler_({false, {effective_state(id, found->second)}}, core::ListKind::delta);
 }
@@ -158,7 +158,7 @@
 
 std::optional<core::ListedHost> EndpointStates::find_listed(const std::string& host) const {
   const auto found = hosts_.find(host);
-  if (found == hosts_.end() || found->second.listed.entry.state == HostState::gone)
+  if (found == hosts_.end() || found->second.listed.entry.state == HostState::removed)
     return std::nullopt;
   return found->second.listed;
 }
@@ -166,7 +166,7 @@
 std::map<std::string, core::ListedHost> EndpointStates::listed_hosts() const {
   std::map<std::string, core::ListedHost> listed;
   for (const auto& [id, host] : hosts_) {
-    if (host.listed.entry.state != HostState::gone)
+    if (host.listed.entry.state != HostState::removed)
       listed.emplace(id, host.listed);
   }
   return listed;
--- a/src/hosts/connection_pool_endpoints.cpp
+++ b/src/hosts/connection_pool_endpoints.cpp
@@ -17,7 +17,7 @@
     for (auto& [id, host] : hosts_) {
       if (listed.count(id) != 0)
         continue;
-      host.set_state(HostState::gone);
+      host.set_state(HostState::removed);
       retire(host);
     }
   }
--- a/src/hosts/pooled_host.cpp
+++ b/src/hosts/pooled_host.cpp
@@ -37,7 +37,7 @@
 bool PooledHost::has_open_connection() const { return find_open_connection() != nullptr; }
 
 bool PooledHost::may_be_forgotten(Millis now) const {
-  const bool is_gone = endpoint_.entry.state == core::HostState::gone;
+  const bool is_gone = endpoint_.entry.state == core::HostState::removed;
   return is_gone && connections_.empty() && !may_run_unfinished_calls(now);
 }
 
--- a/src/policy/answer_recorder.cpp
+++ b/src/policy/answer_recorder.cpp
@@ -74,7 +74,7 @@
 // Many routers that came back after the same short pause would keep a full host full: the pause is random and
 // grows with their number.
 void AnswerRecorder::record_full(Host& host) {
-  const double routers = 1 + context_.settings().routers / kManyRouters / 2;
+  const double routers = 1 + context_.settings().invokers / kManyRouters / 2;
   host_load_.record_full(host, kFullBackoff * routers * (kMinJitter + context_.random_fraction()));
 }
 
--- a/src/policy/context.cpp
+++ b/src/policy/context.cpp
@@ -14,7 +14,7 @@
 void Context::apply_settings(const Settings& settings) {
   settings_ = settings;
   settings_.classes.clear();
-  settings_.routers = std::max(settings_.routers, 1);
+  settings_.invokers = std::max(settings_.invokers, 1);
 }
 
 void Context::emit(Action&& action) { actions_->push_back(std::move(action)); }
--- a/src/policy/context.h
+++ b/src/policy/context.h
@@ -33,10 +33,10 @@
   // exp(-(now - since) / time_constant): what is left of something measured at `since`.
   double decay(Millis since, Millis time_constant) const;
   // True where so many routers share the fleet that each sees a sliver of a function's calls.
-  bool many_routers() const { return settings_.routers >= kManyRouters; }
+  bool many_routers() const { return settings_.invokers >= kManyRouters; }
   // This router's part of what all routers may do together.
   double own_share() const {
-    return settings_.slow_start.quota > 0 ? settings_.slow_start.quota : 1.0 / settings_.routers;
+    return settings_.slow_start.quota > 0 ? settings_.slow_start.quota : 1.0 / settings_.invokers;
   }
 
   // True if the host_filter lets calls of the tenant for the function go to the host.
--- a/src/policy/host_table.cpp
+++ b/src/policy/host_table.cpp
@@ -17,7 +17,7 @@
   for (auto& host : hosts_) {
     const bool dropped = list.kind != ListKind::delta && host.list_version != list_version_;
     if (dropped)
-      host.entry.state = HostState::gone;
+      host.entry.state = HostState::removed;
     if (!host.is_gone())
       host.listed_at = context_.now();
   }
@@ -75,7 +75,7 @@
     index_.erase(host.entry.host);
     free_.push_back(index);
     host = Host();
-    host.entry.state = HostState::gone;
+    host.entry.state = HostState::removed;
   }
 }
 
--- a/src/policy/placement.cpp
+++ b/src/policy/placement.cpp
@@ -18,7 +18,7 @@
 void Placement::assign_hosts(Function& function) const {
   const Settings& settings = context_.settings();
   const double each = std::min(kCallsPerHost, function.lanes / 2.0);
-  const double fleet_demand = functions_.demand(function) * settings.routers;
+  const double fleet_demand = functions_.demand(function) * settings.invokers;
   const int wanted = 1 + static_cast<int>(std::min(kMaxAgreedHosts, fleet_demand / each));
   if (function.list_version == hosts_.list_version() && wanted == function.agreed_hosts)
     return;
--- a/src/policy/records.h
+++ b/src/policy/records.h
@@ -117,7 +117,7 @@
   bool received_calls = false;  // a call went there since it started
 
   bool is_ready() const { return entry.state == HostState::ready; }
-  bool is_gone() const { return entry.state == HostState::gone; }
+  bool is_gone() const { return entry.state == HostState::removed; }
   // Operators returned it to service and nothing has been heard from it since.
   bool is_newly_returned() const { return entry.enabled_by_operator && answered_at < entry.started; }
 };
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -49,7 +49,7 @@
   read.weight = number(at(row, 2), 1);
   read.kind = text(at(row, 3));
   const int state = whole(at(row, 4), 2);
-  read.state = state == 0 ? HostState::gone : state == 1 ? HostState::draining : HostState::ready;
+  read.state = state == 0 ? HostState::removed : state == 1 ? HostState::draining : HostState::ready;
   read.started = millis(at(row, 5));
   read.zone = text(at(row, 6));
   return read;
--- a/tests/core/host_changed_before_write_test.cpp
+++ b/tests/core/host_changed_before_write_test.cpp
@@ -37,7 +37,7 @@
   resp::write_array(call, {"CALL", "2", "bin-record",
                            "ref=" + net::hex16(2) + ",allow=1000,lookup=00000000000000a1", "second"});
   client.say(call);
-  const auto state = GENERATE(policy::HostState::draining, policy::HostState::gone);
+  const auto state = GENERATE(policy::HostState::draining, policy::HostState::removed);
   const int orders = platform.world.host[0]->orders;
   turn_with(platform.world, [&] {
     REQUIRE(platform.world.dispatcher.open_calls() == 1);
--- a/tests/endpoints/endpoint_states_test.cpp
+++ b/tests/endpoints/endpoint_states_test.cpp
@@ -44,7 +44,7 @@
     }
     for (auto& [id, entry] : hosts) {
       if (list.complete && listed.count(id) == 0)
-        entry.state = HostState::gone;
+        entry.state = HostState::removed;
     }
   }};
 };
@@ -64,7 +64,7 @@
   recorded.states.apply_list({false, {listed_host("a", HostState::ready, 900)}}, core::ListKind::delta);
   recorded.states.apply_list({true, {listed_host("a", HostState::ready, 900)}}, core::ListKind::full);
   CHECK(recorded.hosts["a"].state == HostState::draining);
-  CHECK(recorded.hosts["b"].state == HostState::gone);
+  CHECK(recorded.hosts["b"].state == HostState::removed);
   recorded.states.enable("a", Millis(2000));
   CHECK((recorded.hosts["a"].state == HostState::ready && recorded.hosts["a"].started == Millis(2000)));
   CHECK(recorded.hosts["a"].enabled_by_operator);
@@ -79,11 +79,11 @@
   RecordedStates recorded;
   recorded.states.apply_list({true, {listed_host("a", HostState::ready)}}, core::ListKind::cached);
   recorded.states.disable("a");
-  recorded.states.apply_list({false, {listed_host("a", HostState::gone)}}, core::ListKind::delta);
+  recorded.states.apply_list({false, {listed_host("a", HostState::removed)}}, core::ListKind::delta);
   for (int i = 0; i < 3000; ++i) {  // much later, thousands of others have come and gone
     const std::string id = "x" + std::to_string(i);
     recorded.states.apply_list({false, {listed_host(id, HostState::ready)}}, core::ListKind::delta);
-    recorded.states.apply_list({false, {listed_host(id, HostState::gone)}}, core::ListKind::delta);
+    recorded.states.apply_list({false, {listed_host(id, HostState::removed)}}, core::ListKind::delta);
   }
   CHECK_FALSE(recorded.states.is_known("x0"));
   CHECK(recorded.states.is_known("x2999"));
--- a/tests/policy/host_load_test.cpp
+++ b/tests/policy/host_load_test.cpp
@@ -9,7 +9,7 @@
 // Regression (L05b3a2): calls waited until their deadlines for lanes of a host that rejected them.
 TEST(HostLoad, CallsDoNotWaitForLanesOfAHostAtCapacity) {
   Settings settings = make_settings();
-  settings.routers = 100;
+  settings.invokers = 100;
   RouterFixture router(settings);
   router.update_endpoints({host_entry("a"), host_entry("b"), host_entry("c")});
   router.request("first");
@@ -56,7 +56,7 @@
   for (const int routers : {1, 100}) {
     Settings settings = make_settings();
     settings.host_protocol.reports_warm_start = false;
-    settings.routers = routers;
+    settings.invokers = routers;
     RouterFixture router(settings);
     router.update_endpoints({host_entry("w")});
     router.request("first", 1, "safe", 4000, 8);
--- a/tests/policy/host_selector_test.cpp
+++ b/tests/policy/host_selector_test.cpp
@@ -26,7 +26,7 @@
 // once.
 TEST(HostSelector, CallLeavesABusyHostForOneThatReportsCapacity) {
   Settings settings = hundred_router_settings();
-  settings.routers = 20;
+  settings.invokers = 20;
   settings.host_protocol.answers_misses = true;
   settings.host_protocol.reports_warm_start = false;
   settings.load_reports.mode = ReportMode::answers;
--- a/tests/policy/host_table_test.cpp
+++ b/tests/policy/host_table_test.cpp
@@ -16,7 +16,7 @@
                             ListKind::delta);
     if (day > 0) {
       const std::string previous = "w" + std::to_string(day - 1);
-      router.update_endpoints({host_entry(previous, HostState::gone)}, ListKind::delta);
+      router.update_endpoints({host_entry(previous, HostState::removed)}, ListKind::delta);
       // Late events of hosts that were removed change nothing.
       router.handle(
           event::Probed{"w" + std::to_string(day - 2), Outcome::connect_failed, Millis(1), std::nullopt});
@@ -39,7 +39,7 @@
 }
 
 TEST(HostTable, DrainingOrGoneHostGetsNothingNew) {
-  for (const auto state : {HostState::draining, HostState::gone}) {
+  for (const auto state : {HostState::draining, HostState::removed}) {
     RouterFixture router = make_warm_router();
     const std::string out = first_host(router);
     router.update_endpoints({host_entry(out, state)}, ListKind::delta);
--- a/tests/policy/placement_test.cpp
+++ b/tests/policy/placement_test.cpp
@@ -14,7 +14,7 @@
   std::set<std::string> chosen;
   for (int rank = 0; rank < 100; ++rank) {
     Settings settings = make_settings();
-    settings.routers = 100;
+    settings.invokers = 100;
     settings.rank = rank;
     settings.seed = static_cast<std::uint64_t>(rank);
     RouterFixture router(settings);
--- a/tests/policy/router_fixture.cpp
+++ b/tests/policy/router_fixture.cpp
@@ -21,7 +21,7 @@
 Settings make_settings() {
   Settings settings;
   settings.zone = "z1";
-  settings.routers = 1;
+  settings.invokers = 1;
   settings.classes = {class_settings("safe", Semantics::idempotent),
                       class_settings("keyed", Semantics::idempotent_with_key),
                       class_settings("unsafe", Semantics::non_idempotent)};
@@ -44,7 +44,7 @@
 
 Settings hundred_router_settings() {
   Settings settings = make_settings();
-  settings.routers = 100;
+  settings.invokers = 100;
   settings.retries.max_attempts = 50;
   for (auto& call_class : settings.classes)
     call_class.latency_objective = Millis(800);
--- a/tests/policy/scheduler_random_input_test.cpp
+++ b/tests/policy/scheduler_random_input_test.cpp
@@ -39,7 +39,7 @@
   Settings settings = make_settings();
   settings.host_protocol.answers_misses = seed % 2 == 0;
   settings.peer_messages = true;
-  settings.routers = 3;
+  settings.invokers = 3;
   return settings;
 }
 
--- a/tests/policy/scheduler_test.cpp
+++ b/tests/policy/scheduler_test.cpp
@@ -20,7 +20,7 @@
   for (const int routers : {-5, 0, 1, 100, 1000000}) {
     Settings settings = hundred_router_settings();
     settings.host_protocol.answers_misses = true;
-    settings.routers = routers;
+    settings.invokers = routers;
     RouterFixture router(settings);
     router.update_endpoints({host_entry("a"), host_entry("cold", HostState::ready, 999)});
     for (int i = 0; i < 20 && router.sends.empty(); ++i) {
@@ -67,7 +67,7 @@
 TEST(Scheduler, MalformedPeerMessagesAreHarmless) {
   Settings settings = make_settings();
   settings.peer_messages = true;
-  settings.routers = 3;
+  settings.invokers = 3;
   RouterFixture router = make_warm_router(settings);
   for (const char* text : {"", "q", "qabc", "q000z000z", "nonsense", "q\xff\xfe\xfd\xfc"})
     router.handle(event::PeerMessage{1, text});
--- a/tests/policy/slow_start_budget_test.cpp
+++ b/tests/policy/slow_start_budget_test.cpp
@@ -14,7 +14,7 @@
   double calls = 0;
   for (int rank = 0; rank < 100; ++rank) {
     Settings settings = make_settings();
-    settings.routers = 100;
+    settings.invokers = 100;
     settings.rank = rank;
     settings.seed = static_cast<std::uint64_t>(rank) + 1;
     RouterFixture router(settings);
@@ -88,7 +88,7 @@
   std::size_t calls = 0;
   for (int seed = 0; seed < 200; ++seed) {
     Settings settings = make_settings();
-    settings.routers = 100;
+    settings.invokers = 100;
     settings.slow_start.quota = quota;
     settings.seed = static_cast<std::uint64_t>(seed);
     for (auto& call_class : settings.classes)
--- a/tests/policy/slow_start_burst_test.cpp
+++ b/tests/policy/slow_start_burst_test.cpp
@@ -46,7 +46,7 @@
 
 Settings ProcessGroup::settings_for(int count) {
   Settings settings = make_settings();
-  settings.routers = count;
+  settings.invokers = count;
   settings.host_protocol.answers_misses = true;
   settings.slow_start.window = Millis(500);
   settings.slow_start.factor = 2.5;
--- a/tests/policy/slow_start_disturbances.cpp
+++ b/tests/policy/slow_start_disturbances.cpp
@@ -87,7 +87,7 @@
   for (std::size_t i = 0; i < processes_.size(); ++i) {
     Settings settings = settings_;
     settings.rank = static_cast<int>(i);
-    settings.routers = count;
+    settings.invokers = count;
     processes_[i].handle(event::SettingsChanged{settings});
     if (static_cast<int>(i) >= live_processes_)
       processes_[i].update_endpoints(list_made_at(now_));
--- a/tests/policy/slow_start_fleet_test.cpp
+++ b/tests/policy/slow_start_fleet_test.cpp
@@ -23,7 +23,7 @@
 constexpr int kHostCount = 6;
 
 struct FleetSettings {
-  int routers;
+  int invokers;
   double factor;  // of SlowStartSettings
   double window;  // of SlowStartSettings
   double load;    // calls that arrive, in relation to what the five warm hosts can serve
@@ -63,7 +63,7 @@
 
 RouterFleet::RouterFleet(const FleetSettings& settings)
     : settings_(settings),
-      calls_per_ms_(settings.load * 5 * kCores / kMeanWork / settings.routers),
+      calls_per_ms_(settings.load * 5 * kCores / kMeanWork / settings.invokers),
       random_(settings.seed) {
   make_routers();
   make_hosts();
@@ -73,7 +73,7 @@
 
 Settings RouterFleet::router_settings() const {
   Settings settings = make_settings();
-  settings.routers = settings_.routers;
+  settings.invokers = settings_.invokers;
   settings.host_protocol.answers_misses = true;
   settings.slow_start.factor = settings_.factor;
   settings.slow_start.window = Millis(settings_.window);
@@ -87,7 +87,7 @@
 
 void RouterFleet::make_routers() {
   Settings settings = router_settings();
-  for (int rank = 0; rank < settings_.routers; ++rank) {
+  for (int rank = 0; rank < settings_.invokers; ++rank) {
     settings.rank = rank;
     settings.seed = random_();
     routers_.emplace_back(settings);
@@ -183,7 +183,7 @@
     RouterFleet fleet(settings);
     fleet.run();
     EXPECT_GT(fleet.calls_to_started_host(), 25U);  // the host is in demand
-    EXPECT_LE(fleet.worst_excess(), 2) << settings.routers << " routers, seed " << settings.seed;
+    EXPECT_LE(fleet.worst_excess(), 2) << settings.invokers << " routers, seed " << settings.seed;
   }
 }
 
--- a/tests/policy/slow_start_simulation.cpp
+++ b/tests/policy/slow_start_simulation.cpp
@@ -57,7 +57,7 @@
 
 RouterFixture SlowStartSimulation::make_process(int rank, int processes) {
   Settings settings = make_settings();
-  settings.routers = processes;
+  settings.invokers = processes;
   settings.rank = rank;
   settings.host_protocol.answers_misses = true;
   settings.slow_start.factor = factor_;
--- a/tests/scale/flat_hollow_sweep.cpp
+++ b/tests/scale/flat_hollow_sweep.cpp
@@ -29,7 +29,7 @@
   s.load_orders.timeout = Millis(10000);
   s.host_protocol.answers_misses = s.load_orders.allowed = s.host_protocol.cancels = true;
   s.retries.max_attempts = 4;
-  s.routers = kInvokers;
+  s.invokers = kInvokers;
   s.seed = kSeed;
   return s;
 }
--- a/tests/simulator_adapter/wire_test.cpp
+++ b/tests/simulator_adapter/wire_test.cpp
@@ -73,7 +73,7 @@
                                                          lotusyard::policy::ReportField::other}));
   EXPECT_EQ(settings.kind_memory_mb.at("q"), 6);
   EXPECT_TRUE(settings.endpoint_list.polled);
-  EXPECT_EQ(settings.routers, 1);
+  EXPECT_EQ(settings.invokers, 1);
   EXPECT_EQ(settings.seed, 3U);
 }
 
--- a/tests/support/invoker_fixture.h
+++ b/tests/support/invoker_fixture.h
@@ -70,7 +70,7 @@
     return l;
   }
   struct Told {
-    lotusyard::policy::HostState state = lotusyard::policy::HostState::gone;
+    lotusyard::policy::HostState state = lotusyard::policy::HostState::removed;
     Millis started{0}, at{0};
   };
   net::EventLoop loop;
