--- a/include/lotusyard/policy/events.h
+++ b/include/lotusyard/policy/events.h
@@ -1,4 +1,4 @@
-// What the decision module is told.
+// The events that the decision module handles.
 #pragma once
 
 #include <cstdint>
@@ -13,18 +13,18 @@
 
 enum class HostState { removed, draining, ready };
 
-// full: all hosts; delta: those that changed; cached: an old full list; failed: no list could be had.
+// full: all hosts; delta: those that changed; cached: an old full list; failed: no list was available.
 enum class ListKind { delta, cached, failed, full };
 
-// How an attempt, a load order or a probe ended. On the platform's wire never_ran is `moot`, no_instance is
-// `absent` and at_capacity is `full`; `hosts/host_protocol.h` and `simulator_adapter/wire.cpp` map them.
+// How an attempt, a load order or a probe ended. On the wire, never_ran is `moot`, no_instance is `absent`
+// and at_capacity is `full`; `hosts/host_protocol.h` and `simulator_adapter/wire.cpp` map them.
 enum class Outcome {
   ok,
   error,
   at_capacity,     // the host has no room for the call
   timeout,         // no answer in time
-  connect_failed,  // the call was never handed over whole
-  reset,           // the connection ended while the call was out
+  connect_failed,  // the call was never sent completely
+  reset,           // the connection ended while the call was in flight
   cancelled,
   never_ran,   // the attempt was withdrawn before it began
   no_instance  // the host has no instance of the function
@@ -36,10 +36,10 @@
          outcome == Outcome::never_ran || outcome == Outcome::no_instance;
 }
 
-// What an answer says of the instance that served the call.
+// The state of the instance that served a call, as its answer reports it.
 enum class Warmth { unknown, warm, cold_start, waited_for_load, load_failed };
 
-// The numbers of a load report, in the order of LoadReportSettings::fields; none if there was no report.
+// The numbers of a load report, in the order of LoadReportSettings::fields; empty if there was no report.
 using Report = std::optional<std::vector<double>>;
 
 struct HostEntry {
@@ -50,19 +50,19 @@
   double weight = 1;
   HostState state = HostState::ready;
   Millis started{0};
-  bool enabled_by_operator = false;  // an operator took it back into service by hand
+  bool enabled_by_operator = false;  // an operator returned it to service manually
 };
 
 namespace event {
 
-// The first event, and once only.
+// Must be the first event, and occurs only once.
 struct Start {
   Settings settings;
 };
 
 struct Stop {};
 
-// Open requests keep the settings under which they came.
+// Open requests keep the settings that were in effect when they arrived.
 struct SettingsChanged {
   Settings settings;
 };
@@ -72,6 +72,7 @@
   std::vector<HostEntry> entries;
 };
 
+// A call of a client.
 struct Request {
   std::string id;
   std::string class_name;
@@ -86,7 +87,7 @@
   int lanes = 1;  // calls that one instance serves at once
 };
 
-// A streamed answer has begun: the request cannot be retried any more.
+// A streamed answer has started: the request cannot be retried any more.
 struct StreamBegan {
   std::string id;
   int attempt = 0;
@@ -104,6 +105,7 @@
   Report report;
 };
 
+// The client no longer waits for the answer.
 struct ClientDisconnected {
   std::string id;
 };
@@ -112,6 +114,7 @@
   std::uint64_t token = 0;
 };
 
+// The end of an action::Probe.
 struct Probed {
   std::string host;
   Outcome outcome = Outcome::ok;
@@ -119,12 +122,13 @@
   Report report;
 };
 
+// The end of an action::Load.
 struct Loaded {
   std::string host;
   std::uint64_t function = 0;
   Outcome outcome = Outcome::ok;
   Millis elapsed{0};
-  int copies = 0;
+  int copies = 0;  // instances that the host has now
 };
 
 struct PeerMessage {
--- a/include/lotusyard/policy/policy.h
+++ b/include/lotusyard/policy/policy.h
@@ -13,8 +13,8 @@
 
 namespace lotusyard::policy {
 
-// Rules that stand outside the module, such as certificates and maintenance. Asked wherever a host is
-// considered.
+// Restricts hosts by rules outside the module, such as certificates and maintenance. Queried wherever a host
+// is considered.
 class HostFilter {
  public:
   virtual ~HostFilter() = default;
@@ -30,9 +30,9 @@
   Policy(Policy&&) noexcept;
   Policy& operator=(Policy&&) noexcept;
 
-  // The filter has to outlive the policy; null allows every host everything.
+  // The filter has to outlive the policy; null allows every host.
   void set_host_filter(HostFilter* host_filter);
-  // Takes one event at time `now` and appends the actions that follow from it.
+  // Handles one event at time `now` and appends the resulting actions.
   void handle(Millis now, const Event& event, std::vector<Action>& out);
 
  private:
--- a/include/lotusyard/policy/settings.h
+++ b/include/lotusyard/policy/settings.h
@@ -1,6 +1,5 @@
-// The settings of the decision module. They come from the platform's configuration alone;
-// `src/config/settings.cpp` maps the names of the wire page to these. A duration of zero means "not stated"
-// or "no such limit".
+// The settings of the decision module. `src/config/settings.cpp` reads them and maps the external names to
+// these. A duration of zero means "not set" or "no limit".
 #pragma once
 
 #include <chrono>
@@ -18,7 +17,8 @@
 // Whether a call may run more than once.
 enum class Semantics { idempotent, idempotent_with_key, non_idempotent };
 
-// The hosts that recognise a repeated idempotency key: all of them, those of one zone, those of one cell.
+// The hosts that recognise a repeated idempotency key: all hosts, or those in the zone or cell of the first
+// attempt's host.
 enum class KeyScope { all, zone, cell };
 
 // How hosts report their load: never, with each answer, or when they are probed.
@@ -33,10 +33,10 @@
   KeyScope scope = KeyScope::all;
   Millis key_window{0};         // how long hosts recognise a repeated key
   Millis latency_objective{0};  // an answer within it has its full value
-  Millis deadline{0};           // the longest time-out that a client may ask for
+  Millis deadline{0};           // the longest time-out that a client may request
   double objective_stretch = 0;
   double priority_weight = 1;
-  double late_weight = 0;  // the part of the weight that an answer after the objective still has
+  double late_weight = 0;  // fraction of the weight of an answer after the objective
   bool stream = false;
 
   bool operator==(const ClassSettings& o) const {
@@ -53,14 +53,14 @@
   double quota_per_s = 0;
 };
 
-// The limit on calls to a host that has just started. It grows from `initial` (a part of the usual rate) to
-// the full rate within `duration`, and is checked over each `window`.
+// The limit on calls to a host that has just started. It grows from `initial` (a fraction of the usual rate)
+// to the full rate within `duration`, and applies to each `window`.
 struct SlowStartSettings {
   Millis duration{0};
   Millis window{0};
   double initial = 0;
   double factor = 0;  // multiple of the rate that is allowed within a window
-  double quota = 0;   // this invoker's part of what the fleet may send; 0: an equal part
+  double quota = 0;   // this invoker's fraction of what all may send; 0: an equal share
 };
 
 // Retries, and hedged requests beside a first attempt.
@@ -69,7 +69,7 @@
   bool hedged_requests = false;
 };
 
-// What a rejected client is told.
+// The retry delay that a rejected client is given.
 struct RejectionSettings {
   bool sends_retry_after = false;
   Millis max_retry_after{0};
@@ -85,11 +85,11 @@
   double ratio = 0;
 };
 
-// What hosts do and say.
+// The capabilities of hosts and what their answers report.
 struct HostProtocolSettings {
   Millis connect_timeout{0};
-  Millis instance_idle_timeout{0};   // an idle instance is kept at least for this long
-  bool answers_misses = false;       // a call without an instance is answered, in place of starting a load
+  Millis instance_idle_timeout{0};   // an idle instance stays loaded at least this long
+  bool answers_misses = false;       // a call without an instance is answered instead of starting a load
   bool reports_warm_start = false;   // answers say whether the instance was warm
   bool reports_concurrency = false;  // answers say how many calls of the function were in flight
   bool cancels = false;
@@ -102,15 +102,15 @@
 };
 
 struct EndpointListSettings {
-  bool polled = false;  // lists have to be asked for; otherwise updates are pushed
+  bool polled = false;  // lists are polled; otherwise updates are pushed
   Millis poll_interval{0};
   Millis drain_grace{0};
 };
 
 // Prices in units of a call's weight.
 struct CostSettings {
-  double over_quota_weight = 1;  // factor for calls of a tenant over its share
-  bool weight_by_work = false;   // a call's weight counts for each millisecond of work, not for each call
+  double over_quota_weight = 1;  // weight factor for calls of a tenant over its share
+  bool weight_by_work = false;   // the weight is per millisecond of work, not per call
   double cross_zone = 0;
   double origin = 0;
   double probe = 0;
