--- a/src/moving_average.h
+++ b/src/moving_average.h
@@ -1,4 +1,4 @@
-// Arithmetic that policy/ uses; it decides nothing and holds no tuned value.
+// Arithmetic helpers of the decision module: a moving average and hash functions.
 #pragma once
 
 #include <algorithm>
@@ -7,8 +7,8 @@
 
 namespace lotusyard::policy {
 
-// A moving average: the plain mean at first, then with the given gain; a sample counts at most `outlier`
-// times it.
+// An exponential moving average that starts as the plain mean, until 1 / samples falls below `gain`. A sample
+// counts at most as `outlier` times the current value.
 struct MovingAverage {
   double value = 0;
   int samples = 0;
@@ -22,17 +22,17 @@
   bool known() const { return samples > 0; }
 };
 
-inline std::uint64_t mix(std::uint64_t x) {  // splitmix64's finisher
+inline std::uint64_t mix64(std::uint64_t x) {  // the finalizer of splitmix64
   x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ULL;
   x = (x ^ (x >> 27)) * 0x94d049bb133111ebULL;
   return x ^ (x >> 31);
 }
 
-inline std::uint64_t hash_of(const std::string& text) {  // FNV-1a, the same on every machine
+inline std::uint64_t hash_of(const std::string& text) {  // FNV-1a, then mix64: the same on every machine
   std::uint64_t hash = 0xcbf29ce484222325ULL;
   for (const char c : text)
     hash = (hash ^ static_cast<unsigned char>(c)) * 0x100000001b3ULL;
-  return mix(hash);
+  return mix64(hash);
 }
 
 }  // namespace lotusyard::policy
--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -10,21 +10,21 @@
   return context_.now() + Millis(functions_.baseline(*request.function)) <= request.objective_at;
 }
 
-bool Admission::is_worth_holding(const Request& request) const {
+bool Admission::should_queue(const Request& request) const {
   if (can_meet_objective(request))
     return true;
   const ClassSettings* settings = classes_.settings(request.class_index);
-  return settings != nullptr && settings->late_weight >= kKeptLateWorth;
+  return settings != nullptr && settings->late_weight >= kMinLateWeight;
 }
 
-bool Admission::is_worth_sending(const Request& request, const Host& host) const {
+bool Admission::is_wait_acceptable(const Request& request, const Host& host) const {
   const double run_time = functions_.baseline(*request.function);
-  const double wait = run_time * std::max(0.0, host_load_.stretch(host) - kEasyStretch);
+  const double wait = run_time * std::max(0.0, host_load_.stretch(host) - kNormalStretch);
   if (wait <= 0)
     return true;
-  if (!is_worth_holding(request))
+  if (!should_queue(request))
     return false;
-  const double best = classes_.best_worth();
+  const double best = classes_.max_priority_weight();
   const Millis until = can_meet_objective(request) ? request.objective_at : request.deadline;
   if (wait + run_time > (until - context_.now()).count())
     return false;
@@ -36,7 +36,7 @@
     if (context_.is_eligible(request.tenant, *request.function, host))
       return false;
   }
-  return context_.has_gate() && !hosts_.empty();
+  return context_.has_host_filter() && !hosts_.empty();
 }
 
 Request* Admission::next_to_serve(const Function& function) const {
@@ -54,8 +54,8 @@
   for (const auto serial : std::vector<std::uint64_t>(function.queue.begin(), function.queue.end())) {
     Request& request = requests_.at(serial);
     const bool too_late = context_.now() + Millis(functions_.baseline(function)) > request.deadline;
-    const bool is_kept = loading || is_worth_holding(request);
-    if (too_late || !is_kept || is_excluded_everywhere(request))
+    const bool keeps_waiting = loading || should_queue(request);
+    if (too_late || !keeps_waiting || is_excluded_everywhere(request))
       reject(request);
   }
 }
@@ -76,7 +76,7 @@
     requests_.erase(request);
 }
 
-// In time for the objective, at random lest rejected clients return together.
+// Early enough for the objective, and random so that rejected clients do not return together.
 Millis Admission::retry_after(const Request& request) {
   const Settings& settings = context_.settings();
   if (!settings.rejections.sends_retry_after)
--- a/src/policy/admission.h
+++ b/src/policy/admission.h
@@ -1,4 +1,4 @@
-// Which requests are worth holding and sending; which are shed; the end of requests.
+// Decides which requests are queued, sent, shed and rejected, and finishes requests.
 #pragma once
 
 #include "policy/class_table.h"
@@ -12,8 +12,8 @@
 
 namespace lotusyard::policy {
 
-// Sheds load early and by worth: held past their objectives, calls would take the lanes of calls that could
-// meet theirs, and all would be late.
+// Sheds load early and by priority weight: calls queued past their objectives would take the lanes of calls
+// that could still meet theirs, and all would be late.
 class Admission {
  public:
   Admission(Context& context, const ClassTable& classes, const FunctionTable& functions,
@@ -27,24 +27,24 @@
         retry_rules_(retry_rules),
         requests_(requests) {}
 
-  // True if an answer at once would meet the latency objective.
+  // True if the request would meet its latency objective if it were sent now.
   bool can_meet_objective(const Request& request) const;
-  // True if the request can meet its objective, or a late answer is worth enough.
-  bool is_worth_holding(const Request& request) const;
-  // True if the wait that the host's load means is worth it. Without this test an overloaded fleet would
-  // serve all calls, all late. The wait that a call accepts falls with its worth; one past its objective goes
-  // only where nothing waits.
-  bool is_worth_sending(const Request& request, const Host& host) const;
-  // True if the host_filter lets the request go to no host.
+  // True if the request can meet its objective, or a late answer keeps enough of its weight.
+  bool should_queue(const Request& request) const;
+  // True if the wait expected from the host's load is acceptable. Without this test an overloaded fleet would
+  // serve all calls late. The longest wait of a call grows with its priority weight; a request that should
+  // not queue goes only to hosts without a wait.
+  bool is_wait_acceptable(const Request& request, const Host& host) const;
+  // True if the host filter allows no host for the request.
   bool is_excluded_everywhere(const Request& request) const;
   // The first waiting request that can meet its objective, else the first; null if none waits.
   Request* next_to_serve(const Function& function) const;
 
-  // Ends waiting requests that are not worth holding, but for those that a load of ours is on the way for.
+  // Rejects queued requests that should not queue, unless an instance is being loaded for them.
   void shed(Function& function);
-  // Gives the final answer that is ours to give: refused with Retry-After if it never ran, else failed.
+  // Answers a request that no host answered: rejected with Retry-After if it may be sent again, else failed.
   void reject(Request& request);
-  // Ends a request. It is erased once no attempt is in flight.
+  // Finishes a request. It is erased once no attempt is in flight.
   void finish(Request& request);
 
  private:
--- a/src/policy/answer_recorder.cpp
+++ b/src/policy/answer_recorder.cpp
@@ -15,9 +15,9 @@
 
 void AnswerRecorder::record(const event::AttemptEnded& answer, const Request& request, Host& host,
                             InstanceSet& instances) {
-  const bool heard = answer.outcome != Outcome::timeout && answer.outcome != Outcome::cancelled;
-  if (heard)
-    host.heard_at = context_.now();
+  const bool host_responded = answer.outcome != Outcome::timeout && answer.outcome != Outcome::cancelled;
+  if (host_responded)
+    host.active_at = context_.now();
   if (proves_alive(answer.outcome))
     liveness_.record_alive(host);
   host_load_.record_report(host, answer.report);
@@ -42,8 +42,8 @@
 void AnswerRecorder::record_ok(const event::AttemptEnded& answer, const Request& request, Host& host,
                                InstanceSet& instances) {
   Function& function = *request.function;
-  const bool met_warm = answer.warmth == Warmth::warm || answer.warmth == Warmth::unknown;
-  if (met_warm)
+  const bool was_warm = answer.warmth == Warmth::warm || answer.warmth == Warmth::unknown;
+  if (was_warm)
     record_run(answer, request, host);
   if (answer.warmth == Warmth::cold_start) {
     functions_.record_load(function, std::max(elapsed_ms(answer) - functions_.run_time(function), 1.0));
@@ -66,22 +66,22 @@
 
 void AnswerRecorder::record_miss(Function& function, InstanceSet& instances) const {
   instances.warm = 0;
-  if (context_.many_routers())
+  if (context_.many_invokers())
     instances.absent_at = context_.now();
   function.last_missed = true;
 }
 
-// Many routers that came back after the same short pause would keep a full host full: the pause is random and
-// grows with their number.
+// Many invokers that retried after the same short pause would keep a host at capacity: the pause is random
+// and grows with their number.
 void AnswerRecorder::record_full(Host& host) {
-  const double routers = 1 + context_.settings().invokers / kManyRouters / 2;
-  host_load_.record_full(host, kFullBackoff * routers * (kMinJitter + context_.random_fraction()));
+  const double invokers = 1 + context_.settings().invokers / kManyInvokers / 2;
+  host_load_.record_full(host, kFullBackoff * invokers * (kMinJitter + context_.random_fraction()));
 }
 
 void AnswerRecorder::record_failure(const event::AttemptEnded& answer, const Request& request, Host& host) {
   Function& function = *request.function;
-  // Calls of functions that no host knows fail wherever they go: that tells nothing about the host.
-  const bool is_known = function.run_time.known() || context_.many_routers();
+  // A call of a function that exists on no host fails everywhere, so its failure says nothing about the host.
+  const bool is_known = function.run_time.known() || context_.many_invokers();
   const Attempt& attempt = request.attempts[static_cast<std::size_t>(answer.attempt)];
   if (attempt.overdue || !is_known)
     return;  // an overdue attempt was counted already
@@ -105,14 +105,14 @@
 void AnswerRecorder::record_order_end(const event::Loaded& answer, Function& function,
                                       InstanceSet& instances) {
   functions_.end_load(instances);
-  // An order that found its instances warm tells of no load: averaged in, the load time would come to
-  // nothing.
-  const bool loaded = answer.outcome == Outcome::ok && answer.elapsed > kWarmOrderTime;
+  // An order that found its instances warm is no sample of the load time: including it would bring the
+  // average close to zero.
+  const bool loaded = answer.outcome == Outcome::ok && answer.elapsed > kMinLoadTime;
   if (loaded)
     functions_.record_load(function, answer.elapsed.count());
-  // Orders that fail at once would go out again at every sweep, to one host after the other.
+  // Without the pause, orders that fail at once would be sent at every sweep, to one host after another.
   if (answer.copies == 0)
-    function.no_order_before = context_.now() + kSilence;
+    function.no_order_before = context_.now() + kMinStall;
   if (answer.copies > 0)
     function.last_missed = false;
 }
--- a/src/policy/answer_recorder.h
+++ b/src/policy/answer_recorder.h
@@ -1,4 +1,4 @@
-// What an answer teaches: run and load times, load and health of the host, where instances are.
+// Records what answers show: run and load times, load and health of hosts, locations of instances.
 #pragma once
 
 #include "policy/context.h"
@@ -11,7 +11,7 @@
 
 namespace lotusyard::policy {
 
-// Notes answers in all tables. It decides nothing.
+// Updates all tables from the answers of hosts.
 class AnswerRecorder {
  public:
   AnswerRecorder(Context& context, FunctionTable& functions, HostLoad& host_load, OutlierDetector& outliers,
@@ -23,9 +23,9 @@
         liveness_(liveness),
         slow_start_(slow_start) {}
 
-  // Notes the answer to an attempt. `instances` are those of the request's function on the host.
+  // Records the answer to an attempt. `instances` are those of the request's function on the host.
   void record(const event::AttemptEnded& answer, const Request& request, Host& host, InstanceSet& instances);
-  // Notes the answer to a load order.
+  // Records the answer to a load order.
   void record(const event::Loaded& answer, Function& function, Host& host, InstanceSet& instances);
 
  private:
--- a/src/policy/call_router.cpp
+++ b/src/policy/call_router.cpp
@@ -36,8 +36,8 @@
   }
 }
 
-// Loads by an order, or by a call that misses: where a miss is answered, the first call goes without an
-// order.
+// Starts a load by an order, or by a call that misses: where misses are answered, the first call is sent
+// without an order.
 void CallRouter::start_load(Function& function, int host_index) {
   Host& host = parts_.hosts.at(host_index);
   InstanceSet& instances = function.instances_on(host_index);
@@ -48,7 +48,7 @@
   const bool no_order = !settings.load_orders.allowed || !parts_.load_orders.is_allowed();
   const bool by_call = settings.host_protocol.answers_misses
                            ? request.attempts.empty() && !function.last_missed
-                           : parts_.context.many_routers() || no_order;
+                           : parts_.context.many_invokers() || no_order;
   if (by_call) {
     if (!parts_.selector.may_send(request, host))
       return;
@@ -87,14 +87,14 @@
   parts_.context.emit(action::Send{request.id, host.entry.host, request.deadline - now});
   request.attempts.push_back({instances.host, now, AttemptState::in_flight});
   if (host.in_flight++ == 0)
-    host.heard_at = now;
+    host.active_at = now;
   ++instances.in_flight;
   instances.used_at = now;
   parts_.slow_start.charge(request, host);
 }
 
 void CallRouter::retry_or_reject(Request& request) {
-  if (!parts_.retry_rules.may_retry(request) || !parts_.admission.is_worth_holding(request)) {
+  if (!parts_.retry_rules.may_retry(request) || !parts_.admission.should_queue(request)) {
     return parts_.admission.reject(request);
   }
   RequestTable::enqueue_front(request);
@@ -127,7 +127,7 @@
   hedge_or_cancel(request, static_cast<std::size_t>(first - attempts.begin()));
 }
 
-// A hedged request loses nothing of what the first attempt may still bring.
+// A hedged request is preferred: the first attempt may still succeed.
 void CallRouter::hedge_or_cancel(Request& request, std::size_t attempt) {
   const Settings& settings = parts_.context.settings();
   InstanceSet* second = nullptr;
--- a/src/policy/call_router.h
+++ b/src/policy/call_router.h
@@ -1,4 +1,4 @@
-// Sends waiting requests to hosts, loads instances for them, retries and hedges.
+// Sends queued requests to hosts, loads instances for them, retries and hedges.
 #pragma once
 
 #include "policy/admission.h"
@@ -18,7 +18,7 @@
 
 namespace lotusyard::policy {
 
-// The parts that a CallRouter works with; all outlive it.
+// The components that a CallRouter uses; all must outlive it.
 struct RouterParts {
   Context& context;
   const ClassTable& classes;
@@ -39,17 +39,17 @@
  public:
   explicit CallRouter(const RouterParts& parts) : parts_(parts) {}
 
-  // Sends what may go now, then loads an instance if the rest gains from it.
+  // Sends what may be sent now, then loads an instance if the remaining queue benefits from it.
   void serve(Function& function);
-  // The same for all functions, those that are worth most first.
+  // Serves all functions, in ascending order of load weight over priority weight.
   void serve_all();
-  // A lane of the function on the host has become free. A function with a lower weight may load there
-  // (equation 9; with V = 0 it is the run time), then the function itself is served.
+  // Handles a free lane of the function on the host: a function with a load weight below this one's (equation
+  // 9 of ESFF; with V = 0, its run time) may load there, then the function itself is served.
   void on_lane_free(Function& function, int host);
   // Queues a request whose attempts have ended for a retry, or rejects it.
   void retry_or_reject(Request& request);
-  // Looks for attempts in flight that count as unanswered: a silent host answers nothing until the deadline.
-  // Such an attempt counts as a failure, and is hedged or cancelled where the request may run again.
+  // Checks attempts in flight for time-outs: a stalled host would otherwise hold calls until their deadlines.
+  // An overdue attempt counts as a failure, and is hedged or cancelled if the request may run again.
   void check_overdue();
 
  private:
--- a/src/policy/class_table.cpp
+++ b/src/policy/class_table.cpp
@@ -20,21 +20,21 @@
 std::vector<int> ClassTable::apply_settings(const std::vector<ClassSettings>& wanted,
                                             std::vector<bool> in_use) {
   in_use.erase(in_use.begin());  // the slot of kUnknown
-  const std::vector<int> places = settle(settings_, wanted, std::move(in_use));
+  const std::vector<int> indices = assign_slots(settings_, wanted, std::move(in_use));
   records_.resize(settings_.size() + 1);
   longest_wait_ = kUnlimitedWait;
   const auto before = std::exchange(index_, {});
   std::vector<int> changed;
-  for (std::size_t i = 0; i < places.size(); ++i) {
+  for (std::size_t i = 0; i < indices.size(); ++i) {
     const ClassSettings& next = wanted[i];
     if (next.latency_objective.count() > 0)
       longest_wait_ = std::min(longest_wait_, next.latency_objective.count());
-    index_[next.name] = places[i];
+    index_[next.name] = indices[i];
     const auto same = before.find(next.name);
-    if (same != before.end() && same->second == places[i])
+    if (same != before.end() && same->second == indices[i])
       continue;
-    changed.push_back(places[i]);
-    start_record(places[i], same != before.end() ? records_[slot(same->second)] : ClassRecord(), next);
+    changed.push_back(indices[i]);
+    start_record(indices[i], same != before.end() ? records_[slot(same->second)] : ClassRecord(), next);
   }
   return changed;
 }
@@ -42,31 +42,31 @@
 void ClassTable::start_record(int index, const ClassRecord& before, const ClassSettings& settings) {
   ClassRecord& next = record(index);
   next = ClassRecord(before);
-  // A router of many would take its first answers, slow because they wait for a load, for the usual run time,
-  // and every objective for missed.
-  if (!context_.many_routers() || next.run_time.known() || settings.latency_objective.count() <= 0)
+  // With many invokers, the first answers, slow because they waited for a load, would set the usual run time,
+  // and every objective would seem out of reach.
+  if (!context_.many_invokers() || next.run_time.known() || settings.latency_objective.count() <= 0)
     return;
-  next.baseline = settings.latency_objective.count() / kObjectiveRuns;
-  next.run_time = {next.baseline, kObjectiveSamples};
+  next.baseline = settings.latency_objective.count() / kObjectiveToRunTime;
+  next.run_time = {next.baseline, kInitialRunTimeSamples};
 }
 
 bool ClassTable::record_time_left(int index, Millis time_left) {
-  ClassRecord& seen = record(index);
+  ClassRecord& stats = record(index);
   const Millis tolerance = 2 * context_.settings().tick;
-  const bool differs = std::abs((time_left - seen.first_try).count()) > tolerance.count();
-  seen.first_tries = std::min(seen.first_tries + (differs ? -1 : 1), kFirstTryVotes);
-  if (seen.first_tries >= 0)
+  const bool differs = std::abs((time_left - stats.first_try_timeout).count()) > tolerance.count();
+  stats.first_try_score = std::min(stats.first_try_score + (differs ? -1 : 1), kMaxFirstTryScore);
+  if (stats.first_try_score >= 0)
     return differs;
-  seen.first_try = time_left;
-  seen.first_tries = 1;
+  stats.first_try_timeout = time_left;
+  stats.first_try_score = 1;
   return false;
 }
 
 void ClassTable::record_run(int index, double run_time) {
-  ClassRecord& seen = record(index);
-  seen.run_time.add(run_time, kSharedRunGain, kSampleCap);
-  const double growth = context_.many_routers() ? kBaselineGrowthManyRouters : kBaselineGrowth;
-  follow_baseline(seen.baseline, seen.run_time.value, seen.run_time.value, growth);
+  ClassRecord& stats = record(index);
+  stats.run_time.add(run_time, kSharedRunGain, kSampleCap);
+  const double growth = context_.many_invokers() ? kBaselineGrowthManyInvokers : kBaselineGrowth;
+  follow_baseline(stats.baseline, stats.run_time.value, stats.run_time.value, growth);
 }
 
 double ClassTable::objective(int index) const {
@@ -83,8 +83,8 @@
                                                                    : priority_weight / run_time;
 }
 
-double ClassTable::best_worth() const {
-  double best = kMinWorth;
+double ClassTable::max_priority_weight() const {
+  double best = kMinPriorityWeight;
   for (int i = 0; slot(i) <= settings_.size(); ++i) {
     best = std::max(best, priority_weight(i));
   }
--- a/src/policy/function_table.cpp
+++ b/src/policy/function_table.cpp
@@ -11,20 +11,20 @@
 }
 
 Function& FunctionTable::record_arrival(const event::Request& request, int class_index) {
-  Function*& place = index_[request.function];
-  if (place == nullptr) {
-    place = functions_.emplace_back(std::make_unique<Function>()).get();
-    place->id = request.function;
-    place->created_at = context_.now();
+  Function*& entry = index_[request.function];
+  if (entry == nullptr) {
+    entry = functions_.emplace_back(std::make_unique<Function>()).get();
+    entry->id = request.function;
+    entry->created_at = context_.now();
   }
-  Function& function = *place;
+  Function& function = *entry;
   function.tenant = request.tenant;
   function.class_index = class_index;
   function.lanes = std::min(std::max(request.lanes, 1), kMaxLanes);
   if (request.load_hint)
     function.load_hint = std::max(request.load_hint->count(), 0.0);
-  function.arrivals = 1 + function.arrivals * context_.decay(function.seen_at, kDemandTimeConstant);
-  function.seen_at = context_.now();
+  function.arrivals = 1 + function.arrivals * context_.decay(function.last_call_at, kDemandTimeConstant);
+  function.last_call_at = context_.now();
   return function;
 }
 
@@ -33,8 +33,8 @@
     Millis lifetime = function->run_time.known() ? kRecordLifetime : kNewRecordLifetime;
     if (functions_.size() > kMaxFunctions)
       lifetime = kSweepInterval;
-    const bool holds_nothing = function->queue.empty() && function->instances.empty();
-    const bool unused = holds_nothing && context_.now() - function->seen_at > lifetime;
+    const bool is_empty = function->queue.empty() && function->instances.empty();
+    const bool unused = is_empty && context_.now() - function->last_call_at > lifetime;
     return unused && index_.erase(function->id) > 0;
   };
   functions_.erase(std::remove_if(functions_.begin(), functions_.end(), is_stale), functions_.end());
@@ -54,23 +54,23 @@
 double FunctionTable::baseline(const Function& function) const {
   if (function.run_time.samples >= kBaselineSamples)
     return function.baseline;
-  const double of_class = classes_.record(function.class_index).baseline;
-  return of_class > 0 ? of_class : run_time(function);
+  const double class_baseline = classes_.record(function.class_index).baseline;
+  return class_baseline > 0 ? class_baseline : run_time(function);
 }
 
 double FunctionTable::demand(const Function& function) const {
   const Millis age = context_.now() - function.created_at;
   const Millis span = std::min(kDemandTimeConstant, std::max(kMinDemandSpan, age));
-  const double lately = function.arrivals * context_.decay(function.seen_at, kDemandTimeConstant);
-  return std::max(0.0, lately - 1) / span.count() * baseline(function);
+  const double recent = function.arrivals * context_.decay(function.last_call_at, kDemandTimeConstant);
+  return std::max(0.0, recent - 1) / span.count() * baseline(function);
 }
 
 void FunctionTable::record_run(Function& function, int class_index, double run_time) {
-  const bool many = context_.many_routers();
+  const bool many = context_.many_invokers();
   function.run_time.add(run_time, kRunGain, kSampleCap);
   any_run_time_.add(run_time, kSharedRunGain, kSampleCap);
   const double first_cap = many ? kFirstBaselineCap * baseline(function) : function.run_time.value;
-  const double growth = many ? kBaselineGrowthManyRouters : kBaselineGrowth;
+  const double growth = many ? kBaselineGrowthManyInvokers : kBaselineGrowth;
   follow_baseline(function.baseline, function.run_time.value, first_cap, growth);
   if (class_index >= 0)
     classes_.record_run(class_index, run_time);
@@ -90,7 +90,7 @@
   loads_in_progress_ -= std::exchange(instances.loading, 0);
 }
 
-void FunctionTable::forget_instances(int host) {
+void FunctionTable::drop_instances(int host) {
   for (const auto& function : functions_) {
     InstanceSet* instances = function->find_instances(host);
     if (instances == nullptr)
--- a/src/policy/host_load.cpp
+++ b/src/policy/host_load.cpp
@@ -12,11 +12,11 @@
 double HostLoad::stretch(const Host& host) const {
   const double fleet = 1 + (fleet_stretch_ - 1) * context_.decay(fleet_stretch_at_, kStretchTimeConstant);
   const double recent = context_.decay(host.stretch_at, kStretchTimeConstant);
-  const double seen = host.stretch * recent + fleet * (1 - recent);
+  const double measured = host.stretch * recent + fleet * (1 - recent);
   const bool reported = context_.now() - host.waiting_at <= kStretchTimeConstant;
   if (!reported)
-    return seen;
-  return std::max(1 + host.waiting / concurrency(host), 1 + (seen - 1) / 2);
+    return measured;
+  return std::max(1 + host.waiting / concurrency(host), 1 + (measured - 1) / 2);
 }
 
 void HostLoad::record_stretch(Host& host, double stretch_of_answer) {
@@ -30,12 +30,12 @@
 }
 
 void HostLoad::adapt_limit(Host& host) const {
-  if (host.stretch < kCrowdedStretch) {
+  if (host.stretch < kOversubscribedStretch) {
     const double step = host.in_flight + kLimitHeadroom >= host.limit ? 1 / host.limit : 0;
     host.limit = std::min(kMaxConcurrencyLimit, host.limit + step);
   } else if (context_.now() - host.limit_cut_at > kFullBackoff) {
     host.limit_cut_at = context_.now();
-    host.limit = std::max(context_.many_routers() ? kMinConcurrencyLimitManyRouters : kMinConcurrencyLimit,
+    host.limit = std::max(context_.many_invokers() ? kMinConcurrencyLimitManyInvokers : kMinConcurrencyLimit,
                           host.limit * kConcurrencyDecrease);
   }
 }
@@ -52,32 +52,32 @@
   return host.entry.zone == context_.settings().zone ? busy : busy * kRemoteZonePenalty;
 }
 
-// Calls that the host serves at once. Ten calls crowd two cores and leave most of twenty-four idle; taken for
-// crowded, an idle fleet would get needless instances. Estimated over all hosts: one alone would be taken for
-// small until it had reported enough.
+// Calls that the host serves concurrently. It is estimated because ten calls overload two cores but leave
+// most of twenty-four idle, and hosts wrongly seen as overloaded would get needless instances. Estimated over
+// all hosts: a single one would be taken for small until it had reported enough.
 double HostLoad::concurrency(const Host& host) const {
-  if (sampled_busy_ <= 0)
+  if (sampled_used_weight_ <= 0)
     return kDefaultConcurrency;
-  const double sampled = kEasyUtilisation * host.entry.weight * sampled_calls_ / sampled_busy_;
+  const double sampled = kUncontendedUtilisation * host.entry.weight * sampled_calls_ / sampled_used_weight_;
   return std::min(std::max(kDefaultConcurrency, sampled), kMaxConcurrencyLimit);
 }
 
-void HostLoad::learn_concurrency(const Host& host, const std::vector<double>& report) {
+void HostLoad::sample_concurrency(const Host& host, const std::vector<double>& report) {
   const auto& fields = context_.settings().load_reports.fields;
   const auto reported = [&](ReportField field) {
     const auto found = std::find(fields.begin(), fields.end(), field);
-    const auto place = static_cast<std::size_t>(found - fields.begin());
-    return place < report.size() ? report[place] : -1;
+    const auto index = static_cast<std::size_t>(found - fields.begin());
+    return index < report.size() ? report[index] : -1;
   };
   const double calls = reported(ReportField::inflight);
   const double utilisation = reported(ReportField::utilisation);
   if (calls < 0 || utilisation < 0)
     return;
-  // Calls that wait for a load, or for a core, tell nothing of how many the host serves at once.
+  // Calls that wait for a load or a core do not show how many calls the host serves concurrently.
   if (utilisation > kMaxSampledUtilisation || reported(ReportField::loading) > kMaxSampledLoads)
     return;
   sampled_calls_ += kConcurrencyGain * (std::min(calls, kMaxReportedCalls) - sampled_calls_);
-  sampled_busy_ += kConcurrencyGain * (utilisation * host.entry.weight - sampled_busy_);
+  sampled_used_weight_ += kConcurrencyGain * (utilisation * host.entry.weight - sampled_used_weight_);
 }
 
 double HostLoad::reported_calls(const Host& host) const {
@@ -88,7 +88,7 @@
 void HostLoad::record_report(Host& host, const Report& report) {
   if (!report)
     return;
-  learn_concurrency(host, *report);
+  sample_concurrency(host, *report);
   const auto& fields = context_.settings().load_reports.fields;
   for (std::size_t i = 0; i < report->size() && i < fields.size(); ++i) {
     const bool is_queue = fields[i] == ReportField::queue;
--- a/src/policy/host_selector.cpp
+++ b/src/policy/host_selector.cpp
@@ -26,7 +26,7 @@
 }
 
 InstanceSet* HostSelector::select(Function& function, const Request& request) {
-  const bool by_reports = context_.many_routers() && context_.settings().host_protocol.answers_misses;
+  const bool by_reports = context_.many_invokers() && context_.settings().host_protocol.answers_misses;
   return by_reports ? select_least_loaded(function, request) : select_warm(function, request);
 }
 
@@ -38,7 +38,7 @@
     const bool is_full = instances.in_flight >= instances.warm * function.lanes;
     if (!placement_.is_warm(instances) || is_full || !host_load_.has_capacity(host))
       continue;
-    if (!admission_.is_worth_sending(request, host) || !may_send(request, host))
+    if (!admission_.is_wait_acceptable(request, host) || !may_send(request, host))
       continue;
     double score = host_load_.busyness(host);
     if (request.last_tried(instances.host)) {
@@ -54,23 +54,23 @@
   return best;
 }
 
-// If each of many routers kept to the first warm host of a function, some hosts would queue all day beside
-// idle ones. A call goes where it waits least by the reports, also where an instance only may be: misses are
-// cheap.
+// If each of many invokers always used the first warm host of a function, some hosts would stay overloaded
+// beside idle ones. A call goes where reports promise the shortest wait, even if the host may have no
+// instance: misses are cheap.
 InstanceSet* HostSelector::select_least_loaded(Function& function, const Request& request) {
   placement_.assign_hosts(function);
   const auto reach = static_cast<std::size_t>(std::ptrdiff_t{function.agreed_hosts} + kSpill);
-  const std::size_t most = std::min(function.hosts.size(), reach);
+  const std::size_t count = std::min(function.hosts.size(), reach);
   int best = -1;
   double least = 0;
-  for (std::size_t i = 0; i < most; ++i) {
+  for (std::size_t i = 0; i < count; ++i) {
     if (!has_lane(function, request, i))
       continue;
-    const double cost_here = cost(function, request, i);
-    if (best >= 0 && cost_here >= least)
+    const double host_cost = cost(function, request, i);
+    if (best >= 0 && host_cost >= least)
       continue;
     best = function.hosts[i];
-    least = cost_here;
+    least = host_cost;
   }
   if (best < 0)
     return select_warm(function, request);
@@ -95,10 +95,10 @@
     if (position > 0 && has_missed)
       return false;
   }
-  return admission_.is_worth_sending(request, host) && may_send(request, host);
+  return admission_.is_wait_acceptable(request, host) && may_send(request, host);
 }
 
-// In calls that wait, for each unit of weight.
+// In waiting calls per unit of host weight.
 double HostSelector::cost(Function& function, const Request& request, std::size_t position) const {
   const int index = function.hosts[position];
   const Host& host = hosts_.at(index);
@@ -116,9 +116,9 @@
   const Request& request = *admission_.next_to_serve(function);
   const Millis time(functions_.load_time(function) + functions_.baseline(function));
   const bool in_time = context_.now() + time <= request.objective_at;
-  // Calls that spill past the agreed hosts load instances there, which push out others, so that all load.
-  // The price is that a call waits though a further host has capacity. Hosts that are lost or in slow start
-  // do not count, nor does a load in time.
+  // Calls that spill past the agreed hosts load instances there, which evict others until every call needs a
+  // load. So the hosts are limited, though a call may wait while a further host has capacity. Lost hosts and
+  // those in slow start do not count, and a load in time is not limited.
   const bool is_bounded = !context_.settings().host_protocol.answers_misses && !in_time;
   int passed = 0;
   for (const int index : function.hosts) {
@@ -145,10 +145,10 @@
   if (instances != nullptr && (placement_.is_warm(*instances) || instances->loading > 0))
     return false;
   const Settings& settings = context_.settings();
-  // An order weighs nothing in slow start.
+  // A load order uses no slow-start budget.
   const bool by_order =
-      context_.many_routers() && settings.host_protocol.answers_misses && settings.load_orders.allowed;
-  return (by_order || slow_start_.admits(request, host)) && admission_.is_worth_sending(request, host);
+      context_.many_invokers() && settings.host_protocol.answers_misses && settings.load_orders.allowed;
+  return (by_order || slow_start_.admits(request, host)) && admission_.is_wait_acceptable(request, host);
 }
 
 }  // namespace lotusyard::policy
--- a/src/policy/host_selector.h
+++ b/src/policy/host_selector.h
@@ -1,4 +1,4 @@
-// Which host a request goes to, and which host the next load of a function.
+// Selects the host for a request, and the host for the next load of a function.
 #pragma once
 
 #include "policy/admission.h"
@@ -14,7 +14,7 @@
 
 namespace lotusyard::policy {
 
-// Joins the rules on hosts: a host is chosen only if none of them is against it.
+// Combines the rules on hosts: a host is selected only if all of them allow it.
 class HostSelector {
  public:
   HostSelector(const Context& context, FunctionTable& functions, HostTable& hosts, const HostLoad& host_load,
@@ -30,7 +30,7 @@
         admission_(admission),
         placement_(placement) {}
 
-  // True if the request may go to the host now, by all rules but those on load.
+  // True if all rules except those on load allow the request on the host now.
   bool may_send(const Request& request, Host& host);
   // True if a load may start on the host now.
   bool may_load(const Host& host) const;
@@ -39,7 +39,7 @@
   InstanceSet* select(Function& function, const Request& request);
   // The least busy host with a free lane of a warm instance, or null.
   InstanceSet* select_warm(Function& function, const Request& request);
-  // The first of the function's hosts that may load and holds no instance yet, or -1. A request must wait.
+  // The first host that may load and has no instance yet, or -1. The function's queue must not be empty.
   int select_for_load(Function& function);
 
  private:
--- a/src/policy/host_table.cpp
+++ b/src/policy/host_table.cpp
@@ -18,7 +18,7 @@
     const bool dropped = list.kind != ListKind::delta && host.list_version != list_version_;
     if (dropped)
       host.entry.state = HostState::removed;
-    if (!host.is_gone())
+    if (!host.is_removed())
       host.listed_at = context_.now();
   }
 }
@@ -26,12 +26,12 @@
 int HostTable::index_for(const std::string& id) {
   const bool reused = !free_.empty();
   const int next = reused ? free_.back() : static_cast<int>(hosts_.size());
-  const auto [place, is_new] = index_.try_emplace(id, next);
+  const auto [entry, is_new] = index_.try_emplace(id, next);
   if (is_new && reused)
     free_.pop_back();
   if (is_new && !reused)
     hosts_.emplace_back();
-  return place->second;
+  return entry->second;
 }
 
 void HostTable::apply_entry(int index, const HostEntry& entry) {
@@ -45,8 +45,8 @@
     host.tokens_at = kNever;
   }
   if (restarted || entry.state != HostState::ready)
-    functions_.forget_instances(index);
-  const Millis started = std::max(host.entry.started, entry.started);  // this list may be an older one
+    functions_.drop_instances(index);
+  const Millis started = std::max(host.entry.started, entry.started);  // the list may be an older one
   host.entry = entry;
   host.entry.started = started;
   host.list_version = list_version_;
@@ -66,12 +66,12 @@
 
 void HostTable::prune() {
   for (auto& host : hosts_) {
-    const bool used = !host.is_gone() || host.in_flight > 0;
+    const bool used = !host.is_removed() || host.in_flight > 0;
     const bool recent = context_.now() - host.listed_at <= kRecordLifetime;
     if (used || recent || host.entry.host.empty())
       continue;
     const int index = index_of(host);
-    functions_.forget_instances(index);
+    functions_.drop_instances(index);
     index_.erase(host.entry.host);
     free_.push_back(index);
     host = Host();
--- a/src/policy/host_table.h
+++ b/src/policy/host_table.h
@@ -1,4 +1,4 @@
-// Hosts, as the endpoint lists tell of them.
+// Hosts, according to the endpoint lists.
 #pragma once
 
 #include <string>
@@ -12,8 +12,8 @@
 
 namespace lotusyard::policy {
 
-// Owns hosts by index. An index stays valid while a call is in flight there; references to hosts last until
-// the next list.
+// Owns hosts by index. An index stays valid while a call is in flight there; references to hosts stay valid
+// until the next list.
 class HostTable {
  public:
   HostTable(const Context& context, const ClassTable& classes, FunctionTable& functions)
@@ -28,18 +28,18 @@
   // Counts lists that were applied.
   int list_version() const { return list_version_; }
 
-  // All places, also those of hosts that are gone.
+  // All entries, including those of removed hosts.
   auto begin() { return hosts_.begin(); }
   auto end() { return hosts_.end(); }
   auto begin() const { return hosts_.begin(); }
   auto end() const { return hosts_.end(); }
   bool empty() const { return hosts_.empty(); }
 
-  // Applies a list, or a change of one, that did not fail.
+  // Applies a list or a delta. Its kind must not be ListKind::failed.
   void apply(const event::EndpointListUpdate& list);
-  // Follows a change of ClassTable: the health of the `changed` classes starts anew.
+  // Follows a change of ClassTable: resets the health of the `changed` classes.
   void apply_classes(const std::vector<int>& changed);
-  // Drops hosts that are gone for long. Their ids never come back: kept for good, each deployment of the
+  // Drops hosts that were removed a while ago. Their ids never return, so without this each deployment of the
   // fleet would leave some behind.
   void prune();
 
@@ -52,7 +52,7 @@
   FunctionTable& functions_;
   std::vector<Host> hosts_;
   std::unordered_map<std::string, int> index_;
-  std::vector<int> free_;  // places of hosts that were dropped
+  std::vector<int> free_;  // indices of hosts that were dropped
   int list_version_ = 0;
 };
 
--- a/src/policy/liveness.cpp
+++ b/src/policy/liveness.cpp
@@ -10,60 +10,60 @@
       settings.host_protocol.accepts_probes || (settings.load_orders.allowed && !functions_.all().empty());
   if (!can_probe || !host.is_ready())
     return record_unreachable(host, reset);
-  const bool probe_in_flight = context_.now() - host.doubted_at <= kSilence;
-  host.doubted_by_reset = reset || (host.doubted_by_reset && probe_in_flight);
+  const bool probe_in_flight = context_.now() - host.suspected_at <= kMinStall;
+  host.suspected_by_reset = reset || (host.suspected_by_reset && probe_in_flight);
   if (probe_in_flight)
     return;
   host.failed_probes = 0;
   send_probe(host);
 }
 
-// Where health checks are not allowed, a load order for no instance tells as much.
+// Where health checks are not allowed, a load order for zero instances replaces them.
 void Liveness::send_probe(Host& host) {
-  host.doubted_at = context_.now();
+  host.suspected_at = context_.now();
   if (context_.settings().host_protocol.accepts_probes)
     return context_.emit(action::Probe{host.entry.host});
   if (functions_.all().empty())
-    return;  // new settings forbid health checks; the doubt lapses by time
+    return;  // new settings forbid health checks; the suspicion expires by itself
   host.probe_function = functions_.all().back()->id;
   context_.emit(action::Load{host.entry.host, host.probe_function, 0});
 }
 
 void Liveness::record_probe(Host& host, Outcome outcome) {
-  const Millis asked_at = std::exchange(host.doubted_at, kNever);
+  const Millis suspected_at = std::exchange(host.suspected_at, kNever);
   if (outcome == Outcome::ok)
     return record_alive(host);
-  if (asked_at <= kNever || outcome == Outcome::timeout) {
-    if (!answered_lately(host))
+  if (suspected_at <= kNever || outcome == Outcome::timeout) {
+    if (!answered_recently(host))
       record_loss(host);
     return;
   }
-  // New connections may be reset while the host runs: an answer in between proves it.
-  if (host.answered_at > asked_at)
+  // New connections may be reset while the host runs: an answer in the meantime proves that it does.
+  if (host.answered_at > suspected_at)
     return;
   if (++host.failed_probes < kMaxFailedProbes)
     return send_probe(host);
-  record_unreachable(host, host.doubted_by_reset);
+  record_unreachable(host, host.suspected_by_reset);
 }
 
-void Liveness::record_unreachable(Host& host, bool died) {
-  if (died || !answered_lately(host))
+void Liveness::record_unreachable(Host& host, bool was_reset) {
+  if (was_reset || !answered_recently(host))
     record_loss(host);
   outliers_.eject(host);
 }
 
-// A host that restarted but is not listed as such yet would get its full load from many routers: from here on
-// it counts as in slow start.
+// A host that restarted but is not yet listed as restarted would get its full load from many invokers: from
+// now on it counts as in slow start.
 void Liveness::record_loss(Host& host) {
   if (!std::exchange(host.lost, true))
-    functions_.forget_instances(hosts_.index_of(host));
+    functions_.drop_instances(hosts_.index_of(host));
 }
 
 void Liveness::record_alive(Host& host) {
   host.answered_at = context_.now();
   if (!std::exchange(host.lost, false))
     return;
-  host.died_at = context_.now();
+  host.recovered_at = context_.now();
   host.tokens_at = kNever;
 }
 
--- a/src/policy/liveness.h
+++ b/src/policy/liveness.h
@@ -1,4 +1,4 @@
-// Whether hosts run: broken connections, health checks, losses and returns.
+// Tracks whether hosts run: broken connections, health checks, losses and recoveries.
 #pragma once
 
 #include "policy/context.h"
@@ -9,28 +9,28 @@
 
 namespace lotusyard::policy {
 
-// A broken connection puts a host in doubt until a health check has told. Taken for a death at once, it would
-// leave out a warm host for a slow-start time.
+// A broken connection makes a host suspect until a health check ends. If it counted as a crash at once, a
+// warm host would be limited for the duration of a slow start.
 class Liveness {
  public:
   Liveness(Context& context, FunctionTable& functions, HostTable& hosts, OutlierDetector& outliers)
       : context_(context), functions_(functions), hosts_(hosts), outliers_(outliers) {}
 
-  // Notes a broken connection: a reset, or a connect that failed.
+  // Records a broken connection: a reset, or a failed connect.
   void record_broken_connection(Host& host, bool reset);
-  // Notes how a health check ended, or a call that tells as much.
+  // Records the result of a health check, or of a load order sent in place of one.
   void record_probe(Host& host, Outcome outcome);
-  // Notes an answer that proves that the host runs. A lost host starts its slow start now.
+  // Records an answer that proves that the host runs. A lost host starts its slow start now.
   void record_alive(Host& host);
   // True if a load order for `function` was sent to the host in place of a health check.
   static bool awaits_order_probe(const Host& host, std::uint64_t function) {
-    return host.probe_function == function && host.doubted_at > kNever;
+    return host.probe_function == function && host.suspected_at > kNever;
   }
 
  private:
-  bool answered_lately(const Host& host) const { return context_.now() - host.answered_at < kAliveFor; }
+  bool answered_recently(const Host& host) const { return context_.now() - host.answered_at < kAliveTime; }
   void send_probe(Host& host);
-  void record_unreachable(Host& host, bool died);
+  void record_unreachable(Host& host, bool was_reset);
   void record_loss(Host& host);
 
   Context& context_;
--- a/src/policy/load_budget.h
+++ b/src/policy/load_budget.h
@@ -1,4 +1,4 @@
-// The ration of load orders (rule 5).
+// The quota of load orders: at most a floor plus a ratio of the requests in any window.
 #pragma once
 
 #include <deque>
@@ -7,14 +7,14 @@
 
 namespace lotusyard::policy {
 
-// Load orders of one window are at most a floor plus a ratio of the requests taken in that window.
+// Counts load orders and requests over a sliding window.
 class LoadBudget {
  public:
   explicit LoadBudget(const Context& context) : context_(context) {}
 
   void record_request();
   void record_order();
-  // True if one more order may go out now.
+  // True if one more order may be sent now.
   bool admits_order();
 
  private:
--- a/src/policy/load_estimator.cpp
+++ b/src/policy/load_estimator.cpp
@@ -18,8 +18,8 @@
   return functions_.run_time(function) + functions_.load_time(function) * (lanes + 1) / queued;
 }
 
-// K: lanes of instances where the next request may go. Lanes at a host that answers `full` are taken by other
-// routers: counted, they would hold our calls to the deadline while other hosts idle.
+// K: lanes of instances where the next request may go. Lanes at a host that answers `full` are used by other
+// invokers: if they counted, calls would wait there until their deadlines while other hosts idle.
 int LoadEstimator::usable_lanes(Function& function) {
   int lanes = 0;
   const Request& request = *admission_.next_to_serve(function);
@@ -27,9 +27,9 @@
     Host& host = hosts_.host_of(instances);
     if (!outliers_.is_usable(host) || !outliers_.serves(host, function.class_index))
       continue;
-    if (!admission_.is_worth_sending(request, host) || context_.now() < host.full_until)
+    if (!admission_.is_wait_acceptable(request, host) || context_.now() < host.full_until)
       continue;
-    if (context_.many_routers() && !slow_start_.admits(request, host))
+    if (context_.many_invokers() && !slow_start_.admits(request, host))
       continue;
     if (!context_.is_eligible(request.tenant, function, host))
       continue;
@@ -45,13 +45,13 @@
   const double run_time = functions_.run_time(function);
   if (lanes == 0)
     return queued;
-  // The load time counts at most as what the objective leaves: a slow store would strand what waits.
+  // The load time is capped by the objective: otherwise a slow store would leave the queue without a load.
   const double objective = classes_.objective(function.class_index);
   double load_time = functions_.load_time(function);
   if (objective > 0)
     load_time = std::min(load_time, std::max(objective - run_time, run_time));
   if (run_time <= 0 || load_time <= 0)
-    return 0;  // not sampled: load only if nothing is warm
+    return 0;  // no samples: load only if nothing is warm
   return queued - load_time * lanes / run_time;
 }
 
--- a/src/policy/load_estimator.h
+++ b/src/policy/load_estimator.h
@@ -1,4 +1,4 @@
-// The E test of ESFF: whether a function gains from one more instance, and which function gains most.
+// The E test of the ESFF algorithm: whether a function benefits from another instance, and which most.
 #pragma once
 
 #include "policy/admission.h"
@@ -13,8 +13,8 @@
 
 namespace lotusyard::policy {
 
-// With N + 1 requests waiting, K lanes, load time L and run time R, a load is worth it if E = N + 1 - L * K /
-// R is above 0 (equations 6 and 7 of the paper; V is 0, as hosts unload by themselves).
+// With N + 1 requests queued, K lanes, load time L and run time R, a load pays if E = N + 1 - L * K / R is
+// above 0 (equations 6 and 7 of the ESFF paper; V is 0, as hosts unload by themselves).
 class LoadEstimator {
  public:
   LoadEstimator(const Context& context, const ClassTable& classes, const FunctionTable& functions,
@@ -29,9 +29,9 @@
         admission_(admission),
         placement_(placement) {}
 
-  // True if requests are expected to wait still when one more instance has been loaded. Some must wait.
+  // True if requests will probably still be queued once a load ends. The queue must not be empty.
   bool gains_from_load(Function& function);
-  // The function's weight in milliseconds (equation 10): the lowest is loaded first. Some must wait.
+  // The function's weight in milliseconds (equation 10): the lowest is loaded first. Same precondition.
   double load_weight(Function& function);
 
  private:
--- a/src/policy/load_orders.h
+++ b/src/policy/load_orders.h
@@ -1,4 +1,4 @@
-// Orders to load an instance, and when they go out ahead of demand.
+// Sends orders to load an instance, and decides when to load ahead of demand.
 #pragma once
 
 #include "policy/context.h"
@@ -30,17 +30,17 @@
         selector_(selector),
         budget_(context) {}
 
-  // Notes a request, which adds to the budget.
+  // Records a request, which adds to the budget.
   void record_request() { budget_.record_request(); }
   // True if the budget allows an order now.
   bool is_allowed() { return budget_.admits_order(); }
-  // Orders one instance more than are warm.
+  // Orders one instance more than those that are warm.
   void send(const Function& function, const Host& host, InstanceSet& instances);
-  // Orders an instance of a function that holds nothing to a host that operators returned to service: where
-  // all is warm elsewhere it would stay idle. Many routers' calls reach it anyway.
+  // Orders an instance of a function without a queue on a host that operators returned to service: with all
+  // functions warm elsewhere it would stay idle. With many invokers, calls reach it anyway.
   void warm_up_returned_host(Function& function);
-  // A function that meets its own calls on a crowded host gets an instance on this one, which had none: for
-  // later calls.
+  // Orders an instance for later calls on this host, which had none, if the function's calls overlap and its
+  // first host is overloaded.
   void spread(Function& function, const Host& host, InstanceSet& instances);
 
  private:
--- a/src/policy/outlier_detector.h
+++ b/src/policy/outlier_detector.h
@@ -1,4 +1,4 @@
-// Outlier ejection: hosts that fail or fall silent get no calls for a while.
+// Outlier ejection: hosts that fail or stop answering get no calls for a while.
 #pragma once
 
 #include "policy/class_table.h"
@@ -8,23 +8,23 @@
 
 namespace lotusyard::policy {
 
-// Decides which hosts are outliers, as a whole or for one class. After an ejection a host is on probation: it
+// Decides which hosts are outliers, for all classes or for one. After an ejection a host is on probation: it
 // gets one call at a time until one succeeds; a failure ejects it for twice as long.
 class OutlierDetector {
  public:
   OutlierDetector(const Context& context, ClassTable& classes, const FunctionTable& functions)
       : context_(context), classes_(classes), functions_(functions) {}
 
-  // True if calls may go to the host: ready, not ejected, not silent, not in doubt.
+  // True if calls may go to the host: it is ready, and neither ejected, silent nor suspect.
   bool is_usable(const Host& host) const;
   // True if the host is not ejected for this class.
   bool serves(const Host& host, int class_index) const;
-  // True if the host has calls of ours and has answered nothing for too long. Such a host keeps looking idle.
+  // True if the host has answered none of this invoker's calls for too long. It would otherwise seem idle.
   bool is_silent(const Host& host) const;
-  // How long to wait for an answer of a call that usually takes `run_time` milliseconds.
+  // How long to wait for the answer to a call that usually takes `run_time` milliseconds.
   static Millis answer_timeout(double run_time);
 
-  // Notes how a call of a class ended. `immediate`: it failed well before its usual run time.
+  // Records how a call of a class ended. `immediate`: it failed well before its usual run time.
   void record_success(Host& host, int class_index);
   void record_failure(Host& host, int class_index, bool immediate) {
     record_result(host, class_index, true, immediate);
--- a/src/policy/placement.h
+++ b/src/policy/placement.h
@@ -1,4 +1,4 @@
-// Where the warm instances of a function are, and where they should be.
+// Tracks where the warm instances of a function are, and assigns the hosts where they should be.
 #pragma once
 
 #include "policy/context.h"
@@ -8,22 +8,22 @@
 
 namespace lotusyard::policy {
 
-// Each router sees a sliver of a function's calls. All hash it to the same few hosts by rendezvous hashing,
-// so that the instances of one router serve the others; each uses them in an order of its own.
+// Each invoker sees only a part of a function's calls. All invokers map it to the same few "agreed" hosts by
+// rendezvous hashing, so that they share its instances; each uses these hosts in a different order.
 class Placement {
  public:
   Placement(const Context& context, FunctionTable& functions, HostTable& hosts)
       : context_(context), functions_(functions), hosts_(hosts) {}
 
-  // True if an instance is believed warm: the belief lapses after the stated keep-alive.
+  // True if an instance is assumed to be warm, which expires after the hosts' idle time-out.
   bool is_warm(const InstanceSet& instances) const;
-  // True if the host answered lately that it has no instance.
+  // True if the host answered recently that it has no instance.
   bool is_absent(const InstanceSet& instances) const {
-    return context_.now() - instances.absent_at <= kAbsentFor;
+    return context_.now() - instances.absent_at <= kAbsenceLifetime;
   }
-  // Brings Function::hosts up to date with the endpoint list and the function's demand.
+  // Updates Function::hosts after a change of the endpoint list or of the function's demand.
   void assign_hosts(Function& function) const;
-  // Drops beliefs that lapsed, loads that took too long, and empty records.
+  // Drops warm instances that expired, loads that timed out, and empty records.
   void expire_instances(Function& function);
 
  private:
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -1,4 +1,4 @@
-// The interface of the policy, include/lotusyard/policy/policy.h, on top of Scheduler.
+// Implements include/lotusyard/policy/policy.h on top of Scheduler.
 #include "lotusyard/policy/policy.h"
 
 #include <algorithm>
@@ -7,7 +7,7 @@
 
 namespace lotusyard::policy {
 
-// The scheduler between a Start and the next, or a Stop; without one, events have no effect.
+// Owns the Scheduler between a Start and the next Start or Stop; without one, events have no effect.
 class Policy::State {
  public:
   void set_host_filter(HostFilter* host_filter) {
--- a/src/policy/records.h
+++ b/src/policy/records.h
@@ -1,5 +1,5 @@
-// Plain records of the policy: what is known of instances, functions, classes, hosts and requests. They have
-// no behaviour; the classes that own them are named at each.
+// Plain records of the policy: the state of instances, functions, classes, hosts and requests. They have no
+// behaviour; each names the class that owns it.
 #pragma once
 
 #include <algorithm>
@@ -14,16 +14,16 @@
 
 namespace lotusyard::policy {
 
-// The instances of one function on one host, as far as this router knows. Owner: FunctionTable.
+// The instances of one function on one host, as far as this invoker can see. Owner: FunctionTable.
 struct InstanceSet {
   int host = 0;       // index in HostTable
-  int warm = 0;       // instances believed to be loaded
-  int loading = 0;    // instances that an order of ours loads
-  int in_flight = 0;  // own calls
+  int warm = 0;       // instances that are assumed to be loaded
+  int loading = 0;    // instances that an order of this invoker loads
+  int in_flight = 0;  // calls of this invoker
   Millis used_at{kNever};
   Millis load_began_at{kNever};
   Millis absent_at{kNever};  // when the host answered that it has none
-  bool proven = false;       // has served a call, or the host told of it
+  bool proven = false;       // has served a call, or the host reported it
 };
 
 // One function. Owner: FunctionTable.
@@ -36,16 +36,16 @@
   MovingAverage load_time;
   double baseline = 0;              // run time on an idle host, in milliseconds
   double load_hint = 0;             // load time that requests state, in milliseconds; 0: none
-  double arrivals = 0;              // own calls, decaying with kDemandTimeConstant
-  double host_concurrency = 0;      // moving average of own calls met on a host
+  double arrivals = 0;              // calls of this invoker, decaying with kDemandTimeConstant
+  double host_concurrency = 0;      // moving average of its concurrent calls, as hosts report them
   std::deque<std::uint64_t> queue;  // serials of requests that wait for a host
   std::vector<InstanceSet> instances;
-  Millis seen_at{kNever};
+  Millis last_call_at{kNever};
   Millis created_at{kNever};
   Millis no_order_before{kNever};
-  std::vector<int> hosts;    // all ready hosts, in the order in which this router uses them
-  int agreed_hosts = 0;      // how many of them all routers share for this function
-  int list_version = -1;     // endpoint list by which `hosts` was made
+  std::vector<int> hosts;    // all ready hosts, in the order in which this invoker uses them
+  int agreed_hosts = 0;      // how many of them all invokers share for this function
+  int list_version = -1;     // endpoint list from which `hosts` was computed
   bool last_missed = false;  // the latest call found no instance
 
   // The instances on a host, or null.
@@ -63,16 +63,16 @@
   }
 };
 
-// What was learnt of a class. Owner: ClassTable.
+// Statistics of a class. Owner: ClassTable.
 struct ClassRecord {
   MovingAverage run_time;
-  double baseline = 0;    // run time on an idle host, in milliseconds
-  double error_rate = 0;  // share of calls that failed of late, on any host
-  Millis first_try{0};    // time that a client gives its first try: most calls are one
-  int first_tries = 0;    // calls with that time less calls with another, of late
+  double baseline = 0;          // run time on an idle host, in milliseconds
+  double error_rate = 0;        // moving average of the failure rate, over all hosts
+  Millis first_try_timeout{0};  // usual time-out of calls; most calls are a client's first try
+  int first_try_score = 0;      // recent calls with that time-out minus those with another
 };
 
-// Health of one class on one host, or of the host as a whole. Owner: Host.
+// Health of one class on one host, or of the host for all classes. Owner: Host.
 struct Health {
   double error_rate = 0;
   Millis ejected_until{kNever};
@@ -80,45 +80,45 @@
   bool probation = false;  // since an ejection, no call has succeeded
 };
 
-// A host (a worker, in the words of the interface). Owner: HostTable.
+// A host. Owner: HostTable.
 struct Host {
-  HostEntry entry;  // as the endpoint list tells
+  HostEntry entry;  // from the endpoint list
   Health health;
   std::vector<Health> class_health;  // by ClassTable::slot
   std::uint64_t hash = 0;            // of its id, for rendezvous hashing
-  int list_version = 0;              // of the latest list that had it
-  Millis listed_at{kNever};          // when it was listed last
-  int in_flight = 0;                 // own calls
+  int list_version = 0;              // of the latest list that included it
+  Millis listed_at{kNever};          // when it was last listed
+  int in_flight = 0;                 // calls of this invoker
 
   // Liveness
-  Millis heard_at{kNever};     // latest answer, or the first call after a quiet time
-  Millis answered_at{kNever};  // latest answer that proves that it runs
-  Millis died_at{kNever};      // came back from a loss
-  Millis doubted_at{kNever};   // a connection broke; a health check is in flight
-  bool doubted_by_reset = false;
-  bool lost = false;                 // seen to be down, not yet seen to be back
-  int failed_probes = 0;             // in a row, since it was doubted
-  std::uint64_t probe_function = 0;  // of the order that is sent in place of a health check
+  Millis active_at{kNever};     // latest answer, or the first call after it was idle
+  Millis answered_at{kNever};   // latest answer that proves that it runs
+  Millis recovered_at{kNever};  // when it answered again after a loss
+  Millis suspected_at{kNever};  // start of the health check that follows a broken connection
+  bool suspected_by_reset = false;
+  bool lost = false;                 // found to be down, has not answered since
+  int failed_probes = 0;             // in a row, since it became suspect
+  std::uint64_t probe_function = 0;  // of a load order sent in place of a health check
 
   // Load
-  double limit = kInitialConcurrencyLimit;  // own calls at once
+  double limit = kInitialConcurrencyLimit;  // concurrent calls of this invoker
   Millis limit_cut_at{kNever};
   Millis full_until{kNever};
   double stretch = 1;  // run time over baseline
   Millis stretch_at{kNever};
-  double waiting = 0;  // calls that wait, by its report
+  double waiting = 0;  // queued calls, by its report
   Millis waiting_at{kNever};
   double reported_calls = 0;
   Millis reported_at{kNever};
 
   // Slow start
   double tokens = 0;            // of the budget's token bucket, in milliseconds of work
-  Millis tokens_at{kNever};     // when the bucket was filled last
-  bool received_calls = false;  // a call went there since it started
+  Millis tokens_at{kNever};     // when the bucket was last filled
+  bool received_calls = false;  // a call was sent there since it started
 
   bool is_ready() const { return entry.state == HostState::ready; }
-  bool is_gone() const { return entry.state == HostState::removed; }
-  // Operators returned it to service and nothing has been heard from it since.
+  bool is_removed() const { return entry.state == HostState::removed; }
+  // True if operators returned it to service and it has not answered since.
   bool is_newly_returned() const { return entry.enabled_by_operator && answered_at < entry.started; }
 };
 
@@ -129,7 +129,7 @@
   int host = 0;
   Millis sent_at{0};
   AttemptState state = AttemptState::in_flight;
-  bool overdue = false;  // in flight for so long that it counts as unanswered
+  bool overdue = false;  // has timed out, and counts as unanswered
 };
 
 inline bool is_in_flight(const Attempt& attempt) { return attempt.state == AttemptState::in_flight; }
@@ -145,7 +145,7 @@
   Millis deadline{0};
   Millis objective_at{0};  // when its latency objective ends
   bool done = false;       // answered or abandoned; attempts may be in flight still
-  bool streaming = false;  // its answer has begun
+  bool streaming = false;  // its answer has started
   std::vector<Attempt> attempts;
 
   bool last_never_ran() const {
--- a/src/policy/request_table.h
+++ b/src/policy/request_table.h
@@ -1,4 +1,4 @@
-// Open requests and the queues in which they wait.
+// Open requests and their queues.
 #pragma once
 
 #include <cstdint>
@@ -21,10 +21,10 @@
   // The request, or null.
   Request* find(const std::string& id);
   Request* find(std::uint64_t serial);
-  // The request, which is known to exist.
+  // The request, which must exist.
   Request& at(std::uint64_t serial) { return requests_.at(serial); }
 
-  // Puts a request into its function's queue: a retry goes to the front.
+  // Adds a request to its function's queue: retries go to the front.
   static void enqueue_front(const Request& request);
   static void enqueue_back(const Request& request);
   static void dequeue(const Request& request);
@@ -35,7 +35,7 @@
  private:
   std::map<std::uint64_t, Request> requests_;
   std::unordered_map<std::string, std::uint64_t> serials_;  // by id
-  std::uint64_t next_serial_ = 1;                           // 0 is the sweep's timer
+  std::uint64_t next_serial_ = 1;                           // 0 is the token of the sweep's timer
 };
 
 }  // namespace lotusyard::policy
--- a/src/policy/retry_rules.cpp
+++ b/src/policy/retry_rules.cpp
@@ -45,10 +45,10 @@
 
 bool RetryRules::is_overdue(const Request& request, const Attempt& attempt) const {
   Function& function = *request.function;
-  // An instance that is only believed in may be loading still: its calls are slow, not lost.
+  // An instance that is only assumed to exist may still be loading: its calls are slow, not lost.
   const InstanceSet* instances = function.find_instances(attempt.host);
   const bool is_proven = instances != nullptr && instances->proven;
-  const double load = is_proven ? 0 : functions_.load_time(function) * kLoadPatience;
+  const double load = is_proven ? 0 : functions_.load_time(function) * kLoadTimeoutFactor;
   const double stretch = std::max(1.0, host_load_.stretch(hosts_.at(attempt.host)));
   const Millis answer_timeout = OutlierDetector::answer_timeout(functions_.baseline(function) * stretch);
   return context_.now() - attempt.sent_at > answer_timeout + Millis(load);
--- a/src/policy/scheduler.cpp
+++ b/src/policy/scheduler.cpp
@@ -8,7 +8,7 @@
 
 void Scheduler::handle(Millis now, const Event& event, std::vector<Action>& actions) {
   context_.begin_event(now, actions);
-  std::visit([this](const auto& one) { on(one); }, event);
+  std::visit([this](const auto& typed) { on(typed); }, event);
 }
 
 void Scheduler::on(const event::Start& start) {
@@ -19,7 +19,7 @@
   context_.emit(action::SetTimer{kSweepInterval, 0});
 }
 
-// Open requests keep the rules under which they came: a class that changes gets a new index.
+// Open requests keep the settings that they arrived under: a class that changes gets a new index.
 void Scheduler::on(const event::SettingsChanged& change) {
   std::vector<bool> in_use(std::max<std::size_t>(classes_.slots(), 1));
   for (const auto& [serial, request] : requests_) {
@@ -32,7 +32,7 @@
 
 void Scheduler::on(const event::EndpointListUpdate& list) {
   if (list.kind == ListKind::failed) {
-    watch_again_at_ = context_.now() + kListRetryPause;
+    list_retry_at_ = context_.now() + kListRetryPause;
     return;
   }
   hosts_.apply(list);
@@ -66,8 +66,8 @@
   return request;
 }
 
-// A client's own retry looks like a new call, though its objective may have passed: it is given less time
-// than the first try.
+// A client's own retry looks like a new call, although its objective may have passed; it is recognised by an
+// unusual time-out.
 void Scheduler::set_objective(Request& request, Millis time_left) {
   const ClassSettings* settings = classes_.settings(request.class_index);
   request.objective_at = request.deadline;
@@ -77,8 +77,8 @@
   const bool is_client_retry = classes_.record_time_left(request.class_index, time_left);
   if (settings == nullptr || !is_client_retry)
     return;
-  const Millis of_first_try = request.deadline - settings->deadline + settings->latency_objective;
-  request.objective_at = std::min(request.objective_at, of_first_try);
+  const Millis first_try_objective_at = request.deadline - settings->deadline + settings->latency_objective;
+  request.objective_at = std::min(request.objective_at, first_try_objective_at);
 }
 
 void Scheduler::on(const event::StreamBegan& began) {
@@ -119,16 +119,16 @@
   return &request->attempts[number];
 }
 
-// Impatient clients leave and come back while a host still serves what nobody waits for.
-void Scheduler::on(const event::ClientDisconnected& left) {
-  Request* request = requests_.find(left.id);
+// Without a cancel, clients that disconnect and retry leave hosts busy with calls that nobody waits for.
+void Scheduler::on(const event::ClientDisconnected& disconnected) {
+  Request* request = requests_.find(disconnected.id);
   if (request == nullptr)
     return;
   const bool cancels = context_.settings().host_protocol.cancels && !request->streaming;
   for (std::size_t i = 0; cancels && i < request->attempts.size(); ++i) {
     if (!is_in_flight(request->attempts[i]))
       continue;
-    context_.emit(action::Cancel{left.id, static_cast<int>(i)});
+    context_.emit(action::Cancel{disconnected.id, static_cast<int>(i)});
   }
   admission_.finish(*request);
 }
@@ -162,18 +162,18 @@
   if (Liveness::awaits_order_probe(*host, loaded.function) && instances.loading == 0) {
     if (loaded.outcome == Outcome::ok)
       instances.warm = std::min(std::max(loaded.copies, 0), kMaxInstances);
-    const bool runs = loaded.outcome == Outcome::at_capacity || loaded.outcome == Outcome::error;
-    return liveness_.record_probe(*host, runs ? Outcome::ok : loaded.outcome);
+    const bool is_alive = loaded.outcome == Outcome::at_capacity || loaded.outcome == Outcome::error;
+    return liveness_.record_probe(*host, is_alive ? Outcome::ok : loaded.outcome);
   }
   answer_recorder_.record(loaded, *function, *host, instances);
-  router_.serve_all();  // the load's place goes to the function that is worth most, not to the next that asks
+  router_.serve_all();  // the free load slot goes to the function with the best load weight
 }
 
 void Scheduler::sweep() {
   context_.emit(action::SetTimer{kSweepInterval, 0});
-  const bool failed_before = watch_again_at_ > kNever && context_.now() >= watch_again_at_;
-  if (context_.settings().endpoint_list.polled && failed_before) {
-    watch_again_at_ = kNever;
+  const bool retry_is_due = list_retry_at_ > kNever && context_.now() >= list_retry_at_;
+  if (context_.settings().endpoint_list.polled && retry_is_due) {
+    list_retry_at_ = kNever;
     context_.emit(action::Watch{true});
   }
   for (const auto& function : functions_.all()) {
--- a/src/policy/scheduler.h
+++ b/src/policy/scheduler.h
@@ -1,4 +1,4 @@
-// The decisions of one router, event by event: joins the parts of the policy.
+// Makes the decisions of one invoker, event by event.
 #pragma once
 
 #include <string>
@@ -25,9 +25,9 @@
 
 namespace lotusyard::policy {
 
-// Owns all parts, from one event::Start to the next or to event::Stop. It does no I/O and has no clock: times
-// come with the events, and a sweep every kSweepInterval by the timer with token 0. A request's own timer has
-// its serial as token.
+// Owns the components of the policy from one event::Start to the next or to event::Stop. It does no I/O and
+// has no clock: times come with the events. The timer with token 0 triggers a sweep every kSweepInterval; the
+// timer of a request has its serial as token.
 class Scheduler {
  public:
   Scheduler(Millis now, HostFilter* host_filter) : context_(now, host_filter) {}
@@ -35,7 +35,7 @@
   Scheduler& operator=(const Scheduler&) = delete;
 
   void set_host_filter(HostFilter* host_filter) { context_.set_host_filter(host_filter); }
-  // Takes one event at time `now` and appends the actions that follow from it.
+  // Handles one event at time `now` and appends the resulting actions.
   void handle(Millis now, const Event& event, std::vector<Action>& actions);
 
  private:
@@ -46,11 +46,11 @@
   void on(const event::Request& request);
   void on(const event::StreamBegan& began);
   void on(const event::AttemptEnded& answer);
-  void on(const event::ClientDisconnected& left);
+  void on(const event::ClientDisconnected& disconnected);
   void on(const event::Timer& timer);
   void on(const event::Probed& probed);
   void on(const event::Loaded& loaded);
-  void on(const event::PeerMessage&) {}  // routers do not talk to each other
+  void on(const event::PeerMessage&) {}  // invokers exchange no messages
 
   Request& add_request(const event::Request& request);
   void set_objective(Request& request, Millis time_left);
@@ -78,7 +78,7 @@
   AnswerRecorder answer_recorder_{context_, functions_, host_load_, outliers_, liveness_, slow_start_};
   CallRouter router_{{context_, classes_, functions_, requests_, hosts_, outliers_, slow_start_, retry_rules_,
                       admission_, selector_, load_estimator_, load_orders_}};
-  Millis watch_again_at_{kNever};  // when to ask again for a list, after one that failed
+  Millis list_retry_at_{kNever};  // when to request a list again after one that failed
 };
 
 }  // namespace lotusyard::policy
--- a/src/slot_assignment.h
+++ b/src/slot_assignment.h
@@ -1,4 +1,4 @@
-// Bookkeeping that src/policy/ uses; it decides nothing and holds no tuned value.
+// Assigns values to stable slots of a vector, so that their indices stay valid while they are in use.
 #pragma once
 
 #include <algorithm>
@@ -6,29 +6,29 @@
 
 namespace lotusyard::policy {
 
-// Gives each of `wanted` a place in `known`: the one where it stands unchanged, else one that is neither
-// wanted nor `used`, else a new one. What stands in a used place stays, so that whoever holds its number can
-// go on.
+// Returns the index in `slots` of each of `wanted`: that of the equal value if there is one, else that of a
+// slot that is neither `in_use` nor holds a wanted value, else that of a new slot. A slot in use keeps its
+// value, so that its index stays valid for whoever holds it.
 template <typename T>
-std::vector<int> settle(std::vector<T>& known, const std::vector<T>& wanted, std::vector<bool> used) {
-  used.resize(known.size());
-  for (std::size_t i = 0; i < known.size(); ++i) {
-    if (std::count(wanted.begin(), wanted.end(), known[i]) > 0)
-      used[i] = true;
+std::vector<int> assign_slots(std::vector<T>& slots, const std::vector<T>& wanted, std::vector<bool> in_use) {
+  in_use.resize(slots.size());
+  for (std::size_t i = 0; i < slots.size(); ++i) {
+    if (std::count(wanted.begin(), wanted.end(), slots[i]) > 0)
+      in_use[i] = true;
   }
-  std::vector<int> places;
-  for (const auto& one : wanted) {
-    auto place = std::find(known.begin(), known.end(), one) - known.begin();
-    if (place == static_cast<std::ptrdiff_t>(known.size())) {
-      place = std::find(used.begin(), used.end(), false) - used.begin();
-      known.resize(std::max(known.size(), static_cast<std::size_t>(place) + 1));
-      used.resize(known.size());
-      known[static_cast<std::size_t>(place)] = one;
-      used[static_cast<std::size_t>(place)] = true;
+  std::vector<int> indices;
+  for (const auto& value : wanted) {
+    auto index = std::find(slots.begin(), slots.end(), value) - slots.begin();
+    if (index == static_cast<std::ptrdiff_t>(slots.size())) {
+      index = std::find(in_use.begin(), in_use.end(), false) - in_use.begin();
+      slots.resize(std::max(slots.size(), static_cast<std::size_t>(index) + 1));
+      in_use.resize(slots.size());
+      slots[static_cast<std::size_t>(index)] = value;
+      in_use[static_cast<std::size_t>(index)] = true;
     }
-    places.push_back(static_cast<int>(place));
+    indices.push_back(static_cast<int>(index));
   }
-  return places;
+  return indices;
 }
 
 }  // namespace lotusyard::policy
