--- a/tests/policy/example.cpp
+++ b/tests/policy/example.cpp
@@ -1,4 +1,4 @@
-// How a router embeds the decision module: hand in events, carry out actions.
+// Shows how an invoker embeds the decision module: it passes events and carries out the actions.
 #include <iostream>
 
 #include "lotusyard/policy/policy.h"
--- a/tests/policy/host_filter_test.cpp
+++ b/tests/policy/host_filter_test.cpp
@@ -1,11 +1,11 @@
-// The host filter: which hosts a call or a load may go to at all. It is asked wherever a host is considered.
+// The host filter: which hosts a call or a load may go to. It is queried wherever a host is considered.
 #include <gtest/gtest.h>
 
 #include <set>
 #include <string>
 #include <utility>
 
-#include "policy/router_fixture.h"
+#include "policy/policy_fixture.h"
 
 namespace lotusyard::policy::test {
 namespace {
@@ -25,7 +25,7 @@
   std::set<std::string> allowed_hosts_;
 };
 
-void request_for_tenant(RouterFixture& router, const std::string& id, const std::string& tenant,
+void request_for_tenant(PolicyFixture& invoker, const std::string& id, const std::string& tenant,
                         std::uint64_t function = 1) {
   event::Request request;
   request.id = id;
@@ -35,7 +35,7 @@
   request.memory_mb = 100;
   request.load_hint = Millis(1000);
   request.expires_in = Millis(4000);
-  router.handle(request);
+  invoker.handle(request);
 }
 
 // Of five hosts only one is allowed, with and without load orders.
@@ -44,50 +44,50 @@
     Settings settings = make_settings();
     settings.load_orders.allowed = load_orders;
     AllowedHosts host_filter({"c"});
-    RouterFixture router(settings);
-    router.policy.set_host_filter(&host_filter);
-    router.update_endpoints(
+    PolicyFixture invoker(settings);
+    invoker.policy.set_host_filter(&host_filter);
+    invoker.update_endpoints(
         {host_entry("a"), host_entry("b"), host_entry("c"), host_entry("d"), host_entry("e")});
     for (int i = 0; i < 200; ++i) {
-      request_for_tenant(router, std::to_string(i), "restricted", 1 + i % 7);
-      for (const auto& load : std::exchange(router.loads, {})) {
+      request_for_tenant(invoker, std::to_string(i), "restricted", 1 + i % 7);
+      for (const auto& load : std::exchange(invoker.loads, {})) {
         EXPECT_EQ(load.host, "c");
-        router.finish_load(load.host, load.function, 1);
+        invoker.finish_load(load.host, load.function, 1);
       }
-      if (!router.sends.empty()) {
-        EXPECT_EQ(router.sends.back().host, "c");
-        router.answer(router.sends.back(), i % 5 == 0 ? Outcome::error : Outcome::ok);
+      if (!invoker.sends.empty()) {
+        EXPECT_EQ(invoker.sends.back().host, "c");
+        invoker.answer(invoker.sends.back(), i % 5 == 0 ? Outcome::error : Outcome::ok);
       }
     }
-    EXPECT_GT(router.sends.size(), 50U);
-    EXPECT_FALSE(router.broke_rule);
+    EXPECT_GT(invoker.sends.size(), 50U);
+    EXPECT_FALSE(invoker.has_violation);
   }
 }
 
-// An instance on a host that has become forbidden is of no use, nor to a call that failed elsewhere.
+// An instance on a host that has become forbidden gets no further calls.
 TEST(HostFilter, HostIsLeftOnceForbiddenAndACallWithoutAnAllowedHostIsRejectedAtOnce) {
   AllowedHosts host_filter({"a", "b"});
-  RouterFixture router;
-  router.policy.set_host_filter(&host_filter);
-  router.update_endpoints({host_entry("a"), host_entry("b"), host_entry("c")});
-  request_for_tenant(router, "first", "restricted");
-  if (!router.loads.empty())
-    router.finish_load(router.loads[0].host, 1, 1);
-  ASSERT_EQ(router.sends.size(), 1U);
-  const std::string first = first_host(router);
-  router.answer(router.sends[0], Outcome::ok);
+  PolicyFixture invoker;
+  invoker.policy.set_host_filter(&host_filter);
+  invoker.update_endpoints({host_entry("a"), host_entry("b"), host_entry("c")});
+  request_for_tenant(invoker, "first", "restricted");
+  if (!invoker.loads.empty())
+    invoker.finish_load(invoker.loads[0].host, 1, 1);
+  ASSERT_EQ(invoker.sends.size(), 1U);
+  const std::string first = first_host(invoker);
+  invoker.answer(invoker.sends[0], Outcome::ok);
   host_filter.forbid(first);
-  request_for_tenant(router, "second", "restricted");
-  if (router.loads.size() > 1)
-    router.finish_load(router.loads.back().host, 1, 1);
-  ASSERT_EQ(router.sends.size(), 2U);
-  EXPECT_NE(router.sends[1].host, first);
-  EXPECT_NE(router.sends[1].host, "c");
+  request_for_tenant(invoker, "second", "restricted");
+  if (invoker.loads.size() > 1)
+    invoker.finish_load(invoker.loads.back().host, 1, 1);
+  ASSERT_EQ(invoker.sends.size(), 2U);
+  EXPECT_NE(invoker.sends[1].host, first);
+  EXPECT_NE(invoker.sends[1].host, "c");
   host_filter.forbid_all();
-  request_for_tenant(router, "third", "restricted");
-  EXPECT_EQ(router.rejected, std::vector<std::string>{"third"});
-  request_for_tenant(router, "unrestricted", "other");
-  EXPECT_EQ(router.rejected.size(), 1U);
+  request_for_tenant(invoker, "third", "restricted");
+  EXPECT_EQ(invoker.rejected, std::vector<std::string>{"third"});
+  request_for_tenant(invoker, "unrestricted", "other");
+  EXPECT_EQ(invoker.rejected.size(), 1U);
 }
 
 }  // namespace
--- a/tests/policy/load_budget_test.cpp
+++ b/tests/policy/load_budget_test.cpp
@@ -1,7 +1,7 @@
 // The quota of load orders.
 #include <gtest/gtest.h>
 
-#include "policy/router_fixture.h"
+#include "policy/policy_fixture.h"
 
 namespace lotusyard::policy::test {
 namespace {
@@ -11,15 +11,15 @@
   settings.load_orders.window = Millis(5000);
   settings.load_orders.floor = 2;
   settings.load_orders.ratio = 0.1;
-  RouterFixture router(settings);
-  router.update_endpoints({host_entry("a"), host_entry("b"), host_entry("c"), host_entry("d")});
+  PolicyFixture invoker(settings);
+  invoker.update_endpoints({host_entry("a"), host_entry("b"), host_entry("c"), host_entry("d")});
   for (int i = 0; i < 25; ++i) {
-    router.request(numbered("x", i), static_cast<std::uint64_t>(100 + i));
-    if (!router.loads.empty())
-      router.finish_load(router.loads.back().host, router.loads.back().function, 1);
-    EXPECT_LE(static_cast<double>(router.loads.size()), 2 + 0.1 * (i + 1));
+    invoker.request(numbered("x", i), static_cast<std::uint64_t>(100 + i));
+    if (!invoker.loads.empty())
+      invoker.finish_load(invoker.loads.back().host, invoker.loads.back().function, 1);
+    EXPECT_LE(static_cast<double>(invoker.loads.size()), 2 + 0.1 * (i + 1));
   }
-  EXPECT_GE(router.loads.size(), 3U);
+  EXPECT_GE(invoker.loads.size(), 3U);
 }
 
 }  // namespace
--- a/tests/policy/outlier_detector_test.cpp
+++ b/tests/policy/outlier_detector_test.cpp
@@ -1,88 +1,88 @@
-// Hosts that fail are ejected, and only these.
+// Only hosts that fail are ejected.
 #include <gtest/gtest.h>
 
-#include "policy/router_fixture.h"
+#include "policy/policy_fixture.h"
 
 namespace lotusyard::policy::test {
 namespace {
 
-// Regression: five of 40 hosts failed five in six calls for ten seconds. Each of 100 routers, which call a
-// host once in some seconds, paid two failures there and came back a second later: 2,252 errors in all.
-TEST(OutlierDetector, OneErrorEjectsTheHostWithManyRouters) {
-  Settings settings = hundred_router_settings();
+// Regression: five of 40 hosts failed five in six calls for ten seconds. Each of 100 invokers, which call a
+// host once every few seconds, had two failures there and tried again a second later: 2,252 errors in all.
+TEST(OutlierDetector, OneErrorEjectsTheHostWithManyInvokers) {
+  Settings settings = hundred_invoker_settings();
   settings.host_protocol.reports_warm_start = false;
-  RouterFixture router(settings);
-  router.update_endpoints({host_entry("a"), host_entry("b"), host_entry("c")});
-  router.request("x", 1, "safe", 4000);
-  const std::string bad = router.sends.back().host;
-  router.answer(router.sends.back(), Outcome::error, 2);
-  router.advance(20);
-  EXPECT_EQ(router.sends.back().id, "x");  // retried elsewhere
-  EXPECT_NE(router.sends.back().host, bad);
-  router.answer(router.sends.back(), Outcome::ok);
+  PolicyFixture invoker(settings);
+  invoker.update_endpoints({host_entry("a"), host_entry("b"), host_entry("c")});
+  invoker.request("x", 1, "safe", 4000);
+  const std::string bad = invoker.sends.back().host;
+  invoker.answer(invoker.sends.back(), Outcome::error, 2);
+  invoker.advance(20);
+  EXPECT_EQ(invoker.sends.back().id, "x");  // retried elsewhere
+  EXPECT_NE(invoker.sends.back().host, bad);
+  invoker.answer(invoker.sends.back(), Outcome::ok);
   std::size_t sent_to_bad = 0;
   for (int i = 0; i < 25; ++i) {
-    router.request(numbered("y", i), 1, "safe", 4000);
-    if (router.sends.back().host == bad)
+    invoker.request(numbered("y", i), 1, "safe", 4000);
+    if (invoker.sends.back().host == bad)
       ++sent_to_bad;
-    router.answer(router.sends.back(), Outcome::ok);
-    router.advance(100);
+    invoker.answer(invoker.sends.back(), Outcome::ok);
+    invoker.advance(100);
   }
   EXPECT_EQ(sent_to_bad, 0U);
 }
 
-// Regression: one class was not answered on one host, which served the others.
+// Regression: calls of one class kept going to a host that failed them but served the other classes.
 TEST(OutlierDetector, ClassThatFailsOnOneHostGoesElsewhere) {
   Settings settings = make_settings();
   settings.retries.max_attempts = 5;
-  RouterFixture router = make_warm_router(settings);
-  const std::string bad = first_host(router);
+  PolicyFixture invoker = make_warm_invoker(settings);
+  const std::string bad = first_host(invoker);
   std::size_t last = 0;
   for (int i = 0; i < 4; ++i) {
-    router.request(numbered("x", i));
-    last = router.sends.size();
-    if (router.sends.back().host == bad)
-      router.answer(router.sends.back(), Outcome::error);
-    if (!router.loads.empty())
-      router.finish_load(router.loads.back().host, 1, 1);
-    router.advance(40);
+    invoker.request(numbered("x", i));
+    last = invoker.sends.size();
+    if (invoker.sends.back().host == bad)
+      invoker.answer(invoker.sends.back(), Outcome::error);
+    if (!invoker.loads.empty())
+      invoker.finish_load(invoker.loads.back().host, 1, 1);
+    invoker.advance(40);
   }
-  EXPECT_GE(router.sends.size(), last);
-  EXPECT_NE(router.sends.back().host, bad);
+  EXPECT_GE(invoker.sends.size(), last);
+  EXPECT_NE(invoker.sends.back().host, bad);
 }
 
-TEST(OutlierDetector, FunctionThatNoHostKnowsEjectsNone) {
+TEST(OutlierDetector, FunctionThatExistsOnNoHostEjectsNone) {
   Settings settings = make_settings();
   settings.host_protocol.answers_misses = true;
-  RouterFixture router(settings);
-  router.update_endpoints({host_entry("w1")});
+  PolicyFixture invoker(settings);
+  invoker.update_endpoints({host_entry("w1")});
   for (int i = 0; i < 6; ++i) {
-    router.request("a" + std::to_string(i), 99, "unsafe");
-    if (router.sends.size() == static_cast<std::size_t>(i + 1))
-      router.answer(router.sends.back(), Outcome::error);
+    invoker.request("a" + std::to_string(i), 99, "unsafe");
+    if (invoker.sends.size() == static_cast<std::size_t>(i + 1))
+      invoker.answer(invoker.sends.back(), Outcome::error);
   }
-  const auto before = router.sends.size();
-  router.request("b", 1, "unsafe");
-  EXPECT_EQ(router.sends.size(), before + 1);
+  const auto before = invoker.sends.size();
+  invoker.request("b", 1, "unsafe");
+  EXPECT_EQ(invoker.sends.size(), before + 1);
 }
 
 // Regression: one class failed everywhere, and hosts that served the others well were ejected for it.
 TEST(OutlierDetector, ClassThatFailsEverywhereEjectsNoHost) {
-  RouterFixture router(make_settings());
-  router.update_endpoints({host_entry("a"), host_entry("b"), host_entry("c")});
+  PolicyFixture invoker(make_settings());
+  invoker.update_endpoints({host_entry("a"), host_entry("b"), host_entry("c")});
   int served = 0;
   for (int i = 0; i < 60; ++i) {
     for (const bool fails : {true, false}) {
-      const auto loads = router.loads.size();
-      const auto sends = router.sends.size();
-      router.request(numbered(fails ? "u" : "k", i), fails ? 3 : 2, fails ? "unsafe" : "keyed");
-      if (router.loads.size() > loads)
-        router.finish_load(router.loads.back().host, router.loads.back().function, 1);
-      if (router.sends.size() > sends)
-        router.answer(router.sends.back(), fails ? Outcome::error : Outcome::ok);
-      if (!fails && router.sends.size() > sends)
+      const auto loads = invoker.loads.size();
+      const auto sends = invoker.sends.size();
+      invoker.request(numbered(fails ? "u" : "k", i), fails ? 3 : 2, fails ? "unsafe" : "keyed");
+      if (invoker.loads.size() > loads)
+        invoker.finish_load(invoker.loads.back().host, invoker.loads.back().function, 1);
+      if (invoker.sends.size() > sends)
+        invoker.answer(invoker.sends.back(), fails ? Outcome::error : Outcome::ok);
+      if (!fails && invoker.sends.size() > sends)
         ++served;
-      router.advance(50);
+      invoker.advance(50);
     }
   }
   EXPECT_EQ(served, 60);
--- a/tests/policy/policy_fixture.cpp
+++ b/tests/policy/policy_fixture.cpp
@@ -1,4 +1,4 @@
-#include "policy/router_fixture.h"
+#include "policy/policy_fixture.h"
 
 #include <algorithm>
 #include <utility>
@@ -42,7 +42,7 @@
   return settings;
 }
 
-Settings hundred_router_settings() {
+Settings hundred_invoker_settings() {
   Settings settings = make_settings();
   settings.invokers = 100;
   settings.retries.max_attempts = 50;
@@ -68,14 +68,14 @@
   return hosts;
 }
 
-void RouterFixture::handle(const Event& event) {
+void PolicyFixture::handle(const Event& event) {
   std::vector<Action> actions;
   policy.handle(now, event, actions);
   for (const auto& action : actions)
     record(action);
 }
 
-void RouterFixture::record(const Action& action) {
+void PolicyFixture::record(const Action& action) {
   if (const auto* send = std::get_if<action::Send>(&action)) {
     record(*send);
   } else if (const auto* load = std::get_if<action::Load>(&action)) {
@@ -96,27 +96,27 @@
   }
 }
 
-void RouterFixture::record(const action::Send& send) {
+void PolicyFixture::record(const action::Send& send) {
   sends.push_back(send);
   ++attempts[send.id];
   if (answered.count(send.id) > 0)
-    broke_rule = true;
+    has_violation = true;
 }
 
-void RouterFixture::record(const action::Load& load) {
+void PolicyFixture::record(const action::Load& load) {
   if (load.copies > 0)
     loads.push_back(load);
   if (load.copies == 0)
     instance_queries.push_back(load.host);
 }
 
-void RouterFixture::record_final_answer(const std::string& id) {
+void PolicyFixture::record_final_answer(const std::string& id) {
   const bool is_first = answered.insert(id).second;
   if (!is_first)
-    broke_rule = true;
+    has_violation = true;
 }
 
-void RouterFixture::request(const std::string& id, std::uint64_t function, const std::string& call_class,
+void PolicyFixture::request(const std::string& id, std::uint64_t function, const std::string& call_class,
                             double expires_ms, int lanes) {
   event::Request request;
   request.id = id;
@@ -129,7 +129,7 @@
   handle(request);
 }
 
-void RouterFixture::answer(const action::Send& send, Outcome outcome, double elapsed_ms, Warmth warmth) {
+void PolicyFixture::answer(const action::Send& send, Outcome outcome, double elapsed_ms, Warmth warmth) {
   event::AttemptEnded answer;
   answer.id = send.id;
   answer.host = send.host;
@@ -143,7 +143,7 @@
   handle(answer);
 }
 
-void RouterFixture::advance(double duration_ms) {
+void PolicyFixture::advance(double duration_ms) {
   const double until = now.count() + duration_ms;
   while (!timers_.empty() && timers_.begin()->first <= until) {
     const auto [due, token] = *timers_.begin();
@@ -154,15 +154,15 @@
   now = Millis(until);
 }
 
-RouterFixture make_warm_router(Settings settings, int copies) {
-  RouterFixture router(std::move(settings));
-  router.update_endpoints({host_entry("a"), host_entry("b"), host_entry("c")});
-  router.request("first");
-  if (!router.loads.empty())
-    router.finish_load(router.loads[0].host, 1, copies);
-  if (!router.sends.empty())
-    router.answer(router.sends.back(), Outcome::ok);
-  return router;
+PolicyFixture make_warm_invoker(Settings settings, int copies) {
+  PolicyFixture invoker(std::move(settings));
+  invoker.update_endpoints({host_entry("a"), host_entry("b"), host_entry("c")});
+  invoker.request("first");
+  if (!invoker.loads.empty())
+    invoker.finish_load(invoker.loads[0].host, 1, copies);
+  if (!invoker.sends.empty())
+    invoker.answer(invoker.sends.back(), Outcome::ok);
+  return invoker;
 }
 
 }  // namespace lotusyard::policy::test
--- a/tests/policy/policy_fixture.h
+++ b/tests/policy/policy_fixture.h
@@ -1,5 +1,5 @@
-// What the tests of the decision module share: settings, hosts, and a router that plays events into a Policy
-// and keeps the actions that follow.
+// Fixtures of the tests of the decision module: settings, hosts, and an invoker that passes events to a
+// Policy and records the resulting actions.
 #pragma once
 
 #include <cstdint>
@@ -12,11 +12,11 @@
 
 namespace lotusyard::policy::test {
 
-// One router, three classes by the names `safe` (idempotent), `keyed` and `unsafe` (non-idempotent), each
+// One invoker, three classes by the names `safe` (idempotent), `keyed` and `unsafe` (non-idempotent), each
 // with a latency objective of 1 s, a deadline of 4 s and a key window of 2 s; load orders are allowed.
 Settings make_settings();
-// One of 100 routers, up to 50 attempts a call; a load takes longer than any latency objective.
-Settings hundred_router_settings();
+// One of 100 invokers, with up to 50 attempts per call; a load takes longer than any latency objective.
+Settings hundred_invoker_settings();
 
 HostEntry host_entry(const std::string& id, HostState state = HostState::ready, double started_ms = 0);
 // `count` ready hosts named w0, w1, ...
@@ -25,13 +25,13 @@
 // "x7" for ("x", 7).
 inline std::string numbered(const char* stem, int number) { return stem + std::to_string(number); }
 
-// One router: plays events into a Policy at a clock of its own, which advance() moves, and keeps the actions
-// by their kind. Times are in milliseconds.
-class RouterFixture {
+// One invoker: passes events to a Policy with a simulated clock, which advance() moves, and records the
+// actions by their kind. Times are in milliseconds.
+class PolicyFixture {
  public:
-  explicit RouterFixture(Settings settings = make_settings()) { handle(event::Start{std::move(settings)}); }
+  explicit PolicyFixture(Settings settings = make_settings()) { handle(event::Start{std::move(settings)}); }
 
-  // Plays one event and records the actions.
+  // Handles one event and records the actions.
   void handle(const Event& event);
   void update_endpoints(std::vector<HostEntry> entries, ListKind kind = ListKind::full) {
     handle(event::EndpointListUpdate{kind, std::move(entries)});
@@ -42,7 +42,7 @@
   // Ends the latest attempt of a call that was sent. A call that ends with Outcome::ok is answered.
   void answer(const action::Send& send, Outcome outcome, double elapsed_ms = 100,
               Warmth warmth = Warmth::warm);
-  // Answers a load order: the host holds `copies` instances of the function now.
+  // Answers a load order: the host now has `copies` instances of the function.
   void finish_load(const std::string& host, std::uint64_t function, int copies,
                    Outcome outcome = Outcome::ok) {
     handle(event::Loaded{host, function, outcome, Millis(500), copies});
@@ -52,8 +52,8 @@
 
   Policy policy;
   Millis now{1000};
-  double memory_mb = 500;   // of the functions that are requested
-  bool broke_rule = false;  // a call was sent after its answer, or answered twice
+  double memory_mb = 500;      // of the functions that are requested
+  bool has_violation = false;  // a call was sent after its answer, or answered twice
   std::vector<action::Send> sends;
   std::vector<action::Load> loads;
   std::vector<action::Cancel> cancels;
@@ -74,9 +74,9 @@
   std::multimap<double, std::uint64_t> timers_;  // tokens by the time at which they are due
 };
 
-// A router that has a warm instance of function 1 on first_host(), with a run time of 100 ms.
-RouterFixture make_warm_router(Settings settings = make_settings(), int copies = 1);
+// An invoker that has a warm instance of function 1 on first_host(), with a run time of 100 ms.
+PolicyFixture make_warm_invoker(Settings settings = make_settings(), int copies = 1);
 // The host of the first attempt.
-inline std::string first_host(const RouterFixture& router) { return router.sends.at(0).host; }
+inline std::string first_host(const PolicyFixture& invoker) { return invoker.sends.at(0).host; }
 
 }  // namespace lotusyard::policy::test
--- a/tests/policy/simulated_hosts.cpp
+++ b/tests/policy/simulated_hosts.cpp
@@ -14,7 +14,7 @@
   return static_cast<double>(random() >> 11) / kRange;
 }
 
-void SimulatedHosts::start_call(std::size_t router, const action::Send& send, double now) {
+void SimulatedHosts::start_call(std::size_t invoker, const action::Send& send, double now) {
   const bool has_instance = this->has_instance(send);
   const int in_flight = ++in_flight_[send.host];
   double duration = 1;
@@ -23,35 +23,35 @@
     duration = kMeanWork * slowdown * (0.5 + uniform(random_));
   }
   const Outcome outcome = has_instance ? Outcome::ok : Outcome::no_instance;
-  running_calls_.emplace(now + duration, RunningCall{router, incarnation_, send, outcome, now});
+  running_calls_.emplace(now + duration, RunningCall{invoker, incarnation_, send, outcome, now});
 }
 
-void SimulatedHosts::start_load(std::size_t router, const action::Load& order, double now) {
-  running_loads_.emplace(now + kLoadTime, RunningLoad{router, incarnation_, order});
+void SimulatedHosts::start_load(std::size_t invoker, const action::Load& order, double now) {
+  running_loads_.emplace(now + kLoadTime, RunningLoad{invoker, incarnation_, order});
 }
 
-void SimulatedHosts::finish_due(double now, std::vector<RouterFixture>& routers) {
-  finish_calls(now, routers);
-  finish_loads(now, routers);
+void SimulatedHosts::finish_due(double now, std::vector<PolicyFixture>& invokers) {
+  finish_calls(now, invokers);
+  finish_loads(now, invokers);
 }
 
-void SimulatedHosts::finish_calls(double now, std::vector<RouterFixture>& routers) {
+void SimulatedHosts::finish_calls(double now, std::vector<PolicyFixture>& invokers) {
   while (!running_calls_.empty() && running_calls_.begin()->first <= now) {
     const RunningCall call = running_calls_.begin()->second;
     running_calls_.erase(running_calls_.begin());
     --in_flight_[call.send.host];
     if (call.incarnation == incarnation_)
-      routers[call.router].answer(call.send, call.outcome, now - call.began, Warmth::unknown);
+      invokers[call.invoker].answer(call.send, call.outcome, now - call.began, Warmth::unknown);
   }
 }
 
-void SimulatedHosts::finish_loads(double now, std::vector<RouterFixture>& routers) {
+void SimulatedHosts::finish_loads(double now, std::vector<PolicyFixture>& invokers) {
   while (!running_loads_.empty() && running_loads_.begin()->first <= now) {
     const RunningLoad load = running_loads_.begin()->second;
     running_loads_.erase(running_loads_.begin());
     add_instance(load.order.host, load.order.function);
     if (load.incarnation == incarnation_)
-      routers[load.router].finish_load(load.order.host, load.order.function, 1);
+      invokers[load.invoker].finish_load(load.order.host, load.order.function, 1);
   }
 }
 
--- a/tests/policy/simulated_hosts.h
+++ b/tests/policy/simulated_hosts.h
@@ -10,20 +10,20 @@
 #include <string>
 #include <vector>
 
-#include "policy/router_fixture.h"
+#include "policy/policy_fixture.h"
 
 namespace lotusyard::policy::test {
 
-// Work of a call on an idle core on average, in milliseconds.
+// Average work of a call on an idle core, in milliseconds.
 constexpr double kMeanWork = 100;
 
-// A random number from 0 up to, but not including, 1.
+// A random number in [0, 1).
 double uniform(std::mt19937_64& random);
 
-// Routers are known by their positions in the vector that finish_due() is given.
+// Invokers are identified by their positions in the vector passed to finish_due().
 class SimulatedHosts {
  public:
-  // `random` must outlive the hosts; it decides how long each call takes.
+  // `random` must outlive the hosts; it determines how long each call takes.
   explicit SimulatedHosts(std::mt19937_64& random) : random_(random) {}
 
   void set_cores(const std::string& host, double cores) { cores_[host] = cores; }
@@ -33,31 +33,31 @@
   void add_call(const std::string& id, std::uint64_t function) { functions_[id] = function; }
 
   // The call takes longer the more others run beside it; without an instance it is answered within 1 ms.
-  void start_call(std::size_t router, const action::Send& send, double now);
-  void start_load(std::size_t router, const action::Load& order, double now);
-  // Gives the routers what has ended by now.
-  void finish_due(double now, std::vector<RouterFixture>& routers);
-  // All routers have restarted: what they sent before runs on, but its answers reach nobody.
-  void disconnect_routers() { ++incarnation_; }
+  void start_call(std::size_t invoker, const action::Send& send, double now);
+  void start_load(std::size_t invoker, const action::Load& order, double now);
+  // Delivers to the invokers the results of calls and loads that have ended by now.
+  void finish_due(double now, std::vector<PolicyFixture>& invokers);
+  // All invokers have restarted: what they sent before continues to run, but its answers are discarded.
+  void disconnect_invokers() { ++incarnation_; }
 
  private:
   struct RunningCall {
-    std::size_t router;
+    std::size_t invoker;
     int incarnation;
     action::Send send;
     Outcome outcome;
     double began;
   };
   struct RunningLoad {
-    std::size_t router;
+    std::size_t invoker;
     int incarnation;
     action::Load order;
   };
   bool has_instance(const action::Send& send) {
     return instances_[send.host].count(functions_[send.id]) != 0;
   }
-  void finish_calls(double now, std::vector<RouterFixture>& routers);
-  void finish_loads(double now, std::vector<RouterFixture>& routers);
+  void finish_calls(double now, std::vector<PolicyFixture>& invokers);
+  void finish_loads(double now, std::vector<PolicyFixture>& invokers);
 
   std::mt19937_64& random_;
   int incarnation_ = 0;
--- a/tests/policy/slow_start_burst_test.cpp
+++ b/tests/policy/slow_start_burst_test.cpp
@@ -1,5 +1,5 @@
-// Many processes that act in the same moment right after a host has started: two hosts of four cores, of
-// which h0 starts.
+// Many processes that act simultaneously right after a host has started. There are two hosts of four cores,
+// of which h0 starts.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -8,7 +8,7 @@
 #include <utility>
 #include <vector>
 
-#include "policy/router_fixture.h"
+#include "policy/policy_fixture.h"
 
 namespace lotusyard::policy::test {
 namespace {
@@ -32,7 +32,7 @@
   static Settings settings_for(int count);
   static std::vector<HostEntry> hosts(double h0_started_ms);
 
-  std::vector<RouterFixture> processes_;
+  std::vector<PolicyFixture> processes_;
 };
 
 ProcessGroup::ProcessGroup(int count) {
@@ -104,7 +104,7 @@
   }
 }
 
-// Of four cores, 0.25 of 2.5 times what they do in 500 ms: 12.5 calls of 100 ms, and chance.
+// 0.25 of 2.5 times the work of four cores in 500 ms: 12.5 calls of 100 ms, and a margin for chance.
 const double kAllowedCalls = 12.5 + 3 * std::sqrt(12.5) + 3;
 
 TEST(SlowStartBurst, InstancesFromBeforeTheStartAreNotUsedRightAfterIt) {
@@ -124,7 +124,7 @@
     ProcessGroup processes(count);
     processes.warm_up();
     processes.start_h0();
-    processes.advance(50);  // what was known from before the start has expired
+    processes.advance(50);  // instances from before the start have expired
     int calls = 0;
     for (int i = 0; i < 3; ++i) {
       processes.request("missed" + std::to_string(i));
--- a/tests/policy/slow_start_disturbance_test.cpp
+++ b/tests/policy/slow_start_disturbance_test.cpp
@@ -1,5 +1,5 @@
-// The slow-start budget of a host holds for the sum over all processes, whatever their number, also through
-// restarts and reloads of the processes, whole lists, and a host that starts again within its window.
+// The slow-start budget of a host limits the sum over all processes, whatever their number, also during
+// restarts and reloads of the processes, full lists, and a host that starts again within its window.
 #include <gtest/gtest.h>
 
 #include <cstdio>
@@ -14,11 +14,11 @@
   double factor;
 };
 
-// Of one or, up to 30 processes, three days.
+// The worst of three simulated runs, or of one with 300 processes.
 WorstWindow find_worst_window(Disturbance disturbance, const SlowStartRule& rule, int processes) {
-  const std::uint64_t days = processes < 300 ? 3 : 1;
+  const std::uint64_t runs = processes < 300 ? 3 : 1;
   WorstWindow worst;
-  for (std::uint64_t seed = 1; seed <= days; ++seed) {
+  for (std::uint64_t seed = 1; seed <= runs; ++seed) {
     SlowStartSimulation simulation(disturbance, processes, rule.window_ms, rule.factor, seed);
     const WorstWindow other = simulation.run();
     if (seed == 1 || other.used_fraction() > worst.used_fraction())
--- a/tests/policy/slow_start_disturbances.cpp
+++ b/tests/policy/slow_start_disturbances.cpp
@@ -1,4 +1,4 @@
-// What happens to the processes and hosts of a SlowStartSimulation.
+// The disturbances of the processes and hosts of a SlowStartSimulation.
 #include <algorithm>
 #include <cmath>
 
@@ -74,13 +74,13 @@
   }
 }
 
-void SlowStartSimulation::restart_processes(double list_moment) {
+void SlowStartSimulation::restart_processes(double list_time) {
   for (std::size_t i = 0; i < processes_.size(); ++i) {
     processes_[i] = make_process(static_cast<int>(i), live_processes_);
-    notified_[i] = list_moment >= kStart;
-    processes_[i].update_endpoints(list_made_at(list_moment));
+    notified_[i] = list_time >= kStart;
+    processes_[i].update_endpoints(list_made_at(list_time));
   }
-  simulated_hosts_.disconnect_routers();
+  simulated_hosts_.disconnect_invokers();
 }
 
 void SlowStartSimulation::change_process_count(int count) {
--- a/tests/policy/slow_start_scenarios.h
+++ b/tests/policy/slow_start_scenarios.h
@@ -17,9 +17,9 @@
 enum class Disturbance {
   none,             // the host starts again under its id, and a delta says so
   process_restart,  // every process restarts 600 ms later; its full list says when the host started
-  late_notice,      // the same, but that list does not have the start; a delta has it 300 ms later
-  more_processes,   // a reload: a third of the processes become all; the new ones know nothing
-  fewer_processes,  // a reload: all become a third; those that end run on for 300 ms
+  late_notice,      // the same, but that list lacks the start; a delta reports it 300 ms later
+  more_processes,   // a reload: a third of the processes become all; the new ones have no state
+  fewer_processes,  // a reload: all become a third; those that end continue for 300 ms
   full_lists,       // a full list every 250 ms
   stale_list,       // 500 ms after the start a cached list from before it; a full list 300 ms later
   second_start,     // the host starts once more half a window later
@@ -53,19 +53,19 @@
   return disturbance == Disturbance::mass_start || disturbance == Disturbance::overload;
 }
 
-// The window of any host in which its budget was used most: the calls of processes that had been notified of
-// its start, and how many it may get.
+// The window, of any host, with the highest use of the budget: the calls of processes that had been notified
+// of the start, and how many are allowed.
 struct WorstWindow {
   int calls = 0;
   double allowed = 0;
-  int total_calls = 0;  // over the whole day
+  int total_calls = 0;  // over the complete run
   double used_fraction() const { return calls / std::max(allowed, 1.0); }
 };
 
 struct StartingHost {
   double started = kStart;
   double cores = 4;
-  std::vector<double> calls_at{};  // since it started, of notified processes
+  std::vector<double> calls_at{};  // times of calls since it started, of notified processes
 };
 
 }  // namespace lotusyard::policy::test
--- a/tests/policy/slow_start_simulation.cpp
+++ b/tests/policy/slow_start_simulation.cpp
@@ -55,7 +55,7 @@
   }
 }
 
-RouterFixture SlowStartSimulation::make_process(int rank, int processes) {
+PolicyFixture SlowStartSimulation::make_process(int rank, int processes) {
   Settings settings = make_settings();
   settings.invokers = processes;
   settings.rank = rank;
@@ -69,17 +69,17 @@
   settings.load_orders.window = Millis(10000);
   settings.seed = random_();
   settings_ = settings;
-  RouterFixture process(settings);
+  PolicyFixture process(settings);
   process.now = Millis(now_);
   return process;
 }
 
-std::vector<HostEntry> SlowStartSimulation::list_made_at(double moment) {
+std::vector<HostEntry> SlowStartSimulation::list_made_at(double time) {
   std::vector<HostEntry> list;
   for (int index = 0; index < kHosts; ++index) {
     const StartingHost& listed = host(index);
-    const bool start_is_known = index < starting_hosts_ && listed.started <= moment;
-    list.push_back(host_entry(host_name(index), HostState::ready, start_is_known ? listed.started : 0));
+    const bool has_started = index < starting_hosts_ && listed.started <= time;
+    list.push_back(host_entry(host_name(index), HostState::ready, has_started ? listed.started : 0));
     list.back().weight = listed.cores;
   }
   return list;
@@ -115,7 +115,7 @@
 }
 
 void SlowStartSimulation::request_call() {
-  RouterFixture& process = processes_[random_() % static_cast<std::size_t>(live_processes_)];
+  PolicyFixture& process = processes_[random_() % static_cast<std::size_t>(live_processes_)];
   // Low numbers are more frequent than high ones.
   const double skewed = kFunctions * uniform(random_) * uniform(random_);
   const std::uint64_t function = 1 + static_cast<std::uint64_t>(skewed);
@@ -140,7 +140,7 @@
   const double age = std::max(0.0, window_began - host.started) / kSlowStartDuration;
   const double share = kSlowStartInitial + (1 - kSlowStartInitial) * std::min(1.0, age);
   const double budget = factor_ * share * host.cores * window_ / kMeanWork;
-  // Processes that share nothing exceed the budget by chance.
+  // Processes without shared state may exceed the budget by chance.
   return budget < 30 ? budget + 3 * std::sqrt(budget) + 3 : budget + 2 * std::sqrt(budget) + 2;
 }
 
@@ -152,7 +152,7 @@
     const double window_began = calls_at[last] - window_;
     while (calls_at[first] <= window_began)
       ++first;
-    // The budget grows; the window may use what it was when the window began.
+    // The budget grows; a window uses its value at the start of the window.
     const double allowed = allowed_calls(host, window_began);
     const int calls = static_cast<int>(last - first + 1);
     if (calls / allowed <= worst_.used_fraction())
--- a/tests/policy/slow_start_simulation.h
+++ b/tests/policy/slow_start_simulation.h
@@ -1,4 +1,5 @@
-// Simulates processes that share nothing while hosts start, and counts what they send these hosts together.
+// Simulates processes without shared state while hosts start, and counts the calls that they send to these
+// hosts in total.
 #pragma once
 
 #include <cstddef>
@@ -7,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "policy/router_fixture.h"
+#include "policy/policy_fixture.h"
 #include "policy/simulated_hosts.h"
 #include "policy/slow_start_scenarios.h"
 
@@ -15,23 +16,23 @@
 
 class SlowStartSimulation {
  public:
-  // `window_ms` and `factor` are those of SlowStartSettings. The same seed gives the same day.
+  // `window_ms` and `factor` are those of SlowStartSettings. The same seed gives the same run.
   SlowStartSimulation(Disturbance disturbance, int processes, double window_ms, double factor,
                       std::uint64_t seed);
 
   WorstWindow run();
 
  private:
-  bool is_now(double moment) const { return now_ >= moment && now_ < moment + kStep; }
+  bool is_now(double time) const { return now_ >= time && now_ < time + kStep; }
   StartingHost& host(int index) { return hosts_[static_cast<std::size_t>(index)]; }
   StartingHost& host(const std::string& name) { return host(name[1] - '0'); }
-  // Of the processes before or after a reload that changes their number.
+  // The number of processes before or after a reload that changes it.
   int third_of_processes() const;
 
-  RouterFixture make_process(int rank, int processes);
+  PolicyFixture make_process(int rank, int processes);
   void make_processes();
-  // The whole list with the starts that are known when it is made.
-  std::vector<HostEntry> list_made_at(double moment);
+  // The full list, with the starts up to `time`.
+  std::vector<HostEntry> list_made_at(double time);
   std::vector<HostEntry> starting_entries();
 
   void step();
@@ -39,9 +40,9 @@
   void disturb_processes();
   void disturb_lists();
   void start_hosts();
-  void restart_processes(double list_moment);
+  void restart_processes(double list_time);
   void change_process_count(int count);
-  // Sends all processes the current list, and counts their calls from now on.
+  // Sends the current list to all processes, and counts their calls from now on.
   void notify(ListKind kind);
   bool is_quiet() const;
   void request_calls();
@@ -59,13 +60,13 @@
   std::mt19937_64 random_;
   SimulatedHosts simulated_hosts_{random_};
   std::vector<StartingHost> hosts_;
-  int starting_hosts_ = 1;  // how many of them start: the first ones
+  int starting_hosts_ = 1;  // the number of hosts that start: the first ones
   int live_processes_ = 0;
   int last_call_id_ = 0;
   double now_ = 0;
   double next_call_at_ = 0;
   Settings settings_;  // of the latest process
-  std::vector<RouterFixture> processes_;
+  std::vector<PolicyFixture> processes_;
   std::vector<bool> notified_;  // by process
   WorstWindow worst_;
 };
