--- a/tests/differential/calls.py
+++ b/tests/differential/calls.py
@@ -1,16 +1,16 @@
-"""Simulated clients, attempts, probes and loads: each action about a call gets a plausible event."""
+"""Simulated clients, attempts, probes and loads: each action on a call results in a plausible event."""
 
 from settings import chance, log_uniform
 
 CALL_ACTIONS = {"Assign", "Recall", "OverloadReply", "EndFailed"}
-HINT_GIVEN, CLIENT_REPEAT, WRITE = 1, 2, 4
+HINT_GIVEN, CLIENT_RETRY, WRITE = 1, 2, 4
 
 
 class Call:
     def __init__(self, rank, incarnation, service, function, limit):
         self.rank, self.incarnation = rank, incarnation
         self.service, self.function, self.limit = service, function, limit
-        self.over = False
+        self.finished = False
         self.attempts = []
 
 
@@ -33,7 +33,7 @@
         self.work_ms = log_uniform(self.rng, 1, 100)
         self.error_rate = self.rng.choice([0, 0, 0.02, 0.2])
         self.full_rate = self.rng.choice([0, 0, 0.05, 0.3])
-        self.leave_rate = self.rng.choice([0, 0.02, 0.2])
+        self.disconnect_rate = self.rng.choice([0, 0.02, 0.2])
 
     def is_running(self, rank):
         return rank in self.running
@@ -56,44 +56,44 @@
         self.new_call(rank, self.rng.choice(self.env["Classes"]), self.function(), 0)
 
     def function(self):
-        """A few functions take most calls."""
+        """A random function; a few functions get most calls."""
         return 1000 + int(self.stream.site.functions * self.rng.random() ** 2)
 
-    def new_call(self, rank, service, function, repeats):
+    def new_call(self, rank, service, function, retries):
         rng = self.rng
         identity = f"c/{self.next_number}"
         self.next_number += 1
         limit = round(service["HardLimit"] * rng.choice([1, 1, 1, 0.3]), 3)
         call = Call(rank, self.stream.incarnation[rank], service, function, limit)
-        call.repeats = repeats
+        call.retries = retries
         self.calls[identity] = call
         bits = rng.choice([0, HINT_GIVEN, HINT_GIVEN]) + rng.choice([0, WRITE])
-        if repeats:
-            bits += CLIENT_REPEAT
+        if retries:
+            bits += CLIENT_RETRY
         cost_hint = round(self.work_ms * rng.uniform(0.3, 3), 2) if bits & HINT_GIVEN else None
         load_hint = round(rng.uniform(50, 900), 1) if chance(rng, 0.5) else None
         tenant = rng.choice(self.stream.site.tenants) if self.stream.site.tenants else None
         memory_mb, lanes = rng.choice([64, 256, 512, 2000]), rng.choice([1, 1, 2, 8])
         self.stream.deliver(rank, ["Order", identity, service["Name"], cost_hint, tenant, bits, memory_mb,
                                    function, load_hint, limit, lanes])
-        self.stream.at(limit, lambda: self.client_gives_up(identity))
-        if chance(rng, self.leave_rate):
-            self.stream.at(limit * rng.random(), lambda: self.client_gives_up(identity))
+        self.stream.at(limit, lambda: self.disconnect_client(identity))
+        if chance(rng, self.disconnect_rate):
+            self.stream.at(limit * rng.random(), lambda: self.disconnect_client(identity))
 
-    def client_gives_up(self, identity):
+    def disconnect_client(self, identity):
         call = self.calls[identity]
-        if not call.over:
-            call.over = True
+        if not call.finished:
+            call.finished = True
             self.stream.deliver(call.rank, ["Gone", identity], call.incarnation)
-            self.maybe_repeat(call)
+            self.maybe_retry(call)
 
-    def maybe_repeat(self, call):
-        if call.repeats < 2 and call.rank in self.running and chance(self.rng, 0.3):
-            self.stream.at(self.rng.uniform(1, 400), lambda: self.repeat(call))
+    def maybe_retry(self, call):
+        if call.retries < 2 and call.rank in self.running and chance(self.rng, 0.3):
+            self.stream.at(self.rng.uniform(1, 400), lambda: self.retry(call))
 
-    def repeat(self, call):
+    def retry(self, call):
         if call.rank in self.running:
-            self.new_call(call.rank, call.service, call.function, call.repeats + 1)
+            self.new_call(call.rank, call.service, call.function, call.retries + 1)
 
     def carry_out(self, rank, name, values):
         if name in CALL_ACTIONS:
@@ -102,9 +102,9 @@
                 self.assign(call, *values)
             elif name == "Recall":
                 self.recall(call, *values)
-            elif not call.over:
-                call.over = True
-                self.maybe_repeat(call)
+            elif not call.finished:
+                call.finished = True
+                self.maybe_retry(call)
         elif name == "Touch":
             self.probe(rank, values[0])
         elif name == "Load":
@@ -119,17 +119,17 @@
             return None
         return host.report(self.env["LoadInfo"]["Fields"], self.rng)
 
-    def assign(self, call, identity, worker, allowed):
-        host = self.stream.fleet.hosts[worker]
+    def assign(self, call, identity, host_id, allowed):
+        host = self.stream.fleet.hosts[host_id]
         attempt = Attempt(len(call.attempts), host, self.stream.now)
         call.attempts.append(attempt)
         status, delay, remark = self.outcome(call, host)
-        if call.over or attempt.number >= self.env["Bounds"]["SendCap"] or allowed < 0:
+        if call.finished or attempt.number >= self.env["Bounds"]["SendCap"] or allowed < 0:
             status, delay, remark = "NOP", 0.1, None
         time_out = min(allowed or call.limit, call.limit)
         streams = call.service["Stream"] and status in ("GOOD", "BAD", "RST") and delay < time_out
         if streams:
-            self.stream.at(delay / 2, lambda: self.head(call, identity, attempt))
+            self.stream.at(delay / 2, lambda: self.receive_head(call, identity, attempt))
         elif delay > time_out:
             status, delay, remark = "LATE", time_out, None
         host.in_flight += 1
@@ -138,12 +138,12 @@
     def outcome(self, call, host):
         """How an attempt at this host ends: status, delay and remark."""
         rng, family = self.rng, self.env["FamilyInfo"]
-        crowd = rng.randint(0, 30) * 8 if family["NotesPeersInHand"] else 0
+        concurrency = rng.randint(0, 30) * 8 if family["NotesPeersInHand"] else 0
         if not host.reachable:
             slow_failure = ("NOCONN", self.env["Bounds"]["ConnectTimeout"], 0)
             return rng.choice([slow_failure, ("NOCONN", 0.5, 0), ("RST", 3.0, 0)])
         if host.availability != 2 or host.in_flight > 2 * host.slots or chance(rng, self.full_rate):
-            return "FULL", rng.uniform(0.2, 3), crowd
+            return "FULL", rng.uniform(0.2, 3), concurrency
         wait, warmth = 0.0, 1
         if family["MemoryMbByKind"] and call.function not in host.copies:
             if family["OnMiss"] == "miss":
@@ -153,10 +153,10 @@
         work = self.work_ms * rng.expovariate(1) * host.slowness * max(1, host.in_flight / host.slots)
         if chance(rng, max(self.error_rate, host.error_rate)):
             return rng.choice(["BAD", "BAD", "RST"]), wait + work, rng.choice([0, 4])
-        return "GOOD", wait + work + 0.3, (warmth if family["TellsWarm"] else 0) + crowd
+        return "GOOD", wait + work + 0.3, (warmth if family["TellsWarm"] else 0) + concurrency
 
-    def head(self, call, identity, attempt):
-        if attempt.ended or call.over:
+    def receive_head(self, call, identity, attempt):
+        if attempt.ended or call.finished:
             return
         attempt.streaming = True
         elapsed = round(self.stream.now - attempt.began, 3)
@@ -170,10 +170,10 @@
         attempt.host.in_flight -= 1
         broken_stream = attempt.streaming and status != "GOOD"
         if status == "GOOD" or broken_stream:
-            call.over = True
+            call.finished = True
         elapsed = round(self.stream.now - attempt.began, 3)
         report = self.report(attempt.host, ["piggyback"])
-        message = ["Result", identity, remark, status, call.over, elapsed, attempt.number,
+        message = ["Result", identity, remark, status, call.finished, elapsed, attempt.number,
                    attempt.host.address, report]
         self.stream.deliver(call.rank, message, call.incarnation)
 
@@ -183,20 +183,20 @@
             delay = self.rng.uniform(0, 2)
             self.stream.at(delay, lambda: self.finish(call, identity, attempt, "CXL", None))
 
-    def probe(self, rank, worker):
-        host = self.stream.fleet.hosts[worker]
+    def probe(self, rank, host_id):
+        host = self.stream.fleet.hosts[host_id]
         status = "NOCONN" if not host.reachable else "BAD" if chance(self.rng, host.error_rate) else "GOOD"
         elapsed = round(self.rng.uniform(0.3, 20) * host.slowness, 3)
         report = self.report(host, ["piggyback", "pull"]) if status == "GOOD" else None
-        self.stream.later(elapsed, rank, ["Sampled", status, elapsed, worker, report])
+        self.stream.later(elapsed, rank, ["Sampled", status, elapsed, host_id, report])
 
-    def load(self, rank, worker, function, copies):
-        host = self.stream.fleet.hosts[worker]
+    def load(self, rank, host_id, function, copies):
+        host = self.stream.fleet.hosts[host_id]
         elapsed = round(self.rng.uniform(1, 1000), 3)
         status = "NOCONN" if not host.reachable else "GOOD"
         if host.reachable and chance(self.rng, 0.2):
             status = self.rng.choice(["FULL", "BAD", "RST", "LATE"])
         if status == "GOOD":
             host.copies[function] = max(copies, host.copies.get(function, 0))
-        standing = host.copies.get(function, 0) if status == "GOOD" else 0
-        self.stream.later(elapsed, rank, ["BroughtUp", worker, function, status, elapsed, standing])
+        count = host.copies.get(function, 0) if status == "GOOD" else 0
+        self.stream.later(elapsed, rank, ["BroughtUp", host_id, function, status, elapsed, count])
--- a/tests/differential/discovery.py
+++ b/tests/differential/discovery.py
@@ -1,4 +1,4 @@
-"""Simulated discovery: cached, full and changed lists, late or failed, pushed or on demand."""
+"""Simulated discovery: cached, full and delta lists, late or failed, pushed or on demand."""
 
 from settings import chance
 
@@ -16,7 +16,7 @@
         self.subscribed = set()
 
     def deliver_list(self, rank, kind, rows):
-        """A page with the rows, then the event that names it."""
+        """Delivers a page with the rows, then the event that refers to it."""
         page = self.page
         self.page = (self.page + 1) % PAGES
         self.stream.deliver(rank, ["Catalog", page, rows])
@@ -26,7 +26,7 @@
         return [host.row() for host in self.stream.fleet.listed()]
 
     def start(self, rank):
-        """The list that the instance had last: it may lack hosts and show old states."""
+        """Delivers the last list of the instance, which may lack hosts and show old states."""
         rows = self.all_rows()
         if chance(self.rng, 0.3):
             rows = [row for row in rows if chance(self.rng, 0.8)]
@@ -60,7 +60,7 @@
         else:
             self.deliver_list(rank, self.rng.choice([DELTA, FULL]), self.all_rows())
 
-    def tell_changes(self, changed):
+    def send_changes(self, changed):
         if not changed:
             return
         self.generation += 1
--- a/tests/differential/hosts.py
+++ b/tests/differential/hosts.py
@@ -1,8 +1,8 @@
-"""Simulated hosts: capacity, loaded copies, faults, and the list that discovery tells of them."""
+"""Simulated hosts: capacity, loaded instances, faults, and their entries in discovery's list."""
 
 from settings import chance, log_uniform
 
-GONE, DRAINING, READY = 0, 1, 2
+REMOVED, DRAINING, READY = 0, 1, 2
 
 
 class Host:
@@ -40,7 +40,7 @@
 
 
 class Fleet:
-    """All hosts by address, and changes to them."""
+    """All hosts by address, and random changes of them."""
 
     def __init__(self, site, rng):
         self.site = site
@@ -59,23 +59,23 @@
         return host
 
     def listed(self):
-        return [host for host in self.hosts.values() if host.availability != GONE]
+        return [host for host in self.hosts.values() if host.availability != REMOVED]
 
     def disturb(self, now):
         """Changes one host; returns those whose list entry changed."""
         rng = self.rng
-        known = self.listed()
+        listed = self.listed()
         change = rng.choice(["add", "drain", "drain", "ready", "gone", "restart", "restart", "crash", "crash",
                              "recover", "recover", "slow", "errors", "well", "well", "weight"])
-        if change == "add" or not known:
+        if change == "add" or not listed:
             return [self.add(now if chance(rng, 0.7) else None)]
-        host = rng.choice(known)
+        host = rng.choice(listed)
         if change == "drain":
             host.availability = DRAINING
         elif change == "ready":
             host.availability = READY
         elif change == "gone":
-            host.availability = GONE
+            host.availability = REMOVED
             host.reachable = False
         elif change == "restart":
             host.availability, host.started, host.reachable, host.copies = READY, now, True, {}
--- a/tests/differential/settings.py
+++ b/tests/differential/settings.py
@@ -1,4 +1,4 @@
-"""Random settings of a simulated site: combinations of permissions, class semantics, prices and sizes."""
+"""Random settings of a simulated site: capabilities, class semantics, prices and sizes."""
 
 REPORT_FIELDS = ["inflight", "queue", "util", "latency_ms", "qps", "eps", "x0", "x1", "not-known"]
 
@@ -49,17 +49,17 @@
 
 
 def random_family(rng, kinds):
-    copies_are_loaded = chance(rng, 0.6)
+    loads_instances = chance(rng, 0.6)
     return {
         "LingerIdle": rng.choice([0.0, 500.0, 4000.0]),
         "LoadFloor": rng.choice([0.0, 2.0, 6.0, 50.0]),
         "LoadRatio": rng.choice([0.0, 0.1, 0.5]),
         "LoadWindow": rng.choice([0.0, 1000.0, 10000.0]),
-        "MemoryMbByKind": [float(rng.choice([1024, 2048, 4096])) for _ in kinds] if copies_are_loaded else [],
+        "MemoryMbByKind": [float(rng.choice([1024, 2048, 4096])) for _ in kinds] if loads_instances else [],
         "NotesPeersInHand": chance(rng, 0.5),
         "OnMiss": rng.choice(["load", "miss"]),
         "OrderTimeout": rng.choice([500.0, 3000.0]),
-        "Orders": copies_are_loaded and chance(rng, 0.8),
+        "Orders": loads_instances and chance(rng, 0.8),
         "PriceOfIdle": rng.choice([0.0, 0.1]),
         "TellsWarm": chance(rng, 0.6),
     }
@@ -86,7 +86,7 @@
 
 
 class Site:
-    """The settings of a site, and what the stream's world needs that invokers aren't told."""
+    """The settings of a site, and the parameters of the simulation that invokers don't receive."""
 
     def __init__(self, rng):
         self.zones = [f"zone-{name}" for name in "abc"[: rng.choice([1, 1, 2, 3])]]
@@ -98,7 +98,7 @@
         fields = rng.sample(REPORT_FIELDS, rng.randint(1, 4))
         self.env = {
             "Az": self.zones[0],
-            "Balancers": rng.choice([self.routers, self.routers, 20, 60]),  # most of them aren't played
+            "Balancers": rng.choice([self.routers, self.routers, 20, 60]),  # most of them aren't simulated
             "Bounds": random_bounds(rng),
             "Classes": [random_class(rng, index) for index in range(rng.choice([1, 2, 3, 5]))],
             "Clients": {"MarksRetry": chance(rng, 0.5)},
--- a/tests/differential/stream.py
+++ b/tests/differential/stream.py
@@ -1,4 +1,4 @@
-"""One random stream: the old adapter acts in a simulated world, and each batch is recorded."""
+"""One random stream: the old adapter runs in a simulation, and each batch is recorded."""
 
 import heapq
 import json
@@ -10,8 +10,8 @@
 from hosts import Fleet
 from settings import Site, chance, log_uniform
 
-MAX_MESSAGES = 2500  # timers that ring are not counted
-ODD_MESSAGES = [
+MAX_MESSAGES = 2500  # without timers
+UNEXPECTED_MESSAGES = [
     ["Result", "c/none", 1, "GOOD", True, 3.5, 0, "10.20.0.1:8000", [1, 2]],
     ["Result", "c/none", None, "NO-SUCH-STATUS", False, None, 7, "10.9.9.9:1", None],
     ["Gone", "c/none"],
@@ -25,15 +25,15 @@
 
 
 class Stream:
-    def __init__(self, seed, ask):
-        """`ask` gives a batch's line to the old adapter and returns the reply's line."""
-        self.ask = ask
+    def __init__(self, seed, exchange_line):
+        """`exchange_line` sends a batch's line to the old adapter and returns the reply's line."""
+        self.exchange_line = exchange_line
         self.rng = random.Random(seed)
         self.site = Site(self.rng)
         self.fleet = Fleet(self.site, self.rng)
         self.now = round(self.rng.uniform(0, 100000), 3)
         self.end = self.now + log_uniform(self.rng, 3000, 90000)
-        self.odd_rate = self.rng.choice([0, 0, 0, 0.02])
+        self.unexpected_rate = self.rng.choice([0, 0, 0, 0.02])
         self.sequence = 0
         self.queue = []
         self.incarnation = {rank: 0 for rank in range(self.site.routers)}
@@ -50,15 +50,15 @@
         heapq.heappush(self.queue, (self.now + max(0.0, delay), self.sequence, action))
 
     def deliver(self, rank, message, incarnation=None):
-        """Puts a message in the open batch, unless it is for an earlier incarnation of the instance."""
+        """Adds a message to the open batch, unless it is for an earlier incarnation of the instance."""
         if incarnation is not None and incarnation != self.incarnation[rank]:
             return
         self.inboxes.setdefault(rank, []).append(message)
         self.events[message[0]] += 1
-        if self.odd_rate and chance(self.rng, self.odd_rate):
-            odd = self.rng.choice(ODD_MESSAGES)
-            self.inboxes[rank].append(odd)
-            self.events[odd[0]] += 1
+        if self.unexpected_rate and chance(self.rng, self.unexpected_rate):
+            unexpected = self.rng.choice(UNEXPECTED_MESSAGES)
+            self.inboxes[rank].append(unexpected)
+            self.events[unexpected[0]] += 1
 
     def messages(self):
         return sum(self.events.values()) - self.events["Ring"]
@@ -90,7 +90,7 @@
 
     def disturb(self):
         self.at(self.rng.expovariate(1 / self.disturbance_gap), self.disturb)
-        self.discovery.tell_changes(self.fleet.disturb(self.now))
+        self.discovery.send_changes(self.fleet.disturb(self.now))
 
     def run(self):
         for rank in range(self.site.routers):
@@ -106,10 +106,10 @@
             self.exchange()
 
     def exchange(self):
-        """Sends the batch, and has each action of the reply take effect."""
+        """Sends the batch, and carries out each action of the reply."""
         routers = [{"Router": f"router_{rank}", "inbox": inbox} for rank, inbox in self.inboxes.items()]
         line = json.dumps({"Time": self.now, "n": len(self.lines), "routers": routers}, ensure_ascii=False)
-        reply = self.ask(line)
+        reply = self.exchange_line(line)
         self.lines.append(line)
         self.replies.append(reply)
         for group in json.loads(reply)["routers"]:
