--- a/tests/control/lease_rules.cpp
+++ b/tests/control/lease_rules.cpp
@@ -95,7 +95,7 @@
   });
 }
 
-std::string used_while_touched(const std::string& process, const History& history, const TouchedSpan& span,
+std::string used_while_touched(const std::string& process, const History& history, const ReleasePeriod& span,
                                const std::vector<Downtime>& downtimes) {
   const auto check = [&](double at) -> std::string {
     const LeftAlone& state = state_at(history, at);
