--- a/tests/support/process_harness.h
+++ b/tests/support/process_harness.h
@@ -224,7 +224,9 @@
       out += line + "\n";
     return out;
   }
-  virtual std::string violated_rule(int most_out) const { return violated_maintenance_rule(lines(), execs, most_out); }
+  virtual std::string violated_rule(int most_out) const {
+    return violated_maintenance_rule(lines(), execs, most_out);
+  }
 
  private:
   // Records a call at a host and chooses its reaction. Some calls get no reply and run until their client
