--- a/src/cli/configuration_commands.cpp
+++ b/src/cli/configuration_commands.cpp
@@ -84,7 +84,7 @@
 
 void print_record(const std::string& id, const idempotency::ResultRecord& record) {
   const bool is_answered = record.stage >= idempotency::ResultStage::answered;
-  std::cout << static_cast<std::int64_t>(record.at.count()) << ' ' << name_of(record.stage) << ' '
+  std::cout << static_cast<std::int64_t>(record.updated_at.count()) << ' ' << name_of(record.stage) << ' '
             << (is_answered ? name_of(record.answer.status) : "-") << ' ' << record.answer.body.size() << ' '
             << id << '\n';
 }
