--- a/tests/outage/outage_harness.cpp
+++ b/tests/outage/outage_harness.cpp
@@ -156,7 +156,7 @@
 
 void OutageHarness::hang(std::size_t host, bool hangs) {
   hosts[host].hangs = hangs;
-  hosts[host].server->mute = hangs;
+  hosts[host].server->ignores_checks = hangs;
 }
 
 void OutageHarness::begin_outage(OutageForm form) {
@@ -170,7 +170,7 @@
 }
 
 void OutageHarness::write_configuration(const HarnessInvoker& invoker, const std::string& address) const {
-  nlohmann::json file = platform_file(invoker.listen, address);
+  nlohmann::json file = invoker_config(invoker.listen, address);
   file["name"] = invoker.listen;
   file["known"] = discovery.to_configuration();
   file["limits"]["sockets"] = 256;
--- a/tests/outage/outage_harness.h
+++ b/tests/outage/outage_harness.h
@@ -12,7 +12,7 @@
 #include "outage/history.h"
 #include "outage/stand_in_discovery.h"
 #include "support/process.h"
-#include "support/service.h"
+#include "support/service_harness.h"
 
 namespace lotusyard::test::outage {
 
@@ -49,7 +49,7 @@
   std::string config;
   std::string log;
   std::unique_ptr<Process> process;
-  std::shared_ptr<Tablet> client;
+  std::shared_ptr<ServiceClient> client;
   std::map<std::string, std::size_t> open;  // index in the history's calls, by body
   std::size_t read_answers = 0;             // answers of the client that were read
   Millis next_call_at{0};
@@ -67,7 +67,7 @@
 
   const HarnessOptions options;
   InvokerFixture fixture{0};  // only its loop and buffers are used
-  Folder folder;
+  TemporaryFolder folder;
   StandInDiscovery discovery{fixture};
   std::vector<HarnessHost> hosts;
   std::list<HarnessInvoker> invokers;
--- a/tests/outage/outage_harness_clients.cpp
+++ b/tests/outage/outage_harness_clients.cpp
@@ -44,11 +44,11 @@
 void OutageHarness::connect_client(HarnessInvoker& invoker) {
   invoker.open.clear();
   invoker.read_answers = 0;
-  invoker.client = std::make_shared<Tablet>(fixture, invoker.listen);
+  invoker.client = std::make_shared<ServiceClient>(fixture, invoker.listen);
 }
 
 void OutageHarness::read_answers(HarnessInvoker& invoker) {
-  const auto& got = invoker.client->got;
+  const auto& got = invoker.client->results;
   for (; invoker.read_answers < got.size(); ++invoker.read_answers) {
     const auto& [status, body] = got[invoker.read_answers];
     const auto found = invoker.open.find(body);
--- a/tests/outage/soak.h
+++ b/tests/outage/soak.h
@@ -34,7 +34,7 @@
   Random random_;
   std::vector<ScheduledEnd> scheduled_ends_;
   bool outage_ = false;
-  std::vector<std::shared_ptr<Tablet>> idle_clients_;
+  std::vector<std::shared_ptr<ServiceClient>> idle_clients_;
   std::vector<bool> busy_hosts_;                      // hosts that a fault is affecting
   std::vector<const HarnessInvoker*> busy_invokers_;  // invokers that a fault is affecting
 
--- a/tests/outage/soak_faults.cpp
+++ b/tests/outage/soak_faults.cpp
@@ -179,7 +179,7 @@
   log_step("idle connections");
   const HarnessInvoker& invoker = harness.invokers.front();
   for (std::size_t i = 0; i < kIdleConnections; ++i)
-    idle_clients_.push_back(std::make_shared<Tablet>(harness.fixture, invoker.listen));
+    idle_clients_.push_back(std::make_shared<ServiceClient>(harness.fixture, invoker.listen));
   schedule_end(random_between(500, 3000), [this] { idle_clients_.clear(); });
 }
 
--- a/tests/outage/stand_in_discovery.h
+++ b/tests/outage/stand_in_discovery.h
@@ -10,7 +10,7 @@
 #include "net/buffered_connection.h"
 #include "support/invoker_fixture.h"
 #include "support/loopback_server.h"
-#include "support/service.h"
+#include "support/service_harness.h"
 
 namespace lotusyard::test::outage {
 
@@ -144,13 +144,13 @@
     void on_closed() override {
       loop().cancel(answer_timer_);
       if (service_.server_)
-        service_.server_->gone(*this);
+        service_.server_->remove(*this);
     }
   };
 
   InvokerFixture& fixture_;
   std::string address_;
-  std::unique_ptr<Server<Peer, StandInDiscovery>> server_;
+  std::unique_ptr<LoopbackServer<Peer, StandInDiscovery>> server_;
   std::vector<std::string> events_;
   OutageForm form_ = OutageForm::none;
   std::optional<std::uint64_t> withheld_after_;
@@ -169,7 +169,8 @@
       peer->close_later();
   }
   void listen(const std::string& address) {
-    server_ = std::make_unique<Server<Peer, StandInDiscovery>>(fixture_.loop, fixture_.pool, *this, address);
+    server_ = std::make_unique<LoopbackServer<Peer, StandInDiscovery>>(fixture_.loop, fixture_.pool, *this,
+                                                                       address);
     address_ = server_->address();
     schedule_heartbeat();
   }
