--- a/tests/control/lease_rules.cpp
+++ b/tests/control/lease_rules.cpp
@@ -95,7 +95,7 @@
   });
 }
 
-std::string used_while_touched(const std::string& process, const History& history, const TouchedSpan& span,
+std::string used_while_touched(const std::string& process, const History& history, const ReleasePeriod& span,
                                const std::vector<Downtime>& downtimes) {
   const auto check = [&](double at) -> std::string {
     const LeftAlone& state = state_at(history, at);
@@ -148,8 +148,8 @@
 
 std::string broken_lease_rule(const std::vector<std::string>& lines, const std::vector<Downtime>& downtimes) {
   const maintenance::Timeline scenario = maintenance::parse_timeline(lines);
-  std::vector<TouchedSpan> spans;
-  touched_spans(scenario, std::numeric_limits<int>::max(), spans);
+  std::vector<ReleasePeriod> spans;
+  find_release_periods(scenario, std::numeric_limits<int>::max(), spans);
   const std::vector<Taking> takings = touched_takings(scenario);
   for (const auto& [process, written] : lines_by_process(lines)) {
     const History history = history_of(process, written, downtimes);
--- a/tests/control/tier_cluster.cpp
+++ b/tests/control/tier_cluster.cpp
@@ -11,11 +11,11 @@
 }  // namespace
 
 TierCluster::TierCluster(const TierOptions& options)
-    : WorkRig(options.seed, options.hosts, options.broken), options_(options) {
+    : MaintenanceHarness(options.seed, options.hosts, options.broken), options_(options) {
   silent_one_in = options.silent_one_in;
   functions = kFunctions;
-  pause_least = 300;
-  pause_most = 1200;
+  min_pause = 300;
+  max_pause = 1200;
   calls_paused = true;  // clients call once all are ready
   add_members();
   add_invokers();
@@ -111,12 +111,12 @@
     undos_.erase(undos_.begin() + static_cast<std::ptrdiff_t>(i));
     act();
   }
-  WorkRig::run_once();
+  MaintenanceHarness::run_once();
 }
 
 std::string TierCluster::violated_rule(int most_out) const {
   const auto written = lines();
-  const std::string broken = broken_work_rule(written, execs, most_out);
+  const std::string broken = violated_maintenance_rule(written, execs, most_out);
   return broken.empty() ? broken_lease_rule(written, downtimes) : broken;
 }
 
--- a/tests/control/tier_cluster.h
+++ b/tests/control/tier_cluster.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "control/relay.h"
-#include "maintenance/maintenance_rig.h"
+#include "maintenance/maintenance_harness.h"
 #include "raft/group_relay.h"
 
 namespace lotusyard::test {
@@ -24,7 +24,7 @@
   std::size_t silent_one_in = 40;
 };
 
-class TierCluster : public WorkRig {
+class TierCluster : public MaintenanceHarness {
  public:
   struct Member : ManagedProcess {
     std::string listen;
--- a/tests/control/tier_faults_test.cpp
+++ b/tests/control/tier_faults_test.cpp
@@ -51,7 +51,7 @@
   REQUIRE(tier.poll_until([&] { return tier.all_followed(); }));
   tier.service.announce_host(kDown, "draining");
   tier.wait(1000);
-  REQUIRE(tier.add("w", kTaken));
+  REQUIRE(tier.add_job("w", kTaken));
   tier.wait(1000);
   const auto touched = [&] {
     const auto scenario = maintenance::parse_timeline(tier.lines());
--- a/tests/maintenance/maintenance_rig.h
+++ b/tests/maintenance/maintenance_harness.h
@@ -5,17 +5,17 @@
 
 namespace lotusyard::test {
 
-class WorkRig : public ProcessHarness {
+class MaintenanceHarness : public ProcessHarness {
  public:
   using ProcessHarness::ProcessHarness;
 
-  double pause_least = 100, pause_most = 600;  // milliseconds between disturbances
+  double min_pause = 100, max_pause = 600;  // milliseconds between disturbances
 
   virtual void disturb() = 0;
   virtual void heal() = 0;  // ends all disturbances, except that processes which do not run stay so
 
   // Proposes a job over all hosts until it is committed.
-  bool add(const std::string& id, int out) {
+  bool add_job(const std::string& id, int out) {
     nlohmann::json proposal = {
         {"t", "add"},
         {"id", "add-" + id},
@@ -33,29 +33,29 @@
         20);
   }
   // Whether every host has been out and has returned.
-  bool done() const {
+  bool all_hosts_returned() const {
     const auto timeline = maintenance::parse_timeline(lines());
-    std::map<std::string, int> back;
+    std::map<std::string, int> returns;
     for (const auto& entry : timeline.entries)
-      back[entry.host] += entry.kind == "back";
-    int all = 0;
-    for (const auto& [host, times] : back)
-      all += times > 0;
-    return all == static_cast<int>(fixture.host.size());
+      returns[entry.host] += entry.kind == "back";
+    int returned_hosts = 0;
+    for (const auto& [host, count] : returns)
+      returned_hosts += count > 0;
+    return returned_hosts == static_cast<int>(fixture.host.size());
   }
   // Runs a job over all hosts with this number of disturbances. Returns the first violation; empty if there
   // is none.
-  std::string run(int disturbances, int most_out) {
+  std::string run(int disturbances, int max_out) {
     REQUIRE(run_until(
         [&] { return service.request(operator_targets[0]->admin_endpoint, "GET", "/-/ready") == 200; }, 20));
-    REQUIRE(add("w", most_out));
+    REQUIRE(add_job("w", max_out));
     for (int i = 0; i < disturbances; ++i) {
       const double next_disturbance_at =
-          now() + pause_least + static_cast<double>(below(random, pause_span()));
+          now() + min_pause + static_cast<double>(below(random, pause_range()));
       run_until([&] { return now() >= next_disturbance_at; }, 10);
       disturb();
       propose_returns(100);
-      const std::string violation = violated_rule(most_out);
+      const std::string violation = violated_rule(max_out);
       if (!violation.empty())
         return violation;
     }
@@ -68,10 +68,10 @@
             return false;
           next_check_at = now() + 100;
           propose_returns(100);
-          return done();
+          return all_hosts_returned();
         },
         60);
-    const std::string violation = violated_rule(most_out);
+    const std::string violation = violated_rule(max_out);
     if (!violation.empty())
       return violation;
     if (!ended)
@@ -85,7 +85,7 @@
   }
 
  private:
-  std::size_t pause_span() const { return static_cast<std::size_t>(pause_most - pause_least); }
+  std::size_t pause_range() const { return static_cast<std::size_t>(max_pause - min_pause); }
 };
 
 }  // namespace lotusyard::test
--- a/tests/maintenance/maintenance_measure.cpp
+++ b/tests/maintenance/maintenance_measure.cpp
@@ -55,7 +55,7 @@
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     Cluster cluster(seed, 3, 6);
     REQUIRE(cluster.all_ready(20));
-    REQUIRE(cluster.add("w", 2));
+    REQUIRE(cluster.add_job("w", 2));
     REQUIRE(cluster.run_until([&] { return time_of_first(cluster, "touch") > 0; }, 20));
     until_release.push_back(time_of_first(cluster, "touch") - time_of_first(cluster, "add"));
     std::string leader_name;
--- a/tests/raft/raft_group_test.cpp
+++ b/tests/raft/raft_group_test.cpp
@@ -72,7 +72,7 @@
   };
   REQUIRE(cluster.run_until(
       [&] { return cluster.service.request(isolated.admin_endpoint, "GET", "/-/ready") == 200; }, 20));
-  REQUIRE(cluster.add("w", 1));
+  REQUIRE(cluster.add_job("w", 1));
   REQUIRE(wait_for_released(1));
   // A host is drained only if the member has reported that it knows of the selection, which may be under way
   // still.
@@ -136,13 +136,13 @@
   kill_and_wait(*cluster.members[0]);
   cluster.members[0]->recovers_at = 1e18;
   std::swap(cluster.members[0], cluster.members[1]);
-  REQUIRE(cluster.add("w", 1));
+  REQUIRE(cluster.add_job("w", 1));
   cluster.start(*cluster.members[1]);
-  REQUIRE(cluster.run_until([&] { return cluster.done(); }, 0.1) == false);
+  REQUIRE(cluster.run_until([&] { return cluster.all_hosts_returned(); }, 0.1) == false);
   REQUIRE(cluster.run_until(
       [&] {
         cluster.propose_returns(0);
-        return cluster.done();
+        return cluster.all_hosts_returned();
       },
       60));
   CHECK(cluster.violated_rule(1) == "");
--- a/tests/support/cluster.h
+++ b/tests/support/cluster.h
@@ -2,12 +2,12 @@
 // member that cuts and resets connections.
 #pragma once
 
-#include "maintenance/maintenance_rig.h"
+#include "maintenance/maintenance_harness.h"
 #include "raft/group_relay.h"
 
 namespace lotusyard::test {
 
-struct Cluster : WorkRig {
+struct Cluster : MaintenanceHarness {
   struct Member : ManagedProcess {
     std::string listen;
     std::unique_ptr<GroupRelay> relay;
@@ -16,7 +16,7 @@
 
   Cluster(std::uint64_t seed, int count, int hosts, std::string fault = {}, int voters = 7,
           double lease = 600, double election = 200, double view_period = 0)
-      : WorkRig(seed, hosts, std::move(fault)) {
+      : MaintenanceHarness(seed, hosts, std::move(fault)) {
     nlohmann::json peers = nlohmann::json::array();
     for (int i = 0; i < count; ++i) {
       auto m = std::make_unique<Member>();
--- a/tests/support/process_harness.h
+++ b/tests/support/process_harness.h
@@ -34,7 +34,7 @@
   std::vector<ManagedProcess*> processes;
   std::vector<ManagedProcess*> call_targets;      // processes that clients call
   std::vector<ManagedProcess*> operator_targets;  // members of the group, which accept proposals
-  Executions execs;
+  ExecutionsByHost execs;
   std::vector<Downtime> downtimes;
   std::string injected_fault;  // into all processes; empty: none
   int last_call_number = 0;
@@ -224,7 +224,9 @@
       out += line + "\n";
     return out;
   }
-  virtual std::string violated_rule(int most_out) const { return broken_work_rule(lines(), execs, most_out); }
+  virtual std::string violated_rule(int most_out) const {
+    return violated_maintenance_rule(lines(), execs, most_out);
+  }
 
  private:
   // Records a call at a host and chooses its reaction. Some calls get no reply and run until their client
