--- a/tests/golden/admin_golden.cpp
+++ b/tests/golden/admin_golden.cpp
@@ -1,6 +1,6 @@
 // The admin endpoint: its HTTP responses, byte for byte.
 #include "admin/admin_endpoint.h"
-#include "golden/golden_part.h"
+#include "golden/golden_file.h"
 #include "golden/recording_client.h"
 
 namespace lotusyard::golden {
@@ -62,11 +62,11 @@
 
 }  // namespace
 
-Part admin_part() {
+GoldenFile admin_golden() {
   Endpoint endpoint;
-  Part part{"admin", {}};
+  GoldenFile golden{"admin", {}};
   const auto add = [&](const std::string& name, const std::string& method, const std::string& path) {
-    part.samples.push_back({name, endpoint.response(method, path), {}});
+    golden.samples.push_back({name, endpoint.response(method, path), {}});
   };
   add("ready", "GET", "/-/ready");
   add("ready by another method", "POST", "/-/ready");
@@ -76,11 +76,11 @@
   add("unknown host", "POST", "/-/hosts/h2/enable");
   add("unknown call", "GET", "/-/none");
   add("other call", "GET", "/-/other");
-  add_malformed(endpoint, part.samples);
+  add_malformed(endpoint, golden.samples);
   endpoint.operations.is_ready = endpoint.operations.can_persist = false;
   add("not ready", "GET", "/-/ready");
   add("not kept", "POST", "/-/hosts/h1/disable");
-  return part;
+  return golden;
 }
 
 }  // namespace lotusyard::golden
--- a/tests/golden/amqp_golden.cpp
+++ b/tests/golden/amqp_golden.cpp
@@ -1,7 +1,7 @@
 // AMQP 0-9-1: frames, method arguments, content headers and tables.
 #include "amqp/methods.h"
 #include "amqp/wire.h"
-#include "golden/golden_part.h"
+#include "golden/golden_file.h"
 
 namespace lotusyard::golden {
 namespace {
@@ -12,7 +12,7 @@
   FrameParser parser;
   std::vector<Frame> out;
   if (!parser.parse(bytes, out) || out.size() != 1)
-    throw std::runtime_error("it isn't one whole frame");
+    throw std::runtime_error("not exactly one complete frame");
   return frame(out.front().type, out.front().channel, out.front().payload);
 }
 
@@ -25,7 +25,7 @@
   Reader reader(bytes);
   const Table table = reader.table();
   if (!reader.ok())
-    throw std::runtime_error("the table can't be read");
+    throw std::runtime_error("the table can't be decoded");
   return Writer().table(table).bytes();
 }
 
@@ -70,7 +70,7 @@
 
 }  // namespace
 
-Part amqp_part() {
+GoldenFile amqp_golden() {
   const Writer numbers = Writer().u8(0x12).u16(0x1234).u32(0x12345678).u64(0x123456789abcdef0);
   const Writer texts = Writer().short_text("short").long_text("long").short_text(std::string(300, 's'));
   const std::string ack = method_frame(method::basic_ack, Writer().u64(77).u8(0));
--- a/tests/golden/compliance_golden.cpp
+++ b/tests/golden/compliance_golden.cpp
@@ -1,5 +1,5 @@
 // Compliance: log entries of every kind and the state's snapshot.
-#include "golden/golden_part.h"
+#include "golden/golden_file.h"
 #include "golden/maintenance_samples.h"
 
 namespace lotusyard::golden {
@@ -18,8 +18,8 @@
 
 }  // namespace
 
-Part compliance_part() {
-  Part out{"compliance", {}};
+GoldenFile compliance_golden() {
+  GoldenFile out{"compliance", {}};
   for (const auto& [name, entry] : sample_compliance_entries())
     out.samples.push_back({"entry " + name, compliance::encode_entry(entry), reencode_entry});
   out.samples.push_back(
--- a/tests/golden/compliance_samples.cpp
+++ b/tests/golden/compliance_samples.cpp
@@ -66,7 +66,7 @@
   apply(regime("health", "", false));
   apply(tenant("tenant-1", {"card-data", "health"}));
   apply(tenant("tenant-2", {}));
-  apply(tenant("tenant-3", {"unknown"}));  // refused
+  apply(tenant("tenant-3", {"unknown"}));  // rejected
   for (const char* name : {"certificate-1", "certificate-2", "certificate-3"})
     apply(certification(name, name == std::string("certificate-2")));
   apply(revocation("certificate-1"));
--- a/tests/golden/control_golden.cpp
+++ b/tests/golden/control_golden.cpp
@@ -1,7 +1,7 @@
-// Session frames of every kind between invokers and control nodes, and the changes that they carry.
+// Session frames of every kind between invokers and control nodes, and the changes that they contain.
 #include "control/change.h"
 #include "control/message_codec.h"
-#include "golden/golden_part.h"
+#include "golden/golden_file.h"
 
 namespace lotusyard::golden {
 namespace {
@@ -12,7 +12,7 @@
   MessageReader reader(kMaxFrameBytesToInvoker);
   std::vector<Message> out;
   if (!reader.parse(bytes, out) || out.size() != 1)
-    throw std::runtime_error("it isn't one whole frame");
+    throw std::runtime_error("not exactly one complete frame");
   return encode(out.front());
 }
 
@@ -42,8 +42,8 @@
 
 }  // namespace
 
-Part control_part() {
-  Part out{"control", {}};
+GoldenFile control_golden() {
+  GoldenFile out{"control", {}};
   const auto add = [&out](const std::string& name, const Message& message) {
     out.samples.push_back({name, encode(message), reencode_frame});
   };
--- a/tests/golden/golden_part.cpp
+++ b/tests/golden/golden_file.cpp
@@ -1,4 +1,4 @@
-#include "golden/golden_part.h"
+#include "golden/golden_file.h"
 
 #include <fstream>
 
@@ -43,42 +43,42 @@
 
 }  // namespace
 
-std::map<std::string, PartFunction> all_parts() {
-  return {{"admin", admin_part},
-          {"amqp", amqp_part},
-          {"compliance", compliance_part},
-          {"control", control_part},
-          {"gossip", gossip_part},
-          {"hosts", hosts_part},
-          {"maintenance", maintenance_part},
-          {"quota", quota_part},
-          {"raft", raft_part},
-          {"records", records_part},
-          {"resp", resp_part},
-          {"stores", stores_part}};
+std::map<std::string, GoldenFileFunction> all_golden_files() {
+  return {{"admin", admin_golden},
+          {"amqp", amqp_golden},
+          {"compliance", compliance_golden},
+          {"control", control_golden},
+          {"gossip", gossip_golden},
+          {"hosts", hosts_golden},
+          {"maintenance", maintenance_golden},
+          {"quota", quota_golden},
+          {"raft", raft_golden},
+          {"records", records_golden},
+          {"resp", resp_golden},
+          {"stores", stores_golden}};
 }
 
-StoredSamples read_golden(const std::string& part) {
-  std::ifstream file(path_of(part));
+StoredSamples read_golden(const std::string& name) {
+  std::ifstream file(path_of(name));
   if (!file)
-    throw std::runtime_error("no file " + path_of(part));
+    throw std::runtime_error("cannot open " + path_of(name));
   StoredSamples out;
   std::string line;
   while (std::getline(file, line)) {
     const std::size_t tab = line.find('\t');
     if (tab == std::string::npos)
-      throw std::runtime_error("a line without a tab in " + path_of(part));
+      throw std::runtime_error("line without a tab in " + path_of(name));
     out.emplace(line.substr(0, tab), unescaped(line.substr(tab + 1)));
   }
   return out;
 }
 
-void write_golden(const Part& part) {
-  std::ofstream file(path_of(part.name), std::ios::trunc);
-  for (const auto& sample : part.samples)
+void write_golden(const GoldenFile& golden) {
+  std::ofstream file(path_of(golden.name), std::ios::trunc);
+  for (const auto& sample : golden.samples)
     file << sample.name << '\t' << escaped(sample.encoded) << '\n';
   if (!file.flush())
-    throw std::runtime_error("can't write " + path_of(part.name));
+    throw std::runtime_error("cannot write " + path_of(golden.name));
 }
 
 }  // namespace lotusyard::golden
--- a/tests/golden/golden_test.cpp
+++ b/tests/golden/golden_test.cpp
@@ -1,20 +1,20 @@
-// What is stored and what goes over connections keeps its form: other processes, and earlier and later
-// versions of the program, read it.
+// Stored data and messages must keep their encoded forms: other processes, and earlier and later versions of
+// the program, read them.
 #include <catch2/catch.hpp>
 #include <set>
 
-#include "golden/golden_part.h"
+#include "golden/golden_file.h"
 
 namespace lotusyard::golden {
 namespace {
 
 TEST_CASE("encoded forms are byte for byte those of the golden files") {
-  for (const auto& [name, make] : all_parts()) {
+  for (const auto& [name, make] : all_golden_files()) {
     DYNAMIC_SECTION(name) {
-      const Part part = make();
+      const GoldenFile golden = make();
       const StoredSamples stored = read_golden(name);
       std::set<std::string> names;
-      for (const auto& sample : part.samples) {
+      for (const auto& sample : golden.samples) {
         INFO(name << ": " << sample.name);
         CHECK(names.insert(sample.name).second);
         REQUIRE(stored.count(sample.name) == 1);
@@ -26,11 +26,11 @@
 }
 
 TEST_CASE("golden bytes are decoded, and encode to the same bytes again") {
-  for (const auto& [name, make] : all_parts()) {
+  for (const auto& [name, make] : all_golden_files()) {
     DYNAMIC_SECTION(name) {
-      const Part part = make();
+      const GoldenFile golden = make();
       const StoredSamples stored = read_golden(name);
-      for (const auto& sample : part.samples) {
+      for (const auto& sample : golden.samples) {
         if (!sample.reencode)
           continue;
         INFO(name << ": " << sample.name);
@@ -43,10 +43,10 @@
   }
 }
 
-// Run by name, by whoever adds a sample. A file that changes otherwise holds forms that can't be read any
-// more.
+// Run it by name after adding a sample. Any other change of a golden file means that existing data can no
+// longer be read.
 TEST_CASE("write the golden files", "[.write]") {
-  for (const auto& [name, make] : all_parts())
+  for (const auto& [name, make] : all_golden_files())
     write_golden(make());
 }
 
--- a/tests/golden/hosts_golden.cpp
+++ b/tests/golden/hosts_golden.cpp
@@ -1,17 +1,17 @@
-// The host protocol: what is sent to a host, byte for byte, and its replies as they are parsed.
+// The host protocol: requests to a host, byte for byte, and its replies as they are parsed.
 #include <regex>
 
-#include "golden/golden_part.h"
+#include "golden/golden_file.h"
 #include "golden/recording_client.h"
 
 namespace lotusyard::golden {
 namespace {
 
 constexpr std::uint64_t kFunction = 0xa2;
-// Iterations of the event loop, of at most 20 ms each, within which the host has its bytes.
+// Iterations of the event loop, of at most 20 ms each, within which the host must receive its bytes.
 constexpr int kMaxIterations = 1000;
 
-// A host that records what it is sent, and never answers.
+// A host that records what it receives, and never answers.
 class SilentHost {
  public:
   class Peer final : public net::BufferedConnection {
@@ -35,7 +35,7 @@
 };
 
 core::Settings plain_settings() {
-  core::Settings out = patient_settings();
+  core::Settings out = long_deadline_settings();
   out.load_orders.allowed = out.host_protocol.accepts_probes = out.host_protocol.answers_misses = false;
   return out;
 }
@@ -68,7 +68,8 @@
     REQUIRE_FALSE(fixture.dispatcher.admit(id, std::move(call), front_end_).has_value());
     return id;
   }
-  // What the host was sent up to `end`. The timeout of a call differs from run to run, so it is replaced.
+  // Returns what the host received up to `end`. The timeout of a call differs from run to run, so it is
+  // replaced.
   std::string sent(const std::string& end) {
     const std::string& received = host_.received;
     const auto has_end = [&] { return received.find(end) != std::string::npos; };
@@ -110,7 +111,7 @@
   return connection.sent(end);
 }
 
-// What the host is sent by a request that is no call.
+// Returns what the host receives for a request that is no call.
 std::string send_request(const std::function<void(hosts::HostConnectionPool&)>& request) {
   Connection connection;
   request(connection.fixture.host_pool);
@@ -121,7 +122,7 @@
   hosts::LineParser parser;
   std::vector<hosts::Reply> replies;
   if (!parser.parse(bytes, replies) || replies.size() != 1)
-    throw std::runtime_error("it isn't one complete reply");
+    throw std::runtime_error("not exactly one complete reply");
   const hosts::Reply& reply = replies.front();
   return reply.id + ' ' + reply.word + ' ' + (reply.fields.empty() ? "-" : reply.fields) + ' ' +
          std::to_string(reply.body.size()) + "\r\n" + reply.body + "\r\n";
@@ -129,7 +130,7 @@
 
 }  // namespace
 
-Part hosts_part() {
+GoldenFile hosts_golden() {
   using hosts::LivenessProbe;
   const auto load_copies = [](int copies) {
     return send_request(
--- a/tests/golden/maintenance_golden.cpp
+++ b/tests/golden/maintenance_golden.cpp
@@ -1,5 +1,5 @@
 // Maintenance jobs: log entries of every kind, the state's snapshot, and the admin endpoint's JSON.
-#include "golden/golden_part.h"
+#include "golden/golden_file.h"
 #include "golden/maintenance_samples.h"
 #include "maintenance/admin_endpoint.h"
 #include "maintenance/log_entry_codec.h"
@@ -44,7 +44,7 @@
     out.push_back({"entry " + name, maintenance::encode_entry(entry), reencode_entry});
 }
 
-void add_answers(std::vector<Sample>& out) {
+void add_admin_responses(std::vector<Sample>& out) {
   const maintenance::MaintenanceState state = sample_maintenance_state();
   out.push_back({"admin jobs", maintenance::jobs_to_json(state, "member-1").dump(), {}});
   out.push_back({"admin outcome done", maintenance::outcome_to_json({true, "", 7}).dump(), {}});
@@ -64,8 +64,8 @@
 
 }  // namespace
 
-Part maintenance_part() {
-  Part out{"maintenance", {}};
+GoldenFile maintenance_golden() {
+  GoldenFile out{"maintenance", {}};
   add_entries(out.samples);
   const maintenance::Heartbeat least{"member-2", 3, 1500.25, 17, {}, std::nullopt, std::nullopt};
   out.samples.push_back(
@@ -76,7 +76,7 @@
   out.samples.push_back(
       {"snapshot empty", maintenance::MaintenanceState().snapshot().dump(), reencode_snapshot});
   out.samples.push_back({"snapshot", sample_maintenance_state().snapshot().dump(), reencode_snapshot});
-  add_answers(out.samples);
+  add_admin_responses(out.samples);
   return out;
 }
 
--- a/tests/golden/maintenance_samples.cpp
+++ b/tests/golden/maintenance_samples.cpp
@@ -8,11 +8,12 @@
 using maintenance::Millis;
 
 template <typename Transition>
-LogEntry about_host(const std::string& host, std::uint64_t round, const std::string& reason = {}) {
+LogEntry host_transition(const std::string& host, std::uint64_t selected_at_index,
+                         const std::string& reason = {}) {
   Transition transition;
   transition.job = "job-1";
   transition.host = host;
-  transition.selected_at_index = round;
+  transition.selected_at_index = selected_at_index;
   return {transition, reason, {}};
 }
 
@@ -64,20 +65,20 @@
 }
 
 maintenance::Heartbeat sample_heartbeat() {
-  maintenance::HostObservations view;
-  view.serving_value = {{"h1", 0.5}, {"h2", 12.25}};
-  view.down = {"h3"};
-  view.restarted = {"h1"};
-  view.served = {"h2", "h4"};
-  view.calls_per_second = 81.5;
-  view.failed_per_second = 0.125;
-  view.listed_hosts = 12;
-  return {"member-1", 1ULL << 60, 1234567.875, 42, {"h1", "h2"}, view, 40};
+  maintenance::HostObservations observations;
+  observations.serving_value = {{"h1", 0.5}, {"h2", 12.25}};
+  observations.down = {"h3"};
+  observations.restarted = {"h1"};
+  observations.served = {"h2", "h4"};
+  observations.calls_per_second = 81.5;
+  observations.failed_per_second = 0.125;
+  observations.listed_hosts = 12;
+  return {"member-1", 1ULL << 60, 1234567.875, 42, {"h1", "h2"}, observations, 40};
 }
 
 std::vector<std::pair<std::string, LogEntry>> sample_maintenance_entries() {
   const LogEntry leave{maintenance::Leave{"member-3"}, {}, "proposal-leave"};
-  const LogEntry late = about_host<maintenance::Overdue>("h2", 11, "not drained at member-2");
+  const LogEntry late = host_transition<maintenance::Overdue>("h2", 11, "not drained at member-2");
   return {{"heartbeats", heartbeats()},
           {"join", joining("member-1", 7, true)},
           {"join not serving", joining("member-2", 2, false)},
@@ -89,10 +90,10 @@
           {"alter cancelled", alteration(MaintenanceJob::State::cancelled)},
           {"bounds", new_bounds()},
           {"name", selection({"h1", "h2"})},
-          {"take", about_host<maintenance::StartDrain>("h1", 9)},
-          {"touch", about_host<maintenance::ReleaseToOperators>("h1", 10)},
-          {"returned", about_host<maintenance::ReturnToService>("h1", 10)},
-          {"back", about_host<maintenance::Complete>("h1", 10)},
+          {"take", host_transition<maintenance::StartDrain>("h1", 9)},
+          {"touch", host_transition<maintenance::ReleaseToOperators>("h1", 10)},
+          {"returned", host_transition<maintenance::ReturnToService>("h1", 10)},
+          {"back", host_transition<maintenance::Complete>("h1", 10)},
           {"late", late},
           {"ask", LogEntry{}},
           {"text that is no UTF-8", selection({"h\xc3\xa9", "\xff"})}};
@@ -109,16 +110,16 @@
   apply(joining("member-2", 2, false));
   apply(heartbeats());
   apply(addition("proposal-1", sample_job()));
-  apply(addition("proposal-1b", sample_job()));  // refused: it is known
+  apply(addition("proposal-1b", sample_job()));  // rejected: the job exists
   apply(addition("proposal-2", second_job()));
   apply(alteration(MaintenanceJob::State::paused));
   apply(selection({"h1", "h2", "h3"}));
   const std::uint64_t selected = index;
-  apply(about_host<maintenance::StartDrain>("h1", selected));
-  const std::uint64_t taken = index;
-  apply(about_host<maintenance::StartDrain>("h2", selected));
-  apply(about_host<maintenance::ReleaseToOperators>("h1", taken));
-  apply(about_host<maintenance::Overdue>("h1", taken));
+  apply(host_transition<maintenance::StartDrain>("h1", selected));
+  const std::uint64_t drain_started = index;
+  apply(host_transition<maintenance::StartDrain>("h2", selected));
+  apply(host_transition<maintenance::ReleaseToOperators>("h1", drain_started));
+  apply(host_transition<maintenance::Overdue>("h1", drain_started));
   return out;
 }
 
--- a/tests/golden/maintenance_samples.h
+++ b/tests/golden/maintenance_samples.h
@@ -1,4 +1,4 @@
-// Sample values of maintenance and compliance that more than one part of the golden files needs.
+// Sample values of maintenance and compliance that are used in several golden files.
 #pragma once
 
 #include <string>
--- a/tests/golden/quota_golden.cpp
+++ b/tests/golden/quota_golden.cpp
@@ -1,5 +1,5 @@
-// The split of the slow-start budget: log entries and the state's snapshot.
-#include "golden/golden_part.h"
+// The division of the slow-start budget among members: log entries and the state's snapshot.
+#include "golden/golden_file.h"
 #include "quota/log_entry_codec.h"
 #include "quota/quota_epochs.h"
 
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-Part quota_part() {
+GoldenFile quota_golden() {
   QuotaEpochs state;
   const std::string empty = state.snapshot().dump();
   state.apply(5, kFirst);
--- a/tests/golden/raft_golden.cpp
+++ b/tests/golden/raft_golden.cpp
@@ -1,6 +1,6 @@
-// Links among a group's members: frames, the handshake, consensus messages of every kind, and the forms in
-// which several replicated state machines share one log.
-#include "golden/golden_part.h"
+// Connections between group members: frames, the handshake, consensus messages of every kind, and the tagged
+// entries and snapshots of several replicated state machines in one log.
+#include "golden/golden_file.h"
 #include "raft/frame.h"
 #include "raft/message_codec.h"
 #include "raft/replicated_state_machine.h"
@@ -14,7 +14,7 @@
   FrameParser parser;
   std::vector<Frame> out;
   if (!parser.parse(bytes, out) || out.size() != 1)
-    throw std::runtime_error("it isn't one whole frame");
+    throw std::runtime_error("not exactly one complete frame");
   return encode_frame(out.front().kind, out.front().body);
 }
 
@@ -126,8 +126,8 @@
 
 }  // namespace
 
-Part raft_part() {
-  Part out{"raft", {}};
+GoldenFile raft_golden() {
+  GoldenFile out{"raft", {}};
   add_frames(out.samples);
   const Hello hello{kProtocolVersion, "yard-1", "member-1", 1ULL << 60, 2, 3000.5, 0.0125, 2000};
   const std::vector<Sample> more = {
--- a/tests/golden/recording_client.h
+++ b/tests/golden/recording_client.h
@@ -1,4 +1,4 @@
-// A client that sends bytes on a loop and keeps what comes back.
+// A client that sends bytes and records what it receives.
 #pragma once
 
 #include <catch2/catch.hpp>
@@ -11,8 +11,8 @@
 
 namespace lotusyard::golden {
 
-// Calls wait as long as a busy machine needs.
-inline core::Settings patient_settings() {
+// Settings with deadlines that suffice on a busy machine.
+inline core::Settings long_deadline_settings() {
   core::Settings out = test::settings();
   for (auto& row : out.classes)
     row.deadline = core::Millis(60000);
--- a/tests/golden/resp_golden.cpp
+++ b/tests/golden/resp_golden.cpp
@@ -1,5 +1,5 @@
-// The RESP front end: its replies, byte for byte, and arrays as they are read and written.
-#include "golden/golden_part.h"
+// The RESP front end: its replies, byte for byte, and arrays as they are decoded and encoded.
+#include "golden/golden_file.h"
 #include "golden/recording_client.h"
 #include "resp/front_end.h"
 
@@ -19,14 +19,14 @@
   resp::Parser parser;
   std::vector<resp::Words> out;
   if (!parser.parse(bytes, out) || out.size() != 1)
-    throw std::runtime_error("it isn't one whole array");
+    throw std::runtime_error("not exactly one complete array");
   return command({out.front().begin(), out.front().end()});
 }
 
 class Service {
  public:
   explicit Service(std::size_t hosts = 1)
-      : fixture(hosts, patient_settings()),
+      : fixture(hosts, long_deadline_settings()),
         front_(fixture.loop, fixture.pool, fixture.dispatcher, fixture.counters, {}) {
     REQUIRE(front_.listen("127.0.0.1:0"));
   }
@@ -34,7 +34,7 @@
   test::InvokerFixture fixture;
   resp::FrontEnd& front() { return front_; }
 
-  // Returns the reply to `bytes`. Calls `when_sent` once they have opened a call.
+  // Returns the reply to `bytes`. Runs `when_sent` once a call is open.
   std::string reply(
       const std::string& bytes, const std::function<void()>& when_sent = [] {}) {
     RecordingClient client(fixture, front_.address(), bytes);
@@ -53,7 +53,7 @@
   resp::FrontEnd front_;
 };
 
-// The reply to a call that no host answers, whose answer is given here.
+// The reply to a call that no host answers: `answer` is given to the front end directly.
 std::string reply_with(const core::Answer& answer) {
   Service service;
   service.fixture.host[0]->handler = [](const std::string&) {
@@ -74,7 +74,7 @@
 
 }  // namespace
 
-Part resp_part() {
+GoldenFile resp_golden() {
   Service service;
   const std::string call = command({"CALL", "12", "bin-check", kFields, "the body"});
   const std::string binary =
--- a/tests/golden/stores_golden.cpp
+++ b/tests/golden/stores_golden.cpp
@@ -1,4 +1,5 @@
-// The stores' SQLite files: their tables and rows as SQL, and files made from that SQL read by the stores.
+// The SQLite files of the stores: their tables and rows as SQL, and files created from that SQL as the stores
+// read them.
 #include <sqlite3.h>
 #include <unistd.h>
 
@@ -6,7 +7,7 @@
 #include <catch2/catch.hpp>
 #include <cstdio>
 
-#include "golden/golden_part.h"
+#include "golden/golden_file.h"
 #include "idempotency/sqlite_result_store.h"
 #include "raft/log_store.h"
 #include "sqlite/query.h"
@@ -19,7 +20,7 @@
 using idempotency::ResultStage;
 using sqlite::Query;
 
-// A file of this process that goes with the object.
+// A file that is removed with the object. Its name is unique to the process and the object.
 class TemporaryFile {
  public:
   TemporaryFile()
@@ -51,13 +52,13 @@
   void execute(const std::string& sql) {
     REQUIRE(sqlite3_exec(db_, sql.c_str(), nullptr, nullptr, nullptr) == SQLITE_OK);
   }
-  // The schema and all rows as SQL, a statement a line.
+  // The schema and all rows as SQL, one statement per line.
   std::string dump() {
     std::string out;
     for (const auto& sql : column("SELECT sql FROM sqlite_master WHERE sql IS NOT NULL ORDER BY name"))
       out += sql + ";\n";
     for (const auto& table : column("SELECT name FROM sqlite_master WHERE type = 'table' ORDER BY name")) {
-      for (const auto& values : column("SELECT " + quoted_row(table) + " FROM " + table + " ORDER BY 1"))
+      for (const auto& values : column("SELECT " + quoted_columns(table) + " FROM " + table + " ORDER BY 1"))
         out += "INSERT INTO " + table + " VALUES(" + values + ");\n";
     }
     return out;
@@ -75,7 +76,7 @@
     REQUIRE(code == SQLITE_DONE);
     return out;
   }
-  std::string quoted_row(const std::string& table) {
+  std::string quoted_columns(const std::string& table) {
     std::string out;
     for (const auto& name : column("SELECT name FROM pragma_table_info('" + table + "') ORDER BY cid"))
       out += (out.empty() ? "quote(" : " || ',' || quote(") + name + ")";
@@ -133,7 +134,7 @@
   return out;
 }
 
-// By way of the stages that must come before the record's.
+// Stores the stages that must precede the record's stage first.
 void put(idempotency::SqliteResultStore& store, const std::string& id, const ResultRecord& last) {
   for (const ResultStage stage : {ResultStage::sent, ResultStage::answered}) {
     if (stage >= last.stage)
@@ -178,7 +179,7 @@
 
 }  // namespace
 
-Part stores_part() {
+GoldenFile stores_golden() {
   return {"stores",
           {{"log store", log_store(), reencode_log_store},
            {"result store", result_store(), reencode_result_store}}};
