--- a/src/endpoints/endpoint_states.cpp
+++ b/src/endpoints/endpoint_states.cpp
@@ -11,19 +11,19 @@
 core::ListedHost EndpointStates::effective_state(const std::string& id, const Host& host) const {
   core::ListedHost state = host.listed;
   state.entry.started = host.started;
-  const bool is_excluded = suspended_ || disabled(id) || in_maintenance_.count(id) != 0;
+  const bool is_excluded = suspended_ || is_disabled(id) || in_maintenance_.count(id) != 0;
   if (is_excluded && state.entry.state == HostState::ready)
     state.entry.state = HostState::draining;
-  // A host that was excluded may have restarted, and the list does not say so for seconds.
+  // A host that was excluded may have restarted; the list shows that only seconds later.
   state.entry.enabled_by_operator = host.enabled_at > state.entry.started;
   if (state.entry.enabled_by_operator)
     state.entry.started = host.enabled_at;
   return state;
 }
 
-// A host that has just started would be taken for a warm one if its clock is behind, and for one that warms
-// up until a time in the future if its clock is ahead. A start time that is not credible is replaced by the
-// time at which it was first seen.
+// If its clock is behind, a host that has just started would count as warm; if its clock is ahead, it would
+// count as warming up until a time in the future. A start time that is not credible is replaced by the time
+// at which it was first received.
 core::Millis EndpointStates::start_time(const Host* known, core::Millis listed_start,
                                         const ClockReading& clock) const {
   if (!read_clock_)
@@ -53,8 +53,8 @@
   for (const auto& host : list.hosts) {
     listed.insert(host.entry.host);
     update.hosts.push_back(apply_host(host, clock));
-    if (host.entry.state == HostState::gone)
-      forget_removed(host.entry.host);
+    if (host.entry.state == HostState::removed)
+      add_removed(host.entry.host);
   }
   if (list.complete)
     remove_unlisted(listed);
@@ -78,21 +78,22 @@
 void EndpointStates::remove_unlisted(const std::set<std::string>& listed) {
   std::vector<std::string> removed;
   for (auto& [id, host] : hosts_) {
-    if (listed.count(id) != 0 || host.listed.entry.state == HostState::gone)
+    if (listed.count(id) != 0 || host.listed.entry.state == HostState::removed)
       continue;
-    host.listed.entry.state = HostState::gone;
+    host.listed.entry.state = HostState::removed;
     removed.push_back(id);
   }
   for (const auto& id : removed)
-    forget_removed(id);
+    add_removed(id);
 }
 
-// Bounds the table of hosts: the only place where it shrinks.
-void EndpointStates::forget_removed(const std::string& id) {
+// Records that the host was removed, and erases the hosts that were removed longest ago. This bounds the
+// table of hosts, which shrinks nowhere else.
+void EndpointStates::add_removed(const std::string& id) {
   removed_.push_back(id);
   while (removed_.size() > kMaxRemovedHosts) {
     const auto oldest = hosts_.find(removed_.front());
-    const bool is_gone = oldest != hosts_.end() && oldest->second.listed.entry.state == HostState::gone;
+    const bool is_gone = oldest != hosts_.end() && oldest->second.listed.entry.state == HostState::removed;
     const bool was_removed_again = std::count(removed_.begin(), removed_.end(), removed_.front()) > 1;
     if (is_gone && !was_removed_again)
       hosts_.erase(oldest);
@@ -102,7 +103,7 @@
 
 void EndpointStates::notify(const std::string& id) {
   const auto found = hosts_.find(id);
-  if (found == hosts_.end() || found->second.listed.entry.state == HostState::gone)
+  if (found == hosts_.end() || found->second.listed.entry.state == HostState::removed)
     return;
   update_handler_({false, {effective_state(id, found->second)}}, core::ListKind::delta);
 }
@@ -114,7 +115,7 @@
 
 void EndpointStates::enable(const std::string& host, core::Millis now) {
   if (disabled_.erase(host) == 0)
-    return;  // it may be warm
+    return;  // it has not been disabled, so it may be warm
   const auto found = hosts_.find(host);
   if (found == hosts_.end())
     return;
@@ -122,12 +123,12 @@
   notify(host);
 }
 
-void EndpointStates::set_disabled(const std::set<std::string>& disabled_hosts, core::Millis now) {
+void EndpointStates::set_disabled(const std::set<std::string>& hosts, core::Millis now) {
   const std::set<std::string> before = disabled_;
-  for (const auto& host : disabled_hosts)
+  for (const auto& host : hosts)
     disable(host);
   for (const auto& host : before) {
-    if (disabled_hosts.count(host) == 0)
+    if (hosts.count(host) == 0)
       enable(host, now);
   }
 }
@@ -149,7 +150,7 @@
   }
 }
 
-void EndpointStates::suspend_all(bool suspended) {
+void EndpointStates::set_all_suspended(bool suspended) {
   if (std::exchange(suspended_, suspended) == suspended)
     return;
   for (const auto& [id, host] : hosts_)
@@ -158,7 +159,7 @@
 
 std::optional<core::ListedHost> EndpointStates::find_listed(const std::string& host) const {
   const auto found = hosts_.find(host);
-  if (found == hosts_.end() || found->second.listed.entry.state == HostState::gone)
+  if (found == hosts_.end() || found->second.listed.entry.state == HostState::removed)
     return std::nullopt;
   return found->second.listed;
 }
@@ -166,7 +167,7 @@
 std::map<std::string, core::ListedHost> EndpointStates::listed_hosts() const {
   std::map<std::string, core::ListedHost> listed;
   for (const auto& [id, host] : hosts_) {
-    if (host.listed.entry.state != HostState::gone)
+    if (host.listed.entry.state != HostState::removed)
       listed.emplace(id, host.listed);
   }
   return listed;
