--- a/src/raft/admission.cpp
+++ b/src/raft/admission.cpp
@@ -39,7 +39,7 @@
     }
   }
   const std::uint64_t id = make_id(name);
-  log_("member " + name + " at " + address + " is let in as " + std::to_string(id));
+  log_("member " + name + " at " + address + " is admitted as " + std::to_string(id));
   change_active_ = core.add({id, address, RAFT_SPARE}, [this](bool) { change_active_ = false; });
 }
 
--- a/src/raft/admission.h
+++ b/src/raft/admission.h
@@ -1,5 +1,5 @@
-// Admission of members without a store: such a member asks the members that it knows, and the leader adds it
-// to the group under a new id.
+// Admission of members without a store: such a member sends requests to the configured members, and the
+// leader adds it to the group under a new id.
 #pragma once
 
 #include <cstdint>
@@ -21,7 +21,8 @@
   AdmissionClient(const AdmissionClient&) = delete;
   AdmissionClient& operator=(const AdmissionClient&) = delete;
 
-  // Asks the configured members in turn until stop() is called; only the leader responds.
+  // Sends requests to the configured members in round-robin order until stop() is called; only the leader
+  // responds.
   void start() { request(); }
   void stop() { loop_.cancel(retry_timer_); }
 
--- a/src/raft/config.cpp
+++ b/src/raft/config.cpp
@@ -126,10 +126,10 @@
     PeerAddress peer = read_peer(member, path);
     for (const auto& other : out) {
       if (other.name == peer.name) {
-        reject(path + ".name", peer.name + " stands twice");
+        reject(path + ".name", peer.name + " is listed twice");
       }
       if (other.address == peer.address) {
-        reject(path + ".address", peer.address + " stands twice");
+        reject(path + ".address", peer.address + " is listed twice");
       }
     }
     out.push_back(std::move(peer));
@@ -145,7 +145,7 @@
   return out;
 }
 
-// The address at which others reach this member, unless the settings tell another.
+// The address at which others reach this member, unless the settings specify another.
 std::string default_address(const Config& config) {
   for (const auto& member : config.members) {
     if (member.name == config.member) {
--- a/src/raft/config.h
+++ b/src/raft/config.h
@@ -23,7 +23,7 @@
   std::string store;    // the path of the log store's file
   std::string listen;   // the address that this member binds
   std::string address;  // the address at which other members reach it
-  // The founding members. A member that joins later asks these for admission.
+  // The founding members. A member that joins later requests admission from these.
   std::vector<PeerAddress> members;
   bool serves = true;  // accepts calls; otherwise it only replicates the log
   LeaseTerms terms;
--- a/src/raft/frame.h
+++ b/src/raft/frame.h
@@ -41,7 +41,7 @@
 };
 
 // The body of the first frame of every connection. A member with another group, protocol version or other
-// terms is rejected, and so is one that meant to reach another member.
+// terms is rejected, and so is one whose hello names another member as the receiver.
 struct Hello {
   std::uint32_t version = kProtocolVersion;
   std::string cluster;     // the name of the group
--- a/src/raft/lease.h
+++ b/src/raft/lease.h
@@ -1,6 +1,6 @@
 // The lease under which a member may act on its replicated state without asking the group, measured by the
-// member's own clock. It also tells when no attempt of an earlier process of this member can be running any
-// more. It does no I/O, and the time is passed in.
+// member's own clock. It also determines when no attempt of an earlier process of this member can still be
+// running. It does no I/O, and the time is passed in.
 #pragma once
 
 #include <algorithm>
@@ -16,7 +16,7 @@
   Millis lease{3000};             // the duration of a lease, from the committed heartbeat on
   double clock_drift = 0.01;      // the fraction by which one member's clock may run faster than another's
   Millis max_attempt_time{2000};  // no attempt runs at a host for longer than this after it was sent
-  // An invoker with a session goes on without a lease for this long; after that it uses no host.
+  // An invoker with a session continues without a lease for this long; after that it uses no host.
   Millis max_offline{7200000};
 
   Millis heartbeat_interval() const { return lease / 4; }
--- a/src/raft/log_store.h
+++ b/src/raft/log_store.h
@@ -31,7 +31,7 @@
 struct Identity {
   std::string cluster;            // the name of the group
   std::string member;             // the name of the member
-  std::uint64_t id = 0;           // the raft id; a member that begins a new store gets a new one
+  std::uint64_t id = 0;           // the raft id; a member that starts with a new store gets a new one
   std::uint64_t incarnation = 0;  // grows with each start of the process
 };
 
@@ -92,7 +92,7 @@
   // Deletes the entry at `index` and all after it.
   void truncate(std::uint64_t index);
   // Stores the snapshot and deletes the entries that it covers except for the last `trailing`. If `trailing`
-  // is 0, the whole log is deleted.
+  // is 0, the entire log is deleted.
   void put_snapshot(const StoredSnapshot& snapshot, std::uint64_t trailing);
   bool has_snapshot() const;
   // The last index that the snapshot covers; 0: there is no snapshot.
--- a/src/raft/raft_core.cpp
+++ b/src/raft/raft_core.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr unsigned kSnapshotThreshold = 1024;  // entries after the last snapshot that trigger the next one
-constexpr unsigned kTrailingEntries = 256;     // entries kept before a snapshot, for slow followers
+constexpr unsigned kTrailingEntries = 256;     // entries retained before a snapshot, for slow followers
 constexpr int kHeartbeatsPerElectionTimeout = 5;
 constexpr std::uint64_t kFirstTerm = 1;  // of the entry that bootstraps a group
 
@@ -55,7 +55,7 @@
   raft_set_heartbeat_timeout(&raft_, static_cast<unsigned>(election_timeout / kHeartbeatsPerElectionTimeout));
   raft_set_snapshot_threshold(&raft_, kSnapshotThreshold);
   raft_set_snapshot_trailing(&raft_, kTrailingEntries);
-  // Without a pre-vote a member that was partitioned would unseat the leader when it comes back.
+  // Without a pre-vote a member that was partitioned would depose the leader when it reconnects.
   raft_set_pre_vote(&raft_, true);
   return raft_start(&raft_);
 }
--- a/src/raft/raft_replica.cpp
+++ b/src/raft/raft_replica.cpp
@@ -36,7 +36,7 @@
   if (!store_.is_empty()) {
     start_raft();
   } else {
-    log_("there is no store: asks to be let in under another id");
+    log_("there is no store: requests admission under another id");
     admission_client_.start();
   }
 }
@@ -92,7 +92,7 @@
 }
 
 // An entry of an unknown state machine is a failure, not skipped: this replica's state would differ from that
-// of replicas whose program knows it.
+// of replicas whose program has that state machine.
 void RaftReplica::apply(std::uint64_t index, const std::string& entry) {
   const auto [name, text] = untag_entry(entry);
   if (ReplicatedStateMachine* state_machine = state_machines_.find(name)) {
@@ -142,11 +142,11 @@
     free_message(*message);
     return;
   }
-  // NOLINTNEXTLINE(performance-move-const-arg): says that the core now owns the message's buffers
+  // NOLINTNEXTLINE(performance-move-const-arg): shows that the core now owns the message's buffers
   raft_core_->receive(from.from, address, std::move(*message));
 }
 
-// Returns an empty string if the sender is not known or this replica takes no part in the group.
+// Returns an empty string if the sender is not known or this replica does not participate in the group.
 std::string RaftReplica::find_address(const Hello& from) const {
   if (!raft_core_ || raft_core_->has_failed()) {
     return {};
@@ -156,8 +156,8 @@
       return server.address;
     }
   }
-  // A new member has no configuration before the first entries that it is sent; it knows the founding
-  // members.
+  // A new member has no configuration before it receives its first entries; until then it accepts the
+  // founding members.
   for (const auto& peer : config_.members) {
     if (peer.name == from.member) {
       return peer.address;
@@ -194,14 +194,14 @@
   const Identity previous = identity_;
   try {
     join(std::stoull(response.id));
-    log_("is in as " + response.id);
+    log_("joined the group as " + response.id);
   } catch (const LogStoreError& error) {
     if (!error.transient()) {
       on_store_failure(error.what());
       return;
     }
     on_store_unavailable(error.kind, error.what());
-    identity_ = previous;  // it asks again and is sent its id again
+    identity_ = previous;  // the request is repeated, and the leader sends the id again
   } catch (const std::exception& error) {
     on_store_failure(error.what());
   }
@@ -216,7 +216,7 @@
 void RaftReplica::join(std::uint64_t id) {
   identity_ = {config_.cluster, config_.member, id, 1};
   // The clock makes it larger than any incarnation that an earlier store of this member has reached. If the
-  // clock was set back since, the log shows it, and a larger one is begun before this member takes part
+  // clock was set back since, the log shows it, and this member begins a larger one before it participates
   // (see MaintenanceReplica).
   identity_.incarnation = static_cast<std::uint64_t>(loop_.now().count());
   store_.initialize(identity_);
--- a/src/raft/raft_replica.h
+++ b/src/raft/raft_replica.h
@@ -23,7 +23,7 @@
  public:
   using LogSink = PeerTransport::LogSink;
 
-  // Follows the log as a whole, after the state machines have applied an entry or a snapshot.
+  // Is notified after the state machines have applied an entry or a snapshot.
   class Observer {
    public:
     virtual ~Observer() = default;
@@ -35,7 +35,7 @@
   // Receives gossip frames of any peer whose hello was accepted; they need no consensus.
   using GossipHandler = std::function<void(const std::string& member, const std::string& body)>;
 
-  // Opens the store and starts the raft instance, or asks for admission if the store is empty. All references
+  // Opens the store and starts the raft instance, or requests admission if the store is empty. All references
   // and state machines must outlive it. Throws config::ConfigError or LogStoreError.
   RaftReplica(net::EventLoop& loop, metrics::Counters& counters, const Config& config,
               std::vector<ReplicatedStateMachine*> state_machines, LogSink log);
--- a/src/raft/replica_identity.cpp
+++ b/src/raft/replica_identity.cpp
@@ -10,7 +10,7 @@
 void bootstrap_store(const Config& config) {
   LogStore store(config.store);
   if (!store.is_empty()) {
-    throw LogStoreError("the group's store: " + config.store + ": begun already");
+    throw LogStoreError("the group's store: " + config.store + ": already initialized");
   }
   std::vector<RaftCore::Server> servers;
   Identity own{config.cluster, config.member, 0, 0};
--- a/src/raft/replica_message.cpp
+++ b/src/raft/replica_message.cpp
@@ -10,7 +10,7 @@
 
 using nlohmann::json;
 
-// The first byte of a message tells its kind.
+// The first byte of a message is its kind.
 constexpr char kLeaderMessage = 't';
 constexpr char kAdmissionRequest = 'j';
 constexpr char kAdmissionResponse = 'i';
--- a/src/raft/replica_message.h
+++ b/src/raft/replica_message.h
@@ -12,13 +12,13 @@
   std::string text;
 };
 
-// A member without a store asks for admission to the group.
+// A request of a member without a store for admission to the group.
 struct AdmissionRequest {
   std::string name;
   std::string address;  // at which others reach it
 };
 
-// The leader tells a new member its id.
+// The id that the leader has assigned to a new member.
 struct AdmissionResponse {
   std::string id;  // decimal digits
 };
--- a/src/raft/replicated_state_machine.h
+++ b/src/raft/replicated_state_machine.h
@@ -23,7 +23,7 @@
   // Applies a committed entry. Must be deterministic.
   virtual void apply(std::uint64_t index, const std::string& entry) = 0;
 
-  // Returns the whole state, serialized.
+  // Returns the complete state, serialized.
   virtual std::string snapshot() = 0;
 
   // Replaces the state. An empty snapshot means that the group had no state of this kind yet. Returns false
@@ -33,7 +33,7 @@
   // Handles a message that a member sent to the leader; called at the leader only.
   virtual void handle_message(const std::string& message) = 0;
 
-  // The store has failed permanently: this replica takes no part in the group any more.
+  // The store has failed permanently: this replica no longer participates in the group.
   virtual void on_store_failure(const std::string& reason) = 0;
 };
 
--- a/src/raft/snapshot_header.h
+++ b/src/raft/snapshot_header.h
@@ -1,4 +1,4 @@
-// The JSON form in which the log store keeps everything of a snapshot but its data.
+// The JSON form in which the log store keeps a snapshot's fields other than its data.
 #pragma once
 
 #include <optional>
--- a/tests/raft/raft_group_test.cpp
+++ b/tests/raft/raft_group_test.cpp
@@ -130,8 +130,8 @@
   const bool is_ready = wait_until_ready(lost);
   INFO(cluster.all_logs());
   REQUIRE(is_ready);
-  CHECK(lost.process->has_logged("asks to be let in under another id"));
-  CHECK(lost.process->has_logged("is in as "));
+  CHECK(lost.process->has_logged("requests admission under another id"));
+  CHECK(lost.process->has_logged("joined the group as "));
   // With another member gone its vote is needed.
   kill_and_wait(*cluster.members[0]);
   cluster.members[0]->recovers_at = 1e18;
