--- a/src/gossip/gossip_service.cpp
+++ b/src/gossip/gossip_service.cpp
@@ -137,7 +137,7 @@
 void GossipService::log_change(const MemberRecord& record) {
   const bool superseded = protocol_->is_superseded() && record.name == config_.member;
   log_("of=" + record.name + " life=" + std::to_string(record.incarnation) + " standing=" +
-       name_of(record.status) + (superseded ? " usurped: another process goes by this name" : ""));
+       name_of(record.status) + (superseded ? " usurped: another process uses this name" : ""));
 }
 
 std::size_t GossipService::present_members() const {
--- a/src/gossip/member_metadata.cpp
+++ b/src/gossip/member_metadata.cpp
@@ -33,8 +33,8 @@
   for (auto host = hosts_.begin(); host != hosts_.end();) {
     auto& by_observer = host->second.by_observer;
     for (auto entry = by_observer.begin(); entry != by_observer.end();) {
-      const bool is_gone = observers.count(entry->first) == 0;
-      entry = is_gone ? by_observer.erase(entry) : std::next(entry);
+      const bool is_absent = observers.count(entry->first) == 0;
+      entry = is_absent ? by_observer.erase(entry) : std::next(entry);
     }
     const bool is_unlisted = listed.count(host->first) == 0;
     host = is_unlisted ? hosts_.erase(host) : std::next(host);
--- a/src/gossip/member_table.cpp
+++ b/src/gossip/member_table.cpp
@@ -100,16 +100,16 @@
     members_.at(name).since += by;
 }
 
-void MemberTable::forget_dead(Millis now, const std::string& self) {
+void MemberTable::remove_dead(Millis now, const std::string& self) {
   for (auto member = members_.begin(); member != members_.end();) {
     const bool is_absent = !is_present(member->second.record.status);
-    const bool is_expired = is_absent && now - member->second.since > timing_.forget_dead_after;
+    const bool is_expired = is_absent && now - member->second.since > timing_.remove_dead_after;
     const bool is_self = member->first == self;
     member = is_expired && !is_self ? members_.erase(member) : std::next(member);
   }
 }
 
-void MemberTable::forget_all_but(const std::string& self) {
+void MemberTable::remove_all_but(const std::string& self) {
   for (auto member = members_.begin(); member != members_.end();) {
     if (member->first == self) {
       ++member;
--- a/src/gossip/member_table.h
+++ b/src/gossip/member_table.h
@@ -1,4 +1,4 @@
-// All members that this one knows, with what it believes of each. No I/O; the time is passed in.
+// The known members, with the newest record of each. No I/O; the time is passed in.
 #pragma once
 
 #include <cstddef>
@@ -41,8 +41,8 @@
   void extend_suspicions(Millis by);
 
   // Removes the members that have been absent for longer than the configured time, but not `self`.
-  void forget_dead(Millis now, const std::string& self);
-  void forget_all_but(const std::string& self);
+  void remove_dead(Millis now, const std::string& self);
+  void remove_all_but(const std::string& self);
 
   const std::map<std::string, Member>& all() const { return members_; }
   // Null if the member is unknown; valid until the table changes.
--- a/src/gossip/membership_state.cpp
+++ b/src/gossip/membership_state.cpp
@@ -138,8 +138,9 @@
     probe_order_.insert(record.name);
 }
 
-// After a partition each side takes the other for dead and says so in full syncs, also of members that are
-// well. A member that was present here until now is therefore only suspected, which gives it time to refute.
+// After a partition each side records the other as dead and reports so in full syncs, although its members
+// run. A member that was present in this table until now is therefore only suspected, so that it has time to
+// refute.
 void MembershipState::merge_from_full_sync(MemberRecord record, Millis now) {
   const MemberRecord* known = members_.find(record.name);
   const bool is_other = known != nullptr && record.name != self_.name;
--- a/src/gossip/membership_state.h
+++ b/src/gossip/membership_state.h
@@ -1,4 +1,4 @@
-// What one member knows of the cluster, and the rules by which it merges what others report. No I/O; the time
+// One member's view of the cluster, and the rules by which it merges what others report. No I/O; the time
 // is passed in.
 #pragma once
 
@@ -64,8 +64,8 @@
   MemberRecord suspect(const MemberRecord& member, Millis now);
   void declare_expired_suspects_dead(Millis now);
   void record_pause(Millis duration);
-  void forget_dead(Millis now) { members_.forget_dead(now, self_.name); }
-  void forget_others() { members_.forget_all_but(self_.name); }
+  void remove_dead(Millis now) { members_.remove_dead(now, self_.name); }
+  void remove_others() { members_.remove_all_but(self_.name); }
 
   // Add to a message the updates that were sent least often, or everything.
   void attach_updates(Message& message);
--- a/src/gossip/message.cpp
+++ b/src/gossip/message.cpp
@@ -149,7 +149,7 @@
   Message message;
   if (!read_message(fields, message))
     return std::nullopt;
-  // A member that leaves says so itself, but no member sends messages as a dead one.
+  // A member that leaves announces it itself, but no member sends messages as a dead one.
   if (message.self.status == MemberStatus::dead)
     return std::nullopt;
   return message;
--- a/src/gossip/message.h
+++ b/src/gossip/message.h
@@ -16,10 +16,10 @@
   // The values are encoded in messages.
   enum class Kind : std::uint8_t {
     ping,          // direct probe of the receiver
-    ping_request,  // asks the receiver for an indirect probe of `subject`
+    ping_request,  // requests an indirect probe of `subject`
     ack,           // `subject` has answered the probe
     nack,          // the sender is alive; `subject` has not answered it yet. Also carries urgent updates
-    sync,          // full state of the sender; asks for that of the receiver
+    sync,          // full state of the sender; requests that of the receiver
     sync_reply     // full state of the sender
   };
   Kind kind = Kind::ping;
--- a/src/gossip/probe_order.h
+++ b/src/gossip/probe_order.h
@@ -9,7 +9,7 @@
 
 namespace lotusyard::gossip {
 
-// Round-robin over a random permutation, shuffled anew for each round. Every member is probed once in a
+// Round-robin over a random permutation, reshuffled for each round. Every member is probed once in a
 // round, which bounds the time to detect a failure.
 class ProbeOrder {
  public:
--- a/src/gossip/swim_protocol.cpp
+++ b/src/gossip/swim_protocol.cpp
@@ -44,7 +44,7 @@
     return;
   detect_pause(now);
   last_tick_at_ = now;
-  forget_after_isolation(now);
+  reset_after_isolation(now);
   state_.declare_expired_suspects_dead(now);
   const bool is_direct_probe_over = now >= direct_probe_deadline_;
   if (probe_.awaits_direct_ack() && is_direct_probe_over)
@@ -55,7 +55,7 @@
   begin_period(now);
 }
 
-// A process that was paused would take its own silence for that of the others, so the time is not counted.
+// A process that was paused would attribute its own pause to others, as silence; the time is not counted.
 void SwimProtocol::detect_pause(Millis now) {
   const Millis gap = now - last_tick_at_;
   if (gap <= timing_.period * kPausePeriods || fault_injected("stall"))
@@ -65,11 +65,12 @@
   period_ends_at_ = now + timing_.period;
 }
 
-// A member that was isolated for longer than others remember the dead would bring forgotten members back.
-void SwimProtocol::forget_after_isolation(Millis now) {
-  if (now - last_received_at_ <= timing_.forget_dead_after)
+// A member that was isolated for longer than others retain records of dead members would reintroduce members
+// that they have removed.
+void SwimProtocol::reset_after_isolation(Millis now) {
+  if (now - last_received_at_ <= timing_.remove_dead_after)
     return;
-  state_.forget_others();
+  state_.remove_others();
   last_received_at_ = now;
 }
 
@@ -81,15 +82,15 @@
     health_.improve();
     return;
   }
-  // Members that were asked for an indirect probe send a nack even if the target is silent. A missing nack
-  // therefore says that this member is the one that does not receive in time.
+  // A member from which an indirect probe was requested sends a nack even if the target is silent. A missing
+  // nack therefore shows that this member is the one that does not receive in time.
   if (probe.indirect_probes > probe.nacks)
     health_.degrade(1);
   const MemberRecord* target = member_table().find(probe.target);
   if (target == nullptr || !is_present(target->status))
     return;
   const MemberRecord suspected = state_.suspect(*target, now);
-  // The suspected member learns of it at once, so that it can refute.
+  // The suspected member is notified at once, so that it can refute.
   send_urgent(suspected.address, suspected);
 }
 
@@ -98,7 +99,7 @@
   period_ends_at_ = now + timing_.period * health_.timeout_multiplier();
   direct_probe_deadline_ =
       now + timing_.period * timing_.direct_probe_fraction * health_.timeout_multiplier();
-  state_.forget_dead(now);
+  state_.remove_dead(now);
   relay_.remove_expired(now);
   start_full_syncs();
   start_probe();
@@ -132,7 +133,8 @@
 }
 
 // Full syncs repair what dissemination has missed. Those with absent members are more frequent: each part of
-// a partitioned cluster takes the other for dead and probes nobody there, so nothing else would rejoin them.
+// a partitioned cluster records the other as dead and probes none of its members, so nothing else would
+// rejoin them.
 void SwimProtocol::start_full_syncs() {
   const auto present = sample_present(1, {});
   if (present.empty()) {
--- a/src/gossip/swim_protocol.h
+++ b/src/gossip/swim_protocol.h
@@ -91,7 +91,7 @@
 
   bool is_silent() const { return left_ || is_superseded(); }
   void detect_pause(Millis now);
-  void forget_after_isolation(Millis now);
+  void reset_after_isolation(Millis now);
   void end_period(Millis now);
   void begin_period(Millis now);
   void start_probe();
--- a/src/gossip/swim_protocol_messages.cpp
+++ b/src/gossip/swim_protocol_messages.cpp
@@ -45,7 +45,7 @@
   }
 }
 
-// The sender of the suspicion and some others learn of the refutation at once: the fewer members wait for
+// The refutation is sent to the sender of the suspicion and some others at once: the fewer members wait for
 // dissemination, the fewer declare this one dead. The answer to a ping carries this member's record anyway.
 void SwimProtocol::announce_refutation(const Message& cause) {
   if (cause.kind != Message::Kind::ping)
@@ -55,7 +55,8 @@
   }
 }
 
-// A sender that is suspected may not know it, and could not refute; answers carry the newer record to it.
+// A suspected sender may not have received the suspicion, and could not refute it; answers carry the newer
+// record to it.
 const MemberRecord* SwimProtocol::newer_record_of_sender(const Message& message) const {
   const MemberRecord* known = member_table().find(message.self.name);
   const bool is_newer = known != nullptr && supersedes(*known, message.self);
--- a/tests/gossip/gossip_schedule_test.cpp
+++ b/tests/gossip/gossip_schedule_test.cpp
@@ -112,7 +112,7 @@
 
 TEST_CASE("a forgotten member is not brought back by one that was cut off for longer") {
   GossipNetwork network(9, 4);
-  network.timing.forget_dead_after = Millis(30000);
+  network.timing.remove_dead_after = Millis(30000);
   network.start_all();
   network.run(5000);
   network.cut_off({0});
