--- a/src/node/cluster_member.h
+++ b/src/node/cluster_member.h
@@ -29,7 +29,7 @@
   bool ready() const override { return maintenance_.ready(); }
   bool may_send(const std::string& host, const core::Call* call, std::uint64_t function) override;
   policy::HostFilter* host_filter() override { return this; }
-  // The policy asks this for each host that it considers. It does not consider hosts that the endpoint list,
+  // Called by the policy for each host that it considers. It does not consider hosts that the endpoint list,
   // operators or maintenance have excluded.
   bool allows(const std::string& tenant, std::uint64_t function, const std::string& host) override;
   void on_rejected(const core::Call& call) override { compliance_.filter().on_rejected(call); }
@@ -63,7 +63,7 @@
   nlohmann::json group_to_json() const;
 };
 
-// The extension that a configuration file asks for: a ClusterMember if it has a section `group`, a
+// The extension that a configuration file requires: a ClusterMember if it has a section `group`, a
 // SessionInvoker if it has only a section `control`, otherwise null. Throws config::ConfigError.
 std::unique_ptr<InvokerExtension> make_extension(const InvokerServices& services, const nlohmann::json& file);
 
--- a/src/node/control_role.cpp
+++ b/src/node/control_role.cpp
@@ -52,7 +52,7 @@
       [this] { return aggregate_sessions(); },
       [this](maintenance::HostObservations own) { return observations_.merged(std::move(own)); });
   compliance_.set_sessions_quiesced([this](std::uint64_t index) { return floors_.quiesced_index >= index; });
-  log_("sessions are taken on " + server_.address());
+  log_("sessions are accepted on " + server_.address());
 }
 
 ControlRole::~ControlRole() {
--- a/src/node/control_role.h
+++ b/src/node/control_role.h
@@ -28,7 +28,8 @@
               compliance::ComplianceReplica& compliance, const raft::Lease& lease, LogSink log);
   ~ControlRole() override;
 
-  // From the replica: the entry at `index` has been applied; the whole state has been replaced by a snapshot.
+  // From the replica: the entry at `index` has been applied; the complete state has been replaced by a
+  // snapshot.
   void log_applied(std::uint64_t index) override;
   void log_restored() override { rebuild_records_ = true; }
 
@@ -36,7 +37,7 @@
   void update_lease();
   // Sets this node's share of the slow-start budget, which it divides among its sessions.
   void set_share(double share);
-  // Tells sessions to move to other nodes, because the process ends.
+  // Notifies sessions to move to other nodes, because the process ends.
   void shut_down() { server_.node().shut_down(); }
   // For the admin endpoint's `/-/group`.
   nlohmann::json status_to_json() const;
--- a/src/node/session_invoker.cpp
+++ b/src/node/session_invoker.cpp
@@ -16,7 +16,7 @@
 
 using nlohmann::json;
 
-// Stands for a share of 0, which the policy reads as "no share is set".
+// Replaces a share of 0, which the policy reads as "no share is set".
 constexpr double kMinShare = 1e-9;
 
 std::uint64_t random_number() {
--- a/src/node/session_invoker.h
+++ b/src/node/session_invoker.h
@@ -1,5 +1,6 @@
 // An invoker that is not a member of the group. It has a session with a control node, from which it receives
-// a lease and the group's records: a snapshot first, then deltas. It obeys them as a member obeys the log.
+// a lease and the group's records: a snapshot first, then deltas. It applies them as a member applies the
+// log.
 #pragma once
 
 #include <optional>
--- a/src/node/session_observations.h
+++ b/src/node/session_observations.h
@@ -27,7 +27,7 @@
   void retain(const std::function<bool(SessionId)>& is_known);
 
   // The node's `own` observations joined with those of all sessions. A host is down, restarted or serving if
-  // any of them says so; values and rates are added up.
+  // any of them reports it; values and rates are added up.
   maintenance::HostObservations merged(maintenance::HostObservations own) const;
   // Number of sessions with observations.
   std::size_t size() const { return by_session_.size(); }
