--- a/tests/raft/group_relay.h
+++ b/tests/raft/group_relay.h
@@ -1,5 +1,5 @@
-// A relay on the test's own loop that stands before one member of a group and cuts and resets what the other
-// members send it.
+// A proxy in front of one member of a group, on the test's event loop, that drops the traffic of chosen peers
+// or resets their connections.
 #pragma once
 
 #include <catch2/catch.hpp>
@@ -20,84 +20,84 @@
 using raft::Frame;
 using raft::FrameParser;
 
-// Stands before one member: what others send it comes through here, and can be cut, delayed and reset.
+// Forwards the connections of other members to the member at `target`.
 class GroupRelay {
  public:
-  GroupRelay(InvokerFixture& fixture, std::string to)
-      : server(fixture.loop, fixture.pool, *this), fixture_(fixture), to_(std::move(to)) {}
+  GroupRelay(InvokerFixture& fixture, std::string target)
+      : server(fixture.loop, fixture.pool, *this), fixture_(fixture), target_(std::move(target)) {}
   class Peer final : public net::BufferedConnection {
    public:
     Peer(GroupRelay& relay, net::EventLoop& loop, net::BufferPool& pool, net::Socket socket)
-        : BufferedConnection(loop, pool, std::move(socket), false), relay_(relay), inner_(relay) {
-      inner_.back = [this](std::string_view more) {
-        if (!dead)
-          write(more);
+        : BufferedConnection(loop, pool, std::move(socket), false), relay_(relay), upstream_(relay) {
+      upstream_.on_reply = [this](std::string_view bytes) {
+        if (!drops_data)
+          write(bytes);
       };
-      inner_.gone = [this] { close_later(); };
+      upstream_.on_disconnected = [this] { close_later(); };
     }
     std::string from;
-    bool dead = false;
-    void over() {
-      inner_.close_later();
+    bool drops_data = false;
+    void disconnect() {
+      upstream_.close_later();
       close_later();
     }
 
    private:
-    struct Inner final : net::BufferedConnection {
-      explicit Inner(GroupRelay& relay)
-          : BufferedConnection(relay.fixture_.loop, relay.fixture_.pool, net::connect_to(relay.to_).socket,
-                               true) {}
+    struct Upstream final : net::BufferedConnection {
+      explicit Upstream(GroupRelay& relay)
+          : BufferedConnection(relay.fixture_.loop, relay.fixture_.pool,
+                               net::connect_to(relay.target_).socket, true) {}
       void on_connected() override { loop().flush_later(*this); }
       void on_received(std::string_view bytes) override {
-        if (back)
-          back(bytes);
+        if (on_reply)
+          on_reply(bytes);
       }
       void on_closed() override {
-        if (gone)
-          gone();
+        if (on_disconnected)
+          on_disconnected();
       }
-      std::function<void(std::string_view)> back;
-      std::function<void()> gone;
+      std::function<void(std::string_view)> on_reply;
+      std::function<void()> on_disconnected;
     };
     GroupRelay& relay_;
-    Inner inner_;
+    Upstream upstream_;
     FrameParser parser_;
     void on_received(std::string_view bytes) override {
       if (from.empty()) {
         std::vector<Frame> frames;
         if (!parser_.parse(bytes, frames))
-          return over();
+          return disconnect();
         if (!frames.empty())
           from = raft::decode_hello(frames[0].body).value_or(raft::Hello()).member;
       }
       if (relay_.cut.count(from) != 0)
-        dead = true;  // whatever comes is lost, and nobody is told
-      if (dead)
+        drops_data = true;  // data is dropped and the connection stays open
+      if (drops_data)
         return;
-      inner_.write(bytes);
+      upstream_.write(bytes);
     }
     void on_closed() override {
-      inner_.close_later();
+      upstream_.close_later();
       relay_.server.remove(*this);
     }
   };
   void reset() {
     for (const auto& peer : server.peers)
-      peer->over();
+      peer->disconnect();
   }
   void heal(const std::string& from) {
     cut.erase(from);
     for (const auto& peer : server.peers) {
-      if (peer->dead)
-        peer->over();
+      if (peer->drops_data)
+        peer->disconnect();
     }
   }
-  std::set<std::string> cut;  // members from whom nothing comes through
+  std::set<std::string> cut;  // members whose data is dropped
   LoopbackServer<Peer, GroupRelay> server;
 
  private:
   InvokerFixture& fixture_;
-  std::string to_;
+  std::string target_;
 };
 
 }  // namespace lotusyard::test
--- a/tests/raft/log_store_faults_test.cpp
+++ b/tests/raft/log_store_faults_test.cpp
@@ -1,4 +1,4 @@
-// The log store on disks that fail: it holds what it acknowledged after every crash.
+// The log store on disks that fail: after every crash it contains what it acknowledged.
 #include <catch2/catch.hpp>
 #include <cstdint>
 #include <functional>
@@ -35,7 +35,7 @@
   return content;
 }
 
-// A random change; `next` is what the store holds after it.
+// Returns a random change; `next` becomes the store's content after it.
 std::function<void(LogStore&)> random_change(Random& random, Durable& next) {
   switch (below(random, 5)) {
     case 0:
@@ -70,8 +70,8 @@
   bool ignores_syncs = false;  // the disk reports a sync before it is durable
 };
 
-// Changes a store until a crash; then the store holds what it acknowledged, or that with the one change that
-// was rejected or in progress.
+// Changes a store until a crash; the store must then contain what it acknowledged, at most with the one
+// change that was rejected or in progress.
 class CrashRun {
  public:
   explicit CrashRun(const CrashSchedule& schedule)
@@ -133,7 +133,7 @@
     store.recover();
     const Durable content = read_back(store);
     if (!(content == acknowledged_) && !(content == attempted_))
-      violation_ = "holds what was never written";
+      violation_ = "contains what was never written";
     acknowledged_ = content;
     attempted_ = content;
   }
@@ -154,8 +154,8 @@
     if (found == acknowledged_ || found == attempted_)
       return "";
     if (found.term < acknowledged_.term)
-      return "the term goes back";
-    return found.vote != acknowledged_.vote ? "a vote is forgotten" : "an entry is lost";
+      return "the term decreased";
+    return found.vote != acknowledged_.vote ? "a vote is lost" : "an entry is lost";
   }
 
   const CrashSchedule schedule_;
@@ -168,7 +168,7 @@
   std::string violation_;
 };
 
-TEST_CASE("log store: a crash at each write and sync in turn keeps what was acknowledged") {
+TEST_CASE("log store: a crash at each single write and sync keeps what was acknowledged") {
   for (const Crash kind : {Crash::process_killed, Crash::power_lost}) {
     std::uint64_t crash_at = 1;
     std::uint64_t changes = 1;
--- a/tests/raft/log_store_test.cpp
+++ b/tests/raft/log_store_test.cpp
@@ -63,7 +63,7 @@
   CHECK(store.first_index() == 91);
 }
 
-TEST_CASE("what a log store acknowledged survives a kill at any moment, entry by entry") {
+TEST_CASE("what a log store acknowledged survives a kill at any time, entry by entry") {
   for (int attempt = 0; attempt < 12; ++attempt) {
     TemporaryFolder folder;
     const std::string path = folder.path + "/a.db";
@@ -95,7 +95,7 @@
   }
 }
 
-TEST_CASE("a log store on a full disk keeps what it held, and acknowledges nothing more") {
+TEST_CASE("a log store on a full disk keeps its content, and acknowledges nothing more") {
   TemporaryFolder folder;
   const std::string path = folder.path + "/a.db";
   const pid_t child = fork();
@@ -121,7 +121,7 @@
   CHECK(store.entries().size() == kept);
 }
 
-TEST_CASE("a damaged or truncated log store is rejected or holds no more than it did") {
+TEST_CASE("a damaged or truncated log store is rejected or contains no more than before") {
   Random random(11);
   for (int attempt = 0; attempt < 40; ++attempt) {
     TemporaryFolder folder;
@@ -146,7 +146,7 @@
       const LogStore store(path);
       const std::size_t entries = store.entries().size();
       CHECK(entries <= 20);
-    } catch (const LogStoreError&) {  // reported; the process goes on
+    } catch (const LogStoreError&) {  // reported; the process continues
     }
   }
 }
--- a/tests/raft/peer_transport_test.cpp
+++ b/tests/raft/peer_transport_test.cpp
@@ -1,4 +1,4 @@
-// What members send each other: frames, raft messages, and the first message of a connection.
+// The wire format between members: frames, raft messages, and the hello of a connection.
 #include "raft/peer_transport.h"
 
 #include <catch2/catch.hpp>
@@ -20,13 +20,13 @@
 using raft::Frame;
 using raft::FrameParser;
 
-// The frame parser with the name that parse_in_parts() calls.
-struct CutFrameParser {
+// Adapts the frame parser to parse_in_parts().
+struct FrameParserAdapter {
   FrameParser parser;
   bool parse(std::string_view bytes, std::vector<Frame>& out) { return parser.parse(bytes, out); }
 };
 
-// Three entries, of which the second is longer than any buffer.
+// A message with three entries, of which the second is longer than any buffer.
 class AppendEntries {
  public:
   AppendEntries() {
@@ -61,7 +61,7 @@
   raft::free_message(*message);
 }
 
-// Nothing of this may end the process.
+// None of these inputs may crash the process.
 void decode_corrupt_input(Random& random, const std::string& body, bool truncate) {
   std::string corrupt = body.substr(0, 120);
   if (truncate)
@@ -76,7 +76,7 @@
   raft::decode_hello(garbage(random, "{}:,\"abc1"));
 }
 
-TEST_CASE("frames and raft messages are read however they are cut, and malformed ones are rejected") {
+TEST_CASE("frames and raft messages are read from any split of the stream, and malformed ones are rejected") {
   Random random(5);
   AppendEntries sent;
   const std::string body = sent.encode();
@@ -84,7 +84,7 @@
       raft::encode_frame(Frame::Kind::consensus, body) + raft::encode_frame(Frame::Kind::message, "t{}");
   for (int i = 0; i < 50; ++i) {
     bool well_formed = false;
-    const auto frames = parse_in_parts<CutFrameParser, Frame>(random, bytes, well_formed);
+    const auto frames = parse_in_parts<FrameParserAdapter, Frame>(random, bytes, well_formed);
     REQUIRE(well_formed);
     check_frames(sent, frames);
   }
--- a/tests/raft/raft_group_test.cpp
+++ b/tests/raft/raft_group_test.cpp
@@ -1,5 +1,5 @@
-// Whole members of a group: real processes with stand-in hosts and clients, and a relay among them that cuts,
-// delays and resets, with kills, stops and restarts, from fixed seeds.
+// Groups of real member processes with stand-in hosts and clients. Relays cut and reset their connections,
+// and processes are killed, stopped and restarted, from fixed seeds.
 #include <algorithm>
 #include <iostream>
 
@@ -21,7 +21,8 @@
   }
 }
 
-TEST_CASE("members keep every rule of a job whoever is killed, stopped, cut off or reset", "[processes]") {
+TEST_CASE("members break no rule of a job while members are killed, stopped, cut off or reset",
+          "[processes]") {
   for (const std::uint64_t seed : {11, 12}) {
     Cluster cluster(seed, seed == 12 ? 5 : 3, 6);
     const std::string broken = cluster.run(6, 2);
@@ -30,10 +31,11 @@
   }
 }
 
-constexpr std::uint64_t kFunctionsOfAllHosts = 24;  // enough that each of 6 hosts is called for some
+constexpr std::uint64_t kFunctionsOfAllHosts = 24;  // enough that each of 6 hosts is called for at least one
 
-// Whether the group knows by its heartbeats that this member has applied the log up to now.
-bool is_known_to_have_applied(Cluster& cluster, const Cluster::Member& member) {
+// Waits until a heartbeat of this member has reported that it applied the log up to now; returns false on a
+// time-out.
+bool wait_until_applied(Cluster& cluster, const Cluster::Member& member) {
   const auto group = [&] {
     return nlohmann::json::parse(cluster.service.get(member.admin_endpoint, "/-/group"), nullptr, false);
   };
@@ -46,8 +48,8 @@
       20);
 }
 
-// One member is cut off from the others once hosts have been selected, and its clients go on. Returns the
-// rule that was broken, or nothing.
+// One member is cut off from the others once hosts have been selected, and its clients continue to send
+// calls. Returns the rule that was broken, or nothing.
 std::string run_with_one_cut_off(Cluster& cluster) {
   cluster.functions = kFunctionsOfAllHosts;
   Cluster::Member& isolated = *cluster.members[2];
@@ -74,14 +76,15 @@
       [&] { return cluster.service.request(isolated.admin_endpoint, "GET", "/-/ready") == 200; }, 20));
   REQUIRE(cluster.add_job("w", 1));
   REQUIRE(wait_for_released(1));
-  // A host is drained only if the member has reported that it knows of the selection, which may be under way
-  // still.
-  REQUIRE(is_known_to_have_applied(cluster, isolated));
+  // A host is drained only once the member has reported that it applied the selection, and that report may
+  // not have been sent yet.
+  REQUIRE(wait_until_applied(cluster, isolated));
   for (const auto& m : cluster.members) {
     m->relay->cut.insert(isolated.name);
     isolated.relay->cut.insert(m->name);
   }
-  for (int hosts = 2; hosts <= 3; ++hosts) {  // both that it knew to be selected; each stays out for a while
+  // The two hosts whose selection it had applied are released, and each stays out of service for 1 s.
+  for (int hosts = 2; hosts <= 3; ++hosts) {
     REQUIRE(wait_for_released(hosts));
     const double until = cluster.fixture.loop.now().count() + 1000;
     cluster.run_until([&] { return cluster.fixture.loop.now().count() > until; }, 5);
@@ -100,9 +103,9 @@
   CHECK_THAT(run_with_one_cut_off(without_lease), Catch::Contains("may be touched"));
 }
 
-// By hand: whether a call is in flight at a host just then is chance. The simulated group finds the same rule
-// broken each time (maintenance_safety_test.cpp).
-TEST_CASE("the checker finds members that do not wait for their last calls", "[.][works-long]") {
+// Run by hand, because it depends on chance whether a call is in flight at a host at that time. The simulated
+// group breaks the same rule each time (maintenance_safety_test.cpp).
+TEST_CASE("the checker finds members that do not wait for their calls in flight", "[.][works-long]") {
   std::string found;
   for (std::uint64_t seed = 21; seed < 33 && found.find("may be touched") == std::string::npos; ++seed) {
     Cluster cluster(seed, 3, 6, "drain");
@@ -132,7 +135,7 @@
   REQUIRE(is_ready);
   CHECK(lost.process->has_logged("requests admission under another id"));
   CHECK(lost.process->has_logged("joined the group as "));
-  // With another member gone its vote is needed.
+  // With another member down, its vote is needed for a majority.
   kill_and_wait(*cluster.members[0]);
   cluster.members[0]->recovers_at = 1e18;
   std::swap(cluster.members[0], cluster.members[1]);
@@ -148,8 +151,8 @@
   CHECK(cluster.violated_rule(1) == "");
 }
 
-// By hand: LOTUSYARD_SEEDS=from-to.
-TEST_CASE("members keep every rule of a job over many seeds", "[.][works-long]") {
+// Run by hand, with LOTUSYARD_SEEDS=from-to.
+TEST_CASE("members break no rule of a job over many seeds", "[.][works-long]") {
   const char* given = std::getenv("LOTUSYARD_SEEDS");
   const std::string seeds = given == nullptr ? "1-200" : given;
   const int from = std::stoi(seeds), to = std::stoi(seeds.substr(seeds.find('-') + 1));
--- a/tests/raft/raft_safety_checker.cpp
+++ b/tests/raft/raft_safety_checker.cpp
@@ -42,7 +42,7 @@
 
 void RaftSafetyChecker::check_term(std::uint64_t replica, std::uint64_t term) {
   if (term < terms_[replica])
-    report("the term goes back at " + std::to_string(replica));
+    report("the term decreases at " + std::to_string(replica));
   terms_[replica] = term;
 }
 
--- a/tests/raft/raft_safety_checker.h
+++ b/tests/raft/raft_safety_checker.h
@@ -1,5 +1,5 @@
-// What replicas of a raft group must never do, checked from the messages that they send and the entries that
-// they apply, over all their restarts.
+// Checks the safety rules of a raft group from the messages that its replicas send and the entries that they
+// apply, over all their restarts.
 #pragma once
 
 #include <cstdint>
@@ -17,12 +17,12 @@
   void on_sent(std::uint64_t from, std::uint64_t to, const raft_message& message);
   void on_applied(std::uint64_t index, const std::string& entry);
   void on_acknowledged(const std::string& entry) { acknowledged_.insert(entry); }
-  // Only the first violation is kept.
+  // Only the first violation is retained.
   void report(const std::string& violation);
 
   // Empty: no rule was broken.
   const std::string& violation() const { return violation_; }
-  // Entries that clients were told are committed.
+  // Entries that were reported to clients as committed.
   const std::set<std::string>& acknowledged() const { return acknowledged_; }
 
  private:
--- a/tests/raft/replica_faults_test.cpp
+++ b/tests/raft/replica_faults_test.cpp
@@ -1,5 +1,5 @@
-// Replicas on disks that fail: no vote is forgotten, no term goes back, no acknowledged entry is lost, and
-// every replica takes part again once its disk works.
+// Replicas on disks that fail: no vote is lost, no term decreases, no acknowledged entry is lost, and
+// every replica participates again once its disk works.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <iterator>
@@ -36,7 +36,7 @@
   return group.checker.violation();
 }
 
-TEST_CASE("replicas: no vote is forgotten and no acknowledged entry is lost over 200 schedules") {
+TEST_CASE("replicas: no vote is lost and no acknowledged entry is lost over 200 schedules") {
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     INFO("seed " << seed);
     REQUIRE(run_group(seed) == "");
@@ -66,7 +66,7 @@
   CHECK_FALSE(leader->core->is_leader());
   CHECK_FALSE(leader->core->is_available());
   CHECK_FALSE(leader->core->has_failed());
-  CHECK(group.checker.acknowledged().size() > 150);  // the others go on
+  CHECK(group.checker.acknowledged().size() > 150);  // the others continue
   group.heal_and_check();
   CHECK(group.checker.violation() == "");
 }
--- a/tests/raft/replica_restart_test.cpp
+++ b/tests/raft/replica_restart_test.cpp
@@ -1,4 +1,4 @@
-// One replica whose instance restarts, with a leader that the test plays.
+// One replica whose instance restarts; the test sends the messages of its leader.
 #include <catch2/catch.hpp>
 #include <string>
 #include <vector>
@@ -80,7 +80,8 @@
   CHECK(delegate.failure == "");
 }
 
-// The library alone answers with 3, which the leader of term 3 takes for an entry of its own at that index.
+// libraft alone answers with index 3, and the leader of term 3 would count its own entry at that index as
+// replicated.
 TEST_CASE("replicas: a follower does not acknowledge entries that its leader never had") {
   FaultVfs vfs;
   VirtualScheduler scheduler;
@@ -88,7 +89,7 @@
   store.initialize({"yard", "a", 1, 0});
   raft::RaftCore::bootstrap(store, {{1, "a", RAFT_VOTER}, {kLeader, "b", RAFT_VOTER}});
   store.set_term(2);
-  store.append({{1, RAFT_COMMAND, "agreed"}, {2, RAFT_COMMAND, "of a leader that is gone"}});
+  store.append({{1, RAFT_COMMAND, "agreed"}, {2, RAFT_COMMAND, "of an earlier leader"}});
   Follower delegate;
   raft::RaftCore replica(scheduler, store, delegate, 1, "a", kElectionTimeout, 1);
   raft_message message{};
--- a/tests/raft/replicated_state_machine_test.cpp
+++ b/tests/raft/replicated_state_machine_test.cpp
@@ -1,4 +1,5 @@
-// Several parts on one member's log: each gets its own entries, words and snapshots, and none is skipped.
+// Several state machines on one replica's log: each receives its own entries, messages and snapshots, and no
+// entry is skipped.
 #include <catch2/catch.hpp>
 #include <map>
 #include <memory>
@@ -13,30 +14,30 @@
 namespace lotusyard::test {
 namespace {
 
-struct Fake final : raft::ReplicatedStateMachine {
-  explicit Fake(const char* name) : name_(name) {}
+struct FakeStateMachine final : raft::ReplicatedStateMachine {
+  explicit FakeStateMachine(const char* name) : name_(name) {}
   const char* name() const override { return name_; }
-  void apply(std::uint64_t, const std::string& entry) override { got.push_back(entry); }
-  std::string snapshot() override { return std::to_string(got.size()); }
-  bool restore(const std::string& from) override {
-    restored = from;
-    return from != "damaged";
+  void apply(std::uint64_t, const std::string& entry) override { applied.push_back(entry); }
+  std::string snapshot() override { return std::to_string(applied.size()); }
+  bool restore(const std::string& snapshot) override {
+    restored = snapshot;
+    return snapshot != "damaged";
   }
-  void handle_message(const std::string& word) override { words.push_back(word); }
-  void on_store_failure(const std::string& why) override { fault = why; }
-  std::vector<std::string> got, words;
-  std::string restored = "never", fault;
+  void handle_message(const std::string& message) override { messages.push_back(message); }
+  void on_store_failure(const std::string& reason) override { failure = reason; }
+  std::vector<std::string> applied, messages;
+  std::string restored = "never", failure;
 
  private:
   const char* name_;
 };
 
-struct Alone {
+struct SingleReplicaFixture {
   TemporaryFolder folder;
   net::EventLoop loop;
   metrics::Counters counters;
   raft::Config config;
-  Alone() {
+  SingleReplicaFixture() {
     const net::Socket free = net::listen_on("127.0.0.1:0");
     config.cluster = "yard";
     config.member = "a";
@@ -46,53 +47,56 @@
     config.election_timeout = Millis(50);
     raft::RaftReplica::bootstrap(config);
   }
-  template <typename Until>
-  bool until(const Until& done) {
+  template <typename Predicate>
+  bool run_until(const Predicate& done) {
     for (int i = 0; i < 2000 && !done(); ++i)
       loop.run_once(loop.now() + Millis(5), [] {});
     return done();
   }
 };
 
-TEST_CASE("parts share one log, and each gets what is its own") {
-  Alone alone;
-  Fake works("works"), view("other");
-  raft::RaftReplica member(alone.loop, alone.counters, alone.config, {&works, &view}, [](const auto&) {});
-  REQUIRE(alone.until([&] { return member.is_leader(); }));
-  REQUIRE(member.propose(view, "{\"a\":1}"));
-  REQUIRE(member.propose(works, "w"));
-  REQUIRE(member.send_to_leader(view, "word"));
-  REQUIRE(alone.until([&] { return works.got.size() == 1 && view.words.size() == 1; }));
-  CHECK(view.got == std::vector<std::string>{"{\"a\":1}"});
-  CHECK(view.words == std::vector<std::string>{"word"});
-  CHECK(works.words.empty());
+TEST_CASE("state machines share one log, and each receives its own entries and messages") {
+  SingleReplicaFixture fixture;
+  FakeStateMachine maintenance("works"), other("other");
+  raft::RaftReplica replica(fixture.loop, fixture.counters, fixture.config, {&maintenance, &other},
+                            [](const auto&) {});
+  REQUIRE(fixture.run_until([&] { return replica.is_leader(); }));
+  REQUIRE(replica.propose(other, "{\"a\":1}"));
+  REQUIRE(replica.propose(maintenance, "w"));
+  REQUIRE(replica.send_to_leader(other, "word"));
+  REQUIRE(fixture.run_until([&] { return maintenance.applied.size() == 1 && other.messages.size() == 1; }));
+  CHECK(other.applied == std::vector<std::string>{"{\"a\":1}"});
+  CHECK(other.messages == std::vector<std::string>{"word"});
+  CHECK(maintenance.messages.empty());
 }
 
-TEST_CASE("an entry of a kind that a member does not know stops it, and is not skipped") {
-  Alone alone;
+TEST_CASE("an entry of an unknown state machine stops the replica, and is not skipped") {
+  SingleReplicaFixture fixture;
   {
-    raft::LogStore store(alone.config.store);
+    raft::LogStore store(fixture.config.store);
     store.append({{1, RAFT_COMMAND, raft::tag_entry("later", "{}")}});
-    store.append({{1, RAFT_COMMAND, "{\"t\":\"ask\"}"}});  // as written before there were kinds
+    // Without a tag, as written when there was only one state machine.
+    store.append({{1, RAFT_COMMAND, "{\"t\":\"ask\"}"}});
   }
-  Fake works("works"), other("other");
-  raft::RaftReplica member(alone.loop, alone.counters, alone.config, {&works, &other}, [](const auto&) {});
-  REQUIRE(alone.until([&] { return !works.fault.empty() && !works.got.empty(); }));
-  CHECK_THAT(works.fault, Catch::Contains("does not know: later"));
-  CHECK(other.fault == works.fault);
-  CHECK(works.got.front() == "{\"t\":\"ask\"}");
-  CHECK(alone.counters.value("group.unknown_entries") == 1);
+  FakeStateMachine maintenance("works"), other("other");
+  raft::RaftReplica replica(fixture.loop, fixture.counters, fixture.config, {&maintenance, &other},
+                            [](const auto&) {});
+  REQUIRE(fixture.run_until([&] { return !maintenance.failure.empty() && !maintenance.applied.empty(); }));
+  CHECK_THAT(maintenance.failure, Catch::Contains("does not know: later"));
+  CHECK(other.failure == maintenance.failure);
+  CHECK(maintenance.applied.front() == "{\"t\":\"ask\"}");
+  CHECK(fixture.counters.value("group.unknown_entries") == 1);
 }
 
-TEST_CASE("snapshots hold every part's state, and one from before there were parts is read as works") {
-  const std::map<std::string, std::string> parts = {{"works", "{\"index\":3}"}, {"other", "x"}};
-  CHECK(raft::decode_snapshots(raft::encode_snapshots(parts)) == parts);
-  const auto old = raft::decode_snapshots("{\"index\":7}");
-  REQUIRE(old);
-  CHECK(old->at("works") == "{\"index\":7}");
+TEST_CASE("snapshots contain every state machine's state, and an untagged one is read as maintenance's") {
+  const std::map<std::string, std::string> snapshots = {{"works", "{\"index\":3}"}, {"other", "x"}};
+  CHECK(raft::decode_snapshots(raft::encode_snapshots(snapshots)) == snapshots);
+  const auto untagged = raft::decode_snapshots("{\"index\":7}");
+  REQUIRE(untagged);
+  CHECK(untagged->at("works") == "{\"index\":7}");
   CHECK_FALSE(raft::decode_snapshots("nonsense"));
   CHECK_FALSE(raft::decode_snapshots("{\"parts\":{\"a\":3}}"));
-  CHECK(raft::untag_entry("no mark") == std::make_pair(std::string("works"), std::string("no mark")));
+  CHECK(raft::untag_entry("no tag") == std::make_pair(std::string("works"), std::string("no tag")));
 }
 
 }  // namespace
--- a/tests/raft/simulated_replicas.cpp
+++ b/tests/raft/simulated_replicas.cpp
@@ -37,7 +37,7 @@
   std::getline(lines, line);
   const std::uint64_t index = std::stoull(line);
   if (index < applied_index)
-    group->checker.report("the state goes back");
+    group->checker.report("the state is older than before");
   applied_index = index;
   state.clear();
   while (std::getline(lines, line))
@@ -86,7 +86,7 @@
   }
 }
 
-// As a process that ends: its memory is lost.
+// The process ends, and its memory is lost.
 void SimulatedReplicas::stop(SimulatedReplica& replica) {
   replica.core.reset();
   replica.store.reset();
@@ -117,7 +117,7 @@
   const Millis until = scheduler.now() + duration;
   while (checker.violation().empty() && scheduler.run_next(until)) {
     for (auto& replica : replicas)
-      attend(replica);
+      crash_or_restart(replica);
   }
   for (auto& replica : replicas) {
     if (!replica.is_running())
@@ -125,7 +125,7 @@
   }
 }
 
-void SimulatedReplicas::attend(SimulatedReplica& replica) {
+void SimulatedReplicas::crash_or_restart(SimulatedReplica& replica) {
   if (replica.disk->crashed())
     crash(replica);
   if (!replica.is_running() && scheduler.now() >= replica.restart_at)
--- a/tests/raft/simulated_replicas.h
+++ b/tests/raft/simulated_replicas.h
@@ -1,5 +1,5 @@
-// A raft group on virtual time, each replica with a disk that fails as a test says, and a checker of what
-// they must never do.
+// A raft group on virtual time, each replica with a disk on which a test injects faults, and a checker of the
+// safety rules.
 #pragma once
 
 #include <array>
@@ -60,7 +60,8 @@
   void propose();
   // Processes that crash or cannot start are restarted.
   void run(Millis duration);
-  // Heals all disks and checks that all replicas take part again, with all that was acknowledged.
+  // Ends the faults of all disks and checks that all replicas are available again, with all acknowledged
+  // entries.
   void heal_and_check();
   void deliver_later(std::uint64_t from, std::uint64_t to, const std::string& message);
 
@@ -77,7 +78,7 @@
   void start(SimulatedReplica& replica);
   void stop(SimulatedReplica& replica);
   void crash(SimulatedReplica& replica);
-  void attend(SimulatedReplica& replica);
+  void crash_or_restart(SimulatedReplica& replica);
   void check_state(const SimulatedReplica& replica);
   void deliver(std::uint64_t from, std::uint64_t to, const std::string& bytes);
 };
--- a/tests/raft/virtual_scheduler.h
+++ b/tests/raft/virtual_scheduler.h
@@ -1,4 +1,4 @@
-// Timers on a clock that moves only as the test says.
+// Timers on a virtual clock that only run_next() advances.
 #pragma once
 
 #include <algorithm>
@@ -13,9 +13,9 @@
  public:
   using Millis = raft::Scheduler::Millis;
   Millis now() const override { return now_; }
-  TimerId at(Millis when, std::function<void()> ring) override {
-    const TimerId id{std::max(when, now_).count(), ++serial_};
-    timers_[id] = std::move(ring);
+  TimerId at(Millis when, std::function<void()> callback) override {
+    const TimerId id{std::max(when, now_).count(), ++last_serial_};
+    timers_[id] = std::move(callback);
     return id;
   }
   void cancel(const TimerId& id) override { timers_.erase(id); }
@@ -26,15 +26,15 @@
       return false;
     }
     now_ = Millis(next->first.first);
-    const auto ring = std::move(next->second);
+    const auto callback = std::move(next->second);
     timers_.erase(next);
-    ring();
+    callback();
     return true;
   }
 
  private:
   Millis now_{1000};
-  std::uint64_t serial_ = 0;
+  std::uint64_t last_serial_ = 0;
   std::map<TimerId, std::function<void()>> timers_;
 };
 
