--- a/tests/gossip/gossip_measure.cpp
+++ b/tests/gossip/gossip_measure.cpp
@@ -1,4 +1,4 @@
-// Figures of the SWIM protocol on a simulated network, by hand: lotusyard_fleet_tests "[view-measure]".
+// Measures the SWIM protocol on a simulated network. Run by hand: lotusyard_fleet_tests "[view-measure]".
 #include <iostream>
 
 #include "gossip/gossip_network.h"
@@ -6,33 +6,34 @@
 namespace lotusyard::test {
 namespace {
 
-struct Spread {
-  std::vector<double> all;
-  std::string text() {
-    std::sort(all.begin(), all.end());
-    const auto at = [&](double part) {
-      return std::to_string(
-          static_cast<int>(all[static_cast<std::size_t>(part * static_cast<double>(all.size() - 1))]));
+struct Samples {
+  std::vector<double> values;
+  std::string min_median_max() {
+    std::sort(values.begin(), values.end());
+    const auto at = [&](double fraction) {
+      return std::to_string(static_cast<int>(
+          values[static_cast<std::size_t>(fraction * static_cast<double>(values.size() - 1))]));
     };
     return at(0) + "/" + at(0.5) + "/" + at(1);
   }
 };
 
-TEST_CASE("times until all know, and what it costs", "[.][view-measure]") {
-  std::cout << "members: ms until all know (least/median/most of 10): a join, a crash, a healed partition; "
-               "messages and bytes a member and second at rest\n";
+TEST_CASE("dissemination times and message rates", "[.][view-measure]") {
+  std::cout
+      << "members: ms until all tables match (min/median/max of 10): a join, a crash, a healed partition; "
+         "messages and bytes per member and second at rest\n";
   for (const std::size_t n : {3, 30, 100, 300}) {
-    Spread join, crash, heal, sent, bytes;
+    Samples join, crash, heal, sent, bytes;
     for (std::uint64_t seed = 1; seed <= (n > 100 ? 3 : 10); ++seed) {
       GossipNetwork network(seed, n);
       for (std::size_t i = 0; i + 1 < n; ++i)
         network.start(i);
       network.run(20000);
       network.start(n - 1);
-      join.all.push_back(network.time_until_settled(60000));
+      join.values.push_back(network.time_until_settled(60000));
       network.run(5000);
       network.crash(n / 2);
-      crash.all.push_back(network.time_until_settled(60000));
+      crash.values.push_back(network.time_until_settled(60000));
       network.run(10000);
       std::set<std::size_t> side;
       for (std::size_t i = 0; i < n / 2; ++i)
@@ -40,27 +41,28 @@
       network.cut_off(side);
       network.run(30000);
       network.heal();
-      heal.all.push_back(network.time_until_settled(60000));
+      heal.values.push_back(network.time_until_settled(60000));
       network.run(20000);
       network.measure_bytes = true;
-      std::uint64_t before = 0, after = 0, weight = 0;
+      std::uint64_t before = 0, after = 0, bytes_sent = 0;
       for (const auto& node : network.nodes)
         before += node.sent;
       network.run(30000);
       for (const auto& node : network.nodes) {
         after += node.sent;
-        weight += node.bytes;
+        bytes_sent += node.bytes;
       }
-      sent.all.push_back(static_cast<double>(after - before) / static_cast<double>(n) / 30 * 10);
-      bytes.all.push_back(static_cast<double>(weight) / static_cast<double>(n) / 30);
+      sent.values.push_back(static_cast<double>(after - before) / static_cast<double>(n) / 30 * 10);
+      bytes.values.push_back(static_cast<double>(bytes_sent) / static_cast<double>(n) / 30);
     }
-    std::cout << n << ": " << join.text() << "  " << crash.text() << "  " << heal.text()
-              << "  tenths of messages " << sent.text() << "  bytes " << bytes.text() << std::endl;
+    std::cout << n << ": " << join.min_median_max() << "  " << crash.min_median_max() << "  "
+              << heal.min_median_max() << "  tenths of messages " << sent.min_median_max() << "  bytes "
+              << bytes.min_median_max() << std::endl;
   }
 }
 
 TEST_CASE("false deaths under loss and stalls", "[.][view-measure]") {
-  std::cout << "members, loss, stalled: deaths declared of members that were well, suspicions, in an hour\n";
+  std::cout << "members, loss, stalled: false deaths and suspicions in an hour\n";
   for (const std::size_t n : {30, 100}) {
     for (const double loss : {0.0, 0.05, 0.2}) {
       for (const bool stalls : {false, true}) {
--- a/tests/gossip/gossip_message_test.cpp
+++ b/tests/gossip/gossip_message_test.cpp
@@ -1,4 +1,4 @@
-// Messages between members: encoded, decoded, corrupt.
+// Encoding of gossip messages, and decoding of valid and corrupt ones.
 #include <catch2/catch.hpp>
 #include <random>
 #include <string>
@@ -30,7 +30,7 @@
   }
   CHECK_FALSE(gossip::decode_message(std::string(1U << 20, '[')));
   message.self.refutation = ~0ULL;
-  CHECK_FALSE(gossip::decode_message(gossip::encode_message(message)));  // an incarnation that jumps
+  CHECK_FALSE(gossip::decode_message(gossip::encode_message(message)));  // an implausible refutation count
 }
 
 }  // namespace
--- a/tests/gossip/gossip_network.cpp
+++ b/tests/gossip/gossip_network.cpp
@@ -58,7 +58,7 @@
 
 void GossipNetwork::stall(std::size_t index, double duration) {
   nodes[index].stalled_until = now_ + duration;
-  record_event(nodes[index].name + " stands still");
+  record_event(nodes[index].name + " pauses");
 }
 
 void GossipNetwork::cut_off(const std::set<std::size_t>& side) {
@@ -68,12 +68,12 @@
         cut.insert({from, to});
     }
   }
-  record_event("a cut");
+  record_event("links cut");
 }
 
 void GossipNetwork::heal() {
   cut.clear();
-  record_event("links are back");
+  record_event("links healed");
 }
 
 void GossipNetwork::send_outgoing(std::size_t index) {
@@ -84,9 +84,9 @@
     if (measure_bytes)
       node.bytes += gossip::encode_message(outgoing.message).size();
     const auto to = by_address_.find(outgoing.address);
-    if (to == by_address_.end() || cut.count({index, to->second}) != 0 || chance() < loss)
+    if (to == by_address_.end() || cut.count({index, to->second}) != 0 || random_fraction() < loss)
       continue;
-    const double arrives_at = now_ + kDelay * (0.5 + chance());
+    const double arrives_at = now_ + kDelay * (0.5 + random_fraction());
     in_flight_.push({arrives_at, ++last_message_, index, to->second, std::move(outgoing.message)});
   }
   count_changes(node);
@@ -96,7 +96,7 @@
   for (const auto& change : node.swim->take_changes()) {
     ++changes;
     const bool has_crashed = crashed_.count({change.name, change.incarnation}) != 0;
-    // A node that is cut off for longer than a suspicion lasts is rightly declared dead.
+    // While links are cut, it is correct to declare a node dead that does not answer.
     if (change.status == MemberStatus::dead && !has_crashed && cut.empty())
       ++false_deaths;
   }
@@ -158,24 +158,24 @@
   }
 }
 
-char GossipNetwork::mark(const Node& observer, const Node& observed) const {
+char GossipNetwork::status_mark(const Node& observer, const Node& observed) const {
   const MemberRecord* record = observer.swim->member_table().find(observed.name);
   return record == nullptr ? '.' : "~+?x<"[static_cast<std::size_t>(record->status)];
 }
 
-std::string GossipNetwork::cell(const Node& observer) const {
+std::string GossipNetwork::status_marks(const Node& observer) const {
   if (!observer.swim)
     return std::string(nodes.size(), ' ');
   std::string marks;
   for (const auto& observed : nodes)
-    marks += mark(observer, observed);
+    marks += status_mark(observer, observed);
   return marks;
 }
 
 void GossipNetwork::draw() {
   std::string row;
   for (const auto& node : nodes)
-    row += "  " + cell(node);
+    row += "  " + status_marks(node);
   if (row == last_row_ && events.empty())
     return;
   last_row_ = row;
@@ -187,18 +187,18 @@
   drawing += periods + row + remarks + "\n";
 }
 
-std::string GossipNetwork::head() const {
+std::string GossipNetwork::header() const {
   std::string line = "     ";
   for (const auto& node : nodes)
     line += "  " + node.name + std::string(nodes.size() - node.name.size(), ' ');
   return line + "\n";
 }
 
-bool GossipNetwork::knows_truth(const Node& observer, const Node& observed) const {
+bool GossipNetwork::matches_actual_state(const Node& observer, const Node& observed) const {
   const MemberRecord* record = observer.swim->member_table().find(observed.name);
-  const bool is_believed_up = record != nullptr && record->status <= MemberStatus::alive &&
+  const bool is_recorded_up = record != nullptr && record->status <= MemberStatus::alive &&
                               record->incarnation == observed.incarnation;
-  return is_believed_up == (observed.swim != nullptr);
+  return is_recorded_up == (observed.swim != nullptr);
 }
 
 bool GossipNetwork::is_settled() const {
@@ -206,7 +206,7 @@
     if (!observer.swim)
       continue;
     for (const auto& observed : nodes) {
-      if (!knows_truth(observer, observed))
+      if (!matches_actual_state(observer, observed))
         return false;
     }
   }
@@ -214,13 +214,13 @@
 }
 
 double GossipNetwork::time_until_settled(double duration) {
-  const double began = now_;
-  while (now_ < began + duration) {
+  const double started_at = now_;
+  while (now_ < started_at + duration) {
     if (is_settled())
-      return now_ - began;
+      return now_ - started_at;
     run(20);
   }
-  return is_settled() ? now_ - began : -1;
+  return is_settled() ? now_ - started_at : -1;
 }
 
 }  // namespace lotusyard::test
--- a/tests/gossip/gossip_network.h
+++ b/tests/gossip/gossip_network.h
@@ -1,5 +1,5 @@
-// A fleet of SWIM members on a virtual clock, a network among them that loses and delays messages, and a
-// drawing of what each believes: one column a node, one row a change. Times are in milliseconds.
+// SWIM members on a virtual clock, connected by a network that loses and delays messages. Draws each member's
+// table as text: one column per node, one row per change. Times are in milliseconds.
 #pragma once
 
 #include <catch2/catch.hpp>
@@ -50,20 +50,21 @@
   void cut_off(const std::set<std::size_t>& side);
   void heal();
 
-  // If `draws`, each change is drawn.
+  // Appends a row to `drawing` for each change if `draws` is set.
   void run(double duration, bool draws = false);
-  // Returns the milliseconds until all agree with the truth; -1 if they do not within the duration.
+  // Returns the milliseconds until every member's table matches the actual state of all nodes; -1 if it does
+  // not within `duration`.
   double time_until_settled(double duration);
-  // The line above the drawing.
-  std::string head() const;
+  // The header line of the drawing.
+  std::string header() const;
 
   std::vector<Node> nodes;
   std::set<std::pair<std::size_t, std::size_t>> cut;  // links, from and to
   gossip::GossipTiming timing;
-  double loss = 0;  // the part of all messages that is lost
+  double loss = 0;  // fraction of all messages
   bool measure_bytes = false;
   std::vector<std::pair<double, std::string>> events;  // not drawn yet
-  std::uint64_t false_deaths = 0;                      // nodes that run and were declared dead
+  std::uint64_t false_deaths = 0;                      // declarations of running nodes as dead
   std::uint64_t changes = 0;
   std::string drawing;
 
@@ -79,7 +80,7 @@
     }
   };
 
-  double chance() { return static_cast<double>(random_() % 100000) / 100000; }
+  double random_fraction() { return static_cast<double>(random_() % 100000) / 100000; }
   void record_event(const std::string& event) { events.emplace_back(now_, event); }
   bool is_running(const Node& node) const { return node.swim != nullptr && now_ >= node.stalled_until; }
   void send_outgoing(std::size_t node);
@@ -89,12 +90,12 @@
   double next_event_at(double until) const;
   void deliver_due();
   void tick_due();
-  // A row whenever a belief has changed or something has happened.
+  // Adds a row if the table of any node has changed or an event was recorded.
   void draw();
-  char mark(const Node& observer, const Node& observed) const;
-  std::string cell(const Node& observer) const;
+  char status_mark(const Node& observer, const Node& observed) const;
+  std::string status_marks(const Node& observer) const;
   bool is_settled() const;
-  bool knows_truth(const Node& observer, const Node& observed) const;
+  bool matches_actual_state(const Node& observer, const Node& observed) const;
 
   std::mt19937_64 random_;
   double now_ = 1000;
--- a/tests/gossip/gossip_schedule_test.cpp
+++ b/tests/gossip/gossip_schedule_test.cpp
@@ -1,4 +1,5 @@
-// Random sequences of faults, after which all members agree again, and planted faults that the checks find.
+// Random sequences of faults, after which all members must agree again, and injected faults that the checks
+// must find.
 #include <rapidcheck.h>
 
 #include <string>
@@ -11,11 +12,11 @@
 namespace lotusyard::test {
 namespace {
 
-std::string drawing_of(const GossipNetwork& network) { return "\n" + network.head() + network.drawing; }
+std::string drawing_of(const GossipNetwork& network) { return "\n" + network.header() + network.drawing; }
 
 constexpr std::size_t kNodes = 5;
 
-// Each number is one fault: what happens, to which node, and how long it lasts.
+// A number encodes one fault: its kind, the node and its duration.
 void apply_fault(GossipNetwork& network, int fault) {
   const auto node = static_cast<std::size_t>(fault % 5);
   switch (fault / 5 % 6) {
@@ -49,7 +50,7 @@
   }
 }
 
-// Plays the faults. Returns the rule that was broken, or nothing. `drawing` may be null.
+// Runs the faults. Returns the rule that was broken, or nothing. `drawing` may be null.
 std::string broken_rule_after(std::uint64_t seed, const std::vector<int>& faults,
                               std::string* drawing = nullptr) {
   const bool draws = drawing != nullptr;
@@ -64,7 +65,7 @@
   const double settled_after = network.time_until_settled(25000);
   if (draws)
     *drawing = drawing_of(network);
-  return settled_after < 0 ? "views differ 25 s after the last fault" : std::string();
+  return settled_after < 0 ? "tables differ 25 s after the last fault" : std::string();
 }
 
 // Whether a random sequence of faults is found after which the members do not agree.
@@ -75,7 +76,7 @@
     const std::string broken = broken_rule_after(seed, faults);
     if (broken.empty())
       return;
-    std::string drawing;  // of the faults as they are once shrunk
+    std::string drawing;  // of the shrunk sequence
     broken_rule_after(seed, faults, &drawing);
     RC_FAIL(broken + drawing);
   });
@@ -90,7 +91,7 @@
   CHECK(finds_disagreement(50));
 }
 
-// Suspicions by a member that was paused itself, of others that ran all the time.
+// Counts the suspicions by a member that was itself paused, of others that ran all the time.
 std::uint64_t count_suspicions_by_paused_member(int seeds) {
   std::uint64_t suspicions = 0;
   for (int seed = 1; seed <= seeds; ++seed) {
@@ -104,13 +105,13 @@
   return suspicions;
 }
 
-TEST_CASE("a member that takes its own pause for others' silence is found") {
+TEST_CASE("a member that attributes its own pause to others is found") {
   CHECK(count_suspicions_by_paused_member(40) == 0);
   FaultInjection::Scope broken("stall");
   CHECK(count_suspicions_by_paused_member(40) > 0);
 }
 
-TEST_CASE("a forgotten member is not brought back by one that was cut off for longer") {
+TEST_CASE("a removed member is not reintroduced by one that was cut off for longer") {
   GossipNetwork network(9, 4);
   network.timing.remove_dead_after = Millis(30000);
   network.start_all();
--- a/tests/gossip/gossip_timeline_test.cpp
+++ b/tests/gossip/gossip_timeline_test.cpp
@@ -1,14 +1,14 @@
-// What members believe of each other over time, drawn as text, while members crash, restart, pause and leave.
+// The members' tables over time, drawn as text, while members crash, restart, pause and leave.
 #include "gossip/gossip_network.h"
 
 namespace lotusyard::test {
 namespace {
 
-std::string drawing_of(const GossipNetwork& network) { return "\n" + network.head() + network.drawing; }
+std::string drawing_of(const GossipNetwork& network) { return "\n" + network.header() + network.drawing; }
 
-// A column is what one node believes of a, b, c, d: + alive, ~ joining, ? suspect, x dead, < left, . unknown.
-// The time is in probe periods.
-TEST_CASE("timeline: a fleet starts, a member crashes and restarts") {
+// A column is the status of a, b, c, d in one node's table: + alive, ~ joining, ? suspect, x dead, < left, .
+// unknown. The time is in probe periods.
+TEST_CASE("timeline: all members start, one crashes and restarts") {
   GossipNetwork network(1, 4);
   network.start_all();
   network.run(1500);
@@ -36,7 +36,7 @@
 )");
 }
 
-TEST_CASE("timeline: in a partition each side declares the other dead, and they find each other again") {
+TEST_CASE("timeline: in a partition each side declares the other dead, and both rejoin after it") {
   GossipNetwork network(1, 4);
   network.start_all();
   network.run(5000);
@@ -47,7 +47,7 @@
   network.run(4000, true);
   CHECK(drawing_of(network) == R"(
        a     b     c     d   
- 10.0  ++++  ++++  ++++  ++++   a cut
+ 10.0  ++++  ++++  ++++  ++++   links cut
  11.0  +++?  ++++  ?+++  ?+++
  11.4  +++?  +++?  ?+++  ?+++
  13.0  ++??  +++?  ??++  ??++
@@ -60,7 +60,7 @@
  17.1  ++?x  ++?x  xx++  xx++
  17.8  ++?x  ++xx  xx++  xx++
  18.1  ++xx  ++xx  xx++  xx++
- 28.0  ++xx  ++xx  xx++  xx++   links are back
+ 28.0  ++xx  ++xx  xx++  xx++   links healed
  30.0  ++xx  ++xx  xx+?  xx++
  30.0  ++xx  ?+xx  xx+?  xx++
  30.1  ++xx  ?+xx  xx+?  x+?+
@@ -76,7 +76,7 @@
 )");
 }
 
-TEST_CASE("timeline: a process that was paused for a minute suspects nobody, and refutes its own death") {
+TEST_CASE("timeline: a process that was paused for a minute suspects no member, and refutes its own death") {
   GossipNetwork network(3, 3);
   network.start_all();
   network.run(5000);
@@ -85,7 +85,7 @@
   network.run(64000, true);
   CHECK(drawing_of(network) == R"(
        a    b    c  
- 10.0  +++  +++  +++   b stands still
+ 10.0  +++  +++  +++   b pauses
  11.0  +?+  +++  +++
  11.1  +?+  +++  +?+
  13.5  +?+  +++  +x+
@@ -95,7 +95,7 @@
 )");
 }
 
-TEST_CASE("timeline: a member that leaves is declared dead by nobody") {
+TEST_CASE("timeline: no member declares a member dead that leaves") {
   GossipNetwork network(4, 3);
   network.start_all();
   network.run(5000);
@@ -110,7 +110,7 @@
 )");
 }
 
-TEST_CASE("of two processes of one name the later incarnation stays, and the other falls silent") {
+TEST_CASE("of two processes of one name the later incarnation stays, and the other stops sending") {
   GossipNetwork network(5, 4);
   network.nodes[3].name = "a";  // at another address, and started later
   network.nodes[3].incarnation = 5;
@@ -121,7 +121,7 @@
   CHECK(network.nodes[1].swim->member_table().find("a")->address == network.nodes[3].address);
 }
 
-TEST_CASE("a link that is cut one way only makes nobody dead, and few changes") {
+TEST_CASE("links that are cut in one direction cause no declared death and few changes") {
   GossipNetwork network(6, 8);
   network.start_all();
   network.run(5000);
@@ -131,7 +131,7 @@
   network.run(120000);
   for (const auto& node : network.nodes)
     CHECK(node.swim->member_table().find("a")->status != MemberStatus::dead);
-  CHECK(network.changes - before < 8 * 8 * 4);  // nobody flaps: no more than four rumours that reach all
+  CHECK(network.changes - before < 8 * 8 * 4);  // no flapping: at most four updates that reach all members
 }
 
 }  // namespace
--- a/tests/gossip/member_metadata_test.cpp
+++ b/tests/gossip/member_metadata_test.cpp
@@ -1,4 +1,4 @@
-// What members observe of hosts, merged from all of them.
+// Merging of the host observations of all members.
 #include "gossip/member_metadata.h"
 
 #include <rapidcheck.h>
@@ -36,7 +36,7 @@
 
 // Whether the merged state depends on the order of the observations.
 bool order_matters() {
-  return !property_holds("observations merge alike in any order, repeated or not", 300, [] {
+  return !property_holds("observations merge to the same state in any order, repeated or not", 300, [] {
     const auto count = *rc::gen::inRange<std::size_t>(0, 12);
     std::vector<gossip::HostObservation> all;
     for (std::size_t i = 0; i < count; ++i)
@@ -55,13 +55,13 @@
   });
 }
 
-TEST_CASE("observations of hosts merge alike in any order, repeated or not") {
+TEST_CASE("observations of hosts merge to the same state in any order, repeated or not") {
   CHECK_FALSE(order_matters());
   FaultInjection::Scope broken("merge-order");
   CHECK(order_matters());
 }
 
-TEST_CASE("observations of an earlier incarnation of a host, or of observers that are gone, are dropped") {
+TEST_CASE("observations of an earlier incarnation of a host, or of absent observers, are dropped") {
   gossip::MemberMetadata metadata;
   metadata.merge({"h", 10, "a", 1, 1, false});
   metadata.merge({"h", 20, "b", 1, 1, true});
@@ -71,7 +71,7 @@
   metadata.retain({"h"}, {"a"});
   CHECK(metadata.all().empty());
   CHECK(metadata.merge({"h", 10, "a", 1, 1, false}) ==
-        gossip::MemberMetadata::MergeResult::unchanged);  // the host's incarnation is remembered
+        gossip::MemberMetadata::MergeResult::unchanged);  // the host's incarnation is retained
   metadata.retain({}, {"a"});
   CHECK(metadata.hosts() == 0);
   FaultInjection::Scope broken("earlier-life");
--- a/tests/gossip/member_table_test.cpp
+++ b/tests/gossip/member_table_test.cpp
@@ -1,4 +1,4 @@
-// The table of members.
+// The bound of the member table.
 #include "gossip/member_table.h"
 
 #include <catch2/catch.hpp>
@@ -10,7 +10,7 @@
 using gossip::MemberStatus;
 using gossip::Millis;
 
-TEST_CASE("member tables are bounded, and members that were dead for longest are replaced") {
+TEST_CASE("a full member table replaces the members that have been dead for longest, and rejects others") {
   gossip::GossipTiming timing;
   timing.max_members = 10;
   gossip::MemberTable member_table(timing);
--- a/tests/gossip/property_check.h
+++ b/tests/gossip/property_check.h
@@ -1,4 +1,4 @@
-// Properties that hold for random cases, checked with RapidCheck.
+// Checks properties for random cases with RapidCheck.
 #pragma once
 
 #include <rapidcheck.h>
@@ -9,8 +9,8 @@
 
 namespace lotusyard::test {
 
-// Whether a property holds for this many random cases. A case for which it does not is shrunk and printed,
-// unless a fault is planted.
+// Returns whether a property holds for `cases` random cases. A case that fails is shrunk and printed, unless
+// a fault is injected.
 template <typename Property>
 bool property_holds(const char* description, int cases, const Property& property) {
   rc::detail::TestParams params;
