--- a/tests/gossip/gossip_network.cpp
+++ b/tests/gossip/gossip_network.cpp
@@ -96,7 +96,7 @@
   for (const auto& change : node.swim->take_changes()) {
     ++changes;
     const bool has_crashed = crashed_.count({change.name, change.incarnation}) != 0;
-    // While links are cut, it is correct to declare a node dead that does not answer.
+    // A node that is cut off for longer than the suspicion timeout is correctly declared dead.
     if (change.status == MemberStatus::dead && !has_crashed && cut.empty())
       ++false_deaths;
   }
--- a/tests/gossip/gossip_timeline_test.cpp
+++ b/tests/gossip/gossip_timeline_test.cpp
@@ -6,8 +6,8 @@
 
 std::string drawing_of(const GossipNetwork& network) { return "\n" + network.header() + network.drawing; }
 
-// A column is the status of a, b, c, d in one node's table: + alive, ~ joining, ? suspect, x dead, < left, .
-// unknown. The time is in probe periods.
+// Each column shows one node's table, with a mark for a, b, c and d: + alive, ~ joining, ? suspect, x dead,
+// < left, . unknown. The time is in probe periods.
 TEST_CASE("timeline: all members start, one crashes and restarts") {
   GossipNetwork network(1, 4);
   network.start_all();
