--- a/src/raft/replicated_state_machine.cpp
+++ b/src/raft/replicated_state_machine.cpp
@@ -13,8 +13,8 @@
 
 }  // namespace
 
-std::string tag_entry(const std::string& kind, const std::string& text) {
-  return kind + kTagSeparator + text;
+std::string tag_entry(const std::string& name, const std::string& text) {
+  return name + kTagSeparator + text;
 }
 
 std::pair<std::string, std::string> untag_entry(const std::string& tagged) {
