--- a/src/gossip/swim_protocol.cpp
+++ b/src/gossip/swim_protocol.cpp
@@ -55,7 +55,8 @@
   begin_period(now);
 }
 
-// A process that was paused would attribute its own pause to others, as silence; the time is not counted.
+// After a pause this process would mistake its own silence for that of the others, so the time is not
+// counted.
 void SwimProtocol::detect_pause(Millis now) {
   const Millis gap = now - last_tick_at_;
   if (gap <= timing_.period * kPausePeriods || fault_injected("stall"))
