--- a/tests/raft/raft_safety_checker.cpp
+++ b/tests/raft/raft_safety_checker.cpp
@@ -13,7 +13,7 @@
       break;
     case RAFT_IO_REQUEST_VOTE:
       if (message.request_vote.pre_vote)
-        return;  // its term has not begun
+        return;  // a pre-vote starts no term
       check_term(from, message.request_vote.term);
       check_vote(from, message.request_vote.term, from);
       break;
