--- a/tests/control/lease_rules.cpp
+++ b/tests/control/lease_rules.cpp
@@ -95,7 +95,7 @@
   });
 }
 
-std::string used_while_touched(const std::string& process, const History& history, const TouchedSpan& span,
+std::string used_while_touched(const std::string& process, const History& history, const ReleasePeriod& span,
                                const std::vector<Downtime>& downtimes) {
   const auto check = [&](double at) -> std::string {
     const LeftAlone& state = state_at(history, at);
@@ -123,9 +123,9 @@
   std::map<std::string, std::uint64_t> taken;
   std::vector<Taking> out;
   for (const auto& happening : scenario.entries) {
-    if (happening.what == "take")
+    if (happening.kind == "take")
       taken[happening.host] = happening.index;
-    if (happening.what == "touch")
+    if (happening.kind == "touch")
       out.push_back({taken[happening.host], happening.at});
   }
   return out;
@@ -148,8 +148,8 @@
 
 std::string broken_lease_rule(const std::vector<std::string>& lines, const std::vector<Downtime>& downtimes) {
   const maintenance::Timeline scenario = maintenance::parse_timeline(lines);
-  std::vector<TouchedSpan> spans;
-  touched_spans(scenario, std::numeric_limits<int>::max(), spans);
+  std::vector<ReleasePeriod> spans;
+  find_release_periods(scenario, std::numeric_limits<int>::max(), spans);
   const std::vector<Taking> takings = touched_takings(scenario);
   for (const auto& [process, written] : lines_by_process(lines)) {
     const History history = history_of(process, written, downtimes);
