--- a/src/resp/client_connection.cpp
+++ b/src/resp/client_connection.cpp
@@ -11,7 +11,7 @@
 constexpr int kMaxReadsPerDrain = 6;
 
 // From connecting, or from a request's first byte, to its last byte. Some clients take over 2 s to write one;
-// a client that sends none expects the end within 3 s.
+// a client that sends none expects to be closed within 3 s.
 constexpr core::Millis kRequestTimeout{2800};
 
 constexpr std::size_t kMaxFaultyCalls = 64;
@@ -43,7 +43,7 @@
   return ids;
 }
 
-// A client that sends the same again as soon as it is rejected would do so for ever.
+// A client that repeats a faulty call as soon as it is rejected would do so for ever.
 void ClientConnection::count_faulty_call() {
   if (++faulty_calls_ > kMaxFaultyCalls)
     reject_calls();
@@ -59,14 +59,14 @@
   reject_calls();
 }
 
-bool ClientConnection::begin_close() { return !std::exchange(close_begun_, true); }
+bool ClientConnection::begin_close() { return !std::exchange(close_started_, true); }
 
 std::uint64_t ClientConnection::unwritten_bytes() const {
   return is_closing() ? 0 : send_queue().appended() - send_queue().written();
 }
 
 bool ClientConnection::is_at_rest() const {
-  return has_sent_request() && is_idle() && !parser_.begun() && !is_closing();
+  return has_sent_request() && is_idle() && !parser_.in_progress() && !is_closing();
 }
 
 void ClientConnection::drain_socket() {
@@ -90,12 +90,12 @@
 
 // One timer for each request: the time of the next one starts with its own first byte.
 void ClientConnection::update_request_timer(bool has_command) {
-  const bool begun = parser_.begun();
-  if (request_begun_ && (has_command || !begun))
+  const bool in_progress = parser_.in_progress();
+  if (request_started_ && (has_command || !in_progress))
     loop().cancel(request_timer_);
-  if (begun && (has_command || !request_begun_))
+  if (in_progress && (has_command || !request_started_))
     start_request_timer();
-  request_begun_ = begun || !has_sent_request();
+  request_started_ = in_progress || !has_sent_request();
 }
 
 void ClientConnection::on_received(std::string_view bytes) {
@@ -135,7 +135,7 @@
   const auto kept_end = std::remove_if(commands.rbegin(), commands.rend(), is_cancelled_call);
   if (kept_end == commands.rend())
     return;
-  listener_.on_calls_left_out(static_cast<std::size_t>(commands.rend() - kept_end));
+  listener_.on_calls_skipped(static_cast<std::size_t>(commands.rend() - kept_end));
   commands.erase(commands.begin(), kept_end.base());
 }
 
--- a/src/resp/client_connection.h
+++ b/src/resp/client_connection.h
@@ -18,11 +18,11 @@
 
 class ClientConnection;
 
-// What makes the input of a connection useless from some point on.
+// Why no further input of a connection is handled.
 enum class InputError {
-  malformed,           // it is no RESP
-  incomplete_request,  // a request did not arrive whole in time
-  no_request,          // a new connection has sent no whole request in time
+  malformed,           // it is not RESP
+  incomplete_request,  // a request did not arrive completely in time
+  no_request,          // a new connection has sent no complete request in time
 };
 
 // Handles the input of a connection. A call may close the connection, which is deleted later.
@@ -31,8 +31,8 @@
   virtual ~ClientConnectionListener() = default;
   // Input was read; called before its commands are passed on.
   virtual void on_input(ClientConnection& client, bool has_command) = 0;
-  // Calls were left out, because the same input cancels them.
-  virtual void on_calls_left_out(std::size_t count) = 0;
+  // Calls were not passed on, because the same input cancels them.
+  virtual void on_calls_skipped(std::size_t count) = 0;
   virtual void on_command(ClientConnection& client, Words&& command) = 0;
   // All commands of the input were passed on.
   virtual void on_input_handled(ClientConnection& client) = 0;
@@ -50,7 +50,7 @@
 };
 constexpr std::size_t kClientStages = 3;
 
-// Where the ClientTable has a connection. Only the table changes it.
+// The position of a connection in the ClientTable. Only the table changes it.
 struct ClientPosition {
   ClientStage stage = ClientStage::no_request;
   ClientList::iterator iterator;
@@ -93,7 +93,7 @@
   std::uint64_t unwritten_bytes() const;
   // Nothing is open and nothing has to be written.
   bool is_idle() const { return open_calls_.empty() && send_queue().empty(); }
-  // Idle, after a whole request: closing it now loses nothing that was read.
+  // Idle, after a complete request: closing it now loses nothing that was read.
   bool is_at_rest() const;
 
   // No sooner than this can what was read last have arrived.
@@ -118,11 +118,11 @@
   core::Millis earliest_arrival_{0};
   core::Millis all_read_at_{0};
   net::EventLoop::TimerId request_timer_{};
-  bool request_begun_ = true;  // on a new connection the first request is due from the start
+  bool request_started_ = true;  // on a new connection the first request is due from the start
   bool malformed_ = false;
   bool rejects_calls_ = false;
   bool excess_ = false;
-  bool close_begun_ = false;
+  bool close_started_ = false;
   std::size_t faulty_calls_ = 0;
 };
 
--- a/src/resp/client_listener.cpp
+++ b/src/resp/client_listener.cpp
@@ -11,7 +11,7 @@
 constexpr int kMaxAcceptsPerIteration = 64;
 
 // Before the next try to accept, where no descriptor was free. Others may have used them up, so no event
-// tells.
+// reports that one is free.
 constexpr core::Millis kResumeDelay{50};
 
 }  // namespace
--- a/src/resp/client_listener.h
+++ b/src/resp/client_listener.h
@@ -25,13 +25,12 @@
 
   // Listens on an address; false if that is not possible.
   bool listen(const std::string& address);
-  // Listens on a socket that other processes may have, too; connections that wait there are theirs after
-  // stop().
+  // Listens on a socket that other processes may share; stop() leaves pending connections to them.
   void listen_on_inherited(net::Socket listener);
   bool is_listening() const { return static_cast<bool>(listener_); }
   std::string address() const { return net::bound_address(listener_); }
 
-  // Accepts all connections that wait, if the socket is this process's alone, and closes it.
+  // Closes the socket; unless it was inherited, all pending connections are accepted first.
   void stop();
   // A descriptor may have become free: accepts again, if that had been paused.
   void resume_if_paused();
--- a/src/resp/client_table.cpp
+++ b/src/resp/client_table.cpp
@@ -66,7 +66,7 @@
     return true;
   if (evict_idle_client(std::prev(established.end())))
     return true;
-  // Limits shrink while another process of this invoker lives. A client that was established before may have
+  // Limits shrink while another process of this invoker runs. A client that was established before may have
   // calls open, and has to get their answers.
   if (was_established)
     return true;
@@ -98,7 +98,7 @@
 }
 
 // Thousands of connections may send nothing, or stop in the middle of a request. From the larger list the
-// least recently active one goes; connections that send a request piece by piece go last.
+// least recently active one is evicted; connections that send a request piece by piece are evicted last.
 const std::shared_ptr<ClientConnection>& ClientTable::new_connection_to_evict() const {
   const ClientList& no_request = list(ClientStage::no_request);
   const ClientList& partial_request = list(ClientStage::partial_request);
--- a/src/resp/client_table.h
+++ b/src/resp/client_table.h
@@ -15,7 +15,7 @@
 // Why a connection is closed in favour of others.
 enum class EvictionReason {
   idle,              // another client needs its place, and nothing is open on it
-  no_request,        // too many connections have sent no whole request
+  no_request,        // too many connections have sent no complete request
   unread_responses,  // the memory for responses is used up, and this client leaves most of them unread
 };
 
@@ -35,7 +35,7 @@
   // Input has arrived that completes no request, on a connection that has not sent one before.
   void record_partial_request(ClientConnection& client);
   // A request has arrived: makes the connection an established client, the most recently active one. If there
-  // are too many then, an idle one is evicted. False if there is none, and this client has to go.
+  // are too many then, an idle one is evicted. False if there is none, and this client has to be closed.
   bool establish(ClientConnection& client);
   // Evicts clients that do not read until a response of this size can be queued. Without that, the client
   // that is written to would be cut off, and not those that do not read.
--- a/src/resp/command_handler.cpp
+++ b/src/resp/command_handler.cpp
@@ -65,7 +65,7 @@
     return reject(client, tag, metrics::kRespNoMemory, core::CallStatus::rejected);
   const core::CallId id = dispatcher_.allocate_call_id();
   open_calls_.add(id, {&client, tag, body_bytes});  // first: the answer may come before admit() returns
-  if (!dispatcher_.admit(id, std::move(call), answers_to_))
+  if (!dispatcher_.admit(id, std::move(call), front_end_))
     return;
   open_calls_.remove(id);
   reject(client, tag, metrics::kRespNotTaken, core::CallStatus::failed);
--- a/src/resp/command_handler.h
+++ b/src/resp/command_handler.h
@@ -16,11 +16,11 @@
 
 class CommandHandler {
  public:
-  // `answers_to` is the front end to which the dispatcher gives the answers to calls.
-  CommandHandler(core::Dispatcher& dispatcher, core::FrontEnd& answers_to, metrics::Counters& counters,
+  // `front_end` receives the answers to calls from the dispatcher.
+  CommandHandler(core::Dispatcher& dispatcher, core::FrontEnd& front_end, metrics::Counters& counters,
                  const ClientLimits& limits, OpenCallTable& open_calls, ResponseWriter& responses)
       : dispatcher_(dispatcher),
-        answers_to_(answers_to),
+        front_end_(front_end),
         counters_(counters),
         limits_(limits),
         open_calls_(open_calls),
@@ -44,7 +44,7 @@
   void reject_unanswerable(ClientConnection& client, const metrics::Counter& reason);
 
   core::Dispatcher& dispatcher_;
-  core::FrontEnd& answers_to_;
+  core::FrontEnd& front_end_;
   metrics::Counters& counters_;
   const ClientLimits& limits_;
   OpenCallTable& open_calls_;
--- a/src/resp/front_end.cpp
+++ b/src/resp/front_end.cpp
@@ -39,7 +39,7 @@
       }) {}
 
 void FrontEnd::stop_admitting() {
-  // Calls that wait for a host for long would keep their connection from coming to rest.
+  // Calls that wait for a host for long would keep their connection from becoming idle.
   if (commands_.stop_admitting())
     abort_calls(core::Dispatcher::CallSelection::never_sent);
 }
@@ -106,7 +106,7 @@
     clients_.record_partial_request(client);
 }
 
-void FrontEnd::on_calls_left_out(std::size_t count) { counters_.add(metrics::kRespTakenBack, count); }
+void FrontEnd::on_calls_skipped(std::size_t count) { counters_.add(metrics::kRespTakenBack, count); }
 
 void FrontEnd::on_command(ClientConnection& client, Words&& command) {
   commands_.handle(client, std::move(command));
--- a/src/resp/front_end.h
+++ b/src/resp/front_end.h
@@ -17,8 +17,9 @@
 
 namespace lotusyard::resp {
 
-// Joins the parts. A request counts as taken once its last byte has arrived on an accepted connection; from
-// then on it gets an answer, however its connection ends, unless its client closes it.
+// Connects the parts of the front end. A request counts as accepted once its last byte has arrived on an
+// accepted connection; from then on it gets an answer, however its connection ends, unless its client closes
+// it.
 class FrontEnd final : public core::FrontEnd, private ClientConnectionListener {
  public:
   using Limits = ClientLimits;
@@ -41,7 +42,7 @@
   // Closes the listener. Clients that have connected by now are accepted first, unless the socket was
   // inherited.
   void stop_listening() { listener_.stop(); }
-  // Rejects new calls, and those that were never sent to a host, so that a busy connection comes to rest.
+  // Rejects new calls, and those that were never sent to a host, so that a busy connection becomes idle.
   void stop_admitting();
   // Answers all open calls at once and rejects new ones: the process is about to exit.
   void answer_open_calls();
@@ -61,7 +62,7 @@
  private:
   void on_accepted(net::Socket socket, core::Millis connected_since);
   void on_input(ClientConnection& client, bool has_command) override;
-  void on_calls_left_out(std::size_t count) override;
+  void on_calls_skipped(std::size_t count) override;
   void on_command(ClientConnection& client, Words&& command) override;
   void on_input_handled(ClientConnection& client) override;
   void on_input_error(ClientConnection& client, InputError error) override;
--- a/src/resp/open_call_table.h
+++ b/src/resp/open_call_table.h
@@ -12,11 +12,11 @@
 
 struct OpenCall {
   ClientConnection* client = nullptr;  // its connection is open
-  std::string tag;                     // which the client has given it
+  std::string tag;                     // chosen by the client
   std::size_t body_bytes = 0;
 };
 
-// Finds an open call by its id; each client knows the ids of its open calls by their tags.
+// Finds an open call by its id; each client maps the tags of its open calls to their ids.
 class OpenCallTable {
  public:
   // Adds a call, also to its client.
--- a/src/resp/parser.h
+++ b/src/resp/parser.h
@@ -24,7 +24,7 @@
   bool parse(std::string_view bytes, std::vector<Words>& arrays);
 
   // True if a part of an array was parsed, or the stream is malformed.
-  bool begun() const { return state_ != State::array_header || !line_.empty() || return_seen_; }
+  bool in_progress() const { return state_ != State::array_header || !line_.empty() || return_seen_; }
 
  private:
   enum class State { array_header, word_header, word, word_end, malformed };
