--- a/src/amqp/broker.h
+++ b/src/amqp/broker.h
@@ -1,4 +1,4 @@
-// What the configuration says of the brokers.
+// The configuration of the brokers.
 #pragma once
 
 #include <cstddef>
--- a/src/amqp/channel.cpp
+++ b/src/amqp/channel.cpp
@@ -10,7 +10,7 @@
 namespace lotusyard::amqp {
 namespace {
 
-// A broker that does not finish the handshake is left.
+// A broker that does not finish the handshake in this time is disconnected.
 constexpr net::Millis kSetupTimeout{10000};
 constexpr std::uint8_t kNoFlags = 0;
 
--- a/src/amqp/channel.h
+++ b/src/amqp/channel.h
@@ -20,7 +20,7 @@
 
 namespace lotusyard::amqp {
 
-// Whether the broker has taken a published message.
+// Whether the broker has accepted a published message.
 enum class ConfirmKind { ack, nack };
 
 // The broker's answer to published messages: to the one with this number, or to all up to it.
--- a/src/amqp/channel_setup.h
+++ b/src/amqp/channel_setup.h
@@ -14,7 +14,7 @@
 
 namespace lotusyard::amqp {
 
-// A state machine over the methods that the broker sends. What it is given must outlive it.
+// A state machine over the methods that the broker sends. What it refers to must outlive it.
 class ChannelSetup {
  public:
   ChannelSetup(const Broker& broker, MethodSender& sender, FrameParser& parser, Heartbeat& heartbeat,
--- a/src/amqp/connection_supervisor.h
+++ b/src/amqp/connection_supervisor.h
@@ -12,8 +12,8 @@
 
 namespace lotusyard::amqp {
 
-// What it is given must outlive it. The handler's on_channel_closed() is also called for each connection that
-// could not be made; it must pass every end on to reconnect_later().
+// What it refers to must outlive it. The handler's on_channel_closed() is also called for each connection
+// that could not be made; it must pass every end on to reconnect_later().
 class ConnectionSupervisor {
  public:
   ConnectionSupervisor(net::EventLoop& loop, net::BufferPool& pool, metrics::Counters& counters,
@@ -40,7 +40,7 @@
   // The current channel; null between connections.
   Channel* channel() const { return channel_.get(); }
   bool is_up() const { return channel_ && channel_->is_up(); }
-  // Asks the kernel whether the broker is still there.
+  // Queries the kernel whether the broker is still connected.
   bool is_connected() const;
 
  private:
--- a/src/amqp/delivery_admission.cpp
+++ b/src/amqp/delivery_admission.cpp
@@ -40,7 +40,7 @@
     case Semantics::non_idempotent:
       return true;
     case Semantics::idempotent_with_key:
-      // It may run again as long as hosts know its key, which only the time of its publication can show.
+      // It may run again while hosts still recognize its key, which only its time of publication can show.
       return !max_age;
     case Semantics::idempotent:
       break;
--- a/src/amqp/delivery_admission.h
+++ b/src/amqp/delivery_admission.h
@@ -25,7 +25,7 @@
 };
 RejectionResult result_of(Rejection rejection);
 
-// Whether a message that was sent anew may be treated as a retry of its call, which has ended.
+// Whether a message that was sent again may be treated as a retry of its call, which has ended.
 bool is_safe_to_retry(const CachedDelivery& cached);
 
 // Whether a redelivered call may have run in another process, or in this one before a restart or before it
--- a/src/amqp/delivery_cache.cpp
+++ b/src/amqp/delivery_cache.cpp
@@ -5,7 +5,7 @@
 namespace lotusyard::amqp {
 namespace {
 
-// What an entry takes besides its key and body, estimated.
+// The estimated memory of an entry besides its key and body.
 constexpr std::size_t kEntryBytes = 512;
 // The key is held by the map and by the list.
 constexpr std::size_t kKeyCopies = 2;
--- a/src/amqp/delivery_cache.h
+++ b/src/amqp/delivery_cache.h
@@ -1,5 +1,5 @@
-// Which calls are running, and the answers of calls that ended lately. A message may be delivered again; the
-// cache finds its call by the key of the message, see call_key() in delivery_parser.h.
+// Running calls, and the answers of calls that ended recently. A message may be delivered again; the cache
+// finds its call by the key of the message, see call_key() in delivery_parser.h.
 #pragma once
 
 #include <cstdint>
@@ -33,11 +33,11 @@
   DeliveryCache(std::size_t max_answers, std::size_t max_bytes)
       : max_answers_(max_answers), max_bytes_(max_bytes) {}
 
-  // Returns null if the call is not known. The pointer is valid until the next change of the cache.
+  // Returns null if the call is not in the cache. The pointer is valid until the next change of the cache.
   CachedDelivery* find(const std::string& call_key);
-  // Adds a call that has begun; replaces what is known of an earlier one with the same key.
+  // Adds a call that has started; replaces the entry of an earlier one with the same key.
   CachedDelivery& insert(const std::string& call_key, bool non_idempotent);
-  // Sets the answer of a running call; ignored if the call is not known or has one.
+  // Sets the answer of a running call; ignored if the call is not in the cache or has one.
   void complete(const std::string& call_key, core::Answer&& answer);
   // The channel has closed: the broker delivers all unacknowledged messages again, with other tags.
   void clear_waiters();
--- a/src/amqp/delivery_parser.h
+++ b/src/amqp/delivery_parser.h
@@ -26,7 +26,7 @@
 // id its message id is used.
 std::optional<ReplyAddress> reply_address(const Properties& properties);
 
-// The key under which a message's call is known. Every delivery of a message has the same key: its message id
+// The key that identifies a message's call. Every delivery of a message has the same key: its message id
 // or, if it has none, its reply address.
 std::string call_key(const Properties& properties);
 // Whether the key is a message id.
--- a/src/amqp/front_end.cpp
+++ b/src/amqp/front_end.cpp
@@ -35,7 +35,7 @@
   publisher_.resend();
 }
 
-// The broker delivers again, here or elsewhere, what was not acknowledged.
+// The broker redelivers unacknowledged messages, to this process or another one.
 void FrontEnd::on_channel_closed(const CloseReason& reason) {
   counters_.add(metrics::kAmqpDown);
   publisher_.on_channel_closed();
@@ -178,7 +178,7 @@
 }
 
 // With its connection a delivery returns to its queue, and may be delivered to another consumer: no attempt
-// begins until it is delivered here again.
+// starts until it is delivered to this process again.
 core::FrontEnd::ClientState FrontEnd::client_state(core::CallId call, core::Millis) {
   const OpenCall* const open = find_open_call(call);
   if (open == nullptr)
--- a/src/amqp/front_end.h
+++ b/src/amqp/front_end.h
@@ -29,14 +29,14 @@
     std::size_t remembered_bytes = 16U << 20;  // of the answers in the cache
     bool sole_consumer = false;                // no other process consumes these queues
   };
-  // `store` holds the results of calls that must not run twice. Without one they are known only to this
-  // process, and a redelivered call that it does not know is failed.
+  // `store` holds the results of calls that must not run twice. Without one only this process has them,
+  // and a redelivered call that it has no record of is failed.
   FrontEnd(net::EventLoop& loop, net::BufferPool& pool, core::Dispatcher& dispatcher,
            metrics::Counters& counters, const core::Settings& settings, Broker broker, Limits limits,
            idempotency::ResultStore* store = nullptr);
 
   void start() { connection_.connect(); }
-  // For the deliveries that follow; calls that are running keep their settings.
+  // Applies to the deliveries that follow; running calls keep their settings.
   void apply_settings(const core::Settings& settings) { settings_ = settings; }
   // Consumes nothing more; the calls that are running are answered.
   void drain() { connection_.drain(); }
@@ -47,13 +47,13 @@
   void answer(core::CallId call, core::Answer&& answer) override;
   bool before_attempt(core::CallId call) override;
   void proved_not_run(core::CallId call) override;
-  ClientState client_state(core::CallId call, core::Millis heard_since) override;
+  ClientState client_state(core::CallId call, core::Millis read_since) override;
 
  private:
   struct OpenCall {
     std::string call_key;
     bool non_idempotent = false;
-    bool recorded = false;  // the store knows of an attempt
+    bool recorded = false;  // the store has a record of an attempt
   };
 
   void on_channel_open() override;
@@ -61,7 +61,7 @@
   void on_delivery(Delivery&& delivery) override;
   void on_confirmation(const Confirmation& confirmation) override;
 
-  // Returns true if the cache knows the call, so that the delivery waits for its answer or has got it.
+  // Returns true if the cache has the call, so that the delivery waits for its answer or has been answered.
   bool handle_by_cache(const PendingDelivery& pending);
   // Returns true if the delivery was answered by the durable record of its call, so that it must not run.
   bool answer_by_record(const PendingDelivery& pending, const Delivery& delivery);
--- a/src/amqp/queue_consumers.h
+++ b/src/amqp/queue_consumers.h
@@ -20,7 +20,7 @@
   // Starts a consumer again that the broker has cancelled because its queue was deleted or moved. A queue
   // that the topology creates is declared again.
   void restart(const std::string& consumer_tag);
-  // The broker delivers nothing more.
+  // Cancels all consumers: the broker delivers nothing more.
   void cancel_all();
 
  private:
--- a/src/amqp/reconnect_policy.h
+++ b/src/amqp/reconnect_policy.h
@@ -18,7 +18,8 @@
   std::uint16_t code = kNoReplyCode;  // the broker's reply code
   bool came_up = false;               // the handshake was completed
   Millis up_for{0};                   // since then
-  bool at_login = false;  // between the credentials and the broker's answer: some brokers refuse a login so
+  bool at_login =
+      false;  // between the credentials and the broker's answer: some brokers refuse a login like this
   std::string declaration_key{};  // the configuration key of the declaration that was refused, if known
 };
 
@@ -35,7 +36,7 @@
     Millis initial_delay{100};
     Millis max_delay{5000};
     Millis max_operator_delay{30000};  // after a refusal that an operator has to resolve
-    Millis stable_after{10000};        // a connection that was up for so long resets the backoff
+    Millis stable_after{10000};        // a connection that was up for this long resets the backoff
   };
   // `brokers` must not be empty. The jitter follows from the seed.
   ReconnectPolicy(std::vector<std::string> brokers, std::uint64_t seed, const Bounds& bounds);
--- a/src/amqp/reply_address.h
+++ b/src/amqp/reply_address.h
@@ -7,7 +7,7 @@
 
 struct ReplyAddress {
   std::string reply_to;        // a queue
-  std::string correlation_id;  // tells its reader which message is answered
+  std::string correlation_id;  // identifies the message that is answered
 
   // Is stored with results: do not change it.
   std::string text() const { return reply_to + '\n' + correlation_id; }
--- a/src/amqp/reply_publisher.cpp
+++ b/src/amqp/reply_publisher.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr core::Millis kResendDelay{200};
-// Addresses that are remembered for an answer; messages are seldom sent anew for yet another one.
+// Addresses stored with an answer; messages are seldom sent again with yet another one.
 constexpr std::size_t kMaxConfirmedAddresses = 8;
 constexpr std::uint8_t kPersistent = 2;
 
--- a/src/amqp/reply_publisher.h
+++ b/src/amqp/reply_publisher.h
@@ -28,7 +28,7 @@
   bool redelivered = false;
 };
 
-// What it is given must outlive it.
+// What it refers to must outlive it.
 class ReplyPublisher {
  public:
   ReplyPublisher(net::EventLoop& loop, metrics::Counters& counters, const ConnectionSupervisor& connection,
--- a/src/amqp/result_recorder.h
+++ b/src/amqp/result_recorder.h
@@ -1,5 +1,5 @@
-// Records in a durable store how far calls have come that must not run twice, and decides by these records
-// what to do with a delivery.
+// Records in a durable store the progress of calls that must not run twice, and decides by these records what
+// to do with a delivery.
 #pragma once
 
 #include <optional>
@@ -19,11 +19,11 @@
   std::optional<idempotency::ResultRecord> record;
 };
 
-// Without a store it is disabled: only record_answer_confirmed() may be called then. What it is given must
+// Without a store it is disabled: only record_answer_confirmed() may be called then. What it refers to must
 // outlive it.
 class ResultRecorder {
  public:
-  // `sole_consumer`: no other process consumes the same queues. Begins to prune the store regularly.
+  // `sole_consumer`: no other process consumes the same queues. Starts to prune the store regularly.
   ResultRecorder(net::EventLoop& loop, idempotency::ResultStore* store, bool sole_consumer);
   ~ResultRecorder() { loop_.cancel(prune_timer_); }
   ResultRecorder(const ResultRecorder&) = delete;
--- a/src/amqp/topology.h
+++ b/src/amqp/topology.h
@@ -1,5 +1,5 @@
-// The exchanges, queues and bindings that an operator wants at the broker before anything is consumed, and
-// the AMQP methods that declare them.
+// The exchanges, queues and bindings of the configuration, which are declared at the broker before anything
+// is consumed, and the AMQP methods that declare them.
 #pragma once
 
 #include <cstdint>
--- a/src/amqp/topology_declarer.h
+++ b/src/amqp/topology_declarer.h
@@ -1,4 +1,4 @@
-// Declares the operator's topology at a broker.
+// Declares the configured topology at a broker.
 #pragma once
 
 #include <cstdint>
