--- a/src/net/fields.cpp
+++ b/src/net/fields.cpp
@@ -6,7 +6,7 @@
 namespace lotusyard::net {
 namespace {
 
-constexpr std::size_t kMaxDecimalDigits = 18;  // any number of so many digits fits into 64 bits
+constexpr std::size_t kMaxDecimalDigits = 18;  // any number of this many digits fits into 64 bits
 constexpr std::size_t kHexDigits = 16;         // of a 64-bit number
 constexpr std::string_view kHexAlphabet = "0123456789abcdef";
 
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -16,7 +16,7 @@
 namespace lotusyard::net {
 namespace {
 
-// Calls that a signal may interrupt are repeated so often.
+// Calls that a signal may interrupt are repeated at most this often.
 constexpr int kMaxConnectAttempts = 4;
 constexpr int kMaxPollAttempts = 4;
 
@@ -26,7 +26,7 @@
 
 using Addresses = std::unique_ptr<addrinfo, decltype(&freeaddrinfo)>;
 
-// Parses a numeric address; null if it is none.
+// Parses a numeric address; null if it is invalid.
 Addresses resolve(const std::string& address, int flags) {
   const auto colon = address.rfind(':');
   if (colon == std::string::npos || colon == 0)
--- a/src/net/socket.h
+++ b/src/net/socket.h
@@ -58,7 +58,7 @@
 Socket listen_on(const std::string& address);
 
 // Takes over an inherited listening TCP socket and makes it non-blocking. Returns an empty socket if the
-// descriptor is none; the descriptor is not closed then.
+// descriptor is not such a socket; the descriptor is not closed then.
 Socket adopt_listener(int fd);
 
 // The address that the listener is bound to; empty if it cannot be read.
--- a/src/net/timer_queue.h
+++ b/src/net/timer_queue.h
@@ -17,7 +17,7 @@
 // due at the same time fire in the order of scheduling. A default-constructed id names none.
 using TimerId = std::pair<double, std::uint64_t>;
 
-// Has no clock of its own: the event loop says which timers are due.
+// Has no clock of its own: the event loop passes in the time.
 class TimerQueue {
  public:
   using Callback = std::function<void()>;
--- a/src/net/wall_clock.h
+++ b/src/net/wall_clock.h
@@ -1,5 +1,5 @@
 // An estimate of the wall clock that allows for steps. The wall clock can be set forwards or back at any
-// time, and nothing tells which setting was right, so for a while after a step both count.
+// time, and which setting was right cannot be determined, so for a while after a step both are considered.
 #pragma once
 
 #include <deque>
@@ -42,7 +42,7 @@
   void record_earlier_reading(Millis steady, Millis wall);
 
   // An earlier setting counts until the size of its step, and `retention`, have passed since the step was
-  // seen. By then, a time that had passed by the earlier setting has passed by the present one too.
+  // detected. By then, a time that had passed by the earlier setting has passed by the present one too.
   WallTime read(Millis steady, Millis retention) const;
 
   bool has_stepped() const { return stepped_; }
