--- a/tests/resp/call_parser_test.cpp
+++ b/tests/resp/call_parser_test.cpp
@@ -1,4 +1,4 @@
-// CALL commands as the protocol page has them, parsed into calls or rejected for their form.
+// Parsing of CALL commands into calls, and rejection of malformed ones.
 #include "resp/call_parser.h"
 
 #include <catch2/catch.hpp>
@@ -26,7 +26,7 @@
 
 Words with_fields(const std::string& fields) { return {"CALL", "7", "bin-check", fields, "body"}; }
 
-TEST_CASE("a call with the required fields only has the defaults of all others") {
+TEST_CASE("a call with only the required fields has the defaults of all others") {
   const core::Call call = parse_valid({"CALL", "7", "bin-check", kRequired});
   CHECK(call.class_name == "bin-check");
   CHECK(call.ref == "00000000000000a1");
@@ -43,7 +43,7 @@
   CHECK(call.lanes == 1);
 }
 
-TEST_CASE("each field of a call arrives") {
+TEST_CASE("each field of a call is parsed") {
   const core::Call call = parse_valid(
       with_fields(kRequired + ",project=mill,effort=2.5,replay=key-1,dup=1,spec=memory_mb:300;lanes:4"));
   CHECK(call.tenant == "mill");
@@ -62,7 +62,7 @@
         CallParseError::wrong_word_count);
 }
 
-TEST_CASE("a field that is missing or cannot be read is a fault") {
+TEST_CASE("a call with a missing or unreadable field is rejected") {
   const std::string fields = GENERATE(
       std::string(), std::string("ref"), std::string("ref=00000000000000a1,lookup=00000000000000a2"),
       std::string("ref=a1,allow=800,lookup=00000000000000a2"),
--- a/tests/resp/client_close_paths_test.cpp
+++ b/tests/resp/client_close_paths_test.cpp
@@ -1,4 +1,5 @@
-// Each way in which a client's connection ends: a call that has arrived by then gets an answer, read or not.
+// The ways in which a client's connection is closed: each call that has arrived by then gets an answer,
+// whether it was read or not.
 #include "support/raw_client.h"
 
 namespace lotusyard::test {
@@ -24,9 +25,9 @@
   peer->write(net::hex16(static_cast<std::uint64_t>(tag)) + " data - 1\r\nx\r\n");
 }
 
-// Failure found in review: limits shrink as a second process starts; a client that was established and sent
-// another request was closed for lack of a place, with its calls open.
-TEST_CASE("a client that has its place keeps it with calls open, also when there are fewer places") {
+// Limits shrink as a second process starts. An established client that sends another request must not be
+// closed with its calls open because there are now fewer places.
+TEST_CASE("an established client with open calls is not evicted when the limit shrinks") {
   resp::FrontEnd::Limits limits;
   limits.clients = 2;
   RespFixture service(1, limits);
@@ -46,31 +47,32 @@
   CHECK(second.answers() == std::map<std::string, Words>{{"2", {"OK"}}});
 }
 
-// Failure found in review: of what a client without a place had sent, only the first read was refused.
-TEST_CASE("a client for whom there is no place hears that for each call it has sent") {
+// Guards against rejecting only the calls of the first read, and losing those that a client above the limit
+// has sent beyond it.
+TEST_CASE("a client above the limit gets a rejection for each call that it has sent") {
   resp::FrontEnd::Limits limits;
   limits.clients = 1;
   RespFixture service(1, limits);
   silence_hosts(service);
-  RawClient usual(service);
-  usual.send(call_bytes(1));
+  RawClient established(service);
+  established.send(call_bytes(1));
   REQUIRE(service.invoker.run_until([&] { return service.invoker.host[0]->execs == 1; }, 1000));
-  RawClient other(service);
-  std::string many;
+  RawClient excess(service);
+  std::string more_calls;
   for (int tag = 2; tag <= 13; ++tag)
-    many += call_bytes(tag, std::string(16000, 'x'));
-  other.send(many);
+    more_calls += call_bytes(tag, std::string(16000, 'x'));
+  excess.send(more_calls);
   run_iterations(service);
-  const auto answers = other.answers();
+  const auto answers = excess.answers();
   CHECK(answers.size() == 12);
   for (const auto& [tag, words] : answers)
     CHECK(words == Words{"BUSY"});
-  CHECK(other.closed);
+  CHECK(excess.closed);
   CHECK(service.invoker.host[0]->execs == 1);
 }
 
-// Failure found in review: valid calls behind a fault were read, and their connection closed unanswered.
-TEST_CASE("a sound call behind a fault that leaves the bytes readable is refused, not lost") {
+// Guards against reading valid calls behind a faulty one and closing their connection without an answer.
+TEST_CASE("valid calls behind a faulty one that leaves the stream parsable are rejected, not lost") {
   RespFixture service(1);
   silence_hosts(service);
   RawClient client(service);
@@ -78,10 +80,10 @@
   REQUIRE(service.invoker.run_until([&] { return service.invoker.host[0]->execs == 1; }, 1000));
   const bool repeated = GENERATE(true, false);
   const std::string fault = repeated ? call_bytes(1) : bytes_of({"CALL", "0"});
-  std::string many;
+  std::string more_calls;
   for (int tag = 3; tag <= 12; ++tag)
-    many += call_bytes(tag, std::string(16000, 'x'));
-  client.send(fault + call_bytes(2) + many);
+    more_calls += call_bytes(tag, std::string(16000, 'x'));
+  client.send(fault + call_bytes(2) + more_calls);
   run_iterations(service);
   answer_call(service, 1);
   run_iterations(service);
@@ -93,16 +95,16 @@
   CHECK(service.invoker.host[0]->execs == 1);
 }
 
-// Failure found in review: the same behind the last fault that a connection may bring.
-TEST_CASE("sound calls behind too many faults are refused, read or not, before the connection ends") {
+// The same for calls behind the last faulty call that a connection is allowed.
+TEST_CASE("valid calls behind too many faulty ones are rejected, read or not, before the connection closes") {
   RespFixture service(1);
   RawClient client(service);
-  std::string many;
+  std::string more_calls;
   for (int tag = 1; tag <= 65; ++tag)
-    many += call_bytes(tag, "x", "no-class");
+    more_calls += call_bytes(tag, "x", "no-class");
   for (int tag = 66; tag <= 75; ++tag)
-    many += call_bytes(tag, std::string(16000, 'x'));
-  client.send(many);
+    more_calls += call_bytes(tag, std::string(16000, 'x'));
+  client.send(more_calls);
   run_iterations(service);
   const auto answers = client.answers();
   CHECK(answers.size() == 75);
@@ -112,8 +114,8 @@
   CHECK(service.invoker.host[0]->execs == 0);
 }
 
-// Failure found in review: the least recently active client was evicted, though it had sent half a request.
-TEST_CASE("of clients with no call open, one half-way through a request is ended last") {
+// Guards against evicting the least recently active client while it has sent half a request.
+TEST_CASE("of clients without open calls, one that has sent part of a request is evicted last") {
   resp::FrontEnd::Limits limits;
   limits.clients = 2;
   RespFixture service(1, limits);
