--- a/tests/amqp/broker_connection_test.cpp
+++ b/tests/amqp/broker_connection_test.cpp
@@ -1,4 +1,4 @@
-// Connections to a stand-in broker: lost, refused, blocked, and what is declared over them.
+// Connections to a stand-in broker: loss, refusal, blocking, and the declaration of the topology.
 #include <iostream>
 #include <sstream>
 
@@ -7,7 +7,7 @@
 namespace lotusyard::test {
 namespace {
 
-TEST_CASE("a broker without the queue, or one that falls silent, is reached anew") {
+TEST_CASE("a broker without the queue, or one that falls silent, is connected to again") {
   AmqpFixture t(1);
   const bool silent = GENERATE(true, false);
   if (silent) {
@@ -18,26 +18,26 @@
   const char* const counter = silent ? "amqp.quiet" : "amqp.channel_closed";
   REQUIRE(t.invoker.run_until([&] { return t.invoker.counters.value(counter) > 0; }, 20000));
   t.broker.heartbeat_s = 0;
-  // Sent only once the old connection has gone at both ends: a delivery that it lost would come as
+  // Sent only once the old connection is closed at both ends: a delivery lost with it would be marked as
   // redelivered.
-  const std::uint64_t ups = silent ? 2 : 1;
-  const auto anew = [&] {
-    return t.invoker.counters.value("amqp.up") >= ups && t.broker.server.peers.size() == 1;
+  const std::uint64_t connections = silent ? 2 : 1;
+  const auto reconnected = [&] {
+    return t.invoker.counters.value("amqp.up") >= connections && t.broker.server.peers.size() == 1;
   };
-  REQUIRE(t.invoker.run_until(anew, 20000));
+  REQUIRE(t.invoker.run_until(reconnected, 20000));
   t.broker.send("a", "bin-record", "x");
   REQUIRE(t.wait_for_answer("a"));
   CHECK(result_word(t.broker.answers_by_id["c-a"][0]) == "OK");
   CHECK(t.invoker.host[0]->runs["x"] == 1);
 }
 
-TEST_CASE("brokers are tried in turn, and one that closes for a reason is counted by its name") {
-  std::string nobody;
+TEST_CASE("brokers are tried in rotation, and a close is counted by the name of its reply code") {
+  std::string unused_address;
   {
     net::Socket closed = net::listen_on("127.0.0.1:0");
-    nobody = net::bound_address(closed);
+    unused_address = net::bound_address(closed);
   }
-  AmqpFixture t(1, 1, {}, settings(), nullptr, {nobody});
+  AmqpFixture t(1, 1, {}, settings(), nullptr, {unused_address});
   t.broker.close_code = 320;
   REQUIRE(t.invoker.run_until([&] { return t.broker.closes >= 2; }, 20000));
   t.broker.close_code = 0;
@@ -48,7 +48,7 @@
   CHECK(t.invoker.counters.value("amqp.down") >= 4);
 }
 
-TEST_CASE("a broker that blocks gets no answers until it unblocks, and then each once") {
+TEST_CASE("a broker that blocks publishers gets no answers until it unblocks, and then each one once") {
   AmqpFixture t(1);
   t.broker.send("first", "bin-check", "x");
   REQUIRE(t.wait_for_answer("first"));
@@ -57,8 +57,8 @@
   for (int i = 0; i < 10; ++i)
     t.broker.send("m" + std::to_string(i), "bin-record", "y" + std::to_string(i));
   REQUIRE(t.invoker.run_until([&] { return t.invoker.host[0]->execs == 11; }, 20000));
-  const Millis began = t.invoker.loop.now();
-  t.invoker.run_until([&] { return t.invoker.loop.now() - began > Millis(100); }, 20000);
+  const Millis started = t.invoker.loop.now();
+  t.invoker.run_until([&] { return t.invoker.loop.now() - started > Millis(100); }, 20000);
   CHECK(t.broker.answers.size() == 1);
   t.broker.send_method_to_all(amqp::method::connection_unblocked, amqp::Writer());
   REQUIRE(t.wait_for_answer("m9"));
@@ -66,15 +66,16 @@
   CHECK(t.broker.answers.size() == 11);
 }
 
-// What is not confirmed is not acknowledged, so that the broker's prefetch bounds what waits here.
-TEST_CASE("with no confirm coming, consuming pauses") {
+// Deliveries are not acknowledged before their answers are confirmed, so the broker's prefetch bounds the
+// number of waiting ones.
+TEST_CASE("consuming pauses while the broker confirms nothing") {
   AmqpFixture t(1);
   t.broker.withholds_confirms = true;
   for (int i = 0; i < 100; ++i)
     t.broker.send("m" + std::to_string(i), "bin-check", "x");
   REQUIRE(t.wait_for_answer("m15"));
-  const Millis began = t.invoker.loop.now();
-  t.invoker.run_until([&] { return t.invoker.loop.now() - began > Millis(200); }, 20000);
+  const Millis started = t.invoker.loop.now();
+  t.invoker.run_until([&] { return t.invoker.loop.now() - started > Millis(200); }, 20000);
   CHECK(t.broker.answers.size() == 16);  // the prefetch of these tests
   CHECK(t.invoker.counters.value("amqp.deliveries") == 16);
 }
@@ -92,27 +93,28 @@
   return {exchange, queue, binding};
 }
 
-TEST_CASE("what the file wants is declared in its order; a mismatch names its key and is not hurried") {
+TEST_CASE(
+    "the topology is declared in configured order; a mismatch is logged with its key and retried late") {
   AmqpFixture t(1, 1, {}, settings(), nullptr, {}, topology_of_calls());
-  const bool fits = GENERATE(true, false);
-  if (!fits)
+  const bool matches = GENERATE(true, false);
+  if (!matches)
     t.broker.queues["calls"] = {{"x-message-ttl", std::int64_t{1}}};
-  std::ostringstream said;
-  auto* const before = std::cerr.rdbuf(said.rdbuf());
+  std::ostringstream log;
+  auto* const before = std::cerr.rdbuf(log.rdbuf());
   t.broker.send("a", "bin-check", "x");
-  if (fits) {
+  if (matches) {
     CHECK(t.wait_for_answer("a"));
     CHECK(t.broker.queues["calls"].size() == 2);
     CHECK(t.broker.bindings == 1);
   } else {
     CHECK(t.invoker.run_until(
         [&] { return t.invoker.counters.value("amqp.closed.precondition_failed") == 1; }, 20000));
-    CHECK(said.str().find("amqp.topology.queues[0]: the broker refuses for good: 406") != std::string::npos);
+    CHECK(log.str().find("amqp.topology.queues[0]: the broker refuses for good: 406") != std::string::npos);
   }
   std::cerr.rdbuf(before);
 }
 
-TEST_CASE("a consumer that the broker cancels is made again over the same connection, its queue too") {
+TEST_CASE("a consumer that the broker cancels is started again on the same connection, with its queue") {
   AmqpFixture t(1, 1, {}, settings(), nullptr, {}, topology_of_calls());
   t.broker.send("a", "bin-check", "x");
   REQUIRE(t.wait_for_answer("a"));
--- a/tests/amqp/client_disconnected_test.cpp
+++ b/tests/amqp/client_disconnected_test.cpp
@@ -1,11 +1,11 @@
-// A broker that ends the connection a delivery came over: it goes back to its queue, and nothing begins for
-// it here until it is delivered here again.
+// A broker closes the connection of an open delivery. The delivery returns to its queue, and no attempt
+// starts for it until it is delivered to this process again.
 #include "support/amqp_fixture.h"
 
 namespace lotusyard::test {
 namespace {
 
-// At once, not at the turn's end.
+// Closes at once, not at the end of the iteration.
 void close_broker(AmqpFixture& t) {
   const auto peers = t.broker.server.peers;
   for (const auto& peer : peers) {
@@ -14,9 +14,9 @@
   }
 }
 
-// Failure found in review: an attempt that had not begun when the broker went began without anyone to ask for
-// its answer, while the delivery stood for other consumers.
-TEST_CASE("after the broker has gone no attempt begins for a delivery until it is delivered again") {
+// Guards against starting an attempt after the broker has disconnected: nobody would receive its answer, and
+// the delivery may already be with another consumer.
+TEST_CASE("after the broker has disconnected no attempt starts for a delivery until it is delivered again") {
   AmqpFixture t(2);
   t.broker.send("a", "bin-check", "warm up");
   REQUIRE(t.wait_for_answer("a"));
@@ -24,25 +24,25 @@
   const auto execs = [&] { return t.invoker.host[0]->execs + t.invoker.host[1]->execs; };
   const int before = execs();
   const bool retry = GENERATE(false, true);
-  bool gone = false;
-  const auto go = [&] {
+  bool disconnected = false;
+  const auto disconnect = [&] {
     close_broker(t);
-    t.broker.server.stop();  // and nobody listens
-    gone = true;
+    t.broker.server.stop();  // no new connection is accepted
+    disconnected = true;
   };
   for (auto& host : t.invoker.host) {
     host->handler = [&](const std::string&) {
-      if (!gone)
-        go();
+      if (!disconnected)
+        disconnect();
       return Reaction{Reaction::reply, "full"};
     };
   }
   t.broker.send("b", "bin-check", "x");
-  while (!gone) {
+  while (!disconnected) {
     t.invoker.loop.run_once(t.invoker.loop.now() + Millis(20), [&] {
       t.invoker.dispatcher.tick();
       if (!retry && t.invoker.dispatcher.open_calls() > 0)
-        go();  // decided, and not written yet
+        disconnect();  // the attempt is decided, but not written yet
     });
   }
   const Millis until = t.invoker.loop.now() + Millis(300);
@@ -51,20 +51,20 @@
   CHECK(t.invoker.counters.value("amqp.down") > 0);
 }
 
-TEST_CASE("a delivery that comes again while its call waits has it go on, once") {
+TEST_CASE("a delivery that is redelivered while its call waits continues that call, which runs once") {
   AmqpFixture t(1);
   t.broker.send("a", "bin-check", "warm up");
   REQUIRE(t.wait_for_answer("a"));
   REQUIRE(t.wait_until_settled());
   t.broker.send("b", "bin-record", "x");
-  bool gone = false;
-  while (!gone) {
+  bool disconnected = false;
+  while (!disconnected) {
     t.invoker.loop.run_once(t.invoker.loop.now() + Millis(20), [&] {
       t.invoker.dispatcher.tick();
-      if (gone || t.invoker.dispatcher.open_calls() == 0)
+      if (disconnected || t.invoker.dispatcher.open_calls() == 0)
         return;
       close_broker(t);
-      gone = true;
+      disconnected = true;
     });
   }
   REQUIRE(t.wait_for_answer("b"));
--- a/tests/amqp/delivery_cache_test.cpp
+++ b/tests/amqp/delivery_cache_test.cpp
@@ -1,4 +1,4 @@
-// What the delivery cache evicts.
+// Eviction in the delivery cache.
 #include "amqp/delivery_cache.h"
 
 #include <catch2/catch.hpp>
@@ -8,7 +8,7 @@
 
 using core::Millis;
 
-TEST_CASE("the memory of answers is bounded and forgets the oldest first") {
+TEST_CASE("cached answers are bounded in number and memory, and the oldest are evicted first") {
   amqp::DeliveryCache cache(3, 1U << 20);
   for (const char* id : {"a", "b", "c", "d"}) {
     cache.insert(id, true);
--- a/tests/amqp/reconnect_policy_test.cpp
+++ b/tests/amqp/reconnect_policy_test.cpp
@@ -1,4 +1,4 @@
-// When and to which broker a lost connection is made again.
+// The delay before, and the broker of, the connection that replaces a lost one.
 #include "amqp/reconnect_policy.h"
 
 #include <catch2/catch.hpp>
@@ -23,7 +23,7 @@
   return reason;
 }
 
-TEST_CASE("each reply code is tried again as it deserves") {
+TEST_CASE("each reply code has its retry advice") {
   CHECK(amqp::retry_advice(0) == RetryAdvice::soon);
   CHECK(amqp::retry_advice(320) == RetryAdvice::soon);
   CHECK(amqp::retry_advice(405) == RetryAdvice::later);
@@ -79,7 +79,7 @@
   }
 }
 
-TEST_CASE("a connection that ends at the login names the password and is not hurried") {
+TEST_CASE("a connection that ends at the login names the password and is retried late") {
   for (std::uint64_t seed = 0; seed < kSeeds; ++seed) {
     ReconnectPolicy policy({"a:1"}, seed);
     CloseReason at_login;
--- a/tests/amqp/triggers_test.cpp
+++ b/tests/amqp/triggers_test.cpp
@@ -1,4 +1,4 @@
-// The AMQP front's whole path: stand-in broker, core and module, stand-in hosts.
+// The complete path of an AMQP delivery: stand-in broker, front end, dispatcher, policy and stand-in hosts.
 #include <cstdlib>
 #include <iostream>
 #include <sstream>
@@ -35,7 +35,7 @@
   CHECK(t.broker.answers.size() == 1);
 }
 
-TEST_CASE("what a host says is what the answer says") {
+TEST_CASE("the answer reports the host's result") {
   AmqpFixture t(2);
   std::string word = "failed";
   for (auto& h : t.invoker.host) {
@@ -43,13 +43,13 @@
       return Reaction{word.empty() ? Kind::silence : Kind::reply, word};
     };
   }
-  SECTION("an error of a bin-record may have run: failed, and not tried again") {
+  SECTION("a bin-record with an error may have run: failed, and not retried") {
     t.broker.send("a", "bin-record", "x");
     REQUIRE(t.wait_for_answer("a"));
     CHECK(result_word(t.broker.answers_by_id["c-a"][0]) == "FAILED");
     CHECK(t.invoker.host[0]->execs + t.invoker.host[1]->execs == 1);
   }
-  SECTION("hosts that are full prove that it never ran: refused") {
+  SECTION("full hosts show that the call never ran: rejected") {
     word = "full";
     t.broker.send("a", "bin-record", "x");
     REQUIRE(t.wait_for_answer("a"));
@@ -66,7 +66,7 @@
   }
 }
 
-TEST_CASE("a delivery that is open keeps its class's rules when they change; the next one has the new ones") {
+TEST_CASE("an open delivery keeps its class's settings when they change; the next one has the new ones") {
   AmqpFixture t(2);
   std::map<std::string, int> tries;
   core::Settings next = settings();
@@ -80,7 +80,7 @@
   };
   for (auto& h : t.invoker.host) {
     h->handler = [&](const std::string& body) {
-      change();  // while the first one is out
+      change();  // while the first attempt is running
       return Reaction{Kind::reply, ++tries[body] == 1 ? "failed" : "data"};
     };
   }
@@ -112,7 +112,7 @@
   CHECK(t.invoker.host[0]->execs == 0);
 }
 
-TEST_CASE("a bin-record redelivered to a process that knows nothing of it is failed, not run") {
+TEST_CASE("a bin-record redelivered to a process without a record of it is failed, not run") {
   AmqpFixture t(1);
   StandInBroker::Message m;
   t.broker.send("fresh", "bin-check", "x");
@@ -129,7 +129,7 @@
   CHECK(t.invoker.host[0]->execs == 1);
 }
 
-TEST_CASE("a keyed call goes out under its key or its id; redelivered, only while its window is open") {
+TEST_CASE("a keyed call is sent with its key or its message id; if redelivered, only within its key window") {
   core::Settings s = settings();
   s.classes[0].semantics = lotusyard::policy::Semantics::idempotent_with_key;
   s.classes[0].key_window = Millis(15000);
@@ -147,7 +147,7 @@
   CHECK(all.find("op=k-1,") != std::string::npos);
   const auto now = static_cast<std::uint64_t>(t.invoker.loop.now().count() / 1000);
   for (const auto& [id, published] : std::map<std::string, std::optional<std::uint64_t>>{
-           {"untold", std::nullopt}, {"young", now - 5}, {"old", now - 16}}) {
+           {"undated", std::nullopt}, {"young", now - 5}, {"old", now - 16}}) {
     StandInBroker::Message m;
     m.properties.message_id = id;
     m.properties.correlation_id = "c-" + id;
@@ -162,7 +162,8 @@
   CHECK(t.invoker.host[0]->execs == 3);
 }
 
-TEST_CASE("a consumer gone mid-answer: the call runs once and its redelivery gets the one answer") {
+TEST_CASE(
+    "a consumer disconnected while its call runs: the call runs once, and its redelivery gets the answer") {
   AmqpFixture t(1);
   bool running = false;
   t.invoker.host[0]->handler = [&](const std::string&) {
@@ -179,7 +180,7 @@
   CHECK(result_word(t.broker.answers_by_id["c-a"][0]) == "OK");
 }
 
-TEST_CASE("an answer already confirmed is not sent twice when only the ack was lost") {
+TEST_CASE("a confirmed answer is not sent twice when only the acknowledgement was lost") {
   AmqpFixture t(1);
   t.broker.send("a", "bin-record", "x");
   REQUIRE(t.wait_for_answer("a"));
@@ -193,7 +194,7 @@
     REQUIRE(t.invoker.run_until([&] { return t.broker.acked == 2; }, 20000));
     CHECK(t.broker.answers.size() == 1);
   }
-  SECTION("to another address: the remembered answer") {
+  SECTION("to another address: the cached answer") {
     again.properties.correlation_id = "c-b";
     t.broker.enqueue(std::move(again));
     REQUIRE(t.wait_for_answer("b"));
@@ -215,10 +216,10 @@
   }
 }
 
-// The long run, by name only: lotusyard_tests "[soak]", for LOTUSYARD_SOAK_S seconds (600 unless told).
-TEST_CASE("the same for ten minutes", "[.soak]") {
-  const char* const told = std::getenv("LOTUSYARD_SOAK_S");
-  const double seconds = told == nullptr ? 600 : std::atof(told);
+// Runs only by name, lotusyard_tests "[soak]", for LOTUSYARD_SOAK_S seconds (600 by default).
+TEST_CASE("chaos soak: the same faults for ten minutes", "[.soak]") {
+  const char* const duration = std::getenv("LOTUSYARD_SOAK_S");
+  const double seconds = duration == nullptr ? 600 : std::atof(duration);
   const ChaosResult tally = chaos_run(5, SIZE_MAX, Millis(seconds * 1000));
   tally.print(std::cout);
   CHECK(tally.clean());
