--- a/tests/net/listeners_test.cpp
+++ b/tests/net/listeners_test.cpp
@@ -14,7 +14,7 @@
   admin::OperationResult enable(const std::string&) override { return admin::OperationResult::done; }
 };
 
-// Lets accept fail for a while; returns how often it was called.
+// Makes accept fail for 300 ms; returns how often it was called.
 template <typename RunOnce>
 int accepts_while_failing(const net::EventLoop& loop, int error, const RunOnce& run_once) {
   SystemCallFaults faults;
@@ -24,16 +24,16 @@
     run_once();
   return faults.calls(SystemCall::accept);
 }
-bool few(int accepts) { return accepts > 0 && accepts < 20; }
+bool is_few(int accepts) { return accepts > 0 && accepts < 20; }
 
 TEST_CASE("a listener that lacks what accept needs pauses and resumes", "[system-calls]") {
   const int error = GENERATE(EMFILE, ENFILE, ENOBUFS, ENOMEM);
   INFO("error " << error);
-  SECTION("the front end of the platform") {
-    RespFixture p(1);
-    Client client(p.invoker, p.front_end.address());
+  SECTION("the RESP front end") {
+    RespFixture fixture(1);
+    Client client(fixture.invoker, fixture.front_end.address());
     client.call("1", "bin-check", "x");
-    CHECK(few(accepts_while_failing(p.invoker.loop, error, [&] { p.invoker.run_once(); })));
+    CHECK(is_few(accepts_while_failing(fixture.invoker.loop, error, [&] { fixture.invoker.run_once(); })));
     CHECK(client.answer("1") != nullptr);
   }
   SECTION("the admin endpoint") {
@@ -42,7 +42,7 @@
     admin::AdminEndpoint endpoint(fixture.loop, fixture.counters, operations, 4);
     REQUIRE(endpoint.listen("127.0.0.1:0"));
     const net::Socket caller = net::connect_to(endpoint.address()).socket;
-    CHECK(few(accepts_while_failing(fixture.loop, error, [&] { fixture.run_once(); })));
+    CHECK(is_few(accepts_while_failing(fixture.loop, error, [&] { fixture.run_once(); })));
     CHECK(fixture.run_until([&] { return fixture.counters.value("console.connections") == 1; }, 1000));
   }
   SECTION("the peer transport of a raft group") {
@@ -51,7 +51,7 @@
         fixture.loop, fixture.counters, {}, [](const auto&, auto&&) {}, [](const auto&) {});
     REQUIRE(links.listen("127.0.0.1:0"));
     const net::Socket caller = net::connect_to(links.address()).socket;
-    CHECK(few(accepts_while_failing(fixture.loop, error, [&] { fixture.run_once(); })));
+    CHECK(is_few(accepts_while_failing(fixture.loop, error, [&] { fixture.run_once(); })));
     REQUIRE(::send(caller.fd(), "garbage that is no frame", 24, MSG_NOSIGNAL) == 24);
     const auto closed = [&] { return net::peek_peer(caller) == net::PeerState::disconnected; };
     CHECK(fixture.run_until(closed, 1000));  // accepted, read and closed
@@ -60,21 +60,21 @@
     Tier tier;
     auto& server = tier.add_node();
     const net::Socket caller = net::connect_to(server.address()).socket;
-    CHECK(few(accepts_while_failing(tier.loop, error, [&] { tier.turn(); })));
+    CHECK(is_few(accepts_while_failing(tier.loop, error, [&] { tier.turn(); })));
     CHECK(tier.until([&] { return server.links() == 1; }, Millis(1000)));
   }
 }
 
-TEST_CASE("connections that were lost do not delay the sound one behind them", "[system-calls]") {
+TEST_CASE("lost connections do not delay the healthy one behind them", "[system-calls]") {
   const int error = GENERATE(ECONNABORTED, EPROTO, ENETDOWN, EHOSTUNREACH);
-  RespFixture p(1);
-  Client client(p.invoker, p.front_end.address());
+  RespFixture fixture(1);
+  Client client(fixture.invoker, fixture.front_end.address());
   SystemCallFaults faults;
   faults.fail(SystemCall::accept, {error}, 1, 5);
-  for (int i = 0; i < 2 && p.invoker.counters.value("resp.connections") == 0; ++i)
-    p.invoker.run_once();
-  CHECK(p.invoker.counters.value("resp.connections") == 1);
-  CHECK(p.invoker.counters.value("net.accept.connection_lost") == 5);
+  for (int i = 0; i < 2 && fixture.invoker.counters.value("resp.connections") == 0; ++i)
+    fixture.invoker.run_once();
+  CHECK(fixture.invoker.counters.value("resp.connections") == 1);
+  CHECK(fixture.invoker.counters.value("net.accept.connection_lost") == 5);
 }
 
 }  // namespace
--- a/tests/net/system_call_storm_test.cpp
+++ b/tests/net/system_call_storm_test.cpp
@@ -1,5 +1,5 @@
-// Every part that owns sockets, while system calls fail at random, and while each read or write transfers one
-// byte.
+// Runs every component that owns sockets while system calls fail at random, and while each read or write
+// transfers one byte.
 #include "admin/admin_endpoint.h"
 #include "control/tier.h"
 #include "discovery/discovery.h"
@@ -49,10 +49,10 @@
 
 TEST_CASE("front end and hosts: each call runs once with its body", "[system-calls][storm]") {
   with_each_profile([](std::uint64_t, const auto& begin) {
-    RespFixture p(3);
+    RespFixture fixture(3);
     begin();
-    const auto connected =
-        make_connecting([&] { return std::make_unique<Client>(p.invoker, p.front_end.address()); });
+    const auto connected = make_connecting(
+        [&] { return std::make_unique<Client>(fixture.invoker, fixture.front_end.address()); });
     Client& client = *connected;
     int served = 0;
     for (int i = 0; i < 40; ++i) {
@@ -66,7 +66,7 @@
       CHECK(answer->back() == body);
     }
     CHECK(served == 40);
-    for (const auto& host : p.invoker.host) {
+    for (const auto& host : fixture.invoker.host) {
       for (const auto& [body, runs] : host->runs)
         CHECK(runs == 1);
     }
@@ -181,7 +181,7 @@
   });
 }
 
-TEST_CASE("control sessions: every change arrives, and sessions open for ever new connections",
+TEST_CASE("control sessions: every change arrives, and sessions are opened over ever new connections",
           "[system-calls][storm]") {
   with_each_profile([](std::uint64_t, const auto& begin) {
     Tier tier;
--- a/tests/net/system_calls_test.cpp
+++ b/tests/net/system_calls_test.cpp
@@ -123,7 +123,7 @@
     CHECK(net::accept_from(listener.socket).status == AcceptStatus::out_of_resources);
     CHECK(net::accept_from(listener.socket).status == AcceptStatus::none_waiting);
   }
-  const Listener listener;  // one with nothing but lost connections must not block the loop
+  const Listener listener;  // a queue of nothing but lost connections must not block the loop
   SystemCallFaults faults;
   faults.fail(SystemCall::accept, {ECONNABORTED});
   CHECK(net::accept_from(listener.socket).status == AcceptStatus::out_of_resources);
@@ -153,7 +153,7 @@
   }
 }
 
-TEST_CASE("whether a peer has disconnected is known also while poll fails", "[system-calls]") {
+TEST_CASE("a peer's disconnection is detected also while poll fails", "[system-calls]") {
   for (const int error : {EINTR, ENOMEM}) {
     const Listener listener;
     const net::ConnectResult near = net::connect_to(listener.address);
@@ -185,7 +185,7 @@
   CHECK(pair.far.received.empty());
   CHECK(pair.until([&] { return pair.far.received == "well"; }));
   CHECK_FALSE((pair.near.has_closed || pair.far.has_closed));
-  SystemCallFaults faults;  // a long one does
+  SystemCallFaults faults;  // a long shortage closes it
   faults.fail(call, {error});
   pair.near.write("more");
   CHECK(pair.until([&] { return pair.near.has_closed || pair.far.has_closed; }));
