--- a/src/resp/call_parser.h
+++ b/src/resp/call_parser.h
@@ -15,8 +15,8 @@
 
 // Parses CALL, tag, class, fields and, where there is one, body. The fields are those of the protocol page:
 // `ref`, `lookup` (the function), `allow` (the time-out in ms), `effort` (the cost hint), `project` (the
-// tenant), `replay` (the idempotency key), `dup` and `spec`. Whether their values are in range is the
-// dispatcher's to decide. `arrived` is when the call can have been sent at the earliest: its time-out counts
+// tenant), `replay` (the idempotency key), `dup` and `spec`. The dispatcher checks whether their
+// values are in range. `arrived` is when the call can have been sent at the earliest: its time-out counts
 // from then.
 std::variant<core::Call, CallParseError> parse_call(Words&& command, core::Millis arrived);
 
--- a/src/resp/client_connection.cpp
+++ b/src/resp/client_connection.cpp
@@ -7,7 +7,7 @@
 namespace lotusyard::resp {
 namespace {
 
-// More than 32 calls with the longest bodies.
+// Enough for more than 32 calls with the longest bodies.
 constexpr int kMaxReadsPerDrain = 6;
 
 // From connecting, or from a request's first byte, to its last byte. Some clients take over 2 s to write one;
--- a/src/resp/client_connection.h
+++ b/src/resp/client_connection.h
@@ -83,7 +83,7 @@
   void count_faulty_call();
   // Input is ignored from now on, and calls are rejected.
   void stop_parsing();
-  // There are too many clients for this one: calls are rejected.
+  // The limit on clients is exceeded by this one: its calls are rejected.
   void mark_excess();
   bool is_excess() const { return excess_; }
   // True for the first caller, which is to close the connection.
--- a/src/resp/client_listener.cpp
+++ b/src/resp/client_listener.cpp
@@ -10,8 +10,8 @@
 // Other connections have to be served between two batches.
 constexpr int kMaxAcceptsPerIteration = 64;
 
-// Before the next try to accept, where no descriptor was free. Others may have used them up, so no event
-// reports that one is free.
+// The delay before accepting again after no descriptor was free. Other components may have used them up, so
+// no event reports that one is free.
 constexpr core::Millis kResumeDelay{50};
 
 }  // namespace
--- a/src/resp/response_writer.cpp
+++ b/src/resp/response_writer.cpp
@@ -43,7 +43,7 @@
   const std::string response = encode_answer(tag, answer);
   clients_.evict_until_free(response.size());
   client.write(response);
-  // A client that does not read may hold only so many buffers of the pool.
+  // Bounds the buffers of the pool that a client which does not read can occupy.
   if (client.unwritten_bytes() <= limits_.unread_bytes)
     return;
   counters_.add(metrics::kRespUnreadClosed);
