--- a/src/amqp/channel_setup.cpp
+++ b/src/amqp/channel_setup.cpp
@@ -105,7 +105,7 @@
   return std::nullopt;
 }
 
-// Zero means that a side wants no heartbeats; the other side's interval is used then.
+// Zero means that a side requests no heartbeats; the other side's interval is used then.
 std::uint16_t ChannelSetup::negotiate_heartbeat(std::uint16_t proposed) const {
   const std::uint16_t configured = broker_.heartbeat_s;
   if (proposed == 0 || configured == 0)
--- a/src/amqp/delivery_parser.h
+++ b/src/amqp/delivery_parser.h
@@ -22,8 +22,8 @@
   invalid_lanes
 };
 
-// Returns where the answer to a message goes, or nothing if the message does not say. Without a correlation
-// id its message id is used.
+// Returns where the answer to a message goes, or nothing if the message does not name it. Without a
+// correlation id its message id is used.
 std::optional<ReplyAddress> reply_address(const Properties& properties);
 
 // The key that identifies a message's call. Every delivery of a message has the same key: its message id
