--- a/src/net/buffered_connection.cpp
+++ b/src/net/buffered_connection.cpp
@@ -93,7 +93,7 @@
   close_now();
 }
 
-// The lack of memory is this machine's, and the peer may well be sound: the call is repeated.
+// The shortage is on this machine and says nothing about the peer: the call is repeated.
 void BufferedConnection::pause_for_memory(const metrics::Counter& counter) {
   loop_.count_error(counter);
   const Millis now = loop_.now();
--- a/src/net/errors.h
+++ b/src/net/errors.h
@@ -24,12 +24,12 @@
 // The counter of such errors.
 const metrics::Counter& counter_of(ConnectErrorKind kind);
 
-// Whether this machine lacks memory for a read or write right now. The connection is sound, and the call may
+// Whether this machine lacks memory for a read or write right now. The connection is intact, and the call may
 // be repeated.
 bool is_transient_shortage(int error_number);
 
 enum class AcceptErrorKind {
-  connection_lost,  // concerns one connection; the next one may be sound
+  connection_lost,  // concerns one connection; the next one may be intact
   local_resource    // no connection can be accepted for now
 };
 
--- a/src/net/event_loop.h
+++ b/src/net/event_loop.h
@@ -20,7 +20,7 @@
 using policy::Millis;
 
 // An iteration calls the handlers of ready descriptors, fires due timers, runs the caller's decisions,
-// flushes what was written and then deletes what was ended. Not thread-safe.
+// flushes what was written and then deletes the objects given to delete_later(). Not thread-safe.
 class EventLoop {
  public:
   using TimerId = net::TimerId;
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -20,9 +20,8 @@
 constexpr int kMaxConnectAttempts = 4;
 constexpr int kMaxPollAttempts = 4;
 
-constexpr int kMaxAcceptAttempts =
-    64;                              // a listener that returns nothing but errors is left alone for a while
-constexpr int kListenBacklog = 512;  // connections that wait to be accepted
+constexpr int kMaxAcceptAttempts = 64;  // a listener that returns nothing but errors is paused for a while
+constexpr int kListenBacklog = 512;     // connections that wait to be accepted
 
 using Addresses = std::unique_ptr<addrinfo, decltype(&freeaddrinfo)>;
 
--- a/src/net/socket.h
+++ b/src/net/socket.h
@@ -42,7 +42,7 @@
 enum class AcceptStatus {
   accepted,
   none_waiting,
-  out_of_resources  // connections wait but cannot be accepted: the listener should be left alone for a while
+  out_of_resources  // connections wait but cannot be accepted: the listener should pause for a while
 };
 
 struct AcceptResult {
--- a/src/net/system_calls.h
+++ b/src/net/system_calls.h
@@ -1,7 +1,7 @@
 // The system calls on sockets. Each function passes its arguments on unchanged.
 //
-// They have an object file of their own, so that a test program can link other definitions, which let calls
-// fail as their manual pages say.
+// They have an object file of their own, so that a test program can link other definitions, in which calls
+// fail in the ways that their manual pages list.
 #pragma once
 
 #include <poll.h>
