--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -16,17 +16,16 @@
 namespace lotusyard::net {
 namespace {
 
-// Calls that a signal may interrupt are repeated so often.
+// Calls that a signal may interrupt are repeated at most this often.
 constexpr int kMaxConnectAttempts = 4;
 constexpr int kMaxPollAttempts = 4;
 
-constexpr int kMaxAcceptAttempts =
-    64;                              // a listener that returns nothing but errors is left alone for a while
-constexpr int kListenBacklog = 512;  // connections that wait to be accepted
+constexpr int kMaxAcceptAttempts = 64;  // a listener that returns nothing but errors is paused for a while
+constexpr int kListenBacklog = 512;     // connections that wait to be accepted
 
 using Addresses = std::unique_ptr<addrinfo, decltype(&freeaddrinfo)>;
 
-// Parses a numeric address; null if it is none.
+// Parses a numeric address; null if it is invalid.
 Addresses resolve(const std::string& address, int flags) {
   const auto colon = address.rfind(':');
   if (colon == std::string::npos || colon == 0)
