--- a/src/app/invoker.cpp
+++ b/src/app/invoker.cpp
@@ -42,7 +42,7 @@
       configuration_(std::move(configuration_file)),
       state_folder_(state_folder_for(config())),
       presence_(shares_listener() ? state_folder_ : std::string()),
-      role_(presence_.other_lives() ? ProcessRole::concurrent : ProcessRole::sole),
+      role_(presence_.other_is_alive() ? ProcessRole::concurrent : ProcessRole::sole),
       pool_(block_count(resource_shares())),
       host_connections_(loop_, pool_, counters_, host_limits(config(), resource_shares())),
       dispatcher_(
@@ -129,9 +129,9 @@
   } else {
     counters_.add(metrics::kMembershipNotRead);  // what was read before stays in force
   }
-  if (presence_.known()) {
+  if (presence_.is_announced()) {
     const ProcessRole beside_other = shutdown_.has_begun() ? ProcessRole::draining : ProcessRole::concurrent;
-    set_role(presence_.other_lives() ? beside_other : ProcessRole::sole);
+    set_role(presence_.other_is_alive() ? beside_other : ProcessRole::sole);
   }
   poll_timer_ = loop_.schedule_at(loop_.now() + kSharedStatePollInterval, [this] { poll_shared_state(); });
 }
--- a/src/app/invoker_admin_endpoint.cpp
+++ b/src/app/invoker_admin_endpoint.cpp
@@ -9,7 +9,7 @@
   if (config().console.empty())
     return;
   admin_endpoint_.emplace(loop_, counters_, static_cast<admin::AdminOperations&>(*this),
-                          resource_shares().callers);
+                          resource_shares().admin_connections);
   if (!admin_endpoint_->listen(config().console)) {
     throw config::ConfigError("configuration: console: cannot listen on " + config().console);
   }
--- a/src/hot_restart/presence.cpp
+++ b/src/hot_restart/presence.cpp
@@ -13,7 +13,7 @@
 namespace lotusyard::hot_restart {
 namespace {
 
-constexpr int kMaxFileNames = 100;  // that are tried
+constexpr int kMaxFileNames = 100;  // tried before giving up
 constexpr std::string_view kFilePrefix = "process.";
 constexpr mode_t kFolderMode = 0700;
 constexpr mode_t kFileMode = 0600;
@@ -41,7 +41,7 @@
   net::Socket file(open(path_of(file_name).c_str(), O_WRONLY | O_CREAT | O_EXCL | O_CLOEXEC, kFileMode));
   if (!file || flock(file.fd(), LOCK_EX | LOCK_NB) != 0)
     return false;
-  // Another process that looked before the file was locked has removed it as one of a dead process.
+  // Another process that checked the file before it was locked has removed it as that of a dead process.
   struct stat status {};
   if (fstat(file.fd(), &status) != 0 || status.st_nlink == 0)
     return false;
@@ -49,18 +49,18 @@
   return true;
 }
 
-bool Presence::other_lives() const {
+bool Presence::other_is_alive() const {
   if (!lock_file_)
     return false;
   const std::unique_ptr<DIR, int (*)(DIR*)> folder(opendir(folder_.c_str()), &closedir);
   if (!folder)
     return false;
-  bool lives = false;
+  bool other_found = false;
   while (const dirent* entry = readdir(folder.get())) {
     if (is_other_process(entry->d_name))
-      lives = true;
+      other_found = true;
   }
-  return lives;
+  return other_found;
 }
 
 // Whether the file belongs to another process that is alive. Removes the file if its process is dead.
--- a/src/hot_restart/presence.h
+++ b/src/hot_restart/presence.h
@@ -17,10 +17,10 @@
   Presence& operator=(const Presence&) = delete;
 
   // Returns false if this process could not announce itself, because the folder cannot be written to.
-  bool known() const { return static_cast<bool>(lock_file_); }
+  bool is_announced() const { return static_cast<bool>(lock_file_); }
 
-  // Also removes the files of processes that were killed. Always false if this process is not known.
-  bool other_lives() const;
+  // Also removes the files of processes that were killed. Always false if this process is not announced.
+  bool other_is_alive() const;
 
  private:
   std::string folder_;
--- a/src/hot_restart/shares.cpp
+++ b/src/hot_restart/shares.cpp
@@ -5,10 +5,10 @@
 namespace lotusyard::hot_restart {
 namespace {
 
-// Standard streams, two listeners, the discovery stream, signals, the lock, a folder being read, and some to
-// spare.
+// Standard streams, two listeners, the discovery stream, signals, the lock, a folder being read, and a few
+// spare ones.
 constexpr std::size_t kOwnDescriptors = 14;
-// Code, libraries, configuration, the tables of the policy, and what a heap leaves unused.
+// Code, libraries, configuration, the tables of the policy, and unused memory of the heap.
 constexpr std::size_t kOwnBytes = 6U << 20;
 constexpr std::size_t kMinBufferBytes = 512U << 10;  // two of the longest responses
 
@@ -20,7 +20,7 @@
   return value - std::min(value, subtrahend);
 }
 
-std::size_t admin_connections(std::size_t sockets) {
+std::size_t admin_connection_limit(std::size_t sockets) {
   const std::size_t wanted = std::max(sockets / kSocketsPerAdminConnection, kMinAdminConnections);
   return std::min(wanted, kMaxAdminConnections);
 }
@@ -28,7 +28,7 @@
 }  // namespace
 
 std::size_t ResourceShares::descriptors() const {
-  return kOwnDescriptors + clients + new_connections + links + callers;
+  return kOwnDescriptors + clients + new_connections + host_connections + admin_connections;
 }
 
 ResourceShares shares_of(std::size_t memory_mb, std::size_t sockets, ProcessRole role) {
@@ -40,13 +40,13 @@
   // the length that a faulty host announces may be wrong.
   const std::size_t quarter = subtract_or_zero(process_bytes, kOwnBytes) / 4;
   shares.unwritten = shares.bodies = shares.incoming = std::max(quarter, kMinBufferBytes);
-  shares.callers = admin_connections(sockets);
-  const std::size_t free = subtract_or_zero(process_sockets, kOwnDescriptors + shares.callers);
+  shares.admin_connections = admin_connection_limit(sockets);
+  const std::size_t free = subtract_or_zero(process_sockets, kOwnDescriptors + shares.admin_connections);
   // The clients of one process get at most a third of the limit of both. The rest is divided between
   // connections to hosts and new connections.
   shares.clients = std::min(sockets / 3, free / 2);
-  shares.links = std::max<std::size_t>((free - shares.clients) / 2, 1);
-  shares.new_connections = std::max<std::size_t>(free - shares.clients - shares.links, 1);
+  shares.host_connections = std::max<std::size_t>((free - shares.clients) / 2, 1);
+  shares.new_connections = std::max<std::size_t>(free - shares.clients - shares.host_connections, 1);
   return shares;
 }
 
--- a/src/hot_restart/shares.h
+++ b/src/hot_restart/shares.h
@@ -9,25 +9,25 @@
 enum class ProcessRole {
   sole,        // no other process of this invoker is alive
   concurrent,  // another one is alive, and both admit clients
-  draining     // another one has taken over; this one only finishes what it has begun
+  draining     // another one has taken over; this one only finishes the work that it has
 };
 
 // The share of one process. Everything that divides the limits between processes is computed here.
 struct ResourceShares {
   std::size_t clients = 0;          // connections that have sent a request
   std::size_t new_connections = 0;  // connections that have not
-  std::size_t links = 0;            // connections to hosts
-  std::size_t callers = 0;          // connections of the admin endpoint
-  std::size_t unwritten = 0;        // bytes that wait to be sent
-  std::size_t bodies = 0;           // bytes of open calls
-  std::size_t incoming = 0;         // bytes of responses that are not complete yet
+  std::size_t host_connections = 0;
+  std::size_t admin_connections = 0;
+  std::size_t unwritten = 0;  // bytes that wait to be sent
+  std::size_t bodies = 0;     // bytes of open calls
+  std::size_t incoming = 0;   // bytes of responses that are incomplete
 
   // All descriptors of the process, its own included.
   std::size_t descriptors() const;
   std::size_t bytes() const { return unwritten + bodies + incoming; }
 };
 
-// The smallest limits that an invoker works with.
+// The smallest limits with which an invoker works.
 constexpr std::size_t kMinMemoryMb = 12;
 constexpr std::size_t kMinSockets = 96;
 
--- a/tests/hot_restart/hot_restart_test.cpp
+++ b/tests/hot_restart/hot_restart_test.cpp
@@ -28,8 +28,8 @@
       REQUIRE(sole.bytes() <= mb << 20);
       REQUIRE(concurrent.bytes() * 2 <= mb << 20);
       REQUIRE(sole.clients <= sockets / 3);
-      REQUIRE((concurrent.clients > 0 && concurrent.new_connections > 0 && concurrent.links > 0 &&
-               concurrent.callers >= 4));
+      REQUIRE((concurrent.clients > 0 && concurrent.new_connections > 0 && concurrent.host_connections > 0 &&
+               concurrent.admin_connections >= 4));
     }
   }
 }
@@ -55,26 +55,26 @@
   const std::string folder = std::string(name) + "/n0";
   {
     hot_restart::Presence one(folder);
-    REQUIRE(one.known());
-    CHECK_FALSE(one.other_lives());
+    REQUIRE(one.is_announced());
+    CHECK_FALSE(one.other_is_alive());
     {
       const hot_restart::Presence other(folder);
-      CHECK((one.other_lives() && other.other_lives()));
+      CHECK((one.other_is_alive() && other.other_is_alive()));
     }
-    CHECK_FALSE(one.other_lives());
+    CHECK_FALSE(one.other_is_alive());
     const pid_t killed = fork();
-    if (killed == 0) {  // it leaves its file
+    if (killed == 0) {  // its file is left behind
       static hot_restart::Presence child(folder);
-      raise(child.known() ? SIGKILL : SIGTERM);
+      raise(child.is_announced() ? SIGKILL : SIGTERM);
     }
     int status = 0;
     REQUIRE(waitpid(killed, &status, 0) == killed);
     CHECK(WTERMSIG(status) == SIGKILL);
-    CHECK_FALSE(one.other_lives());
+    CHECK_FALSE(one.other_is_alive());
   }
-  CHECK(rmdir(folder.c_str()) == 0);  // nothing is left
+  CHECK(rmdir(folder.c_str()) == 0);  // the folder is empty
   CHECK(rmdir(name) == 0);
-  CHECK_FALSE(hot_restart::Presence("/nowhere/at/all").known());
+  CHECK_FALSE(hot_restart::Presence("/nowhere/at/all").is_announced());
 }
 
 TEST_CASE("only a listening TCP socket is adopted, and others can still use it") {
