--- a/src/app/resource_limits.cpp
+++ b/src/app/resource_limits.cpp
@@ -57,7 +57,7 @@
   limits.connect_timeout = settings.host_protocol.connect_timeout;
   limits.idle_timeout = config.connection_idle;
   limits.order_timeout = settings.load_orders.timeout;
-  limits.max_attempts_per_connection = config.attempts_a_link;
+  limits.max_attempts_per_connection = config.max_attempts_per_connection;
   limits.max_connections = shares.host_connections;
   limits.max_incoming_bytes = shares.incoming;
   limits.max_answer_bytes = longest_answer(config, shares);
--- a/src/config/amqp_section.cpp
+++ b/src/config/amqp_section.cpp
@@ -10,7 +10,7 @@
   if (!amqp.has("brokers"))
     return {amqp.required_text("broker")};
   if (amqp.has("broker"))
-    amqp.fail("brokers", "not beside amqp.broker");
+    amqp.fail("brokers", "must not be set together with amqp.broker");
   const json& listed = amqp["brokers"];
   if (!listed.is_array() || listed.empty())
     amqp.fail("brokers", "at least one address is needed");
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -15,7 +15,7 @@
 int parse_descriptor(const std::string& text) {
   const auto descriptor = net::parse_whole(text, kMaxDescriptor);
   if (!descriptor)
-    throw ConfigError("BALANCER_LISTEN_FD", "no descriptor's number: '" + text + "'");
+    throw ConfigError("BALANCER_LISTEN_FD", "not a descriptor number: '" + text + "'");
   return static_cast<int>(*descriptor);
 }
 
@@ -27,7 +27,7 @@
 std::uint64_t read_seed(const Section& file) {
   const json& value = file["seed"];
   if (value.is_null() && file.has("amqp"))
-    return random_seed();  // the file is an operator's, who need not choose a seed
+    return random_seed();  // an operator's file needs no seed
   if (value.is_number_unsigned())
     return value.get<std::uint64_t>();
   const auto seed = value.is_string() ? net::parse_hex16(value.get<std::string>()) : std::nullopt;
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -1,4 +1,4 @@
-// The configuration of an invoker: the only place that reads and checks it and that knows the defaults.
+// The configuration of an invoker: its defaults, and the functions that read and check it.
 #pragma once
 
 #include <cstddef>
@@ -39,7 +39,7 @@
 struct XdsConfig {
   std::string file;
   std::string cluster;
-  policy::Millis reread{500};  // interval between two looks at the file
+  policy::Millis reread{500};  // interval between two reads of the file
 };
 
 struct Config {
@@ -56,13 +56,13 @@
   std::uint64_t known_seq = 0;                            // of the last discovery event before the start
   nlohmann::json known_events = nlohmann::json::array();  // the discovery events up to it
   policy::Settings settings;
-  policy::Millis connection_idle{15000};  // time-out of an idle connection to a host
-  std::size_t attempts_a_link = 32;       // in flight on one connection to a host
+  policy::Millis connection_idle{15000};         // time-out of an idle connection to a host
+  std::size_t max_attempts_per_connection = 32;  // in flight on one connection to a host
   std::vector<std::string> report_fields;
 };
 
 // Values from environment variables. They apply where the file has none, except `listen_fd`, which is never
-// in the file.
+// read from the file.
 struct Environment {
   std::string name;
   std::string listen;
--- a/src/config/json_read.h
+++ b/src/config/json_read.h
@@ -15,7 +15,7 @@
 using nlohmann::json;
 using policy::Millis;
 
-// What stands for an absent value: null.
+// The value returned for an absent one: null.
 inline const json& absent() {
   static const json null_value;
   return null_value;
@@ -44,12 +44,12 @@
 
 constexpr double kMaxInt = 1e9;  // within the range of int
 
-// A number without its fraction, clamped to kMaxInt in both directions.
+// A number truncated to an integer, clamped to kMaxInt in both directions.
 inline int whole(const json& value, int fallback = 0) {
   return static_cast<int>(std::clamp(number(value, fallback), -kMaxInt, kMaxInt));
 }
 
-// An integer of 64 bits; 0 if the value is none.
+// A 64-bit integer; 0 if the value is not an integer.
 inline std::uint64_t large(const json& value) {
   if (value.is_number_unsigned())
     return value.get<std::uint64_t>();
--- a/src/config/platform_settings_section.cpp
+++ b/src/config/platform_settings_section.cpp
@@ -23,7 +23,7 @@
     throw ConfigError(path + ".HardLimit", "must be a number above 0");
   const auto has_same_name = [&](const policy::ClassSettings& other) { return other.name == checked.name; };
   if (std::count_if(classes.begin(), classes.end(), has_same_name) > 1)
-    throw ConfigError(path, "stands twice");
+    throw ConfigError(path, "is defined twice");
 }
 
 void check_classes(const Section& settings, const std::vector<policy::ClassSettings>& classes) {
@@ -34,7 +34,7 @@
     check_class(checked, classes);
 }
 
-// Time-outs that the file does not set, or sets to zero.
+// Sets the time-outs that the file leaves out or sets to zero.
 void set_default_timeouts(policy::Settings& settings) {
   if (!(settings.host_protocol.connect_timeout.count() > 0))
     settings.host_protocol.connect_timeout = kDefaultConnectTimeout;
@@ -49,7 +49,8 @@
   const Section bounds = settings.child("Bounds");
   bounds.number("SendCap", 1, {1, 1000});  // only checked here: read_settings() reads it
   config.connection_idle = Millis(bounds.number("ConnIdle", config.connection_idle.count(), {1, 1e9}));
-  config.attempts_a_link = bounds.whole_number("StreamsPerConn", config.attempts_a_link, {1, 1e6});
+  config.max_attempts_per_connection =
+      bounds.whole_number("StreamsPerConn", config.max_attempts_per_connection, {1, 1e6});
   config.settings = read_settings(settings.value(), config.seed);
   set_default_timeouts(config.settings);
   for (const auto& field : key(settings["LoadInfo"], "Fields"))
--- a/src/config/replacement.cpp
+++ b/src/config/replacement.cpp
@@ -10,7 +10,7 @@
 
 using nlohmann::json;
 
-// All numbers are of one type here.
+// All kinds of numbers count as one type.
 std::string type_name(const json& value) { return value.is_number() ? "number" : value.type_name(); }
 
 // The keys that all elements of the list have, with the values of the first one: an optional key of one
@@ -77,7 +77,7 @@
 }  // namespace
 
 json outline(json file) {
-  // The events that were known at the start are many, and matter only then.
+  // The events of `known` are many, and are used only at the start.
   if (file.contains("known"))
     file["known"] = json::object();
   return outline_of(file);
--- a/src/config/replacement.h
+++ b/src/config/replacement.h
@@ -5,8 +5,8 @@
 
 namespace lotusyard::config {
 
-// What has to be kept of the running file for check_replacement(): its keys and the types of their values. Of
-// a list, the keys that all its elements have.
+// The part of the running file that check_replacement() needs: its keys and the types of their values; of a
+// list, the keys that all its elements have.
 nlohmann::json outline(nlohmann::json file);
 
 // Throws a ConfigError for the first key that the running file has and the next one lacks, or has with
