--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -1,5 +1,5 @@
-// The decision module on the simulator's wire: a batch a line on standard input, its reply on standard
-// output.
+// Connects the decision module to the simulator: reads one batch per line from standard input and writes its
+// reply to standard output.
 #include <exception>
 #include <iostream>
 #include <string>
@@ -8,13 +8,13 @@
 
 int main() {
   std::ios::sync_with_stdio(false);
-  lotusyard::simulator_adapter::Host host;
+  lotusyard::simulator_adapter::Adapter adapter;
   std::string line;
   while (std::getline(std::cin, line)) {
     if (line.empty())
       continue;
     try {
-      std::cout << host.reply(line) << std::endl;
+      std::cout << adapter.reply(line) << std::endl;
     } catch (const std::exception& fault) {
       std::cerr << "lotusyard: " << fault.what() << '\n';
       return 1;
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -12,7 +12,7 @@
 
 using namespace lotusyard::config;
 
-const std::string& needed_text(const json& value, const char* what) {
+const std::string& required_text(const json& value, const char* what) {
   if (!value.is_string())
     throw WireError(std::string("no ") + what + " where one is needed");
   return value.get_ref<const std::string&>();
@@ -42,9 +42,9 @@
 
 HostEntry entry(const json& row) {
   if (!row.is_array())
-    throw WireError("a list entry is no array");
+    throw WireError("a list entry is not an array");
   HostEntry read;
-  read.host = needed_text(at(row, 0), "worker");
+  read.host = required_text(at(row, 0), "worker");
   read.cell = whole(at(row, 1));
   read.weight = number(at(row, 2), 1);
   read.kind = text(at(row, 3));
@@ -70,7 +70,7 @@
 
 event::Request read_request(const json& m) {
   event::Request read;
-  read.id = needed_text(at(m, 1), "request id");
+  read.id = required_text(at(m, 1), "request id");
   read.class_name = text(at(m, 2));
   const int bits = whole(at(m, 5));
   if (at(m, 3).is_number() && (bits & 1) != 0)
@@ -89,7 +89,7 @@
 
 event::AttemptEnded read_answer(const json& m) {
   event::AttemptEnded read;
-  read.id = needed_text(at(m, 1), "request id");
+  read.id = required_text(at(m, 1), "request id");
   const int remark = whole(at(m, 2));
   read.warmth = warmth(remark);
   read.host_concurrency = remark >> 3;
@@ -112,26 +112,27 @@
 
 }  // namespace
 
-void Host::handle_message(Instance& instance, Millis now, const json& message, std::vector<Action>& actions) {
+void Adapter::handle_message(Instance& instance, Millis now, const json& message,
+                             std::vector<Action>& actions) {
   if (!message.is_array() || message.empty())
-    throw WireError("a message is no array with a name");
-  const std::string& name = needed_text(message[0], "message name");
+    throw WireError("a message is not an array with a name");
+  const std::string& name = required_text(message[0], "message name");
   if (name == "Catalog")
     return store_page(message);
   if (name == "Init") {
-    instance.live = true;
+    instance.started = true;
     const event::Start start{read_settings(at(message, 2), large(at(message, 1)))};
     return instance.policy.handle(now, start, actions);
   }
-  if (!instance.live)
+  if (!instance.started)
     return;
   if (const auto event = read_event(name, message))
     instance.policy.handle(now, *event, actions);
   if (name == "PowerOff")
-    instance.live = false;
+    instance.started = false;
 }
 
-void Host::store_page(const json& message) {
+void Adapter::store_page(const json& message) {
   const double page = number(at(message, 1), -1);
   if (page < 0 || page >= static_cast<double>(kPageCount))
     throw WireError("no such catalog page");
@@ -141,7 +142,7 @@
   pages_[static_cast<std::size_t>(page)] = std::move(entries);
 }
 
-event::EndpointListUpdate Host::read_endpoint_list(const json& message) const {
+event::EndpointListUpdate Adapter::read_endpoint_list(const json& message) const {
   event::EndpointListUpdate list;
   list.kind = list_kind(whole(at(message, 2)));
   const double page = number(at(message, 3), 0);
@@ -151,7 +152,7 @@
   return list;
 }
 
-std::optional<Event> Host::read_event(const std::string& name, const json& message) const {
+std::optional<Event> Adapter::read_event(const std::string& name, const json& message) const {
   if (name == "Discovery")
     return read_endpoint_list(message);
   static const std::map<std::string, Event (*)(const json&)> readers = {
@@ -178,10 +179,10 @@
 
 namespace {
 
-// Throws WireError where the batch lacks what every batch has.
+// Throws WireError if the batch lacks a required key.
 void check_batch(const json& batch) {
   if (!batch.is_object())
-    throw WireError("a batch is no object");
+    throw WireError("a batch is not an object");
   if (!key(batch, "Time").is_number())
     throw WireError("a batch without Time");
   if (!key(batch, "n").is_number())
@@ -192,7 +193,7 @@
 
 }  // namespace
 
-json Host::handle_inbox(const std::string& router, Millis now, const json& inbox) {
+json Adapter::handle_inbox(const std::string& router, Millis now, const json& inbox) {
   if (!inbox.is_array())
     throw WireError("a router without inbox");
   std::vector<Action> actions;
@@ -204,18 +205,18 @@
   return commands;
 }
 
-std::string Host::reply(const std::string& line) {
+std::string Adapter::reply(const std::string& line) {
   json batch;
   try {
     batch = json::parse(line);
   } catch (const json::exception&) {
-    throw WireError("a line is no JSON");
+    throw WireError("a line is not JSON");
   }
   check_batch(batch);
   const Millis now = millis(key(batch, "Time"));
   json groups = json::array();
   for (const auto& group : key(batch, "routers")) {
-    const std::string& router = needed_text(key(group, "Router"), "Router");
+    const std::string& router = required_text(key(group, "Router"), "Router");
     json commands = handle_inbox(router, now, key(group, "inbox"));
     if (!commands.empty())
       groups.push_back({{"Router", router}, {"cmds", std::move(commands)}});
--- a/src/simulator_adapter/wire.h
+++ b/src/simulator_adapter/wire.h
@@ -34,14 +34,14 @@
 };
 
 // Turns a batch of messages into a reply, with one Policy for each simulated invoker. Throws WireError.
-class Host {
+class Adapter {
  public:
   std::string reply(const std::string& line);
 
  private:
   struct Instance {
     Policy policy;
-    bool live = false;
+    bool started = false;
   };
   static constexpr std::size_t kPageCount = 16;
   std::array<std::vector<HostEntry>, kPageCount> pages_;  // of endpoint lists
@@ -50,10 +50,10 @@
   nlohmann::json handle_inbox(const std::string& router, Millis now, const nlohmann::json& inbox);
   void handle_message(Instance& instance, Millis now, const nlohmann::json& message,
                       std::vector<Action>& actions);
-  // Keeps a page of the endpoint list; a later message refers to it by its number.
+  // Stores a page of the endpoint list; a later message refers to it by its number.
   void store_page(const nlohmann::json& message);
   event::EndpointListUpdate read_endpoint_list(const nlohmann::json& message) const;
-  // Nothing for a message of an unknown name.
+  // Returns nothing for a message of an unknown name.
   std::optional<Event> read_event(const std::string& name, const nlohmann::json& message) const;
 };
 
--- a/tests/simulator_adapter/wire_test.cpp
+++ b/tests/simulator_adapter/wire_test.cpp
@@ -1,4 +1,4 @@
-// The simulator's JSON lines: what they are translated to, and which are rejected.
+// The simulator's JSON lines: their translation to events, and malformed ones.
 #include "wire.h"
 
 #include <gtest/gtest.h>
@@ -18,15 +18,15 @@
 }
 
 TEST(Wire, RepliesToAnEmptyBatch) {
-  Host host;
-  EXPECT_EQ(host.reply(R"({"Time":1,"n":7,"routers":[]})"), R"({"n":7,"routers":[]})");
+  Adapter adapter;
+  EXPECT_EQ(adapter.reply(R"({"Time":1,"n":7,"routers":[]})"), R"({"n":7,"routers":[]})");
 }
 
 TEST(Wire, SendsARequestToAHost) {
-  Host host;
-  host.reply(kInit);
+  Adapter adapter;
+  adapter.reply(kInit);
   const auto reply = nlohmann::json::parse(
-      host.reply(batch(R"(["Order","t/a","c",null,null,0,100,534015773185,null,800,2])")));
+      adapter.reply(batch(R"(["Order","t/a","c",null,null,0,100,534015773185,null,800,2])")));
   const auto& commands = reply["routers"][0]["cmds"];
   ASSERT_EQ(commands.size(), 2U);
   EXPECT_EQ(commands[0][0], "Timer");
@@ -34,18 +34,18 @@
 }
 
 TEST(Wire, IgnoresUnknownMessagesAndEndedCalls) {
-  Host host;
-  host.reply(kInit);
-  const auto reply = host.reply(
+  Adapter adapter;
+  adapter.reply(kInit);
+  const auto reply = adapter.reply(
       batch(R"(["Novelty",1],["Ring",99],["Gone","t/none"],["BroughtUp","x:1",3,"GOOD",1,1],)"
             R"(["Result","t/none",null,"GOOD",true,1,0,"h:1",null],["Sampled","GOOD",1,"q:9",[1]])"));
   EXPECT_EQ(reply, R"({"n":2,"routers":[]})");
 }
 
 TEST(Wire, InstancesShareNothing) {
-  Host host;
-  host.reply(kInit);
-  const auto reply = host.reply(
+  Adapter adapter;
+  adapter.reply(kInit);
+  const auto reply = adapter.reply(
       R"({"Time":1010,"n":2,"routers":[{"Router":"router_1","inbox":[["Order","t/b","c",null,null,0,1,2,null,9,1]]}]})");
   EXPECT_EQ(reply, R"({"n":2,"routers":[]})");
 }
@@ -57,8 +57,8 @@
         R"({"Time":1,"n":1,"routers":[{"Router":"r","inbox":[5]}]})",
         R"({"Time":1,"n":1,"routers":[{"Router":"r","inbox":[["Catalog",99,[]]]}]})",
         R"({"Time":1,"n":1,"routers":[{"Router":"r","inbox":[["Catalog",0,[[5]]]]}]})"}) {
-    Host host;
-    EXPECT_THROW(host.reply(line), WireError) << line;
+    Adapter adapter;
+    EXPECT_THROW(adapter.reply(line), WireError) << line;
   }
 }
 
