--- a/src/admin/admin_connection.cpp
+++ b/src/admin/admin_connection.cpp
@@ -5,8 +5,8 @@
 namespace lotusyard::admin {
 namespace {
 
-// From the connection's begin to the last byte of the request. Without a limit, clients that never complete
-// their requests would occupy all connections.
+// From the opening of the connection to the last byte of the request. Without a limit, clients that never
+// complete their requests would occupy all connections.
 constexpr net::Millis kRequestTimeout{3000};
 
 }  // namespace
--- a/src/admin/admin_connection.h
+++ b/src/admin/admin_connection.h
@@ -14,7 +14,7 @@
 // Reads the request and writes the response. Requests that are malformed or late are rejected here.
 class AdminConnection final : public net::BufferedConnection {
  public:
-  // The endpoint, as its connections see it.
+  // Receives the events of a connection.
   class Owner {
    public:
     virtual ~Owner() = default;
@@ -22,7 +22,7 @@
     virtual void on_request(AdminConnection& connection, const Request& request) = 0;
     // A request is rejected with this status without having been complete.
     virtual void on_rejected(HttpStatus status) = 0;
-    // No other call follows. The connection must be kept until the end of the iteration.
+    // The last call for a connection, which must exist until the end of the iteration.
     virtual void on_closed(AdminConnection& connection) = 0;
   };
 
--- a/src/admin/admin_endpoint.h
+++ b/src/admin/admin_endpoint.h
@@ -1,5 +1,5 @@
-// The admin endpoint: HTTP/1.1 with one request for each connection. What a request does is up to the
-// operations.
+// The admin endpoint: HTTP/1.1 with one request for each connection. AdminOperations decides
+// what a request does.
 #pragma once
 
 #include <cstddef>
--- a/src/admin/admin_operations.h
+++ b/src/admin/admin_operations.h
@@ -1,4 +1,4 @@
-// What the admin endpoint asks of the program.
+// The operations of the program that requests to the admin endpoint run.
 #pragma once
 
 #include <optional>
@@ -24,7 +24,7 @@
   virtual OperationResult disable(const std::string& host) = 0;
   virtual OperationResult enable(const std::string& host) = 0;
 
-  // Answers a request that is none of the above. Returns nothing if there is no such operation.
+  // Handles a request that is none of the above. Returns nothing if there is no such operation.
   virtual std::optional<Response> handle_request(const Request&) { return std::nullopt; }
 };
 
--- a/src/admin/http_message.h
+++ b/src/admin/http_message.h
@@ -25,7 +25,7 @@
   std::string path;  // percent-decoded, without the query
 };
 
-// What an operation answers; the endpoint adds the headers.
+// The result of an operation; the endpoint adds the headers.
 struct Response {
   int status = static_cast<int>(HttpStatus::ok);  // one of HttpStatus
   std::string text;                               // without a line end
--- a/src/admin/http_text.cpp
+++ b/src/admin/http_text.cpp
@@ -13,7 +13,7 @@
          kTokenPunctuation.find(character) != std::string_view::npos;
 }
 
-// Drops scheme and server, which a request through a proxy names.
+// Drops scheme and server, which a request through a proxy contains.
 std::string_view strip_origin(std::string_view target) {
   for (const std::string_view scheme : {"http://", "https://"}) {
     if (to_lower(target.substr(0, scheme.size())) != scheme)
--- a/src/admin/request_parser.cpp
+++ b/src/admin/request_parser.cpp
@@ -9,7 +9,7 @@
 namespace lotusyard::admin {
 namespace {
 
-constexpr std::size_t kMaxLengthDigits = 18;    // a longer Content-Length is no number for net::parse_whole()
+constexpr std::size_t kMaxLengthDigits = 18;    // net::parse_whole() accepts no longer Content-Length
 constexpr std::size_t kMaxChunkSizeDigits = 8;  // hexadecimal
 
 // Whether the text is HTTP/x.y. Only the separators are checked.
--- a/src/admin/request_parser.h
+++ b/src/admin/request_parser.h
@@ -11,7 +11,7 @@
 
 namespace lotusyard::admin {
 
-// The body is read and dropped: no operation needs one. Memory is bounded by kMaxLineBytes.
+// The body is read and discarded: no operation needs one. Memory is bounded by kMaxLineBytes.
 class RequestParser {
  public:
   static constexpr std::size_t kMaxLineBytes = 2048;
@@ -20,7 +20,7 @@
 
   enum class State { incomplete, complete, malformed };
 
-  // Takes bytes up to the end of the request; bytes behind it are ignored.
+  // Parses bytes up to the end of the request; bytes after it are ignored.
   State parse(std::string_view bytes);
 
   State state() const { return state_; }
