--- a/src/app/app.h
+++ b/src/app/app.h
@@ -16,7 +16,7 @@
 
 namespace lotusyard {
 
-// Opens the store of durable results; none in a program that keeps no results.
+// Opens the store of durable results; empty in a program without one.
 using ResultStoreFactory = std::function<std::unique_ptr<idempotency::ResultStore>(
     const config::AmqpConfig&, core::Millis now, metrics::Counters&)>;
 
@@ -27,7 +27,7 @@
   endpoints::EndpointStates& endpoint_states;
   hosts::HostConnectionPool& host_connections;
   std::function<const core::Settings&()> settings;  // returns those in force
-  // Sets this process's part (0 to 1) of what all invokers together may send to a host in slow start.
+  // Sets this process's share (0 to 1) of what all invokers together may send to a host in slow start.
   std::function<void(double)> set_share;
   std::string name;  // of the invoker
 };
@@ -53,13 +53,13 @@
 
   virtual void attempt_ended(const std::string& host, const core::Call& call, core::Outcome outcome) = 0;
 
-  // A call was rejected that was never sent to a host.
+  // Called when a call is rejected that was never sent to a host.
   virtual void on_rejected(const core::Call&) {}
 
-  // The graceful shutdown has begun; calls that are open are still answered.
+  // Called when the graceful shutdown begins; calls that are open are still answered.
   virtual void drain() {}
 
-  // Handles a request to the admin endpoint; nothing: it is none of the extension's.
+  // Handles a request to the admin endpoint. Returns nothing if the path is not one of the extension's.
   virtual std::optional<admin::Response> handle_request(const admin::Request& request) = 0;
 };
 
--- a/src/app/configuration_reload.cpp
+++ b/src/app/configuration_reload.cpp
@@ -12,7 +12,8 @@
   return std::make_shared<config::Config>(config::read_config(file, read_environment()));
 }
 
-// Keeps a setting as it was at the start, and adds its key if the next file has another value.
+// Keeps the current value of a setting, and adds its key to `changed_keys` if the next file has another
+// value.
 template <typename Value>
 void retain(const char* key, const Value& current, Value& next, std::vector<std::string>& changed_keys) {
   if (current == next)
@@ -54,7 +55,7 @@
   config::check_replacement(required_keys_, file);
   auto next = parse_configuration(file);
   if (next->xds.has_value() != current_->xds.has_value())
-    throw config::ConfigError("configuration: xds: can be added or removed at a start only");
+    throw config::ConfigError("configuration: xds: can be added or removed only at a start");
   return {std::move(file), std::move(next)};
 }
 
--- a/src/app/graceful_shutdown.cpp
+++ b/src/app/graceful_shutdown.cpp
@@ -7,11 +7,11 @@
 
 using core::Millis;
 
-// From the deployment page; all times count from SIGTERM.
-constexpr Millis kSigkillDelay{700};  // SIGKILL comes this long after the longest deadline,
-constexpr Millis kMaxDeadline{3000};  // which counts as this at most
-constexpr Millis kCallsKeepComingFor{600};
-constexpr Millis kConnectsKeepComingFor{400};
+// From the deployment page. A deadline counts from SIGTERM here.
+constexpr Millis kSigkillDelay{700};            // SIGKILL comes this long after the longest deadline
+constexpr Millis kMaxDeadline{3000};            // a longer deadline counts as this
+constexpr Millis kCallArrivalDuration{600};     // clients still send calls after SIGTERM
+constexpr Millis kConnectArrivalDuration{400};  // clients still connect after SIGTERM
 
 // Margins for a busy machine, on which clients and this process are late.
 constexpr Millis kCallsMargin{200};
@@ -19,13 +19,13 @@
 constexpr Millis kAnswerMargin{100};
 constexpr Millis kAdmitMargin{300};
 
-constexpr Millis kServeDuration = kCallsKeepComingFor + kCallsMargin;
-constexpr Millis kListenDuration = kConnectsKeepComingFor + kConnectsMargin;
+constexpr Millis kServeDuration = kCallArrivalDuration + kCallsMargin;
+constexpr Millis kListenDuration = kConnectArrivalDuration + kConnectsMargin;
 
-// Calls that are open so long after the longest deadline came just before their connection was closed. Ended
-// with the process they would be lost.
+// A call that is still open this long after the longest deadline arrived just before its connection was
+// closed. If it were open when the process exits, it would be lost.
 constexpr Millis kAnswerDelay = kSigkillDelay - kAnswerMargin;
-// For writing these answers; the rest of the margin is left for the exit.
+// Time to write these answers; the rest of the margin is left for the exit.
 constexpr Millis kWriteTimeout{60};
 static_assert(kWriteTimeout < kAnswerMargin, "the process exits before SIGKILL");
 
@@ -34,13 +34,13 @@
 
 }  // namespace
 
-std::vector<ShutdownCommand> GracefulShutdown::begin(Millis now, bool other_process_lives) {
+std::vector<ShutdownCommand> GracefulShutdown::begin(Millis now, bool other_process_alive) {
   began_at_ = now;
   state_ = State::waiting;
   std::vector<ShutdownCommand> commands;
   if (ownership_ == ListenerOwnership::shared) {
     commands.push_back(ShutdownCommand::stop_listening);
-    if (other_process_lives)
+    if (other_process_alive)
       commands.push_back(ShutdownCommand::enter_draining_role);
   } else {
     commands.push_back(ShutdownCommand::report_not_serving);
@@ -98,7 +98,7 @@
   all_answered_ = !facts.calls_open && !facts.answers_unwritten;
   if (ownership_ == ListenerOwnership::shared) {
     state_ = State::handing_off;
-    // A connection that always has a call open would have one at SIGKILL, too, and lose it.
+    // Otherwise a connection that always has a call open would have one at SIGKILL, too, and lose it.
     if (elapsed_ > kAdmitDuration)
       return ShutdownCommand::stop_admitting;
     return std::nullopt;
--- a/src/app/graceful_shutdown.h
+++ b/src/app/graceful_shutdown.h
@@ -5,7 +5,7 @@
 // comes 0.7 s after the longest deadline, which counts as 3 s at most, and clients still arrive for a while
 // after SIGTERM.
 //
-// Each iteration of the event loop runs through these states. A command stands in [brackets].
+// Each iteration of the event loop runs through these states. Commands are in [brackets].
 //
 //   running ------- begin() -------------------------------------> waiting
 //   waiting ------- begin_iteration() ---------------------------> checking_answer_deadline
@@ -45,7 +45,7 @@
   stop_listening,        // connections that wait to be accepted are accepted first
   enter_draining_role,   // leave most of the shared resources to the other process
   drain_triggers,        // consume no further deliveries
-  drain_extension,       // tell what the program has added to the invoker
+  drain_extension,       // notify the extension, if there is one
   stop_admitting,        // reject new calls, and those that were never sent to a host
   answer_open_calls,     // answer all calls at once and reject new ones
   hand_off_connections,  // close connections with nothing open; their clients reconnect to the other process
@@ -73,16 +73,16 @@
 
   bool has_begun() const { return state_ != State::running; }
 
-  // Begins the shutdown; returns the commands to carry out at once, in order. To be called once.
-  std::vector<ShutdownCommand> begin(core::Millis now, bool other_process_lives);
+  // Begins the shutdown; returns the commands to carry out at once, in order. Must be called only once.
+  std::vector<ShutdownCommand> begin(core::Millis now, bool other_process_alive);
 
-  // Begins an iteration, where the shutdown has begun. `iteration_started` is the time by which everything
-  // that the iteration reads had arrived: by a later clock, a slow iteration would cut off clients that were
-  // in time. `longest_deadline` is that of the settings in force, which may change.
+  // Begins an iteration of the event loop during the shutdown. `iteration_started` is the time by which
+  // everything that the iteration reads had arrived: by a later clock, a slow iteration would cut off clients
+  // that were in time. `longest_deadline` is that of the settings in force, which may change.
   void begin_iteration(core::Millis iteration_started, core::Millis longest_deadline);
 
-  // Returns the next command of the iteration, which ends with `wait` or `exit`. The facts have to be
-  // observed after the command before was carried out.
+  // Returns the next command of the iteration, which ends with `wait` or `exit`. The facts must be
+  // observed after the previous command was carried out.
   ShutdownCommand next(const ShutdownFacts& facts);
 
  private:
@@ -113,8 +113,8 @@
   const ListenerOwnership ownership_;
   State state_ = State::running;
   core::Millis began_at_{0};
-  core::Millis elapsed_{0};          // from the beginning to this iteration
-  core::Millis answer_deadline_{0};  // in time elapsed
+  core::Millis elapsed_{0};          // from the beginning of the shutdown to this iteration
+  core::Millis answer_deadline_{0};  // since the beginning of the shutdown
   // Whether all calls were answered, before the iteration accepted or read anything more.
   bool all_answered_ = false;
 };
--- a/src/app/invoker.cpp
+++ b/src/app/invoker.cpp
@@ -11,7 +11,7 @@
 using core::Millis;
 using hot_restart::ProcessRole;
 
-// What is disabled by hand in one process has to be disabled in the other one within 1 s.
+// A host that is disabled by hand in one process must be disabled in the other one within 1 s.
 constexpr Millis kSharedStatePollInterval{200};
 
 // Returns the folder that the processes of one invoker share; empty if it is not needed or not possible.
--- a/src/app/invoker.h
+++ b/src/app/invoker.h
@@ -28,12 +28,13 @@
 class Invoker final : private admin::AdminOperations {
  public:
   // Reads the configuration file and starts all parts. Throws config::ConfigError if the configuration is
-  // faulty or cannot be followed, and another exception if a resource is lacking.
+  // faulty or cannot be applied, and another exception if a resource is missing.
   Invoker(std::string configuration_file, const ResultStoreFactory& make_store,
           const ExtensionFactory& make_extension);
   ~Invoker() override;
 
-  // Serves until SIGTERM or SIGINT has come and the graceful shutdown is complete, then prints the counters.
+  // Serves until SIGTERM or SIGINT has arrived and the graceful shutdown is complete, then prints the
+  // counters.
   void run();
 
  private:
@@ -61,7 +62,7 @@
   GracefulShutdown shutdown_;
 
   const config::Config& config() const { return configuration_.current(); }
-  // Whether the listener is inherited, so that another process of this invoker may have it, too.
+  // Whether the listener is inherited, so that another process of this invoker may use it, too.
   bool shares_listener() const { return config().listen_fd >= 0; }
   hot_restart::ResourceShares resource_shares() const;
 
@@ -87,7 +88,7 @@
   void set_quota(double quota);
 
   // Reads what other processes of this invoker have changed: hosts disabled by hand, and which processes
-  // live.
+  // are alive.
   void poll_shared_state();
   void set_role(hot_restart::ProcessRole role);
 
--- a/src/app/invoker_admin_endpoint.cpp
+++ b/src/app/invoker_admin_endpoint.cpp
@@ -13,9 +13,10 @@
   if (!admin_endpoint_->listen(config().console)) {
     throw config::ConfigError("configuration: console: cannot listen on " + config().console);
   }
-  std::cout << "lotusyard " << config().name << " is operated at " << config().console << std::endl;
+  std::cout << "lotusyard " << config().name << " has its admin endpoint at " << config().console
+            << std::endl;
   if (state_folder_.empty())
-    std::cerr << "lotusyard: TMPDIR is not set: no host can be taken out by hand" << std::endl;
+    std::cerr << "lotusyard: TMPDIR is not set: no host can be disabled by hand" << std::endl;
 }
 
 bool Invoker::ready() const {
--- a/src/app/invoker_readiness.cpp
+++ b/src/app/invoker_readiness.cpp
@@ -1,4 +1,4 @@
-// What the invoker does, logs and counts about the age of its endpoint list.
+// Monitors the age of the endpoint list and the readiness of hosts, and logs and counts their changes.
 #include <iostream>
 
 #include "app/invoker.h"
@@ -25,7 +25,7 @@
   hosts::ReadinessMonitor& monitor = host_connections_.readiness_monitor();
   monitor.observe([this](const ReadinessEvent& event) { log_readiness(event); });
   dispatcher_.observe_rejections([this](const core::Call& call) { on_rejected(call); });
-  // The file holds the events up to the start; the loop is older than its reading.
+  // The file holds the events up to the start; the iteration started before the file was read.
   monitor.confirm_configured_list(loop_.iteration_started());
   monitor.set_terms(readiness_terms());
 }
@@ -49,11 +49,11 @@
                 << "; hosts without new work: " << event.withheld_hosts;
       break;
     case ReadinessEvent::Kind::host_withheld:
-      std::cout << "host " << event.host << " ready -> draining by its own word, endpoint list "
+      std::cout << "host " << event.host << " ready -> draining (reported by itself), endpoint list "
                 << seconds(event.list_age) << " old" << sequence;
       break;
     case ReadinessEvent::Kind::host_readmitted:
-      std::cout << "host " << event.host << " draining by its own word -> ready, endpoint list "
+      std::cout << "host " << event.host << " draining (reported by itself) -> ready, endpoint list "
                 << seconds(event.list_age) << " old" << sequence;
       break;
   }
--- a/src/app/invoker_shutdown.cpp
+++ b/src/app/invoker_shutdown.cpp
@@ -14,8 +14,8 @@
 
 void Invoker::begin_shutdown() {
   ShutdownFacts facts;
-  const bool other_process_lives = role_ != hot_restart::ProcessRole::sole;
-  for (const ShutdownCommand command : shutdown_.begin(loop_.now(), other_process_lives))
+  const bool other_process_alive = role_ != hot_restart::ProcessRole::sole;
+  for (const ShutdownCommand command : shutdown_.begin(loop_.now(), other_process_alive))
     execute(command, facts);
 }
 
--- a/src/app/invoker_startup.cpp
+++ b/src/app/invoker_startup.cpp
@@ -7,7 +7,7 @@
 namespace lotusyard {
 namespace {
 
-// A list that holds all hosts replaces the one before; another one only changes it.
+// A list that holds all hosts replaces the previous one; any other list only changes it.
 core::ListKind list_kind(const core::HostListUpdate& list, core::ListKind complete_kind) {
   return list.complete ? complete_kind : core::ListKind::delta;
 }
@@ -108,7 +108,8 @@
   const config::AmqpConfig& amqp = *config().amqp;
   if (!amqp.store.empty()) {
     if (!make_store)
-      throw config::ConfigError("configuration: amqp.store: this program keeps none; lotusyard_cluster does");
+      throw config::ConfigError(
+          "configuration: amqp.store: this program has no result store; lotusyard_cluster has one");
     store_ = make_store(amqp, loop_.now(), counters_);
   }
   triggers_.emplace(loop_, pool_, dispatcher_, counters_, config().settings, broker_settings(amqp),
--- a/src/app/resource_limits.cpp
+++ b/src/app/resource_limits.cpp
@@ -9,11 +9,11 @@
 
 using core::Millis;
 
-// A silent connection is probed after this part of the shortest latency objective, so that a dead one is
+// A silent connection is probed after this fraction of the shortest latency objective, so that a dead one is
 // noticed in time to send the call elsewhere.
-constexpr double kProbeDelayPart = 0.8;
+constexpr double kProbeDelayFraction = 0.8;
 
-// An answer may be as long as this even where the share of memory is small.
+// An answer may always be this long, however small the share of memory is.
 constexpr std::size_t kMinLongestAnswer = 256U << 10;
 // One answer takes up at most 1/4 of the memory for answers.
 constexpr std::size_t kMinAnswersInMemory = 4;
@@ -30,7 +30,7 @@
   return settings.load_orders.allowed ? hosts::LivenessProbe::order : hosts::LivenessProbe::none;
 }
 
-// 0 if no class has one.
+// Returns 0 if no class has a latency objective.
 Millis shortest_latency_objective(const core::Settings& settings) {
   Millis shortest{0};
   for (const auto& call_class : settings.classes) {
@@ -66,7 +66,7 @@
   limits.late_answer_window = std::max(limits.late_answer_window, core::longest_deadline(settings));
   const Millis objective = shortest_latency_objective(settings);
   if (objective.count() > 0)
-    limits.max_silence = objective * kProbeDelayPart;
+    limits.max_silence = objective * kProbeDelayFraction;
   return limits;
 }
 
--- a/src/app/resource_limits.h
+++ b/src/app/resource_limits.h
@@ -9,7 +9,7 @@
 
 namespace lotusyard {
 
-// The limits on connections to hosts and on the answers that they bring.
+// The limits on connections to hosts and on the answers received over them.
 hosts::Limits host_limits(const config::Config& config, const hot_restart::ResourceShares& shares);
 
 // The limits on clients.
--- a/src/app/signals.cpp
+++ b/src/app/signals.cpp
@@ -9,7 +9,7 @@
 namespace lotusyard {
 namespace {
 
-// A signal handler can reach nothing but globals.
+// A signal handler can access only globals.
 volatile std::sig_atomic_t g_terminate = 0;
 volatile std::sig_atomic_t g_print = 0;
 volatile std::sig_atomic_t g_reload = 0;
@@ -45,7 +45,7 @@
 Signals::Signals(net::EventLoop& loop) : loop_(loop) {
   int ends[2];
   if (pipe2(ends, O_NONBLOCK | O_CLOEXEC) != 0)
-    throw std::runtime_error("no pipe for signals");
+    throw std::runtime_error("cannot create the pipe for signals");
   read_end_ = net::Socket(ends[0]);
   write_end_ = net::Socket(ends[1]);
   g_wake_fd = write_end_.fd();
--- a/src/app/signals.h
+++ b/src/app/signals.h
@@ -6,7 +6,7 @@
 
 namespace lotusyard {
 
-// Installs the handlers of SIGTERM, SIGINT, SIGUSR1 and SIGHUP, and ignores SIGPIPE. One in a process.
+// Installs the handlers of SIGTERM, SIGINT, SIGUSR1 and SIGHUP, and ignores SIGPIPE. At most one per process.
 class Signals final : public net::EventHandler {
  public:
   // Throws std::runtime_error if no pipe can be opened.
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,4 +1,4 @@
-// The platform's program: an invoker without an extension, which keeps results in memory only.
+// The platform's program: an invoker without an extension and without durable results.
 #include <iostream>
 
 #include "app/app.h"
