--- a/src/metrics/counter.h
+++ b/src/metrics/counter.h
@@ -1,5 +1,5 @@
-// Definitions of counters. All of them stand in the `*_counters.h` of this folder; `docs/metrics.md` is made
-// from these headers, and a test says whether it is current.
+// Types of counter definitions. All counters are defined in the `*_counters.h` of this folder;
+// `docs/metrics.md` is generated from these headers, and a test checks that it is current.
 #pragma once
 
 #include <string_view>
--- a/src/metrics/counters.h
+++ b/src/metrics/counters.h
@@ -1,4 +1,4 @@
-// The values of all counters of a process. Not synchronised: one thread owns it.
+// The values of all counters of a process. Not synchronised: only one thread may use it.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +15,7 @@
 class Counters {
  public:
   void add(const Counter& counter, std::uint64_t amount = 1) { value_of(counter.name) += amount; }
-  // For what is measured rather than counted: replaces the value.
+  // Replaces the value: for measurements rather than counts.
   void set(const Counter& counter, std::uint64_t value) { value_of(counter.name) = value; }
   void add(const LabelledCounter& counter, std::string_view label) {
     value_of(std::string(counter.prefix).append(label)) += 1;
