--- a/src/cli/admin_client.cpp
+++ b/src/cli/admin_client.cpp
@@ -39,11 +39,11 @@
     case httplib::Error::ConnectionTimeout:
       return {Kind::unreachable, "no member answers at " + address};
     case httplib::Error::Write:
-      return {Kind::connection_lost, "the member at " + address + " hung up"};
+      return {Kind::connection_lost, "the member at " + address + " closed the connection"};
     case httplib::Error::Read:
       return {Kind::timed_out, "the member at " + address + " does not answer"};
     default:
-      return {Kind::malformed, "the member at " + address + " gave no answer"};
+      return {Kind::malformed, "the member at " + address + " sent no valid answer"};
   }
 }
 
--- a/src/cli/configuration_commands.cpp
+++ b/src/cli/configuration_commands.cpp
@@ -24,7 +24,8 @@
   return bounds;
 }
 
-// What the process would be to a group, by the sections `group` and `control`. Throws config::ConfigError.
+// Describes the role of the process in a group, by the sections `group` and `control`. Throws
+// config::ConfigError.
 std::string describe_group_role(const nlohmann::json& file, const config::Config& config) {
   const auto longest_deadline = core::longest_deadline(config.settings);
   if (const auto group = raft::parse_config(file, config.name, longest_deadline)) {
@@ -112,7 +113,8 @@
 }  // namespace
 
 void add_configuration_commands(CLI::App& program, ChosenCommand& chosen) {
-  add_file_command(program, chosen, "check", "reads a configuration and says what is wrong with it", &check);
+  add_file_command(program, chosen, "check", "reads a configuration and reports what is wrong with it",
+                   &check);
   add_file_command(program, chosen, "answers", "lists the durable answers, while the invoker is stopped",
                    &list_results);
 }
--- a/src/cli/configuration_commands.h
+++ b/src/cli/configuration_commands.h
@@ -1,5 +1,5 @@
-// The sub-commands that read a configuration: `check` says what is wrong with it, `answers` lists the durable
-// results of the store that it names.
+// The sub-commands that read a configuration: `check` reports what is wrong with it, `answers` lists the
+// durable results of the store that it names.
 #pragma once
 
 #include <memory>
@@ -14,7 +14,7 @@
 
 void add_configuration_commands(CLI::App& program, ChosenCommand& chosen);
 
-// Opens the store of durable results. The counters have to outlive it.
+// Opens the store of durable results. The counters must outlive it.
 std::unique_ptr<idempotency::SqliteResultStore> open_result_store(const config::AmqpConfig& config,
                                                                   core::Millis now,
                                                                   metrics::Counters& counters);
--- a/src/cli/group_commands.cpp
+++ b/src/cli/group_commands.cpp
@@ -91,26 +91,25 @@
 }  // namespace
 
 void add_group_commands(CLI::App& program, ChosenCommand& chosen) {
-  CLI::App& group = *program.add_subcommand("group", "the members that settle among themselves");
+  CLI::App& group = *program.add_subcommand("group", "a replicated group and its members");
   group.require_subcommand(1);
 
   const auto init_options = std::make_shared<InitOptions>();
   CLI::App* init_command =
       add_command(group, chosen, init_options, "init",
-                  "begins this member's store, once, before a group's first start", &init);
+                  "creates this member's store, once, before the group's first start", &init);
   init_command->add_option("file", init_options->file)->required();
 
   const auto status_options = std::make_shared<StatusOptions>();
   CLI::App* status_command =
       add_command(group, chosen, status_options, "status",
-                  "who is in, who leads, from which index this member speaks", &status);
+                  "the group's members and leader, and the index of this member's state", &status);
   add_member_options(*status_command, status_options->member);
   status_command->add_flag("--json", status_options->as_json);
 
   const auto leave_options = std::make_shared<LeaveOptions>();
-  CLI::App* leave_command =
-      add_command(group, chosen, leave_options, "leave",
-                  "says that a member is gone for good: its process must have ended", &leave);
+  CLI::App* leave_command = add_command(group, chosen, leave_options, "leave",
+                                        "removes a member permanently: its process must have ended", &leave);
   add_member_options(*leave_command, leave_options->member);
   leave_command->add_option("member", leave_options->leaving_member)->required();
 }
--- a/src/cli/job_progress.cpp
+++ b/src/cli/job_progress.cpp
@@ -80,7 +80,7 @@
   }
   std::cout << std::flush;
   if (!is_found) {
-    std::cerr << "no work " << options.job << std::endl;
+    std::cerr << "no maintenance job " << options.job << std::endl;
   }
   return is_found ? ExitStatus::done : ExitStatus::refused;
 }
--- a/src/cli/job_progress.h
+++ b/src/cli/job_progress.h
@@ -14,7 +14,7 @@
   bool as_json = false;
 };
 
-// Prints the jobs that the member knows. `refused` if the one that was named is not among them.
+// Prints the jobs in the member's state. Returns `refused` if the named job is not among them.
 ExitStatus list_jobs(const ListOptions& options);
 
 // Prints each change of the job until it is done or cancelled. Keeps trying while the member does not
--- a/src/cli/maintenance_commands.cpp
+++ b/src/cli/maintenance_commands.cpp
@@ -90,7 +90,7 @@
 
 void add_add_command(CLI::App& works, ChosenCommand& chosen) {
   const auto options = std::make_shared<AddOptions>();
-  CLI::App& command = *add_command(works, chosen, options, "add", "gives the group a work", &add);
+  CLI::App& command = *add_command(works, chosen, options, "add", "adds a maintenance job", &add);
   add_member_options(command, options->member);
   command.add_option("work", options->job)->required();
   command.add_option("--host", options->hosts, "hosts by id");
@@ -98,14 +98,16 @@
   command.add_option("--kind", options->kinds, "all hosts of these kinds");
   command.add_flag("--all", options->all_hosts, "all hosts");
   command.add_option("--out", options->max_out, "how many may be out at once (1)");
-  command.add_option("--zone-out", options->max_out_in_zone, "and of each zone (0: no bound)");
-  command.add_option("--kind-out", options->max_out_of_kind, "and of each kind (0: no bound)");
-  command.add_option("--usable", options->min_usable, "least share of all hosts that stays usable (0.5)");
+  command.add_option("--zone-out", options->max_out_in_zone,
+                     "how many of each zone may be out at once (0: no limit)");
+  command.add_option("--kind-out", options->max_out_of_kind,
+                     "how many of each kind may be out at once (0: no limit)");
+  command.add_option("--usable", options->min_usable, "least share of all hosts that must stay usable (0.5)");
   command.add_option("--away", options->max_away_s, "seconds that a host may be out (600)");
   command.add_option("--pause", options->pause_s, "seconds after each return (0)");
   command.add_flag("--answers", options->returns_on_restart,
-                   "a host that starts anew while it is out is back");
-  command.add_flag("--wait", options->waits, "shows progress until the work is done");
+                   "a host that restarts while it is out counts as returned");
+  command.add_flag("--wait", options->waits, "shows progress until the job is done");
 }
 
 void add_job_command(CLI::App& works, ChosenCommand& chosen, const char* name, const char* description,
@@ -118,13 +120,14 @@
 
 void add_list_commands(CLI::App& works, ChosenCommand& chosen) {
   const auto list_options = std::make_shared<ListOptions>();
-  CLI::App& list = *add_command(works, chosen, list_options, "list", "all works", &list_jobs);
+  CLI::App& list = *add_command(works, chosen, list_options, "list", "all maintenance jobs", &list_jobs);
   add_member_options(list, list_options->member);
   list.add_flag("--json", list_options->as_json);
 
   const auto show_options = std::make_shared<ListOptions>();
   show_options->with_hosts = true;
-  CLI::App& show = *add_command(works, chosen, show_options, "show", "one work, host by host", &list_jobs);
+  CLI::App& show =
+      *add_command(works, chosen, show_options, "show", "one maintenance job, host by host", &list_jobs);
   add_member_options(show, show_options->member);
   show.add_option("work", show_options->job)->required();
   show.add_flag("--json", show_options->as_json);
@@ -141,15 +144,15 @@
 }  // namespace
 
 void add_maintenance_commands(CLI::App& program, ChosenCommand& chosen) {
-  CLI::App& works = *program.add_subcommand("works", "works on machines");
+  CLI::App& works = *program.add_subcommand("works", "maintenance jobs on hosts");
   works.require_subcommand(1);
   add_add_command(works, chosen);
   add_list_commands(works, chosen);
-  add_job_command(works, chosen, "wait", "shows progress until the work is done", &wait);
-  add_job_command(works, chosen, "pause", "no further host is taken", &pause);
-  add_job_command(works, chosen, "resume", "hosts are taken again", &resume);
+  add_job_command(works, chosen, "wait", "shows progress until the job is done", &wait);
+  add_job_command(works, chosen, "pause", "takes no further hosts out", &pause);
+  add_job_command(works, chosen, "resume", "takes hosts out again", &resume);
   add_job_command(works, chosen, "cancel",
-                  "what is not out stays in use; what is out stays out till it is returned", &cancel);
+                  "hosts in use stay in use; hosts that are out stay out until they are returned", &cancel);
   add_returned_command(works, chosen);
   add_timeline_command(works, chosen);
 }
--- a/src/cli/proposal.cpp
+++ b/src/cli/proposal.cpp
@@ -20,7 +20,7 @@
 constexpr int kAccepted = 202;
 constexpr int kUnavailable = 503;
 
-// The outcome of a proposal, or what the member said last where there is none in time.
+// The outcome of a proposal, or the member's last message if there was no outcome in time.
 struct Decision {
   std::optional<json> outcome;
   std::string last_message;
@@ -70,8 +70,9 @@
   entry["id"] = options.proposal_id.empty() ? random_proposal_id() : options.proposal_id;
   const Decision decision = await_commit(options, entry, options.patience_s);
   if (!decision.outcome) {
-    std::cerr << "not agreed upon within " << options.patience_s << " s (" << decision.last_message
-              << "); it may still be: ask again with --id " << entry["id"].get<std::string>() << std::endl;
+    std::cerr << "no decision within " << options.patience_s << " s (" << decision.last_message
+              << "); the proposal may still be accepted: repeat it with --id "
+              << entry["id"].get<std::string>() << std::endl;
     return ExitStatus::undecided;
   }
   const json& outcome = *decision.outcome;
--- a/src/cli/proposal.h
+++ b/src/cli/proposal.h
@@ -10,7 +10,7 @@
 
 namespace lotusyard::cli {
 
-// What the sub-commands that talk to a member have in common.
+// Options common to the sub-commands that query a member.
 struct MemberOptions {
   std::string address;
   std::string proposal_id;  // empty: a random one
@@ -23,7 +23,7 @@
 // Proposes the entry, waits for the group's decision and prints it.
 ExitStatus propose(const MemberOptions& options, nlohmann::json entry);
 
-// A line that says up to which index the member's state is confirmed by a majority.
+// Returns a text with the index up to which a majority confirms the member's state.
 std::string confirm_by_majority(const MemberOptions& options);
 
 }  // namespace lotusyard::cli
--- a/src/cli/subcommand.h
+++ b/src/cli/subcommand.h
@@ -22,10 +22,10 @@
 }
 
 inline void add_member_options(CLI::App& command, MemberOptions& options) {
-  command.add_option("--at", options.address, "the address of any member's door")->required();
-  command.add_option("--patience", options.patience_s, "seconds to wait for an answer of the group (10)");
+  command.add_option("--at", options.address, "the address of any member's admin endpoint")->required();
+  command.add_option("--patience", options.patience_s, "seconds to wait for the group's decision (10)");
   command.add_option("--id", options.proposal_id,
-                     "the proposal's own name: the same again changes nothing twice");
+                     "the proposal's id: repeated under the same id, it takes effect only once");
 }
 
 }  // namespace lotusyard::cli
--- a/src/cli/timeline_command.cpp
+++ b/src/cli/timeline_command.cpp
@@ -52,10 +52,10 @@
 
 void add_timeline_command(CLI::App& works, ChosenCommand& chosen) {
   const auto options = std::make_shared<TimelineOptions>();
-  CLI::App* command =
-      add_command(works, chosen, options, "timeline", "who was out when, from the members' logs", &timeline);
+  CLI::App* command = add_command(works, chosen, options, "timeline",
+                                  "which hosts were out and when, from the members' logs", &timeline);
   command->add_option("log", options->logs)->required();
-  command->add_option("--svg", options->svg, "writes a chart there");
+  command->add_option("--svg", options->svg, "writes a chart to this file");
 }
 
 }  // namespace lotusyard::cli
--- a/src/cli/timeline_command.h
+++ b/src/cli/timeline_command.h
@@ -1,4 +1,4 @@
-// The sub-command `works timeline`: who was out when, from the logs of members.
+// The sub-command `works timeline`: which hosts were out and when, from the logs of members.
 #pragma once
 
 #include "cli/subcommand.h"
