--- a/src/config/json_read.h
+++ b/src/config/json_read.h
@@ -45,12 +45,12 @@
 constexpr double kMaxInt = 1e9;  // within the range of int
 
 // A number truncated to an integer, clamped to kMaxInt in both directions.
-inline int whole(const json& value, int fallback = 0) {
+inline int integer(const json& value, int fallback = 0) {
   return static_cast<int>(std::clamp(number(value, fallback), -kMaxInt, kMaxInt));
 }
 
 // A 64-bit integer; 0 if the value is not an integer.
-inline std::uint64_t large(const json& value) {
+inline std::uint64_t integer64(const json& value) {
   if (value.is_number_unsigned())
     return value.get<std::uint64_t>();
   return value.is_number_integer() ? static_cast<std::uint64_t>(value.get<std::int64_t>()) : 0;
--- a/src/config/known_events_section.cpp
+++ b/src/config/known_events_section.cpp
@@ -10,7 +10,7 @@
     known.fail("seq", "a whole number is needed");
   if (!known["results"].is_array())
     known.fail("results", "an array is needed");
-  config.known_seq = large(known["seq"]);
+  config.known_seq = integer64(known["seq"]);
   config.known_events = known["results"];
 }
 
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -67,7 +67,7 @@
   settings.rejections.sends_retry_after = flag(key(bounds, "RetryAfter"));
   settings.rejections.max_retry_after = millis(key(bounds, "MaxRetryAfter"));
   settings.host_protocol.connect_timeout = millis(key(bounds, "ConnectTimeout"));
-  settings.retries.max_attempts = whole(key(bounds, "SendCap"), 1);
+  settings.retries.max_attempts = integer(key(bounds, "SendCap"), 1);
 }
 
 void read_rules(const json& rules, Settings& settings) {
@@ -103,8 +103,8 @@
   Settings settings;
   settings.seed = seed;
   settings.zone = text(key(env, "Az"));
-  settings.rank = whole(key(env, "Rank"));
-  settings.invokers = whole(key(env, "Balancers"), 1);
+  settings.rank = integer(key(env, "Rank"));
+  settings.invokers = integer(key(env, "Balancers"), 1);
   settings.tick = millis(key(env, "Tick"));
   for (const auto& row : key(env, "Classes"))
     settings.classes.push_back(read_class(row));
--- a/src/discovery/event_reader.cpp
+++ b/src/discovery/event_reader.cpp
@@ -24,7 +24,7 @@
   host.address = text(key(row, "host_port"));
   host.entry.zone = text(key(row, "locality"));
   host.entry.kind = text(key(row, "flavor"));
-  host.entry.cell = config::whole(key(row, "cell"));
+  host.entry.cell = config::integer(key(row, "cell"));
   host.entry.weight = config::number(key(row, "size"), 1);
   host.entry.started = config::millis(key(row, "up_since_ms"));
   host.entry.state = read_state(text(key(row, "phase")));
@@ -49,7 +49,7 @@
 EventReader::Result EventReader::read_event(const nlohmann::json& event, core::HostListUpdate& update) {
   if (!key(event, "seq").is_number_unsigned())
     return Result::malformed;
-  const std::uint64_t sequence = config::large(key(event, "seq"));
+  const std::uint64_t sequence = config::integer64(key(event, "seq"));
   // A heartbeat may name an event before that event arrives; without this check it would count as the event.
   if (event.size() == 1)
     return read_heartbeat(sequence);
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -45,10 +45,10 @@
     throw WireError("a list entry is not an array");
   HostEntry read;
   read.host = required_text(at(row, 0), "worker");
-  read.cell = whole(at(row, 1));
+  read.cell = integer(at(row, 1));
   read.weight = number(at(row, 2), 1);
   read.kind = text(at(row, 3));
-  const int state = whole(at(row, 4), 2);
+  const int state = integer(at(row, 4), 2);
   read.state = state == 0 ? HostState::removed : state == 1 ? HostState::draining : HostState::ready;
   read.started = millis(at(row, 5));
   read.zone = text(at(row, 6));
@@ -72,38 +72,38 @@
   event::Request read;
   read.id = required_text(at(m, 1), "request id");
   read.class_name = text(at(m, 2));
-  const int bits = whole(at(m, 5));
+  const int bits = integer(at(m, 5));
   if (at(m, 3).is_number() && (bits & 1) != 0)
     read.cost_hint = number(at(m, 3));
   read.tenant = text(at(m, 4));
   read.retry = (bits & 2) != 0;
   read.write = (bits & 4) != 0;
   read.memory_mb = number(at(m, 6));
-  read.function = large(at(m, 7));
+  read.function = integer64(at(m, 7));
   if (at(m, 8).is_number())
     read.load_hint = millis(at(m, 8));
   read.expires_in = millis(at(m, 9));
-  read.lanes = whole(at(m, 10), 1);
+  read.lanes = integer(at(m, 10), 1);
   return read;
 }
 
 event::AttemptEnded read_answer(const json& m) {
   event::AttemptEnded read;
   read.id = required_text(at(m, 1), "request id");
-  const int remark = whole(at(m, 2));
+  const int remark = integer(at(m, 2));
   read.warmth = warmth(remark);
   read.host_concurrency = remark >> 3;
   read.outcome = outcome(at(m, 3));
   read.call_ended = flag(at(m, 4));
   read.elapsed = millis(at(m, 5));
-  read.attempt = whole(at(m, 6));
+  read.attempt = integer(at(m, 6));
   read.host = text(at(m, 7));
   read.report = report(at(m, 8));
   return read;
 }
 
 event::Loaded read_loaded(const json& m) {
-  return {text(at(m, 1)), large(at(m, 2)), outcome(at(m, 3)), millis(at(m, 4)), whole(at(m, 5))};
+  return {text(at(m, 1)), integer64(at(m, 2)), outcome(at(m, 3)), millis(at(m, 4)), integer(at(m, 5))};
 }
 
 event::Probed read_probed(const json& m) {
@@ -121,7 +121,7 @@
     return store_page(message);
   if (name == "Init") {
     instance.started = true;
-    const event::Start start{read_settings(at(message, 2), large(at(message, 1)))};
+    const event::Start start{read_settings(at(message, 2), integer64(at(message, 1)))};
     return instance.policy.handle(now, start, actions);
   }
   if (!instance.started)
@@ -144,7 +144,7 @@
 
 event::EndpointListUpdate Adapter::read_endpoint_list(const json& message) const {
   event::EndpointListUpdate list;
-  list.kind = list_kind(whole(at(message, 2)));
+  list.kind = list_kind(integer(at(message, 2)));
   const double page = number(at(message, 3), 0);
   const bool has_page = page >= 0 && page < static_cast<double>(kPageCount);
   if (list.kind != ListKind::failed && has_page)
@@ -158,17 +158,17 @@
   static const std::map<std::string, Event (*)(const json&)> readers = {
       {"Order", [](const json& m) -> Event { return read_request(m); }},
       {"Result", [](const json& m) -> Event { return read_answer(m); }},
-      {"Ring", [](const json& m) -> Event { return event::Timer{large(at(m, 1))}; }},
+      {"Ring", [](const json& m) -> Event { return event::Timer{integer64(at(m, 1))}; }},
       {"BroughtUp", [](const json& m) -> Event { return read_loaded(m); }},
       {"Gone", [](const json& m) -> Event { return event::ClientDisconnected{text(at(m, 1))}; }},
       {"HeadReceived",
        [](const json& m) -> Event {
-         return event::StreamBegan{text(at(m, 1)), whole(at(m, 2))};
+         return event::StreamBegan{text(at(m, 1)), integer(at(m, 2))};
        }},
       {"Sampled", [](const json& m) -> Event { return read_probed(m); }},
       {"Heard",
        [](const json& m) -> Event {
-         return event::PeerMessage{whole(at(m, 1)), text(at(m, 2))};
+         return event::PeerMessage{integer(at(m, 1)), text(at(m, 2))};
        }},
       {"PowerOff", [](const json&) -> Event { return event::Stop{}; }}};
   const auto reader = readers.find(name);
--- a/src/xds/host_list_parser.cpp
+++ b/src/xds/host_list_parser.cpp
@@ -42,7 +42,7 @@
   const json& health = field(endpoint, "health_status", "healthStatus");
   bool takes_calls = false;
   if (health.is_number()) {
-    const int code = config::whole(health);
+    const int code = config::integer(health);
     takes_calls = code == unknown || code == healthy || code == degraded;
   } else {
     const std::string name = text(health);
@@ -55,7 +55,7 @@
 std::string read_address(const json& endpoint) {
   const json& socket = field(key(key(endpoint, "endpoint"), "address"), "socket_address", "socketAddress");
   const std::string host = text(key(socket, "address"));
-  const int port = config::whole(field(socket, "port_value", "portValue"));
+  const int port = config::integer(field(socket, "port_value", "portValue"));
   const bool is_ipv6 = host.find(':') != std::string::npos;
   const std::string address = (is_ipv6 ? '[' + host + ']' : host) + ':' + std::to_string(port);
   return port > 0 && net::valid_address(address) ? address : std::string();
