--- a/src/app/invoker_readiness.cpp
+++ b/src/app/invoker_readiness.cpp
@@ -49,11 +49,11 @@
                 << "; hosts without new work: " << event.withheld_hosts;
       break;
     case ReadinessEvent::Kind::host_withheld:
-      std::cout << "host " << event.host << " ready -> draining (reported by itself), endpoint list "
+      std::cout << "host " << event.host << " ready -> draining by its own word, endpoint list "
                 << seconds(event.list_age) << " old" << sequence;
       break;
     case ReadinessEvent::Kind::host_readmitted:
-      std::cout << "host " << event.host << " draining (reported by itself) -> ready, endpoint list "
+      std::cout << "host " << event.host << " draining by its own word -> ready, endpoint list "
                 << seconds(event.list_age) << " old" << sequence;
       break;
   }
