--- a/tests/app/client_connections_test.cpp
+++ b/tests/app/client_connections_test.cpp
@@ -4,7 +4,7 @@
 namespace lotusyard::test {
 namespace {
 
-TEST_CASE("a connection over the limit takes the place of the one that was idle longest") {
+TEST_CASE("a connection over the limit replaces the one that has been idle longest") {
   resp::FrontEnd::Limits limits;
   limits.clients = 2;
   RespFixture service(1, limits);
@@ -56,7 +56,7 @@
   CHECK(service.invoker.counters.value("resp.silent_closed") >= 36);
 }
 
-TEST_CASE("a request written byte by byte over two seconds is served beside connections that stop half-way") {
+TEST_CASE("a request written byte by byte over two seconds is served while other connections stop half-way") {
   resp::FrontEnd::Limits limits;
   limits.new_connections = 6;
   RespFixture service(1, limits);
@@ -71,7 +71,7 @@
     REQUIRE(service.invoker.run_until([&] { return service.invoker.loop.now() >= next; }));
     REQUIRE_FALSE(slow.closed);
     if (sent == 0)
-      continue;  // only from its second piece on is the connection known to make progress
+      continue;  // the connection counts as making progress only from its second piece on
     for (int i = 0; i < 8; ++i) {
       others.emplace_back(service.invoker, service.front_end.address());
       if (i % 2 == 0)
--- a/tests/app/client_requests_test.cpp
+++ b/tests/app/client_requests_test.cpp
@@ -74,7 +74,7 @@
   CHECK(client.answers.empty());
 }
 
-TEST_CASE("calls that are cancelled in the bytes they came in reach no host") {
+TEST_CASE("calls whose cancels arrive in the same bytes reach no host") {
   RespFixture service(1);
   Client client(service.invoker, service.front_end.address());
   for (int i = 1; i <= 20; ++i)
@@ -103,7 +103,7 @@
   CHECK(service.invoker.run_until([&] { return client.closed; }));
 }
 
-TEST_CASE("a client that repeats a rejected call without end is closed") {
+TEST_CASE("a client that keeps repeating a rejected call is closed") {
   RespFixture service(1);
   Client client(service.invoker, service.front_end.address());
   for (int i = 1; !client.closed && i < 1000; ++i) {
--- a/tests/app/descriptors_test.cpp
+++ b/tests/app/descriptors_test.cpp
@@ -1,4 +1,4 @@
-// Descriptors run out while the change log is down: what the process needs for itself is kept free.
+// Descriptors run out while the change log is down: those that the process needs for itself stay free.
 #include <sys/resource.h>
 
 #include "support/service_harness.h"
@@ -16,8 +16,8 @@
   Process& process = service.start();
   REQUIRE(service.wait_until_ready(service.admin_endpoints.back()));
   REQUIRE(service.run_until([&] { return service.change_log.requests == 1; }));
-  const rlimit least{kDescriptors, kDescriptors};
-  REQUIRE(prlimit(process.pid(), RLIMIT_NOFILE, &least, nullptr) == 0);
+  const rlimit limit{kDescriptors, kDescriptors};
+  REQUIRE(prlimit(process.pid(), RLIMIT_NOFILE, &limit, nullptr) == 0);
   return process;
 }
 
@@ -27,7 +27,7 @@
     peer->close_later();
 }
 
-// All of them wait for the process in one iteration. Every second client has sent a call once.
+// All of them are pending when the process continues. Every second client has sent one call.
 std::list<ServiceClient> connect_idle_clients(ServiceHarness& service, Process& process) {
   process.signal(SIGSTOP);
   std::list<ServiceClient> clients;
@@ -48,21 +48,22 @@
   });
 }
 
-TEST_CASE("idle clients that fill the descriptors while the change log is down keep nobody else out") {
+TEST_CASE(
+    "idle clients that fill the descriptors while the change log is down do not block other connections") {
   ServiceHarness service(false);
   Process& process = start_with_few_descriptors(service);
   const std::string console = service.admin_endpoints.back(), log = service.change_log.server.address();
   stop_change_log(service);
   const std::list<ServiceClient> idle = connect_idle_clients(service, process);
-  const bool all = all_were_accepted(service, process);
+  const bool accepted = all_were_accepted(service, process);
   INFO(process.log().substr(process.log().size() > 3000 ? process.log().size() - 3000 : 0));
-  REQUIRE(all);
+  REQUIRE(accepted);
   CHECK(process.counter("resp.silent_closed") + process.counter("resp.idle_closed") > 0);
   service.announce_host(1, "draining");
-  LoopbackServer<StandInChangeLog::Peer, StandInChangeLog> again(service.fixture.loop, service.fixture.pool,
-                                                                 service.change_log, log);
+  LoopbackServer<StandInChangeLog::Peer, StandInChangeLog> restarted(
+      service.fixture.loop, service.fixture.pool, service.change_log, log);
   CHECK(service.run_until([&] { return service.change_log.requests >= 2; }));
-  CHECK(service.run_until([&] { return service.run_calls(3)[1] == 0; }));  // the event is in force
+  CHECK(service.run_until([&] { return service.run_calls(3)[1] == 0; }));  // the event has been applied
   CHECK(service.post(console, "/-/hosts/h0/disable") == 200);
   CHECK(service.post(console, "/-/hosts/h0/enable") == 200);
   CHECK(process.counter("resp.no_descriptor") == 0);
--- a/tests/app/graceful_shutdown_test.cpp
+++ b/tests/app/graceful_shutdown_test.cpp
@@ -13,7 +13,7 @@
 constexpr Millis kSigterm{1700000000000.0};
 constexpr Millis kLongestDeadline{1280};
 
-// What an iteration finds, where the commands can find something.
+// The time of an iteration, and what its commands find.
 struct Iteration {
   Millis since_sigterm{0};
   Millis longest_deadline = kLongestDeadline;
@@ -47,7 +47,7 @@
   return facts;
 }
 
-GracefulShutdown begun(ListenerOwnership ownership) {
+GracefulShutdown begin_shutdown(ListenerOwnership ownership) {
   GracefulShutdown shutdown(ownership);
   shutdown.begin(kSigterm, true);
   return shutdown;
@@ -75,8 +75,8 @@
         Commands{Command::stop_listening, Command::drain_triggers, Command::drain_extension});
 }
 
-TEST_CASE("own listener: it accepts for 0.5 s and serves for 0.8 s, also with nothing open") {
-  GracefulShutdown shutdown = begun(ListenerOwnership::own);
+TEST_CASE("own listener: it accepts for 0.5 s and serves for 0.8 s, even with nothing open") {
+  GracefulShutdown shutdown = begin_shutdown(ListenerOwnership::own);
   CHECK(run(shutdown, at(-1)) == Commands{Command::wait});
   CHECK(run(shutdown, at(500)) == Commands{Command::wait});
   CHECK(run(shutdown, at(500.5)) == Commands{Command::stop_listening, Command::wait});
@@ -85,7 +85,7 @@
 }
 
 TEST_CASE("shared listener: it hands off from the beginning, and admits calls for 0.4 s") {
-  GracefulShutdown shutdown = begun(ListenerOwnership::shared);
+  GracefulShutdown shutdown = begin_shutdown(ListenerOwnership::shared);
   Iteration iteration = at(0);
   iteration.connections_open = true;
   const Commands handing_off{Command::hand_off_connections, Command::wait};
@@ -100,7 +100,7 @@
 }
 
 TEST_CASE("shared listener: it exits at once if no connection is open") {
-  GracefulShutdown shutdown = begun(ListenerOwnership::shared);
+  GracefulShutdown shutdown = begin_shutdown(ListenerOwnership::shared);
   CHECK(run(shutdown, at(0)) ==
         Commands{Command::hand_off_connections} + kLastRead + Commands{Command::exit});
 }
@@ -111,14 +111,14 @@
   SECTION("an answer") { facts.answers_unwritten = true; }
   SECTION("a delivery") { facts.triggers_pending = true; }
   SECTION("a request to the admin endpoint") { facts.admin_requests_pending = true; }
-  GracefulShutdown alone = begun(ListenerOwnership::own);
+  GracefulShutdown alone = begin_shutdown(ListenerOwnership::own);
   CHECK(run(alone, at(900), facts) == Commands{Command::stop_listening, Command::wait});
-  GracefulShutdown beside_other = begun(ListenerOwnership::shared);
+  GracefulShutdown beside_other = begin_shutdown(ListenerOwnership::shared);
   CHECK(run(beside_other, at(100), facts) == Commands{Command::hand_off_connections, Command::wait});
 }
 
-TEST_CASE("calls that are answered or come while listening stops count in the next iteration only") {
-  GracefulShutdown shutdown = begun(ListenerOwnership::own);
+TEST_CASE("calls that are answered or arrive while listening stops count only from the next iteration") {
+  GracefulShutdown shutdown = begin_shutdown(ListenerOwnership::own);
   shutdown.begin_iteration(kSigterm + Millis(900), kLongestDeadline);
   CHECK(shutdown.next(with_calls_open()) == Command::stop_listening);
   CHECK(shutdown.next({}) == Command::wait);
@@ -127,8 +127,8 @@
   CHECK(shutdown.next(with_calls_open()) == Command::answer_open_calls);
 }
 
-TEST_CASE("what clients sent in the last moment is answered before the exit") {
-  GracefulShutdown shutdown = begun(ListenerOwnership::own);
+TEST_CASE("what clients sent just before the exit is answered first") {
+  GracefulShutdown shutdown = begin_shutdown(ListenerOwnership::own);
   Iteration iteration = at(900);
   iteration.client_input_found = true;
   const Commands last_read = Commands{Command::stop_listening} + kLastRead;
@@ -137,7 +137,7 @@
 }
 
 TEST_CASE("an answer that the last read left unwritten delays the exit") {
-  GracefulShutdown shutdown = begun(ListenerOwnership::shared);
+  GracefulShutdown shutdown = begin_shutdown(ListenerOwnership::shared);
   shutdown.begin_iteration(kSigterm, kLongestDeadline);
   CHECK(shutdown.next({}) == Command::hand_off_connections);
   CHECK(shutdown.next({}) == Command::answer_open_calls);
@@ -150,7 +150,7 @@
 // SIGKILL comes 0.7 s after the longest deadline.
 TEST_CASE("open calls are answered 0.6 s after the longest deadline, and the process exits 60 ms later") {
   const ShutdownFacts facts = with_calls_open();
-  GracefulShutdown shutdown = begun(ListenerOwnership::own);
+  GracefulShutdown shutdown = begin_shutdown(ListenerOwnership::own);
   CHECK(run(shutdown, at(1880), facts) == Commands{Command::stop_listening, Command::wait});
   const Commands answering{Command::answer_open_calls, Command::stop_listening};
   CHECK(run(shutdown, at(1880.5), facts) == answering + Commands{Command::wait});
@@ -158,14 +158,14 @@
   CHECK(run(shutdown, at(1940.5), facts) == answering + Commands{Command::exit});
   CHECK(shutdown.next(facts) == Command::exit);
 
-  GracefulShutdown beside_other = begun(ListenerOwnership::shared);
+  GracefulShutdown beside_other = begin_shutdown(ListenerOwnership::shared);
   CHECK(run(beside_other, at(1940.5), facts) == Commands{Command::answer_open_calls, Command::stop_admitting,
                                                          Command::hand_off_connections, Command::exit});
 }
 
 TEST_CASE("the longest deadline counts as 3 s at most") {
   const ShutdownFacts facts = with_calls_open();
-  GracefulShutdown shutdown = begun(ListenerOwnership::own);
+  GracefulShutdown shutdown = begin_shutdown(ListenerOwnership::own);
   Iteration iteration = at(3600);
   iteration.longest_deadline = Millis(9000);
   CHECK(run(shutdown, iteration, facts) == Commands{Command::stop_listening, Command::wait});
@@ -175,7 +175,7 @@
 
 TEST_CASE("a shorter deadline after a reload brings the answers forward") {
   const ShutdownFacts facts = with_calls_open();
-  GracefulShutdown shutdown = begun(ListenerOwnership::own);
+  GracefulShutdown shutdown = begin_shutdown(ListenerOwnership::own);
   Iteration iteration = at(1200);
   CHECK(run(shutdown, iteration, facts) == Commands{Command::stop_listening, Command::wait});
   iteration.longest_deadline = Millis(500);
--- a/tests/app/host_answers_test.cpp
+++ b/tests/app/host_answers_test.cpp
@@ -1,4 +1,4 @@
-// Answers of hosts that are incomplete, malformed, too long, or more than was asked for.
+// Answers of hosts that are incomplete, malformed, too long, or more than one for a call.
 #include "support/resp_fixture.h"
 
 namespace lotusyard::test {
@@ -6,12 +6,12 @@
 
 using Kind = Reaction::Kind;
 
-TEST_CASE("incomplete answers are bounded over all connections: the one that holds most memory is closed") {
+TEST_CASE("incomplete answers are bounded over all connections: the one that uses most memory is closed") {
   hosts::Limits limits = InvokerFixture::limits();
   limits.max_incoming_bytes = 300000;
   limits.max_attempts_per_connection = 1;
   RespFixture service(1, {}, limits);
-  service.invoker.host[0]->handler = [](const std::string& body) {  // half of each comes, and then nothing
+  service.invoker.host[0]->handler = [](const std::string& body) {  // only half of each arrives
     return Reaction{Kind::stall, "data", body == "most" ? std::size_t{500000} : std::size_t{200000}};
   };
   Client client(service.invoker, service.front_end.address());
@@ -43,7 +43,7 @@
   CHECK(service.invoker.host[0]->execs + service.invoker.host[1]->execs == (record ? 1 : 2));
 }
 
-TEST_CASE("a malformed or incomplete answer closes its connection once; the host goes on with calls") {
+TEST_CASE("a malformed or incomplete answer closes its connection once; the host still gets calls") {
   RespFixture service(1);
   const auto kind = GENERATE(Kind::malformed_reply, Kind::stall, Kind::silence);
   int execs = 0;
--- a/tests/app/host_probes_test.cpp
+++ b/tests/app/host_probes_test.cpp
@@ -6,8 +6,8 @@
 
 using Kind = Reaction::Kind;
 
-// Regression: calls that waited for a load were silent, and each invoker sent a health check every 0.2 s:
-// with 100 invokers more health checks than calls.
+// Regression: connections with calls that waited for a load were silent, and each invoker sent a health check
+// every 0.2 s: with 100 invokers, more health checks than calls.
 TEST_CASE("silent connections get few health checks, however many calls wait on them") {
   InvokerFixture fixture(12);
   for (auto& host : fixture.host)
@@ -64,7 +64,7 @@
 }
 
 // Regression: where probes are not allowed, a silent connection to a draining host was checked by a load
-// order, later than any may be sent there.
+// order after the time until which it may get one.
 TEST_CASE("a silent connection to a draining host gets no load order, not even for 0 instances") {
   hosts::Limits limits = InvokerFixture::limits();
   limits.liveness = hosts::LivenessProbe::order;
--- a/tests/app/idempotency_key_test.cpp
+++ b/tests/app/idempotency_key_test.cpp
@@ -23,7 +23,7 @@
       };
     }
   }
-  // Sends a call with further fields; returns the status of its answer.
+  // Sends a call with additional fields; returns the status of its answer.
   std::string call(const char* call_class, const std::string& fields) {
     const std::string tag = std::to_string(++last_call_);
     client_.send({"CALL", tag, call_class,
@@ -49,7 +49,8 @@
   int attempts_ = 0;
 };
 
-// Regression: the key was not forwarded, and hosts got calls that were not as their clients had sent them.
+// Regression: the key was not forwarded, so that hosts received calls that differed from what their clients
+// had sent.
 TEST_CASE("an idempotency key reaches hosts unchanged on every attempt; an invalid one fails its call") {
   KeyedCalls calls;
   const std::string key = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
--- a/tests/app/second_site_host.h
+++ b/tests/app/second_site_host.h
@@ -1,5 +1,6 @@
-// A host as the second site has them: it loads what it lacks while the call waits, drops repeats of a key for
-// a while, ignores cancels, is slowed by its neighbours and loses connections. Every run is counted.
+// A stand-in for a host of the second site: it loads a missing function while the call waits, drops repeats
+// of a key for a time, ignores cancels, is slowed by other programs and loses connections. Every run is
+// counted.
 #pragma once
 
 #include <list>
@@ -79,7 +80,7 @@
       handle_load_order(peer, line);
     if (line.id == "exec")
       handle_call(peer, line);
-    // A cancel stops nothing.
+    // Cancels are ignored.
   }
   void handle_load_order(int peer, const hosts::Reply& line) {
     const auto fields = net::parse_fields(line.fields);
@@ -125,8 +126,8 @@
   bool is_repeat(const std::string& key) const {
     if (key.empty())
       return false;
-    const auto known = runs_.key_received_at.find(key);
-    return known != runs_.key_received_at.end() && fixture_.loop.now() - known->second < kKeyWindow;
+    const auto found = runs_.key_received_at.find(key);
+    return found != runs_.key_received_at.end() && fixture_.loop.now() - found->second < kKeyWindow;
   }
   // Returns when an instance of the function is loaded; starts a load if there is none.
   Millis load(const std::string& function) {
@@ -135,7 +136,7 @@
       ++runs_.loads;
     return instance->second;
   }
-  // Now and then the connection is lost right after; the answer may have been sent, or not.
+  // Closes the connection after a write at random; the answer may or may not have been sent.
   void write(int peer, const std::string& text) {
     for (const auto& connection : server.peers) {
       if (connection->number != peer || connection->is_closing())
--- a/tests/app/second_site_test.cpp
+++ b/tests/app/second_site_test.cpp
@@ -1,4 +1,4 @@
-// An invoker at the second site, whose hosts differ in all that settings can say (SecondSiteHost).
+// An invoker at the second site, whose hosts (SecondSiteHost) differ from the platform's in every setting.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <map>
@@ -20,7 +20,7 @@
 constexpr Millis kClientDeadline{500};
 
 core::Settings second_site_settings() {
-  // The window counts from a send; a host counts from the call's arrival.
+  // The invoker's window starts when the call is sent, the host's when the call arrives.
   core::Settings invoker_settings = keyed_settings(kKeyWindow - Millis(100));
   for (auto& call_class : invoker_settings.classes) {
     call_class.latency_objective = Millis(150);
@@ -51,7 +51,7 @@
   std::map<core::CallId, std::vector<core::Answer>> answers;
 };
 
-// A call as its client sees it, with all its tries.
+// A call of a client, with all its tries.
 struct ClientCall {
   std::string call_class;
   std::string key;
@@ -80,7 +80,7 @@
     fixture.host_pool.update_endpoints(list);
     fixture.dispatcher.update_endpoints(std::move(entries));
   }
-  // Sends all calls, one in each interval; every hundredth one host becomes slower or faster.
+  // Sends all calls, one in each interval; after every hundredth one a host becomes slower or faster.
   void send_calls() {
     const Millis began = fixture.loop.now();
     while (calls.size() < kCallCount) {
@@ -142,7 +142,7 @@
     for (auto& call : calls)
       retry_if_allowed(call);
   }
-  // As clients do: what the class allows, while there is time left.
+  // Sends the call again if its class allows it and there is time left, as clients do.
   void retry_if_allowed(ClientCall& call) {
     const auto answers = clients.answers.find(call.id);
     if (call.ended || answers == clients.answers.end())
--- a/tests/app/service_test.cpp
+++ b/tests/app/service_test.cpp
@@ -1,5 +1,5 @@
-// Whole processes in service: the admin endpoint, hosts disabled by hand, settings at SIGHUP and replacement,
-// with stand-in hosts, a stand-in change log and clients on loopback.
+// Real processes with stand-in hosts, a stand-in change log and clients on loopback: the admin endpoint,
+// hosts disabled by hand, settings reread at SIGHUP, and hot restart.
 #include <netinet/in.h>
 
 #include <set>
@@ -15,8 +15,7 @@
   CHECK(service.post(console, "/-/hosts/h0/disable") == 200);
 }
 
-// Starts the second process, which knows of the first one's disabled host, whether that is killed or
-// replaced.
+// Ends the first process, by SIGKILL before the second one starts or by SIGTERM after it is ready.
 void replace_first_process(ServiceHarness& service, bool killed) {
   Process& first = service.processes.front();
   if (killed)
@@ -30,7 +29,7 @@
   CHECK(first.status() == 0);
 }
 
-TEST_CASE("a host is out by hand across an upgrade, seen by both processes, until one call puts it back") {
+TEST_CASE("a host disabled by hand stays so across an upgrade, in both processes, until it is enabled") {
   const bool inherited = GENERATE(true, false);
   ServiceHarness service(inherited);
   service.start();
@@ -58,7 +57,7 @@
   CHECK(used);
 }
 
-TEST_CASE("what one process is told by hand holds for the other one before long") {
+TEST_CASE("a host that is disabled by hand in one process is soon disabled in the other one") {
   ServiceHarness service;
   service.start();
   service.start();
@@ -79,7 +78,7 @@
   return file;
 }
 
-// Faulty in one setting, with another one that would be taken on its own.
+// Faulty in one setting, with other changes that are valid by themselves.
 nlohmann::json faulty_file(const ServiceHarness& service) {
   auto file = file_with_new_class(service);
   file["changelog"] = free_address();
@@ -87,7 +86,7 @@
   return file;
 }
 
-TEST_CASE("SIGHUP takes a whole good file, and nothing of a faulty one") {
+TEST_CASE("SIGHUP applies all of a valid file, and nothing of a faulty one") {
   ServiceHarness service(false);
   Process& process = service.start();
   REQUIRE(service.wait_until_ready(service.admin_endpoints.back()));
@@ -114,7 +113,7 @@
   CHECK(process.status() == -1);
 }
 
-TEST_CASE("a descriptor that is no listening socket is a fault that names it") {
+TEST_CASE("a descriptor that is not a listening socket ends the start with an error that names it") {
   ServiceHarness service(false);
   Process& process = service.start({{"BALANCER_LISTEN_FD", "2"}});
   REQUIRE(service.run_until([&] { return process.status() >= 0; }));
@@ -132,7 +131,7 @@
   void step() {
     for (std::size_t i = 0; i < clients_.size(); ++i) {
       if (clients_[i] && clients_[i]->closed)
-        forget_closed(i);
+        remove_closed(i);
       if (!clients_[i])
         clients_[i] = std::make_unique<ServiceClient>(service_.fixture, service_.listen);
       if (!clients_[i]->open_calls.empty())
@@ -150,7 +149,7 @@
   const std::set<std::string>& unanswered_bodies() const { return unanswered_bodies_; }
 
  private:
-  void forget_closed(std::size_t i) {
+  void remove_closed(std::size_t i) {
     const ServiceClient& client = *clients_[i];
     if (client.open_calls.empty() && client.sent_at.count() == 0)
       ++refused_connections_;
@@ -181,7 +180,7 @@
   int calls_ = 0, answered_ = 0, refused_connections_ = 0;
 };
 
-// Replaces the process again and again: starts a second one, then ends the first one.
+// Replaces the process repeatedly: starts a second one, then ends the first one.
 class RollingUpgrade {
  public:
   explicit RollingUpgrade(ServiceHarness& service)
@@ -223,8 +222,8 @@
   bool under_way_ = false;
 };
 
-// A call that crosses the close of its connection is sent once more, as the platform's front does; all others
-// must get their answer.
+// A call that is sent while its connection is being closed may be sent once more, as the platform's front end
+// does; all others must get their answer.
 TEST_CASE("a process is replaced under clients: no call is lost, and no bin-record runs twice") {
   ServiceHarness service;
   for (auto& host : service.fixture.host)
@@ -238,7 +237,7 @@
     clients.step();
     upgrade.step();
   }
-  INFO("answered " << clients.answered() << ", crossed " << clients.unanswered_bodies().size());
+  INFO("answered " << clients.answered() << ", unanswered " << clients.unanswered_bodies().size());
   CHECK(clients.answered() > 50);
   CHECK(clients.refused_connections() == 0);
   for (const auto& body : clients.unanswered_bodies())
--- a/tests/app/shutdown_test.cpp
+++ b/tests/app/shutdown_test.cpp
@@ -1,5 +1,5 @@
-// What arrives in the last moments of a process: calls that are open, bytes that are in sockets already. The
-// order of events is forced by stopping the process and by limits, not by waiting for luck.
+// The end of a process with open calls and unread bytes in its sockets. Stopping the process and setting
+// limits force the order of events, so that the tests do not depend on timing.
 #include "support/service_harness.h"
 
 namespace lotusyard::test {
@@ -13,7 +13,7 @@
     service.fixture.run_once();
 }
 
-// All classes have a longer deadline than the process may live after SIGTERM.
+// Gives all classes a longer deadline than the time that the process has after SIGTERM.
 void write_long_deadlines(ServiceHarness& service) {
   auto file = invoker_config(service.listen, service.change_log.server.address());
   for (auto& call_class : file["settings"]["Classes"])
@@ -21,7 +21,7 @@
   service.write_config(file);
 }
 
-// No call can be sent to a host any more.
+// Afterwards no call can be sent to a host.
 void drain_all_hosts(ServiceHarness& service, Process& process) {
   service.announce_host(0, "draining");
   service.announce_host(1, "draining");
@@ -38,8 +38,8 @@
   return statuses;
 }
 
-// Failure found: the process ended 3.6 s after SIGTERM with calls open, and they were lost: a call that came
-// in the last moment, or one of a class with a longer limit, is still out then.
+// Regression: the process ended 3.6 s after SIGTERM with calls open, which were lost: a call that arrived
+// just before, or one of a class with a longer deadline, is still open then.
 TEST_CASE(
     "a process that has to end answers what is still open, and a bin-record only as what may have run") {
   ServiceHarness service(false);
@@ -63,10 +63,11 @@
   CHECK(service.runs("out") + service.runs("held") == 1);
 }
 
-// Failure found in review: the listener was closed with connections in its queue, and what their clients had
-// sent was reset unread.
+// Regression: the listener was closed with connections in its queue, which were reset before the requests of
+// their clients were read.
 TEST_CASE(
-    "whoever connected and asked before the listener closes is served, however late the process wakes") {
+    "clients that connect and send a call before the listener closes are answered, however late the process "
+    "runs") {
   ServiceHarness service(false);
   Process& process = service.start();
   REQUIRE(service.wait_until_ready(service.admin_endpoints.back()));
@@ -79,7 +80,7 @@
     clients.emplace_back(service.fixture, service.listen);
     clients.back().call(i, "bin-check", "late" + std::to_string(i));
   }
-  run_for(service, 650);  // longer than new connections are taken
+  run_for(service, 650);  // longer than new connections are accepted
   process.signal(SIGCONT);
   REQUIRE(service.run_until([&] { return process.status() >= 0; }));
   CHECK(process.status() == 0);
--- a/tests/app/slow_client_test.cpp
+++ b/tests/app/slow_client_test.cpp
@@ -44,7 +44,7 @@
     timer_ = fixture_.loop.schedule_at(fixture_.loop.now() + Millis(5), [this] {
       if (reads)
         read();
-      take_answer();
+      extract_answer();
       if (!closed)
         schedule_read();
     });
@@ -57,8 +57,8 @@
     if (length > 0)
       received_.append(block, static_cast<std::size_t>(length));
   }
-  // Takes one complete answer out of what was received.
-  void take_answer() {
+  // Removes one complete answer from the received bytes.
+  void extract_answer() {
     const std::string prefix = "OK\r\n$0\r\n\r\n$";  // the body's length and the body follow
     const std::size_t prefix_at = received_.find(prefix);
     if (prefix_at == std::string::npos)
@@ -86,7 +86,7 @@
 }
 
 TEST_CASE(
-    "answers of 230,000 bytes reach clients that read a megabyte a second, at half of the least limits") {
+    "answers of 230,000 bytes reach clients that read a megabyte a second, at half of the lowest limits") {
   const auto shares = hot_restart::shares_of(16, 128, hot_restart::ProcessRole::sole);
   hosts::Limits host_limits = InvokerFixture::limits();
   host_limits.max_incoming_bytes = shares.incoming;
@@ -115,7 +115,7 @@
   CHECK(service.invoker.counters.value("resp.unread_closed") == 0);
 }
 
-TEST_CASE("a client that does not read is closed for the memory that it holds, and no other client is") {
+TEST_CASE("a client that does not read is closed for the memory that it uses, and no other client is") {
   InvokerFixture fixture(1);
   net::BufferPool pool(64);  // a megabyte; the hosts have their own
   resp::FrontEnd::Limits limits;
