--- a/tests/admin/admin_endpoint_test.cpp
+++ b/tests/admin/admin_endpoint_test.cpp
@@ -1,4 +1,4 @@
-// The responses of the admin endpoint, also under load.
+// The responses of the admin endpoint, idle and under load.
 #include "admin/admin_endpoint.h"
 
 #include <unistd.h>
@@ -67,8 +67,8 @@
   InvokerFixture fixture{0};
   RecordingOperations operations;
   admin::AdminEndpoint admin_endpoint;
-  explicit Endpoint(std::size_t callers = 4)
-      : admin_endpoint(fixture.loop, fixture.counters, operations, callers) {
+  explicit Endpoint(std::size_t max_connections = 4)
+      : admin_endpoint(fixture.loop, fixture.counters, operations, max_connections) {
     REQUIRE(admin_endpoint.listen("127.0.0.1:0"));
   }
   int request(const std::string& bytes) {
@@ -98,7 +98,7 @@
   CHECK(endpoint.request("nonsense\r\n\r\n") == 400);
 }
 
-TEST_CASE("connections with an incomplete request, or none, keep no complete one out") {
+TEST_CASE("connections with an incomplete request, or none, do not block complete requests") {
   Endpoint endpoint(3);
   std::list<AdminClient> incomplete;
   for (int i = 0; i < 30; ++i) {
--- a/tests/admin/request_parser_test.cpp
+++ b/tests/admin/request_parser_test.cpp
@@ -35,7 +35,7 @@
 }
 const std::string host = "Host: x\r\n";
 
-TEST_CASE("a request to the admin endpoint parses the same in whatever pieces it arrives") {
+TEST_CASE("a request to the admin endpoint parses the same however it is split into pieces") {
   Random random(5);
   const std::vector<std::string> requests = {
       "POST /-/hosts/s-1/disable HTTP/1.1\r\n" + host + "\r\n",
