--- a/tests/config/config_test.cpp
+++ b/tests/config/config_test.cpp
@@ -1,4 +1,4 @@
-// The reader of the configuration file, and files that replace it.
+// Reading the configuration file, and replacing it in a running program.
 #include "config/config.h"
 
 #include <unistd.h>
@@ -158,12 +158,12 @@
   const int fd = mkstemp(name);
   REQUIRE(fd >= 0);
   close(fd);
-  const std::string whole = valid_file().dump();
-  for (std::size_t size = 0; size < whole.size(); size += 3) {
-    std::ofstream(name, std::ios::trunc) << whole.substr(0, size);
+  const std::string complete = valid_file().dump();
+  for (std::size_t size = 0; size < complete.size(); size += 3) {
+    std::ofstream(name, std::ios::trunc) << complete.substr(0, size);
     CHECK_THROWS_AS(config::read_json_file(name), config::ConfigError);
   }
-  std::ofstream(name, std::ios::trunc) << whole;
+  std::ofstream(name, std::ios::trunc) << complete;
   CHECK(config::read_json_file(name) == valid_file());
   std::remove(name);
 }
