--- a/tests/cli/try_test.cpp
+++ b/tests/cli/try_test.cpp
@@ -1,4 +1,5 @@
-// What `./try` shows: three members, hosts and clients on one machine, and a work that they settle.
+// The demonstration that `./try` runs: three members, hosts and clients on one machine, and a maintenance
+// job.
 #include <iostream>
 
 #include "support/cluster.h"
@@ -10,7 +11,7 @@
   Cluster cluster(7, 3, 6);
   REQUIRE(cluster.all_ready(20));
   const std::string admin_endpoint = cluster.members[1]->admin_endpoint;
-  std::cout << "three members are in; their admin endpoints are at";
+  std::cout << "three members are ready; their admin endpoints are at";
   for (const auto& m : cluster.members)
     std::cout << ' ' << m->admin_endpoint;
   std::cout << "\n$ lotusyard_cluster works add kernel-update --at " << admin_endpoint
@@ -29,7 +30,7 @@
         if (cluster.fixture.loop.now().count() < checked)
           return false;
         checked = cluster.fixture.loop.now().count() + 100;
-        cluster.propose_returns(700);  // whoever works on a machine takes as long
+        cluster.propose_returns(700);  // ms that the work on a host takes
         return waitpid(child, &status, WNOHANG) == child;
       },
       45);
