--- a/tests/metrics/metrics_page_test.cpp
+++ b/tests/metrics/metrics_page_test.cpp
@@ -38,7 +38,7 @@
 }
 
 struct Definition {
-  std::string name;  // as it is printed; a label stands as <label>
+  std::string name;  // as it is printed, with <label> for a label
   std::string help;
 };
 
@@ -65,7 +65,7 @@
 
 }  // namespace
 
-TEST_CASE("the page of counters says what the headers define", "[metrics-page]") {
+TEST_CASE("the page of counters matches the definitions in the headers", "[metrics-page]") {
   std::string tables;
   for (const auto& path : counter_headers()) {
     tables += table_of(path);
@@ -82,7 +82,7 @@
   }
 }
 
-TEST_CASE("every definition of a counter is on the page, and no name stands twice") {
+TEST_CASE("every definition of a counter is on the page, and no name is defined twice") {
   std::set<std::string> names;
   for (const auto& path : counter_headers()) {
     const std::string header = read_file(path);
@@ -93,7 +93,8 @@
       ++declared;
     }
     INFO(path);
-    CHECK(definitions.size() == declared);  // one that the form of the table does not match would be left out
+    CHECK(definitions.size() ==
+          declared);  // a definition that the regular expression does not match would be left out
     for (const Definition& definition : definitions) {
       CHECK(names.insert(definition.name).second);
     }
