--- a/tests/hot_restart/hot_restart_test.cpp
+++ b/tests/hot_restart/hot_restart_test.cpp
@@ -49,7 +49,7 @@
   CHECK(pool.acquire());
 }
 
-TEST_CASE("another process is seen for as long as it is alive, however it ends") {
+TEST_CASE("another process is detected as long as it is alive, however it ends") {
   char name[] = "/tmp/lotusyard-test-XXXXXX";
   REQUIRE(mkdtemp(name) != nullptr);
   const std::string folder = std::string(name) + "/n0";
