--- a/src/app/invoker_admin_endpoint.cpp
+++ b/src/app/invoker_admin_endpoint.cpp
@@ -9,13 +9,14 @@
   if (config().console.empty())
     return;
   admin_endpoint_.emplace(loop_, counters_, static_cast<admin::AdminOperations&>(*this),
-                          resource_shares().callers);
+                          resource_shares().admin_connections);
   if (!admin_endpoint_->listen(config().console)) {
     throw config::ConfigError("configuration: console: cannot listen on " + config().console);
   }
-  std::cout << "lotusyard " << config().name << " is operated at " << config().console << std::endl;
+  std::cout << "lotusyard " << config().name << " has its admin endpoint at " << config().console
+            << std::endl;
   if (state_folder_.empty())
-    std::cerr << "lotusyard: TMPDIR is not set: no host can be taken out by hand" << std::endl;
+    std::cerr << "lotusyard: TMPDIR is not set: no host can be disabled by hand" << std::endl;
 }
 
 bool Invoker::ready() const {
