--- a/src/maintenance/host_access.h
+++ b/src/maintenance/host_access.h
@@ -14,7 +14,7 @@
 // How far this process may rely on its copy of the replicated state.
 struct StateFreshness {
   bool is_leased = false;     // the lease is held: the copy is current
-  bool must_suspend = false;  // the copy is too old, or never existed: no host may be used
+  bool must_suspend = false;  // the copy is too old, or there is none: no host may be used
 };
 
 // Owned by the replica; runs on its event loop.
@@ -29,7 +29,9 @@
   void update(const MaintenanceState& state, const StateFreshness& freshness);
   bool leased() const { return leased_; }  // as of the last `update`
   bool is_avoided(const std::string& host) const { return drain_tracker_.is_avoided(host); }
-  bool sees_down(const std::string& host) const { return host_observer_.is_down(host, services_.loop.now()); }
+  bool detects_failure(const std::string& host) const {
+    return host_observer_.is_down(host, services_.loop.now());
+  }
 
   void attempt_ended(const std::string& host, const core::Call& call, core::Outcome outcome);
   // The current observations of hosts, with the call rates since the previous call of this function.
@@ -42,8 +44,8 @@
   HostObserver host_observer_;
   bool leased_ = false;
   Millis counted_at_;            // when the two counters below were read
-  double counted_calls_ = 0;     // calls taken
-  double counted_failures_ = 0;  // calls refused or failed
+  double counted_calls_ = 0;     // calls accepted
+  double counted_failures_ = 0;  // calls rejected or failed
 
   void log_lease_change(bool leased);
 };
