--- a/src/control/change.cpp
+++ b/src/control/change.cpp
@@ -41,7 +41,7 @@
   FieldReader in(bytes);
   const std::uint32_t count = in.u32();
   Change change;
-  // The count is not to be trusted: memory grows only with what is read.
+  // The count is untrusted input: memory grows only with what is read.
   for (std::uint32_t i = 0; in.sound() && i < count; ++i)
     read(in, change.emplace_back());
   if (!in.finished())
--- a/src/control/change.h
+++ b/src/control/change.h
@@ -1,5 +1,5 @@
 // Records, a key and a value each, and changes to them. The replicated state machines define the records;
-// sessions only carry them.
+// sessions only transport them.
 #pragma once
 
 #include <map>
@@ -11,7 +11,7 @@
 
 using Records = std::map<std::string, std::string>;
 
-// The new value of one record. Nothing: the record is removed.
+// The new value of one record. Empty: the record is removed.
 struct RecordChange {
   std::string key;
   std::optional<std::string> value;
--- a/src/control/change_log.h
+++ b/src/control/change_log.h
@@ -1,5 +1,5 @@
-// The latest changes of the records at a control node, and its whole state for sessions that are too far
-// behind. No I/O.
+// The latest changes of the records at a control node, and a snapshot of the complete state for sessions that
+// are too far behind. No I/O.
 #pragma once
 
 #include <deque>
@@ -30,7 +30,7 @@
 
   explicit ChangeLog(Limits limits) : limits_(limits) {}
 
-  // Replaces everything by the whole state as of `index`, which is not below applied().
+  // Replaces everything by the complete state as of `index`, which is not below applied().
   void reset(Index index, Records records);
   // Applies an entry of the replicated log. Indexes ascend; one that was applied before is ignored. A change
   // that is too long for a delta restarts the log at its index, so that every session needs a snapshot.
--- a/src/control/config.cpp
+++ b/src/control/config.cpp
@@ -122,9 +122,9 @@
                     const std::string& path) {
   for (const NodeAddress& other : others) {
     if (other.name == node.name)
-      fail(path + ".name", node.name + " stands twice");
+      fail(path + ".name", node.name + " occurs twice");
     if (other.address == node.address)
-      fail(path + ".address", node.address + " stands twice");
+      fail(path + ".address", node.address + " occurs twice");
   }
 }
 
@@ -166,7 +166,7 @@
   raft::LeaseTerms out;
   out.lease = Millis(read_number(from, "lease_ms", out.lease.count(), kMinLeaseMillis, kMaxLeaseMillis));
   out.clock_drift = read_number(from, "drift", out.clock_drift, 0, kMaxDrift);
-  // Nodes rely on it that no call here lasts longer.
+  // Nodes rely on no call of this invoker lasting longer.
   out.max_attempt_time =
       Millis(read_number(from, "last_call_ms", min_call, min_call, std::max(min_call, kMaxCallMillis)));
   out.max_offline = read_offline(from);
@@ -181,7 +181,7 @@
                               " bytes for a control node");
 }
 
-// Reads `self` and the other nodes.
+// Reads the own address and those of the other nodes.
 void read_addresses(const json& from, const std::string& member, NodeConfig& out) {
   NodeAddress self{member, out.listen, "", ""};
   for (auto& node : read_nodes(from)) {
--- a/src/control/connection_table.h
+++ b/src/control/connection_table.h
@@ -27,12 +27,12 @@
   using ConnectionId = ConnectionTransport::ConnectionId;
 
   void add(ConnectionId id) { connections_[id] = NodeConnection(); }
-  // Null: it is not known, or no longer. The pointer is valid until the connection is removed.
+  // Null: no such connection, or it was removed. The pointer is valid until the connection is removed.
   NodeConnection* find(ConnectionId id);
   // Gives the session to a connection. An older connection of the same session is removed and returned: the
   // newer one supersedes it.
   std::optional<ConnectionId> assign(ConnectionId id, SessionTable::SessionId session);
-  // Returns the session of the connection that was removed, 0 if it had none. Nothing: it was not known.
+  // Returns the session of the connection that was removed, 0 if it had none. Empty: no such connection.
   std::optional<SessionTable::SessionId> remove(ConnectionId id);
 
   bool empty() const { return connections_.empty(); }
--- a/src/control/connection_transport.h
+++ b/src/control/connection_transport.h
@@ -6,7 +6,7 @@
 
 namespace lotusyard::control {
 
-// Connections are named by the number that the transport gave each.
+// Connections are identified by the number that the transport assigned to each.
 class ConnectionTransport {
  public:
   using ConnectionId = std::uint64_t;
@@ -15,7 +15,8 @@
   virtual void send(ConnectionId connection, const std::string& frame) = 0;
   // Whether a further snapshot chunk or delta may be queued. If not, ControlNode::on_writable() follows.
   virtual bool has_room(ConnectionId connection) const = 0;
-  // Closes the connection once what was sent is out; ControlNode::on_disconnected() is not called for it.
+  // Closes the connection once everything queued was written; ControlNode::on_disconnected() is not called
+  // for it.
   virtual void close(ConnectionId connection) = 0;
 };
 
--- a/src/control/control_node.h
+++ b/src/control/control_node.h
@@ -33,7 +33,7 @@
     std::size_t snapshot_chunk = 32U << 10;  // bytes
   };
   using ForwardHandler = std::function<void(SessionTable::SessionId session, const Forward& forward)>;
-  // Returns the share of a session for a lease that ends at `lease_until` by the node's clock. Nothing: the
+  // Returns the share of a session for a lease that ends at `lease_until` by the node's clock. Empty: the
   // node divides no budget.
   using ShareSource =
       std::function<std::optional<double>(SessionTable::SessionId session, Millis lease_until)>;
@@ -43,7 +43,7 @@
   ControlNode(const ControlNode&) = delete;
   ControlNode& operator=(const ControlNode&) = delete;
 
-  // From the replicated log: the whole state as of `index`, and the change of one entry.
+  // From the replicated log: the complete state as of `index`, and the change of one entry.
   void reset(Index index, Records records);
   void apply(Index index, const Change& change);
   const ChangeLog& changes() const { return changes_; }
@@ -62,7 +62,7 @@
   void on_writable(ConnectionId id);
   void on_disconnected(ConnectionId id);
 
-  // Forgets sessions that have ended; to be called about once a second.
+  // Removes sessions that have ended; to be called about once a second.
   void tick(Millis now) { sessions_.expire(now); }
   // For the node's next heartbeat, see SessionTable::floors().
   Floors floors(Millis now) { return sessions_.floors(now); }
--- a/src/control/known_nodes.cpp
+++ b/src/control/known_nodes.cpp
@@ -26,10 +26,10 @@
     node.address = address;
     node.last_named_by = lists_;
   }
-  forget_oldest();
+  drop_oldest();
 }
 
-void KnownNodes::forget_oldest() {
+void KnownNodes::drop_oldest() {
   std::vector<std::pair<std::uint64_t, std::string>> learnt;
   for (const auto& [address, node] : nodes_) {
     if (!node.seed)
@@ -50,7 +50,7 @@
     found->second.failed = true;
 }
 
-void KnownNodes::forget_failures() {
+void KnownNodes::clear_failures() {
   for (auto& [address, node] : nodes_)
     node.failed = false;
 }
@@ -68,7 +68,7 @@
   Candidates candidates = untried(all);
   const bool all_have_failed = candidates.empty();
   if (all_have_failed) {
-    forget_failures();
+    clear_failures();
     candidates = without_last_failed(all);
   }
   candidates = nearest(candidates);
--- a/src/control/known_nodes.h
+++ b/src/control/known_nodes.h
@@ -16,23 +16,23 @@
  public:
   static constexpr std::size_t kMaxLearntNodes = 2 * kMaxNodesInMessage;
 
-  // `seeds` are never forgotten.
+  // `seeds` are never removed.
   KnownNodes(std::string zone, std::string region, const std::vector<NodeAddress>& seeds);
 
-  // Adds nodes that a node has named. Beyond the bound, those that were named least recently are forgotten.
+  // Adds nodes that a node has named. Beyond the bound, those that were named least recently are removed.
   void learn(const std::vector<NodeAddress>& nodes);
   // A session with that node was lost or could not be opened: it is not chosen again before every other
   // node that is not held back has been tried.
   void on_failure(const std::string& address);
   // A node has granted a lease: the nodes that failed may be tried again.
-  void forget_failures();
+  void clear_failures();
   // The node is not chosen before `until`.
   void hold_back(const std::string& address, Millis until);
 
   // A random one of the nearest: in this zone, else in this region, else any. Null: all are held back, or
   // none is known.
   const NodeAddress* choose(Millis now, std::mt19937_64& random);
-  // The time at which the first of them is no longer held back; infinite if none is known.
+  // The time at which the first node is no longer held back; infinite if no node is known.
   Millis next_available() const;
   std::size_t size() const { return nodes_.size(); }
 
@@ -58,7 +58,7 @@
   Candidates available(Millis now) const;
   static Candidates untried(const Candidates& candidates);
   Candidates without_last_failed(const Candidates& candidates) const;
-  void forget_oldest();
+  void drop_oldest();
 };
 
 }  // namespace lotusyard::control
--- a/src/control/message.h
+++ b/src/control/message.h
@@ -1,5 +1,5 @@
-// The messages between an invoker and the control node that holds its session. message_codec.h has their form
-// on the wire.
+// The messages between an invoker and the control node that holds its session. message_codec.h
+// defines the wire format.
 #pragma once
 
 #include <cstdint>
@@ -30,12 +30,12 @@
   return a.name == b.name && a.address == b.address && a.zone == b.zone && a.region == b.region;
 }
 
-// Invoker to node, the first message of each connection: asks for a session that continues at `position`.
+// Invoker to node, the first message of each connection: requests a session that continues at `position`.
 struct Open {
   std::uint32_t version = kProtocolVersion;
   std::string cluster, invoker, zone;
-  std::uint64_t incarnation = 0;  // chosen anew by each process; the same on all its connections
-  Index position = 0;             // what its replica holds; 0: nothing
+  std::uint64_t incarnation = 0;  // chosen at random by each process; the same on all its connections
+  Index position = 0;             // the position of its replica; 0: it is empty
   raft::LeaseTerms terms;         // must equal the node's
 };
 
@@ -73,12 +73,13 @@
   Index quiesced_index = 0;
 };
 
-// Node to invoker: the lease lasts for `duration` from the moment at which the invoker sent the renewal of
+// Node to invoker: the lease lasts for `duration` from the time at which the invoker sent the renewal of
 // that sequence number, by the invoker's own clock. 0: no lease.
 struct Grant {
   std::uint64_t sequence = 0;
   Millis duration{0};
-  // What this invoker may use, for as long, of a budget of the whole fleet. Nothing: the node divides none.
+  // What this invoker may use, for as long, of a budget of the whole fleet. Empty: the node divides no
+  // budget.
   std::optional<double> share = std::nullopt;
 };
 
--- a/src/control/message_body.cpp
+++ b/src/control/message_body.cpp
@@ -15,7 +15,7 @@
 
 static_assert(std::variant_size_v<Message> == static_cast<std::size_t>(MessageKind::forward));
 
-// Below, the two directions of each field and of each message's body stand beside each other.
+// The writer and the reader of each field and of each message's body follow each other.
 
 void write(FieldWriter& out, const raft::LeaseTerms& terms) {
   out.duration(terms.lease);
--- a/src/control/offline_floor.h
+++ b/src/control/offline_floor.h
@@ -1,7 +1,7 @@
-// Computes the log index that every invoker has reached that may use hosts at all, also those without a
-// lease. An invoker continues without a lease for a configured time, and then uses no host. So an index is
-// reached once all sessions have applied it, if no invoker is unaccounted for; or once all leased sessions
-// had applied it that long ago. No I/O; the time is passed in.
+// Computes the log index that has been reached by every invoker that may use hosts, with or without a lease.
+// An invoker continues without a lease for a configured time, and then uses no host. So an index is reached
+// once all sessions have applied it, if no invoker is unaccounted for; or once all leased sessions had
+// applied it that long ago. No I/O; the time is passed in.
 #pragma once
 
 #include <deque>
@@ -12,10 +12,10 @@
 
 class OfflineFloor {
  public:
-  // `accounted_from`: leases that are not known here, of an earlier process of the node, may last until then.
+  // `accounted_from`: leases that an earlier process of this node has granted may last until then.
   OfflineFloor(const raft::LeaseTerms& terms, Millis accounted_from);
 
-  // A session is forgotten whose lease ended at `lease_ended`, and whose invoker has not closed it.
+  // A session was removed whose lease ended at `lease_ended`, and which its invoker has not closed.
   void on_session_lost(Millis lease_ended);
   // All sessions with a lease have applied everything up to `applied`, and none with less gets one.
   void on_reported(Index applied, Millis now);
--- a/src/control/reconnect_backoff.h
+++ b/src/control/reconnect_backoff.h
@@ -19,7 +19,7 @@
   Millis next_wait();
   // A node has granted a lease.
   void reset() { failures_ = 0; }
-  // A node has said when to retry. Other nodes may admit at once, so the waits do not grow beside that.
+  // A node has sent a retry-after time. Other nodes may admit at once, so the waits do not grow in addition.
   void on_retry_after();
 
  private:
--- a/src/control/record_sender.h
+++ b/src/control/record_sender.h
@@ -10,11 +10,11 @@
 
 namespace lotusyard::control {
 
-// Where the sending to one connection is.
+// How far the records have been sent on one connection.
 class SendPosition {
  public:
   SendPosition() = default;
-  // `position`: what the replica holds at the start of the connection.
+  // `position`: the position of the replica at the start of the connection.
   explicit SendPosition(Index position) : next_after_(position), max_sent_(position) {}
 
   // The furthest index that the replica can have reached by what was sent.
@@ -33,7 +33,7 @@
   void advance_to(Index index);
 };
 
-// Memory for each connection is bounded: what it is sent next is read from the shared change log when its
+// Memory for each connection is bounded: what is sent next on it is read from the shared change log when its
 // transport has room.
 class RecordSender {
  public:
@@ -42,7 +42,7 @@
                std::size_t max_chunk_bytes)
       : changes_(changes), transport_(transport), counters_(counters), max_chunk_bytes_(max_chunk_bytes) {}
 
-  // Sends what is next for as long as the transport has room.
+  // Sends the next chunks and deltas for as long as the transport has room.
   void send_pending(ConnectionTransport::ConnectionId connection, SendPosition& position);
 
  private:
--- a/src/control/replica.h
+++ b/src/control/replica.h
@@ -14,26 +14,26 @@
  public:
   enum class Outcome {
     applied,     // the position has advanced
-    incomplete,  // a chunk was buffered, and more of the snapshot are to come
-    duplicate,   // it was applied before, and changes nothing
-    gap,         // something before it is missing; it was not applied
-    malformed    // it cannot be read, or contradicts itself; it was not applied
+    incomplete,  // a chunk was buffered; more of the snapshot must follow
+    duplicate,   // was applied before; nothing changes
+    gap,         // a change before it is missing; was not applied
+    malformed    // cannot be decoded, or is inconsistent; was not applied
   };
   // Called after the position has advanced; `change` is null after a snapshot.
   using UpdateListener = std::function<void(const Change* change)>;
 
   void set_update_listener(UpdateListener listener) { update_listener_ = std::move(listener); }
 
-  // Chunks must come in order; one at offset 0 starts a snapshot anew. A snapshot that is not newer than the
-  // replica is a duplicate. After a malformed chunk the snapshot must be started anew.
+  // Chunks must come in order; one at offset 0 restarts the snapshot. A snapshot that is not newer than the
+  // replica is a duplicate. After a malformed chunk the snapshot must be restarted.
   Outcome apply(const SnapshotChunk& chunk);
   // Applied if after <= position < index. Before the first complete snapshot every delta is a gap.
   Outcome apply(const Delta& delta);
-  // The connection has ended: an incomplete snapshot is started anew on the next one.
+  // The connection has ended: an incomplete snapshot is restarted on the next one.
   void abandon_snapshot();
 
   Index position() const { return position_; }
-  // Whether it has ever held a whole state.
+  // Whether a snapshot has ever been applied completely.
   bool complete() const { return position_ > 0; }
   const Records& records() const { return records_; }
 
--- a/src/control/server_connection.cpp
+++ b/src/control/server_connection.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr std::size_t kMaxFrameBytes = kMaxFrameBytesToInvoker + 16;  // with its header
-// Answers that may wait unsent, beside chunks and deltas.
+// Responses that may wait unsent, beside chunks and deltas.
 constexpr std::size_t kMaxUnsentAnswerBytes = 256U << 10;
 
 }  // namespace
@@ -35,7 +35,7 @@
     disconnect(metrics::kControlOverflowedLinks);
 }
 
-// A connection that has nothing to write while others use the whole pool is refilled after its next grant.
+// A connection that has nothing to write while others use the entire pool is refilled after its next grant.
 bool ServerConnection::has_room() {
   const bool accepts_more = unsent() < limits_.max_unsent_bytes && has_free_buffers();
   is_refill_wanted_ = is_closing() || !accepts_more;
--- a/src/control/server_connection.h
+++ b/src/control/server_connection.h
@@ -42,11 +42,11 @@
   ServerConnection(Owner& owner, Id id, net::EventLoop& loop, net::BufferPool& pool, net::Socket socket,
                    const Limits& limits, metrics::Counters& counters);
 
-  // Queues a frame regardless of has_room(): a peer that sends requests without reading the answers is
+  // Queues a frame regardless of has_room(): a peer that sends requests without reading the responses is
   // disconnected instead.
   void send(const std::string& frame);
-  // Whether a chunk or a delta may be queued. If not, the owner is asked for more once everything was
-  // written.
+  // Whether a chunk or a delta may be queued. If not, refill_later() of the owner is called once everything
+  // was written.
   bool has_room();
   // Calls the owner's on_writable() if that is still wanted.
   void refill();
--- a/src/control/session.h
+++ b/src/control/session.h
@@ -1,4 +1,4 @@
-// An invoker's session with a control node: to which node it connects, when it reconnects, and until when its
+// An invoker's session with a control node: which node it connects to, when it reconnects, and how long its
 // lease lasts. No I/O; the time, randomness and the transport are passed in.
 //
 //   waiting ----> connecting ----> opening ----> open
@@ -44,7 +44,7 @@
     std::string invoker;
     std::string zone;
     std::string region;
-    std::uint64_t incarnation = 0;   // chosen anew by each process
+    std::uint64_t incarnation = 0;   // chosen at random by each process
     std::vector<NodeAddress> nodes;  // the seeds; nodes name others
     raft::LeaseTerms terms;
     Pacing pacing;
@@ -69,7 +69,7 @@
   // The process ends: the lease is released, and the session does not connect again.
   void close(Millis now);
 
-  // No call that a change up to `index` forbids is in flight here; reported with the next renewal.
+  // No call that a change up to `index` forbids is in flight at this invoker; reported with the next renewal.
   void set_quiesced_index(Index index) { quiesced_index_ = index; }
   // Sends a message to a replicated state machine. Returns false if there is no open session, or if the
   // message is longer than a node accepts.
@@ -78,8 +78,8 @@
   bool holds_lease(Millis now) const { return lease_.is_held(now); }
   bool has_held_lease() const { return lease_.has_been_held(); }
   Millis lease_until() const { return lease_.until(); }
-  // What this invoker may use, while it holds a lease, of a budget of the whole fleet. Nothing: none is
-  // divided.
+  // What this invoker may use, while it holds a lease, of a budget of the whole fleet. Empty: the node
+  // divides no budget.
   const std::optional<double>& share() const { return lease_.share(); }
   bool open() const { return state_ == State::open; }
   // The node of the current connection, or of the last one.
--- a/src/control/session_lease.h
+++ b/src/control/session_lease.h
@@ -15,7 +15,7 @@
     extended,         // the lease has been extended
     nothing_granted,  // the node grants no lease now
     leaseless,        // the node has granted none for as long as a lease lasts
-    not_outstanding,  // for a renewal that does not count any more; ignored
+    not_outstanding,  // for a renewal that is no longer outstanding; ignored
     malformed         // for a renewal that was not sent
   };
 
@@ -33,13 +33,14 @@
   bool is_renewal_due(Millis now) const { return now >= next_renewal_; }
   Millis next_renewal() const { return next_renewal_; }
   // Records a renewal that is sent right after this call, and returns its sequence number: the lease counts
-  // from `now`. Nothing: too many are outstanding, and none is to be sent.
+  // from `now`. Empty: too many are outstanding, and none is to be sent.
   std::optional<std::uint64_t> start_renewal(Millis now);
   GrantResult on_grant(const Grant& grant, Millis now);
-  // The time at which a renewal will have been without an answer for too long; infinite if none is
+  // The time at which a renewal will have been without a response for too long; infinite if none is
   // outstanding.
   Millis silence_deadline() const;
-  // The replica is being brought up to date: that the node grants nothing meanwhile is not its fault.
+  // The replica is being brought up to date: that the node grants no lease meanwhile does not count against
+  // it.
   void on_snapshot_progress() { refused_since_.reset(); }
 
   // The connection has ended: no renewal is answered any more. The lease continues until its end.
@@ -56,7 +57,7 @@
   Millis until_{0};
   std::optional<double> share_;
   Millis next_renewal_{0};
-  std::deque<Renewal> outstanding_;      // without an answer, oldest first
+  std::deque<Renewal> outstanding_;      // without a response, oldest first
   std::uint64_t last_sequence_ = 0;      // on this connection
   std::optional<Millis> refused_since_;  // nothing was granted for renewals from then on
 
--- a/src/control/session_messages.cpp
+++ b/src/control/session_messages.cpp
@@ -63,7 +63,7 @@
 void Session::on_granted() {
   counters_.add(metrics::kControlSessionGrants);
   backoff_.reset();
-  nodes_.forget_failures();
+  nodes_.clear_failures();
 }
 
 void Session::on(const SnapshotChunk& chunk, Millis now) {
--- a/src/control/session_table.cpp
+++ b/src/control/session_table.cpp
@@ -89,7 +89,7 @@
   const auto found = sessions_.find(id);
   if (found == sessions_.end())
     return Millis(0);
-  note_node_lease(node_lease_until, now);
+  record_node_lease(node_lease_until, now);
   Session& session = found->second;
   if (!may_hold_lease(session) && !fault_injected("grant-behind"))
     return Millis(0);
@@ -119,7 +119,7 @@
 }
 
 // If the node's lease had lapsed, no session holds one now, so any index may be treated as reported.
-void SessionTable::note_node_lease(Millis node_lease_until, Millis now) {
+void SessionTable::record_node_lease(Millis node_lease_until, Millis now) {
   if (node_lease_until <= now || fault_injected("group-went-on"))
     return;
   const bool had_lapsed = now >= granted_under_;
@@ -135,7 +135,7 @@
   found->second.connected = false;
   --connected_;
   if (!found->second.lease_until)
-    forget(found);
+    remove(found);
 }
 
 void SessionTable::closed(SessionId id, Millis now) {
@@ -153,12 +153,12 @@
   for (auto session = sessions_.begin(); session != sessions_.end();) {
     const auto next = std::next(session);
     if (!session->second.connected && !counts_for_quiesced(session->second, now))
-      forget(session);
+      remove(session);
     session = next;
   }
 }
 
-void SessionTable::forget(Sessions::iterator session) {
+void SessionTable::remove(Sessions::iterator session) {
   if (session->second.lease_until && !session->second.closed)
     offline_floor_.on_session_lost(*session->second.lease_until);
   by_invoker_.erase({session->second.invoker, session->second.incarnation});
@@ -174,7 +174,7 @@
     if (counts_for_quiesced(session, now))
       quiesced_index = std::min(quiesced_index, log_.covered(session.quiesced_index));
   }
-  // What was reported remains true even after the log has dropped the changes that prove it.
+  // What was reported remains valid even after the log has dropped the changes that prove it.
   reported_ = std::max(reported_, applied);
   if (earlier_process_may_count(now))
     return {0, 0, 0, connected_};
--- a/src/control/session_table.h
+++ b/src/control/session_table.h
@@ -1,11 +1,10 @@
 // The sessions that a control node holds: their admission, their leases, and the log indexes that all of them
 // together have reached.
 //
-// The safety of the group relies on three rules that are kept here:
+// The safety of the group relies on three rules that this class enforces:
 //   1. a session's lease ends, by any clock within the configured drift, before the node's own lease does;
 //   2. once the node has reported that all its sessions have applied index N, no session that has applied
-//   less
-//      is granted a lease;
+//      less is granted a lease;
 //   3. a session counts until its lease has ended, and for quiescence until the longest call that it can have
 //      started under that lease has ended as well, whatever happened to its connection.
 // No I/O; the time is passed in.
@@ -41,7 +40,7 @@
     double opens_per_second = 200;
     double open_burst = 100;
   };
-  // The result of open(). The fields beside `status` are set as it says.
+  // The result of open(). The fields beside `status` are set depending on it.
   struct Admission {
     enum class Status {
       admitted,
@@ -63,7 +62,7 @@
   // has another connection, the caller closes it without a call of disconnected().
   Admission open(const std::string& invoker, std::uint64_t incarnation, Index position, Millis now);
   // Records the progress of a session. Returns false, and changes nothing, if the report is malformed: it
-  // goes back, is ahead of the node, or `quiesced_index` exceeds `applied`.
+  // is lower than an earlier one, is ahead of the node, or `quiesced_index` exceeds `applied`.
   bool report(SessionId session, Index applied, Index quiesced_index);
   // Grants a lease that begins before `now`, and returns its longest duration. 0: no lease, because the node
   // has none, or because the session is behind what the node has reported. `node_lease_until` is the end of
@@ -71,13 +70,13 @@
   //
   // While the node had no lease, the group may have continued without it, up to any index below that of the
   // entry that renewed the lease. The first grant under a new lease of the node therefore treats everything
-  // that was applied here as reported; the caller applies that entry first.
+  // that this node has applied as reported; the caller applies that entry first.
   Millis grant(SessionId session, Millis node_lease_until, Millis now);
   // The connection has ended; the lease continues.
   void disconnected(SessionId session);
   // The invoker's process has ended and does not use its lease any more.
   void closed(SessionId session, Millis now);
-  // Forgets the sessions that do not count any more.
+  // Removes the sessions that do not count any more.
   void expire(Millis now);
 
   // For the node's next heartbeat. Binding, see rule 2.
@@ -96,7 +95,7 @@
     bool closed = false;  // the invoker's process has ended
     Index applied = 0;
     Index quiesced_index = 0;
-    std::optional<Millis> lease_until;  // nothing: it has had no lease
+    std::optional<Millis> lease_until;  // empty: it has had no lease
   };
   using Sessions = std::map<SessionId, Session>;
   using InvokerKey = std::pair<std::string, std::uint64_t>;  // name and incarnation
@@ -123,8 +122,8 @@
   bool counts_for_applied(const Session& session, Millis now) const;
   bool counts_for_quiesced(const Session& session, Millis now) const;
   bool earlier_process_may_count(Millis now) const;
-  void forget(Sessions::iterator session);
-  void note_node_lease(Millis node_lease_until, Millis now);
+  void remove(Sessions::iterator session);
+  void record_node_lease(Millis node_lease_until, Millis now);
   // The longest time that a call stays in flight, by any member's clock.
   Millis max_call_duration() const { return terms_.max_attempt_time * (1 + terms_.clock_drift); }
 };
--- a/src/control/token_bucket.h
+++ b/src/control/token_bucket.h
@@ -15,7 +15,7 @@
   TokenBucket(double tokens_per_second, double burst, Millis now)
       : tokens_per_second_(tokens_per_second), burst_(burst), tokens_(burst), refilled_at_(now) {}
 
-  // Returns false if there is no whole token; time_to_next() then says when there will be one.
+  // Returns false if less than one token is left; time_to_next() is then the time until there is one.
   bool take(Millis now) {
     const double gained = (now - refilled_at_).count() / kMillisPerSecond * tokens_per_second_;
     tokens_ = std::min(burst_, tokens_ + gained);
--- a/tests/control/session_moves_test.cpp
+++ b/tests/control/session_moves_test.cpp
@@ -47,7 +47,7 @@
   nodes.hold_back("near:7000", Millis(100));
   nodes.hold_back("far:7000", Millis(200));
   CHECK(nodes.choose(Millis(0), random)->name == "here");
-  nodes.forget_failures();
+  nodes.clear_failures();
   CHECK(nodes.choose(Millis(150), random)->name == "here");
 }
 
