--- a/tests/control/tier.h
+++ b/tests/control/control_cluster.h
@@ -12,7 +12,7 @@
 
 namespace lotusyard::test {
 
-class Tier {
+class ControlCluster {
  public:
   struct Invoker {
     metrics::Counters counters;
@@ -23,7 +23,7 @@
     const control::Records& records() { return client->replica().records(); }
   };
 
-  explicit Tier(Millis lease = Millis(600)) {
+  explicit ControlCluster(Millis lease = Millis(600)) {
     terms.lease = lease;
     terms.max_attempt_time = Millis(100);
   }
@@ -77,25 +77,25 @@
         node->node().apply(index, change);
     }
   }
-  void turn() {
+  void run_once() {
     for (const auto& node : nodes) {
       if (node)
         node->node().set_lease(loop.now() + terms.lease);
     }
     loop.run_once(loop.now() + Millis(5), [] {});
   }
-  template <typename Until>
-  bool until(const Until& until, Millis most = Millis(10000)) {
+  template <typename Condition>
+  bool run_until(const Condition& condition, Millis most = Millis(10000)) {
     const Millis end = loop.now() + most;
     while (loop.now() < end) {
-      if (until())
+      if (condition())
         return true;
-      turn();
+      run_once();
     }
-    return until();
+    return condition();
   }
   void wait(Millis time) {
-    until([] { return false; }, time);
+    run_until([] { return false; }, time);
   }
   bool up_to_date(Invoker& invoker) {
     return invoker.session().holds_lease(loop.now()) && invoker.records() == records;
--- a/tests/control/served.h
+++ b/tests/control/served.h
@@ -4,27 +4,27 @@
 #include <memory>
 #include <string>
 
+#include "control/control_cluster.h"
 #include "control/scripted_invoker.h"
-#include "control/tier.h"
 
 namespace lotusyard::test {
 
 using control::NodeServer;
 
 struct Served {
-  Tier tier;
+  ControlCluster tier;
   NodeServer& server;
-  Tier::Invoker& good;
+  ControlCluster::Invoker& good;
 
   explicit Served(Millis lease = Millis(600), NodeServer::Limits limits = NodeServer::Limits(),
                   std::size_t sessions = 1200)
       : tier(lease), server(tier.add_node(limits, sessions)), good(tier.add_invoker()) {
-    REQUIRE(tier.until([&] { return tier.all_up_to_date(); }));
+    REQUIRE(tier.run_until([&] { return tier.all_up_to_date(); }));
   }
   std::uint64_t count(const std::string& counter) const { return tier.counters.value(counter); }
   void check_good() {
     tier.change("still", std::to_string(tier.index));
-    CHECK(tier.until([&] { return tier.all_up_to_date(); }, Millis(2000)));
+    CHECK(tier.run_until([&] { return tier.all_up_to_date(); }, Millis(2000)));
     CHECK(good.counters.value("control.session.opened") == 1);
   }
   // A connection with an open session that holds all records.
@@ -33,7 +33,7 @@
     control::Open open = tier.open_message();
     open.incarnation = incarnation;
     raw->send(open);
-    const bool served = tier.until(
+    const bool served = tier.run_until(
         [&] {
           raw->read();
           return raw->first<control::SnapshotChunk>() != nullptr;
@@ -43,7 +43,7 @@
     return raw;
   }
   bool ends(ScriptedInvoker& raw, Millis most = Millis(2000)) {
-    return tier.until(
+    return tier.run_until(
         [&] {
           raw.read();
           return raw.ended;
--- a/tests/control/transport_faults_test.cpp
+++ b/tests/control/transport_faults_test.cpp
@@ -45,7 +45,7 @@
   raw->send(served.tier.open_message());
   CHECK(served.ends(*raw));
   CHECK(served.count("control.malformed") == faulty.size() + 1);
-  CHECK(served.tier.until([&] { return served.server.links() == 1; }, Millis(2000)));
+  CHECK(served.tier.run_until([&] { return served.server.links() == 1; }, Millis(2000)));
   served.check_good();
 }
 
@@ -58,11 +58,11 @@
       raw.send(served.tier.open_message());
     raw.send_bytes(garbage(random, std::string("\0\0\0\1\4\7", 6)));
     for (int turns = 0; turns < 3; ++turns) {
-      served.tier.turn();
+      served.tier.run_once();
       raw.read();
     }
   }
-  CHECK(served.tier.until([&] { return served.server.links() == 1; }, Millis(5000)));
+  CHECK(served.tier.run_until([&] { return served.server.links() == 1; }, Millis(5000)));
   served.check_good();
 }
 
@@ -98,10 +98,10 @@
   ScriptedInvoker half(served.server.address());
   const std::string open = control::encode(served.tier.open_message());
   half.send_bytes(open.substr(0, open.size() / 2));
-  REQUIRE(served.tier.until([&] { return served.server.links() == 102; }, Millis(1000)));
+  REQUIRE(served.tier.run_until([&] { return served.server.links() == 102; }, Millis(1000)));
   CHECK(served.ends(half, Millis(5000)));
   CHECK(served.tier.loop.now() - began >= Millis(3000));
-  CHECK(served.tier.until([&] { return served.server.links() == 1; }, Millis(1000)));
+  CHECK(served.tier.run_until([&] { return served.server.links() == 1; }, Millis(1000)));
   CHECK(served.tier.loop.now() - began < Millis(4500));
   CHECK(served.count("control.no_open") == 101);
   served.check_good();
@@ -135,7 +135,7 @@
   const std::uint64_t pauses = served.count("control.no_descriptor");
   CHECK((pauses >= 2 && pauses <= 5));
   CHECK(served.tier.up_to_date(served.good));
-  CHECK(served.tier.until(
+  CHECK(served.tier.run_until(
       [&] {
         raw.read();
         return raw.first<control::Welcome>() != nullptr;
@@ -156,7 +156,7 @@
       one->read();
     return std::count_if(others.begin(), others.end(), [](const auto& one) { return one->ended; });
   };
-  CHECK(served.tier.until([&] { return ended() == 3; }, Millis(1000)));
+  CHECK(served.tier.run_until([&] { return ended() == 3; }, Millis(1000)));
   CHECK(served.server.links() == 5);
   CHECK(served.count("control.too_many_links") == 3);
   served.check_good();
--- a/tests/control/transport_slow_test.cpp
+++ b/tests/control/transport_slow_test.cpp
@@ -35,14 +35,14 @@
   std::size_t most = 0;
   for (int i = 0; i < changes; ++i) {
     served.tier.change("key" + std::to_string(i % 50), large_value(i));
-    served.tier.turn();
+    served.tier.run_once();
     most = std::max(most, served.server.pooled());
   }
-  REQUIRE(served.tier.until([&] { return served.tier.up_to_date(served.good); }));
+  REQUIRE(served.tier.run_until([&] { return served.tier.up_to_date(served.good); }));
   CHECK(served.server.links() == 2);
   CHECK(served.server.pooled() >= limits.connection.max_unsent_bytes);  // else nothing was slow here
   CHECK(most <= 2 * (limits.connection.max_unsent_bytes + kFrames));    // of both connections
-  CHECK(served.tier.until([&] {
+  CHECK(served.tier.run_until([&] {
     raw->read();
     replicate(*raw, replica);
     return replica.records() == served.tier.records;
@@ -59,11 +59,11 @@
   const auto raw = served.opened();
   for (int i = 0; i < 2000; ++i) {
     served.tier.change("key" + std::to_string(i % 50), large_value(i));
-    served.tier.turn();
+    served.tier.run_once();
   }
   REQUIRE(served.server.pooled() >= limits.connection.max_unsent_bytes);
   std::uint64_t sequence = 0;
-  const bool ended = served.tier.until(
+  const bool ended = served.tier.run_until(
       [&] {
         if (sequence < 20)
           raw->send(control::Renew{++sequence, 1, 0});
@@ -71,8 +71,8 @@
       },
       Millis(3000));
   CHECK(ended);
-  CHECK(served.tier.until([&] { return served.server.links() == 1; }, Millis(100)));
-  CHECK(served.tier.until([&] { return served.server.pooled() == 0; }, Millis(1000)));
+  CHECK(served.tier.run_until([&] { return served.server.links() == 1; }, Millis(100)));
+  CHECK(served.tier.run_until([&] { return served.server.pooled() == 0; }, Millis(1000)));
   served.check_good();
 }
 
@@ -85,16 +85,16 @@
   for (std::uint64_t i = 0; i < 10; ++i)
     slow.push_back(served.opened(i + 1));
   auto& late = served.tier.add_invoker();  // served after all of them
-  REQUIRE(served.tier.until([&] { return served.tier.all_up_to_date(); }));
+  REQUIRE(served.tier.run_until([&] { return served.tier.all_up_to_date(); }));
   std::size_t most = 0;
   for (int i = 0; i < 1000; ++i) {
     served.tier.change("key" + std::to_string(i % 50), large_value(i));
-    served.tier.turn();
+    served.tier.run_once();
     most = std::max(most, served.server.pooled());
   }
   CHECK(most <= limits.max_pooled_bytes);
   CHECK_FALSE(served.tier.up_to_date(late));
-  CHECK(served.tier.until([&] { return served.tier.all_up_to_date(); }, Millis(4000)));
+  CHECK(served.tier.run_until([&] { return served.tier.all_up_to_date(); }, Millis(4000)));
   CHECK(served.count("control.stalled_links") > 0);
   served.check_good();
 }
@@ -104,7 +104,7 @@
   const auto raw = served.opened();
   std::uint64_t sequence = 0;
   std::size_t most = 0;
-  const bool ended = served.tier.until(
+  const bool ended = served.tier.run_until(
       [&] {
         std::string renewals;
         for (int i = 0; raw->unsent() == 0 && i < 5000; ++i)
@@ -116,7 +116,7 @@
       Millis(20000));
   CHECK(ended);
   CHECK(most < (2U << 20));
-  CHECK(served.tier.until([&] { return served.server.links() == 1; }, Millis(100)));
+  CHECK(served.tier.run_until([&] { return served.server.links() == 1; }, Millis(100)));
   served.check_good();
 }
 
--- a/tests/net/listeners_test.cpp
+++ b/tests/net/listeners_test.cpp
@@ -1,6 +1,6 @@
 // Every listener pauses while accept(2) lacks resources, does not spin, and resumes by itself.
 #include "admin/admin_endpoint.h"
-#include "control/tier.h"
+#include "control/control_cluster.h"
 #include "raft/peer_transport.h"
 #include "support/resp_fixture.h"
 #include "support/system_call_faults.h"
@@ -57,11 +57,11 @@
     CHECK(fixture.run_until(closed, 1000));  // accepted, read and closed
   }
   SECTION("a control node's server") {
-    Tier tier;
+    ControlCluster tier;
     auto& server = tier.add_node();
     const net::Socket caller = net::connect_to(server.address()).socket;
-    CHECK(few(accepts_while_failing(tier.loop, error, [&] { tier.turn(); })));
-    CHECK(tier.until([&] { return server.links() == 1; }, Millis(1000)));
+    CHECK(few(accepts_while_failing(tier.loop, error, [&] { tier.run_once(); })));
+    CHECK(tier.run_until([&] { return server.links() == 1; }, Millis(1000)));
   }
 }
 
--- a/tests/net/system_call_storm_test.cpp
+++ b/tests/net/system_call_storm_test.cpp
@@ -1,7 +1,7 @@
 // Every part that owns sockets, while system calls fail at random, and while each read or write transfers one
 // byte.
 #include "admin/admin_endpoint.h"
-#include "control/tier.h"
+#include "control/control_cluster.h"
 #include "discovery/discovery.h"
 #include "support/amqp_fixture.h"
 #include "support/resp_fixture.h"
@@ -184,16 +184,16 @@
 TEST_CASE("control sessions: every change arrives, and sessions open for ever new connections",
           "[system-calls][storm]") {
   with_each_profile([](std::uint64_t, const auto& begin) {
-    Tier tier;
+    ControlCluster tier;
     tier.add_node();
     for (int i = 0; i < 2; ++i)
       tier.add_invoker();
     begin();
     for (int i = 0; i < 30; ++i) {
       tier.change("key" + std::to_string(i % 7), std::string(50, 'v') + std::to_string(i));
-      tier.turn();
+      tier.run_once();
     }
-    CHECK(tier.until([&] { return tier.all_up_to_date(); }));
+    CHECK(tier.run_until([&] { return tier.all_up_to_date(); }));
   });
 }
 
