--- a/tests/control/allotment_test.cpp
+++ b/tests/control/allotment_test.cpp
@@ -1,4 +1,4 @@
-// A node's part of a shared budget, divided among its sessions: never more is out than the part.
+// Division of a node's budget among its sessions: the shares in use never exceed the budget.
 #include "control/allotment.h"
 
 #include <catch2/catch.hpp>
@@ -9,11 +9,11 @@
 using lotusyard::control::Index;
 using lotusyard::control::Millis;
 
-TEST_CASE("a part is divided evenly once earlier, larger shares are over") {
+TEST_CASE("a budget is divided evenly once earlier, larger shares have expired") {
   Allotment allotment;
   allotment.set_budget(0.4, 1);
   CHECK(allotment.grant(1, 1, Millis(100), Millis(0)) == Approx(0.4));
-  CHECK(allotment.grant(2, 2, Millis(150), Millis(10)) == Approx(0));  // the first one has all of it
+  CHECK(allotment.grant(2, 2, Millis(150), Millis(10)) == Approx(0));  // the first session has all of it
   CHECK(allotment.grant(1, 2, Millis(160), Millis(60)) == Approx(0.2));
   CHECK(allotment.outstanding(Millis(60)) == Approx(0.4));  // the first grant may still be used
   CHECK(allotment.grant(2, 2, Millis(200), Millis(101)) == Approx(0.2));
@@ -21,7 +21,7 @@
   CHECK(allotment.outstanding(Millis(200)) == Approx(0));
 }
 
-TEST_CASE("a smaller part is followed only once no session holds more than it") {
+TEST_CASE("a reduced budget is respected only once the sessions hold no more than it") {
   Allotment allotment;
   allotment.set_budget(0.5, 5);
   allotment.grant(1, 1, Millis(100), Millis(0));
@@ -33,7 +33,7 @@
   CHECK(allotment.respected(12, Millis(100)) == 12);
 }
 
-TEST_CASE("a part that is given up in whole is followed once the last share is over") {
+TEST_CASE("a budget reduced to zero is respected once the last share has expired") {
   Allotment allotment;
   allotment.set_budget(0.5, 5);
   allotment.grant(1, 1, Millis(100), Millis(0));
@@ -43,8 +43,8 @@
   CHECK(allotment.respected(20, Millis(100)) == 20);
 }
 
-// The independent model keeps every grant that was ever made and adds up what each session may hold.
-TEST_CASE("whatever the course, the shares that are out never exceed the part they were granted from") {
+// An independent model records every grant and adds up what each session may use.
+TEST_CASE("in random scenarios the shares in use never exceed the budget they were granted from") {
   struct Granted {
     double share = 0;
     Millis until{0};
@@ -54,35 +54,35 @@
     const auto below = [&random](unsigned bound) { return random() % bound; };
     Allotment allotment;
     std::multimap<std::uint64_t, Granted> granted;
-    double part = 0, largest_part = 0;  // since what was granted from a larger part can be out
+    double budget = 0, largest_budget = 0;  // the largest one from which shares can be in use
     Millis larger_until{0}, now{0};
     Index index = 0;
     for (int step = 0; step < 300; ++step) {
       now += Millis(below(40));
       if (below(10) == 0) {
         if (now >= larger_until)
-          largest_part = part;
-        part = static_cast<double>(below(100)) / 100;
-        largest_part = std::max(largest_part, part);
+          largest_budget = budget;
+        budget = static_cast<double>(below(100)) / 100;
+        largest_budget = std::max(largest_budget, budget);
         larger_until = now + Millis(300);
-        allotment.set_budget(part, ++index);
+        allotment.set_budget(budget, ++index);
       }
       const std::uint64_t session = below(8);
       const Millis until = now + Millis(below(300));
       granted.emplace(session, Granted{allotment.grant(session, 1 + below(8), until, now), until});
-      std::map<std::uint64_t, double> held;
+      std::map<std::uint64_t, double> shares;
       for (const auto& [id, one] : granted) {
         if (one.until > now)
-          held[id] = std::max(held[id], one.share);
+          shares[id] = std::max(shares[id], one.share);
       }
       double total = 0;
-      for (const auto& [id, share] : held)
+      for (const auto& [id, share] : shares)
         total += share;
       INFO("seed " << seed << ", step " << step);
-      REQUIRE(total <= largest_part + 1e-9);
+      REQUIRE(total <= largest_budget + 1e-9);
       REQUIRE(allotment.outstanding(now) == Approx(total).margin(1e-9));
       if (allotment.respected(index, now) == index)
-        REQUIRE(total <= part + 1e-9);
+        REQUIRE(total <= budget + 1e-9);
     }
   }
 }
--- a/tests/control/change_log_test.cpp
+++ b/tests/control/change_log_test.cpp
@@ -1,4 +1,4 @@
-// The shared log of changes: what it can pass on, and how far a replica at any position is up to date.
+// The shared log of changes: which deltas and snapshots it offers, and up to where a replica is up to date.
 #include "control/change_log.h"
 
 #include "catch2/catch.hpp"
@@ -52,7 +52,7 @@
   CHECK(log.covered(18) == 18);
 }
 
-TEST_CASE("an index that was applied already is ignored") {
+TEST_CASE("an index that was already applied is ignored") {
   ChangeLog log({});
   log.reset(10, {});
   log.append(10, set("a", "late"));
@@ -73,7 +73,7 @@
   for (Index index = 1; index <= 10; ++index)
     by_bytes.append(index, set("k", std::string(1000, 'x')));
   CHECK(by_bytes.first() == 6);
-  by_bytes.append(11, set("k", std::string(6000, 'x')));  // longer than the whole log may be
+  by_bytes.append(11, set("k", std::string(6000, 'x')));  // longer than the limit of the log
   CHECK(by_bytes.first() == 11);
   CHECK(by_bytes.next_after(11) == nullptr);
 }
@@ -92,7 +92,7 @@
   CHECK(delta_of(*log.next_after(20)).after == 20);
 }
 
-TEST_CASE("a change that is too long for a delta is never left out: everybody takes a snapshot") {
+TEST_CASE("a change that is too long for a delta is never omitted: every replica needs a snapshot") {
   ChangeLog log({});
   log.append(1, set("a", "1"));
   const auto before = log.snapshot();
@@ -126,15 +126,15 @@
   CHECK(log.snapshot() == first);  // the change follows as a delta
   for (Index index = 4; index < 6; ++index)
     log.append(index, set("a", "2"));
-  CHECK(log.snapshot() != first);  // its changes would leave the log soon
+  CHECK(log.snapshot() != first);  // the log would soon drop its changes
   CHECK(log.snapshot()->index == 5);
   log.append(6, set("b", std::string(2000, 'x')));
-  CHECK(log.snapshot()->index == 6);  // the change is larger than a snapshot was
+  CHECK(log.snapshot()->index == 6);  // the change is larger than the snapshot was
 }
 
-// A replica at any position reaches the present state by the log's deltas or a snapshot, and `covered` says
-// the truth of it.
-void check_course(const std::vector<int>& steps) {
+// A replica at any position reaches the current state by the deltas of the log or by a snapshot, and
+// covered() is correct for it.
+void check_scenario(const std::vector<int>& steps) {
   ChangeLog log({5, 600});
   std::map<Index, Records> states{{0, {}}};
   std::vector<Index> changed;
@@ -179,9 +179,9 @@
   }
 }
 
-TEST_CASE("from any position the log leads to the present state") {
-  CHECK(property_holds("a replica catches up from anywhere", 300, [] {
-    check_course(*rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 1000)));
+TEST_CASE("the log leads from any position to the current state") {
+  CHECK(property_holds("a replica catches up from any position", 300, [] {
+    check_scenario(*rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 1000)));
   }));
 }
 
--- a/tests/control/config_test.cpp
+++ b/tests/control/config_test.cpp
@@ -1,4 +1,4 @@
-// The part `control` of an operator's file, for control nodes and for invokers.
+// The section `control` of a configuration file, for control nodes and for invokers.
 #include "control/config.h"
 
 #include <catch2/catch.hpp>
@@ -25,38 +25,38 @@
   return {{"control", {{"cluster", "yard"}, {"nodes", {{{"name", "a"}, {"address", "127.0.0.1:7100"}}}}}}};
 }
 template <typename Read>
-std::string fault_of(const Read& read) {
+std::string error_of(const Read& read) {
   try {
     read();
-  } catch (const config::ConfigError& fault) {
-    return fault.what();
+  } catch (const config::ConfigError& error) {
+    return error.what();
   }
   return {};
 }
-std::string node_fault(const json& file) {
-  return fault_of([&] { control::read_node_config(file, member_config()); });
+std::string node_error(const json& file) {
+  return error_of([&] { control::read_node_config(file, member_config()); });
 }
-std::string invoker_fault(const json& file) {
-  return fault_of([&] { control::read_invoker_config(file, kLongestDeadline); });
+std::string invoker_error(const json& file) {
+  return error_of([&] { control::read_invoker_config(file, kLongestDeadline); });
 }
 
-struct Faulty {
+struct InvalidSetting {
   std::string pointer;
   json value;
   std::string key;  // as the error names it
 };
-template <typename FaultOf>
-void check_faults(const json& good, const std::vector<Faulty>& faults, const FaultOf& fault) {
-  CHECK(fault(good).empty());
-  for (const auto& [pointer, value, key] : faults) {
+template <typename ErrorOf>
+void check_errors(const json& good, const std::vector<InvalidSetting>& settings, const ErrorOf& error) {
+  CHECK(error(good).empty());
+  for (const auto& [pointer, value, key] : settings) {
     INFO(pointer << " = " << value);
     json file = good;
     file[json::json_pointer(pointer)] = value;
-    CHECK_THAT(fault(file), Catch::StartsWith("configuration: " + key + ": "));
+    CHECK_THAT(error(file), Catch::StartsWith("configuration: " + key + ": "));
   }
 }
 
-TEST_CASE("the part control decides the role, beside a group or without one") {
+TEST_CASE("the section control determines the role, with a section group or without one") {
   CHECK_FALSE(control::read_node_config(json::object(), member_config()));
   CHECK_FALSE(control::read_invoker_config(json::object(), kLongestDeadline));
   CHECK_FALSE(control::read_invoker_config(node_file(), kLongestDeadline));
@@ -64,27 +64,28 @@
   CHECK(control::read_invoker_config(invoker_file(), kLongestDeadline));
 }
 
-TEST_CASE("a control node's part is read, with its defaults") {
-  const auto least = control::read_node_config(node_file(), member_config());
-  REQUIRE(least);
-  CHECK(least->listen == "127.0.0.1:7100");
-  CHECK(least->self == NodeAddress{"a", "127.0.0.1:7100", "", ""});
-  CHECK(least->nodes.empty());
-  CHECK(least->sessions.max_sessions == 1200);
-  CHECK(least->sessions.opens_per_second == 200);
+TEST_CASE("the section of a control node is read, with its defaults") {
+  const auto minimal = control::read_node_config(node_file(), member_config());
+  REQUIRE(minimal);
+  CHECK(minimal->listen == "127.0.0.1:7100");
+  CHECK(minimal->self == NodeAddress{"a", "127.0.0.1:7100", "", ""});
+  CHECK(minimal->nodes.empty());
+  CHECK(minimal->sessions.max_sessions == 1200);
+  CHECK(minimal->sessions.opens_per_second == 200);
 
   json file = node_file();
   file["control"].update(json::parse(R"({"address":"10.0.0.1:7100","zone":"z1","region":"r1",
       "sessions":300,"opens_per_second":20,"nodes":[{"name":"b","address":"10.0.0.2:7100","zone":"z2"}]})"));
-  const auto whole = control::read_node_config(file, member_config());
-  REQUIRE(whole);
-  CHECK(whole->self == NodeAddress{"a", "10.0.0.1:7100", "z1", "r1"});
-  CHECK(whole->nodes == std::vector<NodeAddress>{{"b", "10.0.0.2:7100", "z2", ""}});
-  CHECK(whole->sessions.max_sessions == 300);
-  CHECK(whole->sessions.opens_per_second == 20);
+  const auto complete = control::read_node_config(file, member_config());
+  REQUIRE(complete);
+  CHECK(complete->self == NodeAddress{"a", "10.0.0.1:7100", "z1", "r1"});
+  CHECK(complete->nodes == std::vector<NodeAddress>{{"b", "10.0.0.2:7100", "z2", ""}});
+  CHECK(complete->sessions.max_sessions == 300);
+  CHECK(complete->sessions.opens_per_second == 20);
 }
 
-TEST_CASE("a control node's own entry in the list of nodes gives its defaults and is no other node") {
+TEST_CASE(
+    "a control node's own entry in the list of nodes sets its defaults and is not listed as another node") {
   json file = node_file();
   file["control"]["nodes"] = json::parse(R"([{"name":"a","address":"10.0.0.1:7100","zone":"z1","region":"r"},
       {"name":"b","address":"10.0.0.2:7100"}])");
@@ -94,11 +95,11 @@
   CHECK(read->nodes == std::vector<NodeAddress>{{"b", "10.0.0.2:7100", "", ""}});
 }
 
-TEST_CASE("a faulty part of a control node is refused by the name of its key") {
+TEST_CASE("an invalid setting of a control node is rejected with the name of its key") {
   json good = node_file();
   good["control"]["nodes"] = json::parse(R"([{"name":"b","address":"10.0.0.2:7100"},
       {"name":"c","address":"10.0.0.3:7100"}])");
-  check_faults(good,
+  check_errors(good,
                {{"/control", 5, "control"},
                 {"/control/listen", json(), "control.listen"},
                 {"/control/listen", "here", "control.listen"},
@@ -122,48 +123,48 @@
                 {"/control/nodes/1/port", 1, "control.nodes[1].port"},
                 {"/control/lease_ms", 3000, "control.lease_ms"},
                 {"/control/cluster", "yard", "control.cluster"}},
-               node_fault);
+               node_error);
 }
 
-TEST_CASE("a cluster's name that no invoker could send is refused at a control node") {
+TEST_CASE("a cluster name that no invoker could send is rejected at a control node") {
   raft::Config group = member_config();
   group.cluster = std::string(129, 'y');
-  CHECK_THAT(fault_of([&] { control::read_node_config(node_file(), group); }),
+  CHECK_THAT(error_of([&] { control::read_node_config(node_file(), group); }),
              Catch::StartsWith("configuration: group.cluster: "));
   CHECK_FALSE(control::read_node_config(json::object(), group));
 }
 
-TEST_CASE("a member that serves nothing has no lease, and is refused as a control node") {
+TEST_CASE("a member that does not serve has no lease, and is rejected as a control node") {
   raft::Config group = member_config();
   group.serves = false;
-  CHECK_THAT(fault_of([&] { control::read_node_config(node_file(), group); }),
+  CHECK_THAT(error_of([&] { control::read_node_config(node_file(), group); }),
              Catch::StartsWith("configuration: group.serves: "));
   CHECK_FALSE(control::read_node_config(json::object(), group));
 }
 
-TEST_CASE("an invoker's part is read, with its defaults") {
-  const auto least = control::read_invoker_config(invoker_file(), kLongestDeadline);
-  REQUIRE(least);
-  CHECK(least->cluster == "yard");
-  CHECK(least->nodes == std::vector<NodeAddress>{{"a", "127.0.0.1:7100", "", ""}});
-  CHECK((least->zone.empty() && least->region.empty()));
-  CHECK(least->terms.lease == raft::LeaseTerms().lease);
-  CHECK(least->terms.clock_drift == raft::LeaseTerms().clock_drift);
-  CHECK(least->terms.max_attempt_time == kLongestDeadline);
+TEST_CASE("the section of an invoker is read, with its defaults") {
+  const auto minimal = control::read_invoker_config(invoker_file(), kLongestDeadline);
+  REQUIRE(minimal);
+  CHECK(minimal->cluster == "yard");
+  CHECK(minimal->nodes == std::vector<NodeAddress>{{"a", "127.0.0.1:7100", "", ""}});
+  CHECK((minimal->zone.empty() && minimal->region.empty()));
+  CHECK(minimal->terms.lease == raft::LeaseTerms().lease);
+  CHECK(minimal->terms.clock_drift == raft::LeaseTerms().clock_drift);
+  CHECK(minimal->terms.max_attempt_time == kLongestDeadline);
 
   json file = invoker_file();
   file["control"].update(
       json::parse(R"({"zone":"z1","region":"r1","lease_ms":600,"drift":0.02,"last_call_ms":2500})"));
-  const auto whole = control::read_invoker_config(file, kLongestDeadline);
-  REQUIRE(whole);
-  CHECK((whole->zone == "z1" && whole->region == "r1"));
-  CHECK(whole->terms.lease == Millis(600));
-  CHECK(whole->terms.clock_drift == 0.02);
-  CHECK(whole->terms.max_attempt_time == Millis(2500));
+  const auto complete = control::read_invoker_config(file, kLongestDeadline);
+  REQUIRE(complete);
+  CHECK((complete->zone == "z1" && complete->region == "r1"));
+  CHECK(complete->terms.lease == Millis(600));
+  CHECK(complete->terms.clock_drift == 0.02);
+  CHECK(complete->terms.max_attempt_time == Millis(2500));
 }
 
-TEST_CASE("a faulty part of an invoker is refused by the name of its key") {
-  check_faults(invoker_file(),
+TEST_CASE("an invalid setting of an invoker is rejected with the name of its key") {
+  check_errors(invoker_file(),
                {{"/control", json::array(), "control"},
                 {"/control/cluster", json(), "control.cluster"},
                 {"/control/cluster", std::string(129, 'y'), "control.cluster"},
@@ -177,7 +178,7 @@
                 {"/control/last_call_ms", 1499, "control.last_call_ms"},
                 {"/control/listen", "127.0.0.1:7100", "control.listen"},
                 {"/control/sessions", 3, "control.sessions"}},
-               invoker_fault);
+               invoker_error);
 }
 
 }  // namespace
--- a/tests/control/control_cluster.h
+++ b/tests/control/control_cluster.h
@@ -1,5 +1,5 @@
-// Control nodes and invokers on one loop, with a relay before every node for each invoker. The test plays
-// the group: it applies the same changes at all nodes and keeps their leases alive.
+// Control nodes and invokers on one event loop, with a relay in front of every node for each invoker. The
+// test acts as the group: it applies the same changes at all nodes and renews their leases.
 #pragma once
 
 #include <memory>
@@ -28,7 +28,7 @@
     terms.max_attempt_time = Millis(100);
   }
 
-  // A node that continues from the present state.
+  // Adds a node that starts with the current state.
   control::NodeServer& add_node(control::NodeServer::Limits limits = control::NodeServer::Limits(),
                                 std::size_t sessions = 1200) {
     control::ControlNode::Config config;
@@ -85,8 +85,8 @@
     loop.run_once(loop.now() + Millis(5), [] {});
   }
   template <typename Condition>
-  bool run_until(const Condition& condition, Millis most = Millis(10000)) {
-    const Millis end = loop.now() + most;
+  bool run_until(const Condition& condition, Millis timeout = Millis(10000)) {
+    const Millis end = loop.now() + timeout;
     while (loop.now() < end) {
       if (condition())
         return true;
@@ -109,7 +109,7 @@
   raft::LeaseTerms terms;
   control::Records records = {{"first", "record"}};
   control::Index index = 1;
-  std::vector<std::unique_ptr<control::NodeServer>> nodes;  // null: killed
+  std::vector<std::unique_ptr<control::NodeServer>> nodes;  // null: was killed
   std::vector<std::unique_ptr<Invoker>> invokers;
 };
 
--- a/tests/control/history.h
+++ b/tests/control/history.h
@@ -1,5 +1,5 @@
-// A made-up agreed log, and what the records are at each of its indexes: replayed independently of the code
-// under test.
+// A random committed log, and the records at each of its indexes, computed independently of the code under
+// test.
 #pragma once
 
 #include <algorithm>
@@ -16,7 +16,7 @@
     control::Index index = 0;
     control::Change change;
   };
-  std::vector<Step> steps;                      // with holes between the indexes, as other entries leave them
+  std::vector<Step> steps;                      // with gaps between the indexes, as other entries leave them
   std::vector<control::Records> states = {{}};  // before the first step, and after each
 
   History(std::uint64_t seed, std::size_t count) {
@@ -38,7 +38,7 @@
   control::Delta delta(std::size_t i) const {
     return {i == 0 ? 0 : steps[i - 1].index, steps[i].index, control::encode_change(steps[i].change)};
   }
-  // The number of the first step behind an index.
+  // The number of the first step after an index.
   std::size_t next_after(control::Index index) const {
     const auto behind = [](control::Index one, const Step& step) { return one < step.index; };
     const auto found = std::upper_bound(steps.begin(), steps.end(), index, behind);
@@ -64,6 +64,6 @@
   }
 };
 
-constexpr std::uint64_t kHistorySeed = 11;  // of the courses of replicas and sessions
+constexpr std::uint64_t kHistorySeed = 11;  // of the scenarios of replicas and sessions
 
 }  // namespace lotusyard::test
--- a/tests/control/lease_rules.cpp
+++ b/tests/control/lease_rules.cpp
@@ -8,9 +8,9 @@
 namespace lotusyard::test {
 namespace {
 
-constexpr double kClockRounding = 5;  // lines carry whole milliseconds
-// A process writes that its lease is over once it runs again; on a busy machine that may be late. What it
-// does meanwhile is checked at the hosts, without any slack.
+constexpr double kClockRounding = 5;  // lines have times in integer milliseconds
+// A process logs the end of its lease once it runs again, which may be late on a busy machine. What it does
+// meanwhile is checked at the hosts, without any slack.
 constexpr double kSchedulingSlack = 300;
 
 struct Line {
@@ -19,12 +19,12 @@
   std::uint64_t index = 0;
 };
 
-struct LeftAlone {  // the hosts that a process left alone, from a point in time on
+struct AvoidedHosts {  // the hosts that a process avoids from a time on
   double at = 0;
-  bool all = true;  // it uses no host
+  bool avoids_all = true;  // it uses no host at all
   std::set<std::string> hosts;
 };
-using History = std::vector<LeftAlone>;
+using History = std::vector<AvoidedHosts>;
 
 std::string value_of(const std::string& line, const std::string& key) {
   const auto at = line.find(' ' + key + '=');
@@ -50,12 +50,12 @@
   return out;
 }
 
-void apply(const Line& line, LeftAlone& state) {
+void apply(const Line& line, AvoidedHosts& state) {
   const std::string host = value_of(line.text, "host");
   if (contains(line.text, "lease held"))
-    state.all = false;
+    state.avoids_all = false;
   if (contains(line.text, "no host is used"))
-    state.all = true;
+    state.avoids_all = true;
   if (contains(line.text, "is left alone"))
     state.hosts.insert(host);
   if (contains(line.text, "is used again"))
@@ -68,77 +68,77 @@
   auto next = lines.begin();
   const auto apply_until = [&](double end) {
     for (; next != lines.end() && next->at < end; ++next) {
-      LeftAlone state = out.back();
+      AvoidedHosts state = out.back();
       state.at = next->at;
       apply(*next, state);
       out.push_back(std::move(state));
     }
   };
-  for (const auto& absence : downtimes) {
-    if (absence.name != process || !absence.killed)
+  for (const auto& downtime : downtimes) {
+    if (downtime.name != process || !downtime.killed)
       continue;
-    apply_until(absence.from);
-    out.push_back({absence.from, true, {}});  // a new process uses no host before its first lease
+    apply_until(downtime.from);
+    out.push_back({downtime.from, true, {}});  // a new process uses no host before its first lease
   }
   apply_until(kForever);
   return out;
 }
 
-const LeftAlone& state_at(const History& history, double at) {
-  const auto later = [](double time, const LeftAlone& state) { return time < state.at; };
+const AvoidedHosts& state_at(const History& history, double at) {
+  const auto later = [](double time, const AvoidedHosts& state) { return time < state.at; };
   return *std::prev(std::upper_bound(history.begin(), history.end(), at, later));
 }
 
-bool was_absent(const std::string& process, double at, const std::vector<Downtime>& downtimes) {
-  return std::any_of(downtimes.begin(), downtimes.end(), [&](const Downtime& absence) {
-    return absence.name == process && at >= absence.from && at <= absence.to + kSchedulingSlack;
+bool was_down(const std::string& process, double at, const std::vector<Downtime>& downtimes) {
+  return std::any_of(downtimes.begin(), downtimes.end(), [&](const Downtime& downtime) {
+    return downtime.name == process && at >= downtime.from && at <= downtime.to + kSchedulingSlack;
   });
 }
 
-std::string used_while_touched(const std::string& process, const History& history, const ReleasePeriod& span,
-                               const std::vector<Downtime>& downtimes) {
+std::string used_while_released(const std::string& process, const History& history,
+                                const ReleasePeriod& period, const std::vector<Downtime>& downtimes) {
   const auto check = [&](double at) -> std::string {
-    const LeftAlone& state = state_at(history, at);
-    if (state.all || state.hosts.count(span.host) != 0 || was_absent(process, at, downtimes))
+    const AvoidedHosts& state = state_at(history, at);
+    if (state.avoids_all || state.hosts.count(period.host) != 0 || was_down(process, at, downtimes))
       return {};
-    return process + " may use " + span.host + " which operators have since " + std::to_string(span.from);
+    return process + " may use " + period.host + " which operators have since " + std::to_string(period.from);
   };
-  const double from = span.from + kSchedulingSlack;
-  if (from >= span.to)
+  const double from = period.from + kSchedulingSlack;
+  if (from >= period.to)
     return {};
-  std::string broken = check(from);
+  std::string violation = check(from);
   for (const auto& state : history) {
-    if (broken.empty() && state.at > from && state.at < span.to)
-      broken = check(state.at);
+    if (violation.empty() && state.at > from && state.at < period.to)
+      violation = check(state.at);
   }
-  return broken;
+  return violation;
 }
 
-struct Taking {
+struct Release {
   std::uint64_t index = 0;
   double touched_at = 0;
 };
 
-std::vector<Taking> touched_takings(const maintenance::Timeline& scenario) {
-  std::map<std::string, std::uint64_t> taken;
-  std::vector<Taking> out;
-  for (const auto& happening : scenario.entries) {
-    if (happening.kind == "take")
-      taken[happening.host] = happening.index;
-    if (happening.kind == "touch")
-      out.push_back({taken[happening.host], happening.at});
+std::vector<Release> touched_releases(const maintenance::Timeline& timeline) {
+  std::map<std::string, std::uint64_t> released;
+  std::vector<Release> out;
+  for (const auto& entry : timeline.entries) {
+    if (entry.kind == "take")
+      released[entry.host] = entry.index;
+    if (entry.kind == "touch")
+      out.push_back({released[entry.host], entry.at});
   }
   return out;
 }
 
-std::string leased_while_behind(const std::vector<Line>& lines, const std::vector<Taking>& takings) {
+std::string leased_while_behind(const std::vector<Line>& lines, const std::vector<Release>& releases) {
   for (const auto& line : lines) {
     if (!contains(line.text, "lease held"))
       continue;
-    for (const auto& taking : takings) {
-      if (taking.touched_at + kClockRounding < line.at && line.index < taking.index)
+    for (const auto& release : releases) {
+      if (release.touched_at + kClockRounding < line.at && line.index < release.index)
         return line.process + " has a lease as of " + std::to_string(line.index) + " after " +
-               std::to_string(taking.index) + " was followed by all";
+               std::to_string(release.index) + " was followed by all";
     }
   }
   return {};
@@ -146,18 +146,19 @@
 
 }  // namespace
 
-std::string broken_lease_rule(const std::vector<std::string>& lines, const std::vector<Downtime>& downtimes) {
-  const maintenance::Timeline scenario = maintenance::parse_timeline(lines);
-  std::vector<ReleasePeriod> spans;
-  find_release_periods(scenario, std::numeric_limits<int>::max(), spans);
-  const std::vector<Taking> takings = touched_takings(scenario);
+std::string violated_lease_rule(const std::vector<std::string>& lines,
+                                const std::vector<Downtime>& downtimes) {
+  const maintenance::Timeline timeline = maintenance::parse_timeline(lines);
+  std::vector<ReleasePeriod> periods;
+  find_release_periods(timeline, std::numeric_limits<int>::max(), periods);
+  const std::vector<Release> releases = touched_releases(timeline);
   for (const auto& [process, written] : lines_by_process(lines)) {
     const History history = history_of(process, written, downtimes);
-    std::string broken = leased_while_behind(written, takings);
-    for (auto span = spans.begin(); broken.empty() && span != spans.end(); ++span)
-      broken = used_while_touched(process, history, *span, downtimes);
-    if (!broken.empty())
-      return broken;
+    std::string violation = leased_while_behind(written, releases);
+    for (auto period = periods.begin(); violation.empty() && period != periods.end(); ++period)
+      violation = used_while_released(process, history, *period, downtimes);
+    if (!violation.empty())
+      return violation;
   }
   return {};
 }
--- a/tests/control/lease_rules.h
+++ b/tests/control/lease_rules.h
@@ -1,5 +1,5 @@
-// What the lines of members and invokers say of their leases and of the hosts that they leave alone, held
-// against what the group agreed upon. No I/O.
+// Checks the log lines of members and invokers on their leases and on the hosts that they avoid against what
+// the group has committed. No I/O.
 #pragma once
 
 #include <string>
@@ -9,8 +9,10 @@
 
 namespace lotusyard::test {
 
-// While operators may have a host, every process that runs leaves it alone or uses no host at all; and
-// whoever gets a lease has followed every taking that operators were told of. Empty: none of this is broken.
-std::string broken_lease_rule(const std::vector<std::string>& lines, const std::vector<Downtime>& downtimes);
+// While operators may work on a host, every running process avoids it or uses no host at all; and a process
+// that gets a lease has applied every release that operators were notified of. Returns the first violation;
+// empty if there is none.
+std::string violated_lease_rule(const std::vector<std::string>& lines,
+                                const std::vector<Downtime>& downtimes);
 
 }  // namespace lotusyard::test
--- a/tests/control/message_test.cpp
+++ b/tests/control/message_test.cpp
@@ -1,4 +1,5 @@
-// Frames and encodings: what was put in comes out, however it is cut, and what is spoilt is refused.
+// Encoding of messages, records and changes: values survive a round trip however the stream is divided, and
+// corrupted input is rejected.
 #include "catch2/catch.hpp"
 #include "control/change.h"
 #include "control/message_codec.h"
@@ -7,9 +8,9 @@
 namespace lotusyard::test {
 namespace {
 
-using namespace control;  // the whole vocabulary of the tier
+using namespace control;  // nearly every name of it is used
 
-constexpr std::size_t kHeadLength = 5;
+constexpr std::size_t kHeaderLength = 5;
 
 std::string some_text(int longest = 12) {
   return *rc::gen::resize(longest, rc::gen::container<std::string>(rc::gen::arbitrary<char>()));
@@ -77,8 +78,8 @@
   return out;
 }
 
-TEST_CASE("messages come out as they went in, however the stream is cut") {
-  CHECK(property_holds("any cut gives the same messages", 500, [] {
+TEST_CASE("messages survive encoding and decoding, however the stream is divided") {
+  CHECK(property_holds("any division gives the same messages", 500, [] {
     const auto frames = some_frames();
     const std::string stream = joined(frames);
     MessageReader reader(kMaxFrameBytesToInvoker);
@@ -94,7 +95,7 @@
   }));
 }
 
-TEST_CASE("a message's fields keep their values") {
+TEST_CASE("the fields of a message keep their values") {
   Open open;
   open.cluster = "c";
   open.invoker = "i";
@@ -114,7 +115,7 @@
   CHECK(std::get<Forward>(messages[1]).payload == "word");
 }
 
-TEST_CASE("spoilt bits and garbage are read or refused, and after a refusal nothing more is read") {
+TEST_CASE("flipped bits and garbage are decoded or rejected, and nothing is read after a rejection") {
   CHECK(property_holds("bit flips are survived", 1000, [] {
     std::string stream = joined(some_frames());
     const int flips = *rc::gen::inRange(1, 6);
@@ -140,44 +141,44 @@
   }));
 }
 
-TEST_CASE("a frame over the bound is refused by its head alone") {
-  const auto takes = [](std::size_t length) {
-    std::string head = encode(Forward{"", ""}).substr(0, kHeadLength);
+TEST_CASE("a frame over the size limit is rejected by its header alone") {
+  const auto accepts = [](std::size_t length) {
+    std::string header = encode(Forward{"", ""}).substr(0, kHeaderLength);
     for (int i = 0; i < 4; ++i)
-      head[3 - i] = static_cast<char>(length >> (8 * i) & 0xff);
+      header[3 - i] = static_cast<char>(length >> (8 * i) & 0xff);
     MessageReader reader(kMaxFrameBytesToNode);
     std::vector<Message> messages;
-    return reader.parse(head, messages);
+    return reader.parse(header, messages);
   };
-  CHECK(takes(kMaxFrameBytesToNode));
-  CHECK_FALSE(takes(kMaxFrameBytesToNode + 1));
-  CHECK_FALSE(takes(0xffffffff));
+  CHECK(accepts(kMaxFrameBytesToNode));
+  CHECK_FALSE(accepts(kMaxFrameBytesToNode + 1));
+  CHECK_FALSE(accepts(0xffffffff));
 }
 
-TEST_CASE("frames that are longer or shorter than their body, and unknown kinds, are refused") {
-  const auto takes = [](const std::string& stream) {
+TEST_CASE("frames that are longer or shorter than their body, and unknown kinds, are rejected") {
+  const auto accepts = [](const std::string& stream) {
     MessageReader reader(kMaxFrameBytesToNode);
     std::vector<Message> messages;
     return reader.parse(stream, messages);
   };
-  const std::string sound = encode(Resume{5});
-  CHECK(takes(sound));
-  std::string longer = sound + "x";
+  const std::string valid = encode(Resume{5});
+  CHECK(accepts(valid));
+  std::string longer = valid + "x";
   ++longer[3];
-  CHECK_FALSE(takes(longer));
-  std::string shorter = sound.substr(0, sound.size() - 1);
+  CHECK_FALSE(accepts(longer));
+  std::string shorter = valid.substr(0, valid.size() - 1);
   --shorter[3];
-  CHECK_FALSE(takes(shorter));
+  CHECK_FALSE(accepts(shorter));
   for (const char kind : {'\0', '\x0b', '\xff'}) {
-    std::string unknown = sound;
+    std::string unknown = valid;
     unknown[4] = kind;
-    CHECK_FALSE(takes(unknown));
+    CHECK_FALSE(accepts(unknown));
   }
-  CHECK_FALSE(takes(encode(Forward{std::string(kMaxNameBytes + 1, 'x'), ""})));
-  CHECK(takes(encode(Forward{std::string(kMaxNameBytes, 'x'), ""})));
-  CHECK_FALSE(takes(encode(Refusal{static_cast<RefusalReason>(0), Millis(0), {}})));
-  CHECK_FALSE(takes(encode(Refusal{static_cast<RefusalReason>(99), Millis(0), {}})));
-  CHECK_FALSE(takes(encode(Grant{1, Millis(1e12)})));
+  CHECK_FALSE(accepts(encode(Forward{std::string(kMaxNameBytes + 1, 'x'), ""})));
+  CHECK(accepts(encode(Forward{std::string(kMaxNameBytes, 'x'), ""})));
+  CHECK_FALSE(accepts(encode(Refusal{static_cast<RefusalReason>(0), Millis(0), {}})));
+  CHECK_FALSE(accepts(encode(Refusal{static_cast<RefusalReason>(99), Millis(0), {}})));
+  CHECK_FALSE(accepts(encode(Grant{1, Millis(1e12)})));
 }
 
 Records some_records() {
@@ -188,7 +189,7 @@
   return out;
 }
 
-TEST_CASE("records and changes come out as they went in, and a difference leads from one state to another") {
+TEST_CASE("records and changes survive encoding, and a difference turns one state into another") {
   CHECK(property_holds("encodings and differences", 500, [] {
     const Records before = some_records(), after = some_records();
     RC_ASSERT((decode_records(encode_records(before)) == before));
@@ -200,19 +201,19 @@
   }));
 }
 
-TEST_CASE("changes and records that are cut or spoilt are read whole or not at all") {
-  CHECK(property_holds("cut and spoilt encodings", 1000, [] {
+TEST_CASE("truncated or corrupted changes and records are decoded completely or not at all") {
+  CHECK(property_holds("truncated and corrupted encodings", 1000, [] {
     const Records records = some_records();
     const std::string state = encode_records(records);
     const std::string change = encode_change(difference(some_records(), records));
-    for (const std::string& whole : {state, change}) {
-      const std::string cut = whole.substr(0, *rc::gen::inRange<std::size_t>(0, whole.size()));
-      RC_ASSERT(!(whole == state ? decode_records(cut).has_value() : decode_change(cut).has_value()));
-      std::string spoilt = whole;
-      const auto at = *rc::gen::inRange<std::size_t>(0, whole.size());
-      spoilt[at] = static_cast<char>(spoilt[at] ^ (1 << *rc::gen::inRange(0, 8)));
-      decode_records(spoilt);
-      decode_change(spoilt);
+    for (const std::string& encoded : {state, change}) {
+      const std::string cut = encoded.substr(0, *rc::gen::inRange<std::size_t>(0, encoded.size()));
+      RC_ASSERT(!(encoded == state ? decode_records(cut).has_value() : decode_change(cut).has_value()));
+      std::string corrupted = encoded;
+      const auto at = *rc::gen::inRange<std::size_t>(0, encoded.size());
+      corrupted[at] = static_cast<char>(corrupted[at] ^ (1 << *rc::gen::inRange(0, 8)));
+      decode_records(corrupted);
+      decode_change(corrupted);
     }
     RC_ASSERT(!decode_records(state + "x"));
     RC_ASSERT(!decode_change(change + "x"));
@@ -221,10 +222,10 @@
   const std::string huge_count("\xff\xff\xff\xff", 4);
   CHECK_FALSE(decode_change(huge_count));
   CHECK_FALSE(decode_records(huge_count));
-  const Records twice_one_key{{"a", "1"}, {"b", "2"}};
-  std::string twice = encode_records(twice_one_key);
-  twice[twice.find('b')] = 'a';
-  CHECK_FALSE(decode_records(twice));
+  const Records two_keys{{"a", "1"}, {"b", "2"}};
+  std::string duplicate = encode_records(two_keys);
+  duplicate[duplicate.find('b')] = 'a';
+  CHECK_FALSE(decode_records(duplicate));
 }
 
 }  // namespace
--- a/tests/control/node_rig.h
+++ b/tests/control/node_fixture.h
@@ -1,4 +1,4 @@
-// A control node that holds one record as of index 10, with a lease, long after its start.
+// Fixture for a control node that has one record as of index 10 and a lease, long after its start.
 #pragma once
 
 #include "catch2/catch.hpp"
@@ -6,20 +6,20 @@
 
 namespace lotusyard::test {
 
-using namespace control;  // the whole vocabulary of the tier
+using namespace control;  // nearly every name of it is used
 
-inline const Millis kLate(100000);  // long after the start
+inline const Millis kLongAfterStart(100000);  // sessions of an earlier process no longer count
 
-struct NodeRig {
+struct NodeFixture {
   NodeTransport transport;
   metrics::Counters counters;
   ControlNode node;
-  Millis now = kLate;
+  Millis now = kLongAfterStart;
 
-  explicit NodeRig(ControlNode::Config config = default_config())
+  explicit NodeFixture(ControlNode::Config config = default_config())
       : node(std::move(config), transport, counters, Millis(0)) {
     node.reset(10, {{"k", "10"}});
-    node.set_lease(kLate * 2);
+    node.set_lease(kLongAfterStart * 2);
   }
   static ControlNode::Config default_config() {
     ControlNode::Config out;
@@ -29,7 +29,7 @@
     out.snapshot_chunk = 8;
     return out;
   }
-  static Open opening(Index position, const std::string& invoker = "a", std::uint64_t incarnation = 1) {
+  static Open open_message(Index position, const std::string& invoker = "a", std::uint64_t incarnation = 1) {
     Open out;
     out.cluster = "c";
     out.invoker = invoker;
--- a/tests/control/node_scenario.cpp
+++ b/tests/control/node_scenario.cpp
@@ -1,4 +1,4 @@
-// The log, the group and the check of what the node reports.
+// The steps of the log and of the group, and the checks of what the node reports.
 #include "control/node_scenario.h"
 
 #include <stdexcept>
@@ -8,12 +8,12 @@
 NodeScenario::NodeScenario(ScenarioCounts& counts)
     : counts_(counts), node_(config(), transport_, counters_, Millis(0)) {
   transport_.room = 3;
-  states_[kBegin] = {{"k", "begin"}};
-  node_.reset(kBegin, states_[kBegin]);
-  for (const double rate : kRates) {
-    Process process = new_process(rate);
+  states_[kFirstIndex] = {{"k", "begin"}};
+  node_.reset(kFirstIndex, states_[kFirstIndex]);
+  for (const double clock_rate : kRates) {
+    Process process = new_process(clock_rate);
     process.position = kEarlyPosition;
-    process.lease_until = Millis(kScenarioTerms.lease * rate);  // from an earlier process of the node
+    process.lease_until = Millis(kScenarioTerms.lease * clock_rate);  // from an earlier process of the node
     processes_.push_back(process);
   }
 }
@@ -21,7 +21,7 @@
 std::string NodeScenario::run(const std::vector<int>& steps) {
   for (const int step : steps) {
     apply_step(step);
-    check_promises();
+    check_reports();
     if (!violation_.empty())
       return violation_;
   }
@@ -39,11 +39,11 @@
   return out;
 }
 
-Process NodeScenario::new_process(double rate) {
+Process NodeScenario::new_process(double clock_rate) {
   Process out;
   out.incarnation = ++last_incarnation_;
   out.name = std::string(1, static_cast<char>('a' + out.incarnation % 3));
-  out.rate = rate;
+  out.clock_rate = clock_rate;
   return out;
 }
 
@@ -68,7 +68,7 @@
     case Step::reset:
       reset(argument);
       break;
-    case Step::beat:
+    case Step::heartbeat:
       send_heartbeat();
       break;
     case Step::report:
@@ -136,7 +136,7 @@
 
 void NodeScenario::send_heartbeat() {
   if (now_ >= node_until_)
-    group_went_to_ = node_.changes().applied();
+    group_reached_ = node_.changes().applied();
   node_until_ = now_ + kScenarioTerms.lease;
   node_.set_lease(node_until_);
 }
@@ -144,25 +144,25 @@
 void NodeScenario::record_floors() {
   const Floors floors = node_.floors(now_);
   if (floors.quiesced_index > floors.applied)
-    report_violation("more is settled than applied");
+    report_violation("more is quiesced than applied");
   if (floors.applied > node_.changes().applied())
-    report_violation("a report of what has not come");
+    report_violation("a report ahead of the log");
   if (floors.applied > 0)
     ++counts_.floors;
-  promised_applied_ = std::max(promised_applied_, floors.applied);
-  promised_quiesced_ = std::max(promised_quiesced_, floors.quiesced_index);
+  reported_applied_ = std::max(reported_applied_, floors.applied);
+  reported_quiesced_ = std::max(reported_quiesced_, floors.quiesced_index);
 }
 
-void NodeScenario::check_promises() {
+void NodeScenario::check_reports() {
   for (const Process& process : processes_) {
     const bool holds_lease = process.holds_lease(now_);
-    if (holds_lease && misses_change(process.position, promised_applied_))
+    if (holds_lease && misses_change(process.position, reported_applied_))
       report_violation("a lease behind what was reported applied");
-    if (holds_lease && process.granted && misses_change(process.position, group_went_to_))
-      report_violation("a lease behind what the group went on to without this node");
+    if (holds_lease && process.granted && misses_change(process.position, group_reached_))
+      report_violation("a lease behind what the group reached without this node");
     for (const Call& one : process.calls) {
-      if (now_ < one.until && misses_change(one.position, promised_quiesced_))
-        report_violation("a call that was reported settled is under way");
+      if (now_ < one.until && misses_change(one.position, reported_quiesced_))
+        report_violation("a call that was reported quiesced is in flight");
     }
   }
 }
@@ -175,7 +175,7 @@
     for (int i = 0; i < 1000 && !transport_.waiting[process.connection].empty(); ++i)
       deliver(process, 1);
     if (misses_change(process.position, node_.changes().applied()))
-      report_violation("a replica that never catches up");
+      report_violation("a replica that does not catch up");
     const Millis before = process.lease_until;
     now_ += Millis(1);
     renew(process);
@@ -183,10 +183,10 @@
     if (process.lease_until <= before && before < now_)
       report_violation("a session without a lease");
   }
-  check_promises();
+  check_reports();
   const auto faults = counters_.value("control.malformed") + counters_.value("control.future_position");
   if (faults > 0)
-    report_violation("a sound message was taken for a faulty one");
+    report_violation("a valid message was treated as malformed");
 }
 
 }  // namespace lotusyard::test
--- a/tests/control/node_scenario.h
+++ b/tests/control/node_scenario.h
@@ -1,5 +1,5 @@
-// Random scenarios of a control node and its invokers. The model knows every change, lease and call, and
-// checks that the node never reported anything untrue.
+// Random scenarios of a control node and its invokers. The model has a record of every change, lease and
+// call, and checks each report of the node against it.
 #pragma once
 
 #include "control/scenario_process.h"
@@ -7,7 +7,7 @@
 
 namespace lotusyard::test {
 
-constexpr Index kBegin = 10;  // where the node's log begins; 8 and 10 were changes
+constexpr Index kFirstIndex = 10;  // of the node's log; 8 and 10 were changes
 inline const std::vector<double> kRates{1 + kScenarioDrift, 1, 1 / (1 + kScenarioDrift)};
 
 class NodeScenario {
@@ -24,16 +24,16 @@
   ControlNode node_;
   Millis now_{0}, node_until_{0};
   std::vector<Process> processes_;
-  std::vector<Index> changes_{8, kBegin};
+  std::vector<Index> changes_{8, kFirstIndex};
   std::map<Index, Records> states_;
-  Index promised_applied_ = 0, promised_quiesced_ = 0;  // the most that was reported
-  Index group_went_to_ = 0;                             // while this node had no lease
+  Index reported_applied_ = 0, reported_quiesced_ = 0;  // the highest that were reported
+  Index group_reached_ = 0;                             // while this node had no lease
   NodeTransport::ConnectionId last_connection_ = 0;
   std::uint64_t last_incarnation_ = 0;
   std::string violation_;  // the first
 
   static ControlNode::Config config();
-  Process new_process(double rate);
+  Process new_process(double clock_rate);
   void report_violation(const std::string& what);
 
   void apply_step(int step);
@@ -44,10 +44,10 @@
   void reset(int argument);
   bool misses_change(Index position, Index up_to) const;
 
-  // The group. While the node has no lease it may go on without it.
+  // The group, which may continue without the node while the node has no lease.
   void send_heartbeat();
   void record_floors();
-  void check_promises();
+  void check_reports();
 
   // The invokers.
   void open(Process& process);
@@ -55,13 +55,13 @@
   void resume(Process& process);
   void disconnect(Process& process);
   void close(Process& process);
-  // Another process of the same invoker; the old one has only lost its connection.
+  // Starts another process of the same invoker; the old one only loses its connection.
   void restart(Process& process);
   void call(Process& process);
   void deliver(Process& process, int count);
   void handle(Process& process, const Message& message);
 
-  // All that are connected catch up, and then get a lease.
+  // All connected processes must catch up and then get a lease.
   void finish();
 };
 
--- a/tests/control/node_scenario_invokers.cpp
+++ b/tests/control/node_scenario_invokers.cpp
@@ -1,4 +1,4 @@
-// The invokers of a scenario: what their processes do, and how they handle what the node sends.
+// The steps of the invokers of a scenario, and how their processes handle what the node sends.
 #include "control/node_scenario.h"
 
 namespace lotusyard::test {
@@ -7,10 +7,10 @@
   const auto older = process.connection;
   transport_.waiting.erase(older);
   process.connection = ++last_connection_;
-  process.welcomed = false;
+  process.is_open = false;
   process.sequence = 0;
   process.renewals.clear();
-  process.pieces.clear();
+  process.chunks.clear();
   node_.on_connected(process.connection);
   Open open;
   open.cluster = "c";
@@ -20,11 +20,11 @@
   open.terms = kScenarioTerms;
   node_.on_message(process.connection, open, now_);
   if (older != 0 && !transport_.ended(older))
-    report_violation("two links of one incarnation");
+    report_violation("two connections of one incarnation");
 }
 
 void NodeScenario::renew(Process& process) {
-  if (!process.welcomed)
+  if (!process.is_open)
     return;
   process.renewals[++process.sequence] = {now_, node_until_};
   node_.on_message(process.connection,
@@ -32,7 +32,7 @@
 }
 
 void NodeScenario::resume(Process& process) {
-  if (process.welcomed)
+  if (process.is_open)
     node_.on_message(process.connection, Resume{process.position}, now_);
 }
 
@@ -41,30 +41,30 @@
     return;
   node_.on_disconnected(process.connection);
   process.connection = 0;
-  process.welcomed = false;
+  process.is_open = false;
 }
 
 void NodeScenario::close(Process& process) {
-  if (!process.welcomed)
+  if (!process.is_open)
     return;
   process.lease_until = std::min(process.lease_until, now_);
   node_.on_message(process.connection, Close{}, now_);
   process.connection = 0;
-  process.welcomed = false;
+  process.is_open = false;
 }
 
 void NodeScenario::restart(Process& process) {
   if (processes_.size() > 12)
     return;
   disconnect(process);
-  Process next = new_process(process.rate);
+  Process next = new_process(process.clock_rate);
   next.name = process.name;
   processes_.push_back(next);
 }
 
 void NodeScenario::call(Process& process) {
   if (process.holds_lease(now_))
-    process.calls.push_back({process.position, now_ + kScenarioTerms.max_attempt_time * process.rate});
+    process.calls.push_back({process.position, now_ + kScenarioTerms.max_attempt_time * process.clock_rate});
 }
 
 void NodeScenario::deliver(Process& process, int count) {
--- a/tests/control/node_scenario_test.cpp
+++ b/tests/control/node_scenario_test.cpp
@@ -1,5 +1,5 @@
-// In any scenario of a control node's sessions, what it reports is true; and the model finds each rule that
-// is broken on purpose.
+// Random scenarios of a control node's sessions: every report of the node is correct, and the model detects
+// each injected fault.
 #include "control/node_scenario.h"
 
 #include "catch2/catch.hpp"
@@ -8,10 +8,10 @@
 namespace lotusyard::test {
 namespace {
 
-// Returns the violation that the first failing scenario showed, or an empty string if all of them passed.
+// The violation in the first scenario that failed, or an empty string if all of them passed.
 std::string first_violation(int cases, ScenarioCounts& counts) {
   std::string violation;
-  const bool held = property_holds("what a node reports is true", cases, [&] {
+  const bool passed = property_holds("the reports of a node are correct", cases, [&] {
     const auto steps = rc::gen::container<std::vector<int>>(rc::gen::inRange(0, kStepKinds * 4000));
     const std::string found = NodeScenario(counts).run(*rc::gen::resize(400, steps));
     if (found.empty())
@@ -19,10 +19,10 @@
     violation = found;
     RC_FAIL(found);
   });
-  return held || !violation.empty() ? violation : "a scenario that could not be run";
+  return passed || !violation.empty() ? violation : "a scenario that could not be run";
 }
 
-TEST_CASE("whatever becomes of sessions, no report of the node is ever untrue") {
+TEST_CASE("no report of a control node is wrong, whatever happens to its sessions") {
   ScenarioCounts counts;
   CHECK(first_violation(3000, counts).empty());
   CHECK(counts.grants > 10000);
@@ -31,18 +31,18 @@
   CHECK(counts.deltas > 10000);
 }
 
-TEST_CASE("each rule of the node that is broken on purpose is found") {
+TEST_CASE("each injected fault of a control node is detected") {
   const std::map<std::string, std::string> findings{
       {"session-outlasts-node", "a lease that outlasts the node's own"},
       {"grant-behind", "a lease behind what was reported applied"},
       {"forget-disconnected", "a lease behind what was reported applied"},
       {"early-report", "a lease behind what was reported applied"},
       {"skip-delta", "a change was left out"},
-      {"group-went-on", "a lease behind what the group went on to without this node"},
-      {"forget-calls", "a call that was reported settled is under way"}};
+      {"group-went-on", "a lease behind what the group reached without this node"},
+      {"forget-calls", "a call that was reported quiesced is in flight"}};
   for (const auto& [rule, finding] : findings) {
     INFO(rule);
-    FaultInjection::Scope broken(rule.c_str());
+    FaultInjection::Scope injected(rule.c_str());
     ScenarioCounts counts;
     CHECK(first_violation(5000, counts) == finding);
   }
--- a/tests/control/node_transport.h
+++ b/tests/control/node_transport.h
@@ -1,4 +1,4 @@
-// A control node's transport for the tests: frames are read back into messages and wait by connection.
+// A transport for a control node that decodes the frames sent and queues the messages by connection.
 #pragma once
 
 #include <deque>
@@ -15,7 +15,7 @@
  public:
   using ConnectionId = control::ControlNode::ConnectionId;
 
-  std::size_t room = 1000;  // so many frames may wait on each connection
+  std::size_t room = 1000;  // frames that may be queued on each connection
   std::map<ConnectionId, std::deque<control::Message>> waiting;
   std::set<ConnectionId> closed_connections;
 
@@ -34,11 +34,11 @@
   void close(ConnectionId connection) override { closed_connections.insert(connection); }
 
   bool ended(ConnectionId connection) const { return closed_connections.count(connection) != 0; }
-  // All that waits on a connection, taken from it.
+  // Removes and returns all messages queued on a connection.
   std::deque<control::Message> take(ConnectionId connection) {
     return std::exchange(waiting[connection], {});
   }
-  // The next message, which must be of that kind.
+  // Removes and returns the next message, which must be of that kind.
   template <typename Kind>
   Kind next(ConnectionId connection) {
     auto& queue = waiting[connection];
--- a/tests/control/offline_floor_test.cpp
+++ b/tests/control/offline_floor_test.cpp
@@ -1,4 +1,5 @@
-// Up to where also invokers without a lease have followed: every way in which one can be unaccounted for.
+// The index that also invokers without a lease have reached, for each way in which one can be unaccounted
+// for.
 #include "control/offline_floor.h"
 
 #include <catch2/catch.hpp>
@@ -21,20 +22,20 @@
 
 }  // namespace
 
-TEST_CASE("until a node can account for all leases it goes by what it reported long ago") {
+TEST_CASE("until a node can account for all leases it uses what it reported one offline time ago") {
   OfflineFloor floor(terms_of_test(), Millis(2000));
   floor.on_reported(50, Millis(1000));  // an earlier process's leases may still last
   CHECK(floor.followed(80, Millis(11500)) == 0);
   floor.on_reported(60, Millis(3000));
   CHECK(floor.followed(80, Millis(11999)) == 0);
-  CHECK(floor.followed(80, Millis(12000)) == 80);  // nobody of an earlier process goes on any more
+  CHECK(floor.followed(80, Millis(12000)) == 80);  // no invoker of an earlier process uses hosts any more
   floor.on_session_lost(Millis(12500));
   CHECK(floor.followed(90, Millis(12500)) == 0);
-  CHECK(floor.followed(90, Millis(13000)) == 60);  // reported offline ago
+  CHECK(floor.followed(90, Millis(13000)) == 60);  // reported one offline time ago
   CHECK(floor.followed(90, Millis(22500)) == 90);
 }
 
-TEST_CASE("an invoker that is behind and without a lease holds the floor down until it uses no host") {
+TEST_CASE("an invoker that is behind and without a lease limits the floor until it uses no host") {
   const LeaseTerms terms = terms_of_test();
   ChangeLog log({});
   log.reset(10, {});
@@ -46,7 +47,7 @@
   REQUIRE(sessions.grant(admitted.session, accounted + Millis(900), accounted).count() > 0);
   log.append(11, {{"key", "value"}});
 
-  // It cannot be reached; its lease is over, and the node goes on without it in all but this.
+  // It cannot be reached and its lease has expired: only the offline floor still depends on it.
   sessions.disconnected(admitted.session);
   const Millis after = accounted + Millis(900);
   Floors floors = sessions.floors(after);
@@ -60,7 +61,7 @@
   CHECK(floors.followed == 11);
 }
 
-TEST_CASE("an invoker that said that it ends holds nothing down") {
+TEST_CASE("an invoker that has sent a Close does not limit the floor") {
   const LeaseTerms terms = terms_of_test();
   ChangeLog log({});
   log.reset(10, {});
--- a/tests/control/property.h
+++ b/tests/control/property.h
@@ -1,4 +1,4 @@
-// Properties over made-up courses, with a fixed seed.
+// Checks properties over random inputs, with a fixed seed.
 #pragma once
 
 #include <rapidcheck.h>
@@ -12,8 +12,8 @@
 
 constexpr std::uint64_t kPropertySeed = 7;
 
-// Whether a property holds for so many cases. A case that fails is printed, cut down to its smallest, unless
-// a rule was broken on purpose.
+// Whether a property holds for `cases` random cases. A failing case is shrunk and printed, unless a fault is
+// injected.
 template <typename Property>
 bool property_holds(const char* what, int cases, const Property& property,
                     std::uint64_t seed = kPropertySeed) {
--- a/tests/control/relay.h
+++ b/tests/control/relay.h
@@ -1,5 +1,5 @@
-// A TCP relay on the test's own loop. Each of its two ways can be held, delayed and cut by itself, and all
-// its connections can be closed or reset. Random choices come from a fixed seed.
+// A TCP relay on the event loop of the test. Each direction can be held, delayed and cut separately, and all
+// connections can be closed or reset. Random choices come from a fixed seed.
 #pragma once
 
 #include <sys/socket.h>
@@ -19,23 +19,23 @@
 
 class Relay {
  public:
-  enum class Way { to_node, to_invoker };
-  // held: what comes waits here. cut: what comes is lost, and nobody is told; a connection that has lost
-  // something ends once its way is open again, since a stream cannot lack bytes in its middle.
+  enum class Direction { to_node, to_invoker };
+  // held: bytes are queued. cut: bytes are dropped silently; a connection that has lost bytes is closed once
+  // its direction is open again, since a stream cannot lack bytes in its middle.
   enum class Mode { open, held, cut };
 
   Relay(net::EventLoop& loop, std::string to, std::uint64_t seed)
-      : loop_(loop), to_(std::move(to)), random_(seed), pool_(kBlocks), server_(loop, pool_, *this) {}
+      : loop_(loop), target_(std::move(to)), random_(seed), pool_(kBlocks), server_(loop, pool_, *this) {}
 
   const std::string& address() const { return server_.address(); }
   std::size_t connections() const { return server_.peers.size(); }
-  void set(Way way, Mode mode) {
-    mode_[index(way)] = mode;
+  void set(Direction direction, Mode mode) {
+    mode_[index(direction)] = mode;
     for (const auto& peer : server_.peers)
       peer->mode_changed();
   }
-  // Every piece waits for a time drawn at random up to `most`; the order stays.
-  void delay(Way way, Millis most) { delay_[index(way)] = most; }
+  // Every chunk is delayed by a random time up to `max_delay`; the order is preserved.
+  void delay(Direction direction, Millis max_delay) { delay_[index(direction)] = max_delay; }
   void close() {
     for (const auto& peer : server_.peers)
       peer->close();
@@ -47,33 +47,33 @@
 
  private:
   static constexpr std::size_t kBlocks = 8192;
-  static std::size_t index(Way way) { return way == Way::to_node ? 0 : 1; }
+  static std::size_t index(Direction direction) { return direction == Direction::to_node ? 0 : 1; }
 
-  // One way of one connection.
+  // One direction of one connection.
   class Pipe {
    public:
-    Pipe(Relay& relay, Way way) : relay_(relay), way_(way) {}
+    Pipe(Relay& relay, Direction direction) : relay_(relay), direction_(direction) {}
     ~Pipe() { relay_.loop_.cancel(timer_); }
     net::BufferedConnection* sink = nullptr;
 
-    void take(std::string_view bytes) {
+    void receive(std::string_view bytes) {
       lost_ = lost_ || mode() == Mode::cut;
       if (lost_)
         return;
-      const Millis most = relay_.delay_[index(way_)];
-      if (most.count() > 0) {
-        const std::size_t part = below(relay_.random_, bytes.size());
-        queue(bytes.substr(0, part), most);
-        bytes.remove_prefix(part);
+      const Millis max_delay = relay_.delay_[index(direction_)];
+      if (max_delay.count() > 0) {
+        const std::size_t first = below(relay_.random_, bytes.size());
+        queue(bytes.substr(0, first), max_delay);
+        bytes.remove_prefix(first);
       }
-      queue(bytes, most);
+      queue(bytes, max_delay);
       forward();
     }
     void source_ended() {
       source_ended_ = true;
       forward();
     }
-    // Passes on what is due.
+    // Forwards the chunks that are due.
     void forward() {
       const Millis now = relay_.loop_.now();
       if (mode() != Mode::open || lost_)
@@ -88,37 +88,37 @@
       if (!waiting_.empty())
         timer_ = relay_.loop_.schedule_at(waiting_.front().due, [this] { forward(); });
     }
-    bool must_end() const { return lost_ && mode() == Mode::open; }
+    bool must_close() const { return lost_ && mode() == Mode::open; }
 
    private:
-    struct Piece {
+    struct Chunk {
       Millis due;
       std::string bytes;
     };
     Relay& relay_;
-    Way way_;
-    std::deque<Piece> waiting_;
+    Direction direction_;
+    std::deque<Chunk> waiting_;
     net::EventLoop::TimerId timer_{};
     Millis last_due_{0};
     bool lost_ = false, source_ended_ = false;
 
-    Mode mode() const { return relay_.mode_[index(way_)]; }
-    void queue(std::string_view bytes, Millis most) {
+    Mode mode() const { return relay_.mode_[index(direction_)]; }
+    void queue(std::string_view bytes, Millis max_delay) {
       if (bytes.empty())
         return;
       const double share = static_cast<double>(below(relay_.random_, 1000)) / 1000;
-      last_due_ = std::max(last_due_, relay_.loop_.now() + most * share);
+      last_due_ = std::max(last_due_, relay_.loop_.now() + max_delay * share);
       waiting_.push_back({last_due_, std::string(bytes)});
     }
   };
 
-  // The two connections that belong together: this one is the invoker's.
+  // A pair of connections: this one is the invoker's, `inner_` is the node's.
   class Peer final : public net::BufferedConnection {
    public:
     Peer(Relay& relay, net::EventLoop& loop, net::BufferPool& pool, net::Socket socket)
-        : Peer(relay, loop, pool, std::move(socket), net::connect_to(relay.to_).socket) {}
+        : Peer(relay, loop, pool, std::move(socket), net::connect_to(relay.target_).socket) {}
     void mode_changed() {
-      if (to_node_.must_end() || to_invoker_.must_end())
+      if (to_node_.must_close() || to_invoker_.must_close())
         return close();
       to_node_.forward();
       to_invoker_.forward();
@@ -139,12 +139,12 @@
       Inner(Peer& peer, net::EventLoop& loop, net::BufferPool& pool, net::Socket socket)
           : BufferedConnection(loop, pool, std::move(socket), true), peer_(peer) {}
       void on_connected() override { loop().flush_later(*this); }
-      void on_received(std::string_view bytes) override { peer_.to_invoker_.take(bytes); }
+      void on_received(std::string_view bytes) override { peer_.to_invoker_.receive(bytes); }
       void on_closed() override { peer_.side_ended(peer_.inner_fd_, peer_.to_invoker_); }
       Peer& peer_;
     };
     Relay& relay_;
-    int fd_, inner_fd_;  // -1: ended
+    int fd_, inner_fd_;  // -1: closed
     Pipe to_node_, to_invoker_;
     Inner inner_;
 
@@ -156,15 +156,15 @@
           relay_(relay),
           fd_(fd),
           inner_fd_(inner_fd),
-          to_node_(relay, Way::to_node),
-          to_invoker_(relay, Way::to_invoker),
+          to_node_(relay, Direction::to_node),
+          to_invoker_(relay, Direction::to_invoker),
           inner_(*this, loop, pool, std::move(inner)) {
       to_node_.sink = &inner_;
       to_invoker_.sink = this;
       if (inner_fd_ < 0)
         close_later();
     }
-    void on_received(std::string_view bytes) override { to_node_.take(bytes); }
+    void on_received(std::string_view bytes) override { to_node_.receive(bytes); }
     void on_closed() override { side_ended(fd_, to_node_); }
     void side_ended(int& fd, Pipe& pipe) {
       fd = -1;
@@ -175,7 +175,7 @@
   };
 
   net::EventLoop& loop_;
-  std::string to_;
+  std::string target_;
   Random random_;
   Mode mode_[2] = {Mode::open, Mode::open};
   Millis delay_[2] = {Millis(0), Millis(0)};
--- a/tests/control/replica_test.cpp
+++ b/tests/control/replica_test.cpp
@@ -1,4 +1,4 @@
-// An invoker's replica: snapshots in chunks, deltas applied once and in order, and random courses of faults
+// An invoker's replica: snapshots in chunks, deltas applied once and in order, and random scenarios of faults
 // against an independent model.
 #include "control/replica.h"
 
@@ -17,14 +17,15 @@
 
 constexpr std::size_t kChunk = 16;
 
-Outcome take_all(Replica& replica, const std::vector<SnapshotChunk>& chunks) {
+Outcome apply_all(Replica& replica, const std::vector<SnapshotChunk>& chunks) {
   Outcome out = Outcome::malformed;
   for (const SnapshotChunk& chunk : chunks)
     out = replica.apply(chunk);
   return out;
 }
 
-TEST_CASE("replica: a delta is a gap until a whole snapshot has come, then is applied once and in order") {
+TEST_CASE(
+    "replica: a delta is a gap until a complete snapshot has arrived, then is applied once and in order") {
   const History history(1, 8);
   Replica replica;
   CHECK(replica.apply(history.delta(0)) == Outcome::gap);
@@ -33,7 +34,7 @@
   CHECK(replica.apply(chunks[0]) == Outcome::incomplete);
   CHECK(replica.apply(history.delta(4)) == Outcome::gap);
   CHECK_FALSE(replica.complete());
-  CHECK(take_all(replica, chunks) == Outcome::applied);
+  CHECK(apply_all(replica, chunks) == Outcome::applied);
   CHECK(replica.complete());
   CHECK(replica.apply(history.delta(3)) == Outcome::duplicate);
   CHECK(replica.apply(history.delta(5)) == Outcome::gap);
@@ -43,17 +44,17 @@
   CHECK(replica.records() == history.at(replica.position()));
 }
 
-TEST_CASE("replica: a delta that begins before the position and ends behind it is applied") {
+TEST_CASE("replica: a delta that starts before the position and ends after it is applied") {
   const History history(1, 8);
   Replica replica;
-  take_all(replica, history.snapshot(history.steps[3].index, kChunk));
+  apply_all(replica, history.snapshot(history.steps[3].index, kChunk));
   Delta delta = history.delta(4);
-  delta.after = 0;  // there is no change between 0 and it that the replica would not have
+  delta.after = 0;  // the replica has every change between 0 and it
   CHECK(replica.apply(delta) == Outcome::applied);
   CHECK(replica.records() == history.at(delta.index));
 }
 
-TEST_CASE("replica: chunks come strictly in order, and of one snapshot") {
+TEST_CASE("replica: chunks must come strictly in order, and from one snapshot") {
   const History history(2, 30);
   const auto older = history.snapshot(history.steps[20].index, kChunk);
   const auto newer = history.snapshot(history.steps[29].index, kChunk);
@@ -62,7 +63,7 @@
   CHECK(replica.apply(newer[1]) == Outcome::malformed);  // not from the start
   CHECK(replica.apply(newer[0]) == Outcome::incomplete);
   CHECK(replica.apply(newer[2]) == Outcome::malformed);  // one is missing
-  CHECK(replica.apply(newer[1]) == Outcome::malformed);  // it has to begin anew after that
+  CHECK(replica.apply(newer[1]) == Outcome::malformed);  // the snapshot must be restarted
   CHECK(replica.apply(newer[0]) == Outcome::incomplete);
   CHECK(replica.apply(older[1]) == Outcome::malformed);  // of another index
   SnapshotChunk other_total = newer[1];
@@ -73,15 +74,15 @@
   replica.abandon_snapshot();
   CHECK(replica.apply(newer[1]) == Outcome::malformed);
   CHECK(replica.apply(newer[0]) == Outcome::incomplete);
-  CHECK(take_all(replica, older) == Outcome::applied);  // another one from its start
-  CHECK(take_all(replica, newer) == Outcome::applied);
-  CHECK(take_all(replica, older) == Outcome::duplicate);
-  CHECK(take_all(replica, newer) == Outcome::duplicate);
+  CHECK(apply_all(replica, older) == Outcome::applied);  // another snapshot from its start
+  CHECK(apply_all(replica, newer) == Outcome::applied);
+  CHECK(apply_all(replica, older) == Outcome::duplicate);
+  CHECK(apply_all(replica, newer) == Outcome::duplicate);
   CHECK(replica.position() == history.last());
   CHECK(replica.records() == history.at(history.last()));
 }
 
-TEST_CASE("replica: what cannot be a snapshot or a change is malformed and changes nothing") {
+TEST_CASE("replica: an invalid snapshot or change is malformed and changes nothing") {
   const History history(3, 4);
   Replica replica;
   const std::string bytes = control::encode_records(history.at(history.last()));
@@ -99,34 +100,34 @@
   CHECK(replica.records() == history.at(index));
 }
 
-TEST_CASE("replica: who wants to know hears of each move once") {
+TEST_CASE("replica: the listener is called once for each update") {
   const History history(4, 6);
   Replica replica;
-  std::vector<std::pair<Index, bool>> moves;  // and whether by a snapshot
+  std::vector<std::pair<Index, bool>> updates;  // the position, and whether by a snapshot
   replica.set_update_listener([&](const control::Change* change) {
-    moves.emplace_back(replica.position(), change == nullptr);
+    updates.emplace_back(replica.position(), change == nullptr);
     if (change != nullptr)
       CHECK(*change == history.steps[4].change);
   });
   const Index first = history.steps[3].index;
-  take_all(replica, history.snapshot(first, kChunk));
+  apply_all(replica, history.snapshot(first, kChunk));
   replica.apply(history.delta(3));
   replica.apply(history.delta(5));
   replica.apply(history.delta(4));
-  CHECK(moves == std::vector<std::pair<Index, bool>>{{first, true}, {history.steps[4].index, false}});
+  CHECK(updates == std::vector<std::pair<Index, bool>>{{first, true}, {history.steps[4].index, false}});
 }
 
-// ---- Random courses ----
+// ---- Random scenarios ----
 
-// A sender with faults, and beside the replica a model of what it must hold.
+// A faulty sender, a replica, and a model of the state that the replica must have.
 struct Scenario {
   History history;
   std::mt19937_64 random;
   Replica replica;
-  Index position = 0;      // by the model
-  Index under_way = 0;     // a snapshot, by the model; 0: none
-  std::size_t chunks = 0;  // of it that were taken
-  std::size_t cursor = 0;  // the next step to send
+  Index position = 0;        // of the model
+  Index snapshot_index = 0;  // of the snapshot in progress, by the model; 0: none
+  std::size_t chunks = 0;    // of it that were accepted
+  std::size_t cursor = 0;    // the next step to send
 
   explicit Scenario(std::uint64_t seed) : history(seed, 30), random(seed + 1) {}
 
@@ -143,14 +144,14 @@
   Outcome expected(Index index, std::size_t number, std::size_t count) {
     if (index <= position)
       return Outcome::duplicate;
-    const bool next = number == 0 || (index == under_way && number == chunks);
-    under_way = next ? index : 0;
+    const bool next = number == 0 || (index == snapshot_index && number == chunks);
+    snapshot_index = next ? index : 0;
     chunks = next ? number + 1 : 0;
     if (!next)
       return Outcome::malformed;
     if (chunks < count)
       return Outcome::incomplete;
-    under_way = 0;
+    snapshot_index = 0;
     position = index;
     return Outcome::applied;
   }
@@ -174,7 +175,7 @@
   }
   void reconnect() {
     replica.abandon_snapshot();
-    under_way = 0;
+    snapshot_index = 0;
     cursor = history.next_after(position);
   }
   void step(int what) {
@@ -191,12 +192,12 @@
         break;  // out of order
       case 3:
         reconnect();
-        break;  // and on from where it is
+        break;  // and continues from its position
       case 4:
         send_chunks(some_index, 0, 1 + random() % 8);
-        break;  // perhaps not whole
+        break;  // perhaps incomplete
       case 5:
-        send_chunks(under_way == 0 ? some_index : under_way, random() % 4, 2);
+        send_chunks(snapshot_index == 0 ? some_index : snapshot_index, random() % 4, 2);
         break;
       case 6:
         send_chunks(some_index, 0, history.steps.size());
@@ -218,7 +219,7 @@
 
 bool scenarios_hold() {
   return property_holds(
-      "a replica holds exactly the state at its position", 2000,
+      "a replica has exactly the state at its position", 2000,
       [] {
         Scenario scenario(*rc::gen::inRange<std::uint64_t>(1, 1000000));
         const auto steps = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 12));
@@ -230,17 +231,17 @@
 }
 
 TEST_CASE(
-    "replica: after any course of losses, repeats, disorder and reconnects it holds its position's state") {
+    "replica: losses, repeats, disorder and reconnects never lead to a state other than its position's") {
   CHECK(scenarios_hold());
 }
 
-TEST_CASE("replica: a change that is applied twice is found") {
-  FaultInjection::Scope broken("apply-twice");
+TEST_CASE("replica: a change that is applied twice is detected") {
+  FaultInjection::Scope injected("apply-twice");
   CHECK_FALSE(scenarios_hold());
 }
 
-TEST_CASE("replica: a change that is applied behind a gap is found") {
-  FaultInjection::Scope broken("accept-gap");
+TEST_CASE("replica: a change that is applied after a gap is detected") {
+  FaultInjection::Scope injected("accept-gap");
   CHECK_FALSE(scenarios_hold());
 }
 
--- a/tests/control/scenario_process.h
+++ b/tests/control/scenario_process.h
@@ -1,4 +1,4 @@
-// The model of an invoker's process: its replica, its lease by the node's clock, and its calls.
+// A model of an invoker's process: its replica, its lease by the node's clock, and its calls.
 #pragma once
 
 #include <algorithm>
@@ -7,15 +7,15 @@
 
 namespace lotusyard::test {
 
-using namespace control;  // the whole vocabulary of the tier
+using namespace control;  // nearly every name of it is used
 
 constexpr double kRounding = 1e-6;
 constexpr double kScenarioDrift = 0.01;
 inline const raft::LeaseTerms kScenarioTerms{Millis(3000), kScenarioDrift, Millis(2000)};
-constexpr Index kEarlyPosition = 7;  // of the invokers that an earlier process of the node had
+constexpr Index kEarlyPosition = 7;  // of invokers that had sessions with an earlier process of the node
 
 struct Call {
-  Index position = 0;  // it obeys the changes up to here
+  Index position = 0;  // it respects the changes up to here
   Millis until{0};
 };
 
@@ -23,7 +23,7 @@
   int grants = 0, floors = 0, snapshots = 0, deltas = 0;
 };
 
-// What was true when a renewal was sent, which the node handles at once.
+// The state when a renewal was sent; the node handles it at once.
 struct Renewal {
   Millis sent{0}, node_lease_until{0};
 };
@@ -32,17 +32,17 @@
 struct Process {
   std::string name;
   std::uint64_t incarnation = 0;
-  double rate = 1;  // of the node's clock to its own
+  double clock_rate = 1;  // of the node's clock to its own
   Index position = 0;
   Records records;
   Millis lease_until{0};
-  bool granted = false;  // by this process of the node, not only by an earlier one
+  bool granted = false;  // by the current process of the node, not only by an earlier one
   std::vector<Call> calls;
   NodeTransport::ConnectionId connection = 0;  // 0: none
-  bool welcomed = false;
+  bool is_open = false;
   std::uint64_t sequence = 0;
   std::map<std::uint64_t, Renewal> renewals;  // by their sequence number
-  std::string pieces;
+  std::string chunks;
 
   bool holds_lease(Millis now) const { return now < lease_until; }
   Index quiesced_index(Millis now) const {
@@ -53,10 +53,10 @@
     }
     return out;
   }
-  // Returns what the message violated, or an empty string.
+  // Returns the rule that the message violates, or an empty string.
   std::string handle(const Message& message, ScenarioCounts& counts) {
     if (std::holds_alternative<Welcome>(message))
-      welcomed = true;
+      is_open = true;
     if (std::holds_alternative<Refusal>(message))
       return "a refusal without a reason";
     if (const auto* grant = std::get_if<Grant>(&message))
@@ -74,7 +74,7 @@
     if (grant.duration.count() <= 0)
       return {};
     ++counts.grants;
-    const Millis until = renewal.sent + grant.duration * rate;
+    const Millis until = renewal.sent + grant.duration * clock_rate;
     if (until > renewal.node_lease_until + Millis(kRounding))
       return "a lease that outlasts the node's own";
     lease_until = std::max(lease_until, until);
@@ -83,15 +83,15 @@
   }
   std::string on_chunk(const SnapshotChunk& chunk, ScenarioCounts& counts) {
     if (chunk.offset == 0)
-      pieces.clear();
-    if (chunk.offset != pieces.size())
-      return "a piece of a snapshot is missing";
-    pieces += chunk.bytes;
-    if (pieces.size() < chunk.total || chunk.index <= position)
+      chunks.clear();
+    if (chunk.offset != chunks.size())
+      return "a chunk of a snapshot is missing";
+    chunks += chunk.bytes;
+    if (chunks.size() < chunk.total || chunk.index <= position)
       return {};
     ++counts.snapshots;
     position = chunk.index;
-    records = decode_records(pieces).value();
+    records = decode_records(chunks).value();
     return {};
   }
   std::string on_delta(const Delta& delta, ScenarioCounts& counts) {
--- a/tests/control/scripted_invoker.h
+++ b/tests/control/scripted_invoker.h
@@ -1,4 +1,4 @@
-// An invoker written by hand: it says what the test tells it to, and reads only when it is told to.
+// An invoker that sends and reads only what the test requests.
 #pragma once
 
 #include <sys/socket.h>
@@ -17,7 +17,7 @@
  public:
   explicit ScriptedInvoker(const std::string& address) : socket_(net::connect_to(address).socket) {
     REQUIRE(static_cast<bool>(socket_));
-    // Else the kernel takes in many megabytes for a reader that does not read.
+    // Otherwise the kernel buffers many megabytes for a peer that does not read.
     const int size = kReceiveBuffer;
     setsockopt(socket_.fd(), SOL_SOCKET, SO_RCVBUF, &size, sizeof size);
   }
@@ -26,7 +26,7 @@
     unsent_ += bytes;
     write();
   }
-  // What the kernel takes of what was said.
+  // Writes as much of the unsent bytes as the kernel accepts.
   void write() {
     if (unsent_.empty())
       return;
@@ -51,7 +51,7 @@
       REQUIRE(reader_.parse(std::string_view(block, static_cast<std::size_t>(got)), messages));
     }
   }
-  // The first message of that type that was read; null: there is none.
+  // The first message of that type that was read; null if there is none.
   template <typename Type>
   const Type* first() const {
     for (const auto& message : messages) {
--- a/tests/control/session_rig.h
+++ b/tests/control/session_fixture.h
@@ -1,4 +1,4 @@
-// A session with a transport that only keeps what it is told, and a clock that the test moves.
+// Fixture for a session: a transport that records what is sent, and a clock that the test advances.
 #pragma once
 
 #include <catch2/catch.hpp>
@@ -14,7 +14,7 @@
 using control::NodeAddress;
 using control::Session;
 
-class KeepingTransport final : public Session::Transport {
+class RecordingTransport final : public Session::Transport {
  public:
   void connect(const NodeAddress& node) override {
     CHECK_FALSE(connected);  // one connection at a time
@@ -41,16 +41,17 @@
   return {name, name + ":7000", zone, region};
 }
 
-struct SessionRig {
-  KeepingTransport transport;
+struct SessionFixture {
+  RecordingTransport transport;
   control::Replica replica;
   metrics::Counters counters;
   Session::Config config;
   Millis now{10000};
   std::unique_ptr<Session> session;
 
-  explicit SessionRig(std::vector<NodeAddress> nodes = {node_at("a", "z1", "r1"), node_at("b", "z2", "r1")},
-                      std::uint64_t seed = 1) {
+  explicit SessionFixture(std::vector<NodeAddress> nodes = {node_at("a", "z1", "r1"),
+                                                            node_at("b", "z2", "r1")},
+                          std::uint64_t seed = 1) {
     config.cluster = "blue";
     config.invoker = "i1";
     config.zone = "z1";
@@ -63,9 +64,9 @@
     session = std::make_unique<Session>(config, transport, replica, counters, seed, now);
   }
   Millis lease() const { return config.terms.lease; }
-  Millis beat() const { return config.terms.heartbeat_interval(); }
+  Millis heartbeat_interval() const { return config.terms.heartbeat_interval(); }
 
-  // Ticks whenever the session wants to, until then.
+  // Advances the clock by `span` and ticks whenever the session is due.
   void run(Millis span) {
     const Millis end = now + span;
     while (session->due() <= end) {
@@ -74,7 +75,7 @@
     }
     now = end;
   }
-  // Ticks until the session has gone to a node; says which.
+  // Ticks until the session connects to a node, and returns the name of the node.
   std::string next_connect() {
     const std::size_t before = transport.connects.size();
     for (int i = 0; i < 100 && transport.connects.size() == before; ++i) {
@@ -93,16 +94,16 @@
     welcome();
     return node;
   }
-  void lose() {
+  void drop_connection() {
     transport.connected = false;
     session->on_disconnected(now);
   }
   void grant(std::uint64_t sequence, Millis duration) {
     session->on_message(control::Grant{sequence, duration}, now);
   }
-  // Answers the last renewal.
+  // Grants the last renewal.
   void grant_last(Millis duration) { grant(sent<control::Renew>().back().sequence, duration); }
-  // Renewals are answered at once, for so long.
+  // The same as run(); every renewal is granted at once, for `duration`.
   void run_granting(Millis span, Millis duration) {
     const Millis end = now + span;
     while (session->open() && session->due() <= end) {
--- a/tests/control/session_scenario.cpp
+++ b/tests/control/session_scenario.cpp
@@ -77,7 +77,7 @@
 void SessionScenario::disconnect() {
   RC_ASSERT(connected_);
   connected_ = false;
-  flights_.clear();
+  in_flight_.clear();
 }
 
 void SessionScenario::send(const std::string& frame) {
@@ -90,9 +90,9 @@
 }
 
 void SessionScenario::send_later(std::optional<control::Message> message) {
-  const Millis earliest = flights_.empty() ? now_ : flights_.back().at;
+  const Millis earliest = in_flight_.empty() ? now_ : in_flight_.back().at;
   const double share = static_cast<double>(random_() % 1000) / 1000;
-  flights_.push_back({std::max(earliest, now_ + delay_ * share), std::move(message)});
+  in_flight_.push_back({std::max(earliest, now_ + delay_ * share), std::move(message)});
 }
 
 void SessionScenario::handle_at_node(const control::Message& message) {
@@ -146,12 +146,12 @@
 }
 
 void SessionScenario::swap_two_deltas() {
-  const auto is_delta = [](const Flight& one) {
+  const auto is_delta = [](const InFlight& one) {
     return one.message && std::holds_alternative<control::Delta>(*one.message);
   };
-  for (std::size_t i = 0; i + 1 < flights_.size(); ++i) {
-    if (is_delta(flights_[i]) && is_delta(flights_[i + 1]))
-      return std::swap(flights_[i].message, flights_[i + 1].message);
+  for (std::size_t i = 0; i + 1 < in_flight_.size(); ++i) {
+    if (is_delta(in_flight_[i]) && is_delta(in_flight_[i + 1]))
+      return std::swap(in_flight_[i].message, in_flight_[i + 1].message);
   }
 }
 
@@ -164,16 +164,16 @@
   if (!connected_)
     return;
   connected_ = false;
-  flights_.clear();  // what was on its way is lost
+  in_flight_.clear();  // messages in flight are lost
   session_->on_disconnected(now_);
   check();
 }
 
 void SessionScenario::stop_process(Millis span) {
   now_ += span;
-  RC_ASSERT(session_->holds_lease(now_) == (now_ < may_hold_until_));
+  RC_ASSERT(session_->holds_lease(now_) == (now_ < expected_lease_until_));
   if (random_() % 2 == 0)
-    tick();  // before what has come in the meantime is read, or after
+    tick();  // either before or after the messages that arrived meanwhile are read
 }
 
 void SessionScenario::run(Millis span) {
@@ -196,9 +196,9 @@
 }
 
 void SessionScenario::deliver() {
-  while (!flights_.empty() && flights_.front().at <= now_) {
-    const auto message = std::move(flights_.front().message);
-    flights_.pop_front();
+  while (!in_flight_.empty() && in_flight_.front().at <= now_) {
+    const auto message = std::move(in_flight_.front().message);
+    in_flight_.pop_front();
     if (!message) {
       session_->on_connected(now_);
       continue;
@@ -215,12 +215,12 @@
     return;
   answered_ = grant.sequence;
   if (grant.duration.count() > 0)
-    may_hold_until_ = std::max(may_hold_until_, sent_at_.at(grant.sequence) + grant.duration);
+    expected_lease_until_ = std::max(expected_lease_until_, sent_at_.at(grant.sequence) + grant.duration);
 }
 
 void SessionScenario::check() {
-  RC_ASSERT(session_->lease_until() == may_hold_until_);
-  RC_ASSERT(session_->holds_lease(now_) == (now_ < may_hold_until_));
+  RC_ASSERT(session_->lease_until() == expected_lease_until_);
+  RC_ASSERT(session_->holds_lease(now_) == (now_ < expected_lease_until_));
   const Index position = replica_.position();
   RC_ASSERT(replica_.records() == (position == 0 ? control::Records() : history_.at(position)));
 }
--- a/tests/control/session_scenario.h
+++ b/tests/control/session_scenario.h
@@ -1,5 +1,5 @@
-// A session among faulty nodes on a virtual clock, and a model of the lease that it may hold: each grant
-// counts from the moment at which its renewal was sent, and nothing else does.
+// A session with faulty nodes on a virtual clock, and a model of the lease that it may hold: only grants
+// extend it, each from the time at which its renewal was sent.
 #pragma once
 
 #include <deque>
@@ -18,9 +18,9 @@
  public:
   explicit SessionScenario(std::uint64_t seed);
 
-  // One step: a fault or its end, or some time that passes.
+  // Runs one step: starts or ends a fault, or advances the time.
   void step(int kind);
-  // All faults end; then the session must get a lease, and the replica everything.
+  // Ends all faults; then the session must get a lease, and the replica all records.
   void finish();
 
   const metrics::Counters& counters() const { return counters_; }
@@ -30,8 +30,8 @@
   void send(const std::string& frame) override;
 
  private:
-  // What is on its way to the session. Without a message: the connection has been made.
-  struct Flight {
+  // A message in flight to the session. Without a message: the connection is established.
+  struct InFlight {
     Millis at{0};
     std::optional<control::Message> message;
   };
@@ -43,7 +43,7 @@
   std::unique_ptr<Session> session_;
   Millis now_{1000};
   Millis delay_{5};
-  std::deque<Flight> flights_;
+  std::deque<InFlight> in_flight_;
   bool connected_ = false;
   bool closed_ = false;
   bool loses_grants_ = false;
@@ -55,7 +55,7 @@
   std::uint64_t answered_ = 0;  // of the last renewal that was granted
   std::map<std::uint64_t, Millis> sent_at_;
   Millis last_renewal_{0};
-  Millis may_hold_until_{0};
+  Millis expected_lease_until_{0};
 
   void send_later(std::optional<control::Message> message);
   void handle_at_node(const control::Message& message);
@@ -72,7 +72,7 @@
   // Ticks until none is due.
   void tick();
   void deliver();
-  // A grant counts once, from the time at which its renewal was sent.
+  // Applies a grant to the model, once, from the time at which its renewal was sent.
   void expect_grant(const control::Grant& grant);
   void check();
 };
--- a/tests/control/session_storm_test.cpp
+++ b/tests/control/session_storm_test.cpp
@@ -1,10 +1,10 @@
-// Many sessions that lose their node at once: how many of them connect in any short while.
+// Many sessions that lose their node at once: how many of them connect in any short interval.
 #include <algorithm>
 #include <iostream>
 #include <map>
 #include <set>
 
-#include "control/session_rig.h"
+#include "control/session_fixture.h"
 
 namespace lotusyard::test {
 namespace {
@@ -13,11 +13,11 @@
 const Millis kStep{1};
 const Millis kWindow{100};
 
-// Opens per second and at once, like a control node's admission.
+// A token bucket for opens, as in a control node's admission.
 struct Admission {
   double tokens = 100;
   Millis filled_at{0};
-  // 0: one was to be had; else when to come again.
+  // Returns the retry-after time; 0: admitted.
   Millis take(Millis now) {
     tokens = std::min(100.0, tokens + (now - filled_at).count() / 1000 * 200);
     filled_at = now;
@@ -28,57 +28,57 @@
   }
 };
 
-// Sessions at nodes that are up or down; whatever goes to a node is answered a step later.
+// Sessions with nodes that are up or down; a node responds one step later.
 struct Storm {
   Millis now{1000};
-  std::vector<std::unique_ptr<SessionRig>> rigs;
-  std::vector<std::size_t> connects_seen, renewals_answered;
+  std::vector<std::unique_ptr<SessionFixture>> fixtures;
+  std::vector<std::size_t> handled_connects, renewals_answered;
   std::vector<Millis> connects;
   std::set<std::string> down;
   bool admits_all = true;
   std::map<std::string, Admission> admissions;
 
-  Storm() : connects_seen(kSessions), renewals_answered(kSessions) {
+  Storm() : handled_connects(kSessions), renewals_answered(kSessions) {
     const std::vector<NodeAddress> nodes = {node_at("a", "z1", "r1"), node_at("b", "z2", "r1"),
                                             node_at("c", "z3", "r1")};
     for (std::size_t i = 0; i < kSessions; ++i) {
-      rigs.push_back(std::make_unique<SessionRig>(nodes, i + 1));
-      rigs.back()->now = now;
-      rigs.back()->start(i + 1);
+      fixtures.push_back(std::make_unique<SessionFixture>(nodes, i + 1));
+      fixtures.back()->now = now;
+      fixtures.back()->start(i + 1);
     }
   }
   void serve(std::size_t i) {
-    SessionRig& rig = *rigs[i];
-    const bool fresh = rig.transport.connects.size() > connects_seen[i];
-    connects_seen[i] = rig.transport.connects.size();
-    if (!rig.transport.connected)
+    SessionFixture& fixture = *fixtures[i];
+    const bool is_new = fixture.transport.connects.size() > handled_connects[i];
+    handled_connects[i] = fixture.transport.connects.size();
+    if (!fixture.transport.connected)
       return;
-    const std::string& node = rig.session->node().name;
+    const std::string& node = fixture.session->node().name;
     if (down.count(node) != 0)
-      return rig.lose();
-    if (fresh)
-      return open(rig, admits_all ? Millis(0) : admissions[node].take(now));
-    const auto renewals = rig.sent<control::Renew>();
-    if (rig.session->open() && !renewals.empty())
-      rig.grant(renewals.back().sequence, rig.lease());
-    rig.transport.sent.clear();
+      return fixture.drop_connection();
+    if (is_new)
+      return open(fixture, admits_all ? Millis(0) : admissions[node].take(now));
+    const auto renewals = fixture.sent<control::Renew>();
+    if (fixture.session->open() && !renewals.empty())
+      fixture.grant(renewals.back().sequence, fixture.lease());
+    fixture.transport.sent.clear();
   }
-  static void open(SessionRig& rig, Millis retry_after) {
+  static void open(SessionFixture& fixture, Millis retry_after) {
     if (retry_after.count() == 0)
-      return rig.welcome();
-    rig.session->on_connected(rig.now);
-    rig.session->on_message(control::Refusal{control::RefusalReason::busy, retry_after, {}}, rig.now);
+      return fixture.welcome();
+    fixture.session->on_connected(fixture.now);
+    fixture.session->on_message(control::Refusal{control::RefusalReason::busy, retry_after, {}}, fixture.now);
   }
   void step() {
     now += kStep;
     for (std::size_t i = 0; i < kSessions; ++i) {
-      SessionRig& rig = *rigs[i];
-      rig.now = now;
-      if (rig.session->due() <= now)
-        rig.session->tick(now);
-      if (rig.transport.connects.size() > connects_seen[i])
+      SessionFixture& fixture = *fixtures[i];
+      fixture.now = now;
+      if (fixture.session->due() <= now)
+        fixture.session->tick(now);
+      if (fixture.transport.connects.size() > handled_connects[i])
         connects.push_back(now);
-      if (rig.transport.connected && (!rig.transport.sent.empty() || !rig.session->open()))
+      if (fixture.transport.connected && (!fixture.transport.sent.empty() || !fixture.session->open()))
         serve(i);
     }
   }
@@ -86,83 +86,86 @@
     for (const Millis end = now + span; now < end;)
       step();
   }
-  void lose_node(const std::string& name) {
+  void fail_node(const std::string& name) {
     down.insert(name);
-    for (auto& rig : rigs) {
-      rig->now = now;
-      if (rig->transport.connected && rig->session->node().name == name)
-        rig->lose();
+    for (auto& fixture : fixtures) {
+      fixture->now = now;
+      if (fixture->transport.connected && fixture->session->node().name == name)
+        fixture->drop_connection();
     }
   }
-  std::size_t open_now() const {
-    return static_cast<std::size_t>(
-        std::count_if(rigs.begin(), rigs.end(), [](const auto& rig) { return rig->session->open(); }));
-  }
-  std::size_t holding_now() const {
+  std::size_t open_sessions() const {
     return static_cast<std::size_t>(std::count_if(
-        rigs.begin(), rigs.end(), [&](const auto& rig) { return rig->session->holds_lease(now); }));
+        fixtures.begin(), fixtures.end(), [](const auto& fixture) { return fixture->session->open(); }));
+  }
+  std::size_t leased_sessions() const {
+    return static_cast<std::size_t>(std::count_if(fixtures.begin(), fixtures.end(), [&](const auto& fixture) {
+      return fixture->session->holds_lease(now);
+    }));
   }
-  // The most connects in any window that begins with one of them.
-  std::size_t most_in_window(Millis from) const {
-    std::size_t most = 0;
+  // The largest number of connects in any window that starts with one of them.
+  std::size_t max_in_window(Millis from) const {
+    std::size_t largest = 0;
     for (std::size_t i = 0; i < connects.size(); ++i) {
       if (connects[i] < from)
         continue;
       const auto end = std::lower_bound(connects.begin(), connects.end(), connects[i] + kWindow);
-      most = std::max(most, static_cast<std::size_t>(end - connects.begin()) - i);
+      largest = std::max(largest, static_cast<std::size_t>(end - connects.begin()) - i);
     }
-    return most;
+    return largest;
   }
 };
 
-void say(const std::string& what, std::size_t figure) { std::cout << "  " << what << ": " << figure << '\n'; }
+void print_figure(const std::string& what, std::size_t figure) {
+  std::cout << "  " << what << ": " << figure << '\n';
+}
 
-TEST_CASE("storm: 1,000 sessions lose their node at once; in no 100 ms more than a quarter connect") {
+TEST_CASE("storm: 1,000 sessions lose their node at once; at most a quarter connect in any 100 ms") {
   Storm storm;
   storm.run(Millis(2000));
-  REQUIRE(storm.open_now() == kSessions);
-  for (const auto& rig : storm.rigs)
-    REQUIRE(rig->session->node().name == "a");
+  REQUIRE(storm.open_sessions() == kSessions);
+  for (const auto& fixture : storm.fixtures)
+    REQUIRE(fixture->session->node().name == "a");
   const Millis lost = storm.now;
-  storm.lose_node("a");
-  CHECK(storm.open_now() == 0);
+  storm.fail_node("a");
+  CHECK(storm.open_sessions() == 0);
   storm.run(Millis(600));
-  say("connects in any 100 ms at most, of 1,000", storm.most_in_window(lost));
-  CHECK(storm.most_in_window(lost) <= kSessions / 4);
-  CHECK(storm.open_now() == kSessions);
-  CHECK(storm.holding_now() == kSessions);
+  print_figure("connects in any 100 ms at most, of 1,000", storm.max_in_window(lost));
+  CHECK(storm.max_in_window(lost) <= kSessions / 4);
+  CHECK(storm.open_sessions() == kSessions);
+  CHECK(storm.leased_sessions() == kSessions);
 }
 
-TEST_CASE("storm: where each node admits 200 a second, all come back") {
+TEST_CASE("storm: all sessions reconnect if each node admits 200 a second") {
   Storm storm;
   storm.run(Millis(2000));
   const Millis lost = storm.now;
   storm.admits_all = false;
   for (const char* name : {"b", "c"})
     storm.admissions[name].filled_at = storm.now;
-  storm.lose_node("a");
-  std::size_t least_holding = kSessions;
-  while (storm.open_now() < kSessions && storm.now < lost + Millis(20000)) {
+  storm.fail_node("a");
+  std::size_t min_leased = kSessions;
+  while (storm.open_sessions() < kSessions && storm.now < lost + Millis(20000)) {
     storm.step();
-    least_holding = std::min(least_holding, storm.holding_now());
+    min_leased = std::min(min_leased, storm.leased_sessions());
   }
-  say("connects in any 100 ms at most, with admission", storm.most_in_window(lost));
-  say("ms until all were back", static_cast<std::size_t>((storm.now - lost).count()));
-  say("sessions that held a lease at the worst moment", least_holding);
-  CHECK(storm.open_now() == kSessions);
-  CHECK(storm.most_in_window(lost) <= kSessions * 3 / 10);
+  print_figure("connects in any 100 ms at most, with admission", storm.max_in_window(lost));
+  print_figure("ms until all sessions were open", static_cast<std::size_t>((storm.now - lost).count()));
+  print_figure("smallest number of sessions with a lease", min_leased);
+  CHECK(storm.open_sessions() == kSessions);
+  CHECK(storm.max_in_window(lost) <= kSessions * 3 / 10);
 }
 
-TEST_CASE("storm: where no node is up, 1,000 sessions together try ever more slowly") {
+TEST_CASE("storm: while no node is up, 1,000 sessions try less and less often") {
   Storm storm;
   storm.run(Millis(2000));
   for (const char* name : {"a", "b", "c"})
-    storm.lose_node(name);
+    storm.fail_node(name);
   storm.run(Millis(10000));
   const Millis slow = storm.now;
   storm.run(Millis(10000));
-  say("connects in any 100 ms at most, 10 s after all nodes went", storm.most_in_window(slow));
-  CHECK(storm.most_in_window(slow) <= kSessions / 10);
+  print_figure("connects in any 100 ms at most, 10 s after all nodes failed", storm.max_in_window(slow));
+  CHECK(storm.max_in_window(slow) <= kSessions / 10);
 }
 
 }  // namespace
--- a/tests/control/session_table_test.cpp
+++ b/tests/control/session_table_test.cpp
@@ -14,9 +14,8 @@
 
 constexpr double kDrift = 0.01;
 const raft::LeaseTerms kTerms{Millis(3000), kDrift, Millis(2000)};
-const Millis kEarlierOver =
-    kTerms.presumed_dead_after();  // nothing of an earlier process counts from then on
-const Millis kFarAway(1e7);
+const Millis kEarlierLeasesOver = kTerms.presumed_dead_after();  // leases of an earlier process have ended
+const Millis kFarFuture(1e7);
 
 struct Table {
   ChangeLog log{{}};
@@ -29,7 +28,7 @@
   SessionTable::SessionId open(const std::string& invoker, Index position, Millis now) {
     return sessions.open(invoker, 1, position, now).session;
   }
-  Millis renew(SessionTable::SessionId session, Index applied, Millis now, Millis node_until = kFarAway) {
+  Millis renew(SessionTable::SessionId session, Index applied, Millis now, Millis node_until = kFarFuture) {
     REQUIRE(sessions.report(session, applied, applied));
     return sessions.grant(session, node_until, now);
   }
@@ -41,39 +40,40 @@
   CHECK(table.renew(id, 10, Millis(0)) == kTerms.lease);
   CHECK(table.sessions.lease_until(id) == Millis(3030));
   CHECK(table.renew(id, 10, Millis(1000), Millis(2000)).count() == Approx(1000 / 1.01));
-  CHECK(table.sessions.lease_until(id) == Millis(3030));  // the earlier grant stands
+  CHECK(table.sessions.lease_until(id) == Millis(3030));  // the earlier grant still counts
   const Millis duration = table.renew(id, 10, Millis(3000), Millis(5000));
   CHECK(duration.count() == Approx(2000 / 1.01));
   CHECK(table.sessions.lease_until(id) <= Millis(5000));
   CHECK(table.sessions.lease_until(id).count() == Approx(5000));
   CHECK(table.renew(id, 10, Millis(4990), Millis(5000)).count() == 0);  // too short to be of use
   CHECK(table.renew(id, 10, Millis(5000), Millis(5000)).count() == 0);
-  CHECK(table.renew(id, 10, Millis(6000), Millis(0)).count() == 0);  // the node has none
+  CHECK(table.renew(id, 10, Millis(6000), Millis(0)).count() == 0);  // the node has no lease
 }
 
 TEST_CASE("a session that opens with an old position gets no lease until it has caught up") {
   Table table;
   table.change(11);
   table.change(13);
-  CHECK(table.sessions.floors(kEarlierOver).applied == 13);
-  const auto id = table.open("a", 11, kEarlierOver);
-  CHECK(table.renew(id, 11, kEarlierOver).count() == 0);
-  CHECK(table.sessions.floors(kEarlierOver).applied == 13);
-  CHECK(table.renew(id, 13, kEarlierOver) == kTerms.lease);
+  CHECK(table.sessions.floors(kEarlierLeasesOver).applied == 13);
+  const auto id = table.open("a", 11, kEarlierLeasesOver);
+  CHECK(table.renew(id, 11, kEarlierLeasesOver).count() == 0);
+  CHECK(table.sessions.floors(kEarlierLeasesOver).applied == 13);
+  CHECK(table.renew(id, 13, kEarlierLeasesOver) == kTerms.lease);
   table.change(14);
-  CHECK(table.sessions.floors(kEarlierOver).applied == 13);
-  CHECK(table.renew(id, 13, kEarlierOver) == kTerms.lease);  // the change has just come
+  CHECK(table.sessions.floors(kEarlierLeasesOver).applied == 13);
+  CHECK(table.renew(id, 13, kEarlierLeasesOver) == kTerms.lease);  // the change is too recent to count
 }
 
-TEST_CASE("a session that holds nothing gets no lease") {
+TEST_CASE("a session with an empty replica gets no lease") {
   ChangeLog log({});
   SessionTable sessions(kTerms, {}, log, Millis(0));
   const auto id = sessions.open("a", 1, 0, Millis(0)).session;
   CHECK(sessions.report(id, 0, 0));
-  CHECK(sessions.grant(id, kFarAway, Millis(0)).count() == 0);
+  CHECK(sessions.grant(id, kFarFuture, Millis(0)).count() == 0);
 }
 
-TEST_CASE("the first lease of the node, and each after a lapse, demands what the group may have gone on to") {
+TEST_CASE(
+    "the first lease of the node, and each after a lapse, requires all that the group may have reached") {
   Table table;
   const Millis until(4000);
   table.change(11);
@@ -84,13 +84,14 @@
   CHECK(table.renew(id, 11, Millis(500), until) == kTerms.lease);
   CHECK(table.renew(id, 11, Millis(4500), until).count() == 0);
   table.change(13);
-  CHECK(table.renew(id, 12, Millis(5000), Millis(8000)).count() == 0);  // the group did without this node
+  CHECK(table.renew(id, 12, Millis(5000), Millis(8000)).count() ==
+        0);  // the group may have continued without this node
   CHECK(table.renew(id, 13, Millis(5100), Millis(8000)).count() > 0);
 }
 
-TEST_CASE("floors are the least of the sessions that hold a lease, whether they are connected or not") {
+TEST_CASE("floors are the minimum over the sessions with a lease, whether they are connected or not") {
   Table table;
-  const Millis t = kEarlierOver;
+  const Millis t = kEarlierLeasesOver;
   const auto a = table.open("a", 10, t), b = table.open("b", 10, t);
   table.renew(a, 10, t);
   table.renew(b, 10, t);
@@ -101,7 +102,8 @@
   table.sessions.disconnected(b);
   CHECK(table.sessions.floors(t + Millis(3000)).applied == 11);
   CHECK(table.sessions.floors(t + Millis(3000)).quiesced_index == 11);
-  CHECK(table.sessions.floors(t + Millis(3030)).applied == 12);  // its lease is over, its calls are not
+  CHECK(table.sessions.floors(t + Millis(3030)).applied ==
+        12);  // its lease has expired, its calls have not ended
   CHECK(table.sessions.floors(t + Millis(3030)).quiesced_index == 11);
   CHECK(table.sessions.floors(t + Millis(5049)).quiesced_index == 11);
   CHECK(table.sessions.floors(t + Millis(5050)).quiesced_index == 12);
@@ -111,7 +113,7 @@
   CHECK_FALSE(table.sessions.known(b));
 }
 
-TEST_CASE("a report once made stands, also when the log forgets the changes that it rests on") {
+TEST_CASE("a report stays binding after the log has dropped the changes that prove it") {
   Table table;
   const auto id = table.open("a", 10, Millis(0));
   table.renew(id, 10, Millis(5000));
@@ -124,19 +126,19 @@
   CHECK(table.sessions.floors(Millis(6000)).applied == 20);
 }
 
-TEST_CASE("nothing is reported while leases of an earlier process may run") {
+TEST_CASE("nothing is reported while leases of an earlier process may last") {
   Table table({}, Millis(1000));
   CHECK(table.sessions.floors(Millis(1000)).applied == 0);
-  const Millis last = Millis(1000) + kEarlierOver - Millis(1);
+  const Millis last = Millis(1000) + kEarlierLeasesOver - Millis(1);
   CHECK(table.sessions.floors(last).applied == 0);
   CHECK(table.sessions.floors(last).quiesced_index == 0);
   CHECK(table.sessions.floors(last + Millis(1)).applied == 10);
   CHECK(table.sessions.floors(last + Millis(1)).quiesced_index == 10);
 }
 
-TEST_CASE("a closed session gives its lease up, and its calls count until they are over") {
+TEST_CASE("a closed session releases its lease, and its calls count until they have ended") {
   Table table;
-  const Millis t = kEarlierOver;
+  const Millis t = kEarlierLeasesOver;
   const auto id = table.open("a", 10, t);
   table.renew(id, 10, t);
   table.change(12);
@@ -150,7 +152,7 @@
   CHECK_FALSE(table.sessions.known(id));
 }
 
-TEST_CASE("a session without any lease is forgotten at once") {
+TEST_CASE("a disconnected session that never had a lease is removed at once") {
   Table table;
   const auto id = table.open("a", 10, Millis(0));
   CHECK(table.sessions.connected() == 1);
@@ -159,7 +161,7 @@
   CHECK(table.sessions.connected() == 0);
 }
 
-TEST_CASE("a report that goes back, runs ahead or contradicts itself changes nothing") {
+TEST_CASE("a report that decreases, is ahead of the node or is inconsistent changes nothing") {
   Table table;
   table.change(11);
   const auto id = table.open("a", 10, Millis(0));
@@ -184,7 +186,7 @@
   const auto other = table.sessions.open("a", 2, 10, Millis(10));
   CHECK((other.session != 0 && other.session != id));
   CHECK(table.sessions.connected() == 2);
-  CHECK(table.open("a", 11, Millis(20)) == id);  // while the older connection stands
+  CHECK(table.open("a", 11, Millis(20)) == id);  // while the older connection is open
   CHECK(table.sessions.connected() == 2);
 }
 
@@ -205,7 +207,7 @@
   const auto full = table.sessions.open("d", 1, 10, Millis(5000));
   CHECK((full.session == 0 && full.refusal == RefusalReason::full));
   CHECK(full.retry_after > Millis(0));
-  CHECK(table.open("a", 10, Millis(5000)) == a);  // no new place is needed
+  CHECK(table.open("a", 10, Millis(5000)) == a);  // needs no further session
   table.renew(b, 10, Millis(5000));
   table.sessions.disconnected(b);
   CHECK(table.open("d", 10, Millis(10000)) == 0);  // its calls still count
--- a/tests/control/tier_cluster.cpp
+++ b/tests/control/tier_cluster.cpp
@@ -6,17 +6,17 @@
 namespace {
 
 constexpr int kVoters = 3, kNodes = 3;
-constexpr std::uint64_t kFunctions = 16;  // enough that every host has calls
+constexpr std::uint64_t kFunctions = 16;  // enough for every host to get calls
 
 }  // namespace
 
 TierCluster::TierCluster(const TierOptions& options)
-    : MaintenanceHarness(options.seed, options.hosts, options.broken), options_(options) {
+    : MaintenanceHarness(options.seed, options.hosts, options.injected_fault), options_(options) {
   silent_one_in = options.silent_one_in;
   functions = kFunctions;
   min_pause = 300;
   max_pause = 1200;
-  calls_paused = true;  // clients call once all are ready
+  calls_paused = true;  // until start_calls()
   add_members();
   add_invokers();
   for (auto& member : members)
@@ -107,32 +107,34 @@
       ++i;
       continue;
     }
-    const auto act = std::move(undos_[i].act);
+    const auto action = std::move(undos_[i].action);
     undos_.erase(undos_.begin() + static_cast<std::ptrdiff_t>(i));
-    act();
+    action();
   }
   MaintenanceHarness::run_once();
 }
 
 std::string TierCluster::violated_rule(int most_out) const {
   const auto written = lines();
-  const std::string broken = violated_maintenance_rule(written, execs, most_out);
-  return broken.empty() ? broken_lease_rule(written, downtimes) : broken;
+  const std::string violation = violated_maintenance_rule(written, execs, most_out);
+  return violation.empty() ? violated_lease_rule(written, downtimes) : violation;
 }
 
-// ---- What processes show ----
+// ---- State of the processes ----
 
-nlohmann::json TierCluster::ask(const std::string& admin_endpoint, const std::string& path) {
+nlohmann::json TierCluster::query(const std::string& admin_endpoint, const std::string& path) {
   return nlohmann::json::parse(service.get(admin_endpoint, path), nullptr, false);
 }
 
 nlohmann::json TierCluster::session_of(const Invoker& invoker) {
-  return ask(invoker.admin_endpoint, "/-/session");
+  return query(invoker.admin_endpoint, "/-/session");
 }
 
-nlohmann::json TierCluster::group_of(const Member& member) { return ask(member.admin_endpoint, "/-/group"); }
+nlohmann::json TierCluster::group_of(const Member& member) {
+  return query(member.admin_endpoint, "/-/group");
+}
 
-bool TierCluster::begin_calls() {
+bool TierCluster::start_calls() {
   if (!all_ready(30) || !poll_until([this] { return all_sessions_open(); }))
     return false;
   calls_paused = false;
@@ -160,13 +162,13 @@
   return run_until([&] { return std::all_of(call_targets.begin(), call_targets.end(), answered); }, seconds);
 }
 
-int TierCluster::answers(const std::string& word) const {
+int TierCluster::count_results(const std::string& result) const {
   int out = 0;
   for (const auto* p : call_targets) {
     if (!p->client)
       continue;
-    for (const auto& [answer, body] : p->client->results)
-      out += answer == word;
+    for (const auto& [status, body] : p->client->results)
+      out += status == result;
   }
   return out;
 }
--- a/tests/control/tier_cluster.h
+++ b/tests/control/tier_cluster.h
@@ -1,5 +1,6 @@
-// A group with control nodes and invokers that have only sessions, as real processes: relays stand before
-// each member's port for the group, and before each control node's port for sessions, one for each invoker.
+// A group with control nodes, and invokers that have only sessions, as real processes. A relay is in front of
+// each member's port for the group, and one for each invoker in front of each control node's port for
+// sessions.
 #pragma once
 
 #include <functional>
@@ -17,10 +18,10 @@
 struct TierOptions {
   std::uint64_t seed = 1;
   int hosts = 6;
-  std::string broken;        // the rule that all processes break
-  bool nodes_vote = false;   // three voters that are control nodes too; else three of each
-  bool learn_nodes = false;  // an invoker is told of one node; it learns of the others from that
-  double offline_ms = 2000;  // so long an invoker goes on without a lease
+  std::string injected_fault;  // into all processes; empty: none
+  bool nodes_vote = false;     // three voters that are also control nodes; otherwise three of each
+  bool learn_nodes = false;    // invokers are configured with one node and learn the others from it
+  double offline_ms = 2000;    // how long an invoker uses hosts without a lease
   std::size_t silent_one_in = 40;
 };
 
@@ -28,21 +29,21 @@
  public:
   struct Member : ManagedProcess {
     std::string listen;
-    std::string sessions;  // the port that it takes sessions on; empty: it is no control node
+    std::string sessions;  // the address for sessions; empty: no control node
     bool votes = false;
     std::unique_ptr<GroupRelay> relay;
   };
   struct Invoker : ManagedProcess {
     std::vector<std::unique_ptr<Relay>> relays;  // to each control node, as in `nodes`
   };
-  // What happens to processes and to what they send each other.
+  // Faults of processes and of the connections between them.
   enum class Disturbance {
     kill_node,
     kill_voter,
     kill_invoker,
     stop_node,
     stop_invoker,
-    silence_session,  // nothing passes, and nobody is told
+    silence_session,  // bytes are dropped silently
     delay_session,
     hold_session,
     cut_to_node,
@@ -50,7 +51,7 @@
     reset_sessions,
     drop_session,  // closed, and no other can be opened
     cut_node_from_log,
-    restart_node_without_sessions,  // at once; no invoker reaches any node meanwhile
+    restart_node_without_sessions,  // at once, while no invoker reaches any node
   };
   static constexpr int disturbances = static_cast<int>(Disturbance::restart_node_without_sessions) + 1;
 
@@ -64,54 +65,54 @@
   std::vector<std::unique_ptr<Invoker>> invokers;
 
   void run_once() override;
-  void disturb() override;  // as drawn from the seed
+  void disturb() override;  // at random, from the seed
   void disturb(Disturbance kind);
   void heal() override;
-  // All disturbances of a run are then of this kind.
-  void disturb_only_by(Disturbance kind) { only_ = kind; }
+  // From then on all disturbances are of this kind.
+  void disturb_only_by(Disturbance kind) { only_disturbance_ = kind; }
   std::string violated_rule(int most_out) const override;
 
-  // Clients call from the moment on at which all processes are ready, have sessions, and the nodes can
-  // account for all of them; false: that does not come.
-  bool begin_calls();
+  // Waits until all processes are ready and all invokers have an open session with a lease, and lets clients
+  // call from then on. Returns false if that does not happen in time.
+  bool start_calls();
 
   void cut_sessions(Invoker& invoker, bool cut);
   void cut_from_log(Member& member, bool cut);
 
-  // What a process shows at its console; null: it does not answer.
+  // The state of a process from its admin endpoint; discarded if it does not respond.
   nlohmann::json session_of(const Invoker& invoker);
   nlohmann::json group_of(const Member& member);
   bool all_sessions_open();
-  bool all_followed();  // the nodes can account for all invokers: hosts may be taken from then on
-  // No answer is outstanding any more at clients whose connection stands.
+  bool all_followed();  // the nodes can account for all invokers, so that hosts may be released
+  // Waits until no client with an open connection has an outstanding call.
   bool all_answered(double seconds);
-  int answers(const std::string& word) const;  // how many calls were answered with it
+  int count_results(const std::string& result) const;  // of calls that ended with it
 
  private:
   struct Undo {
     double at = 0;
-    std::function<void()> act;
+    std::function<void()> action;
   };
   TierOptions options_;
   std::vector<Undo> undos_;
-  std::optional<Disturbance> only_;
+  std::optional<Disturbance> only_disturbance_;
 
   void add_members();
   void add_invokers();
   void start_member(Member& member);
   void start_invoker(Invoker& invoker);
-  nlohmann::json ask(const std::string& admin_endpoint, const std::string& path);
-  void undo_later(double span, std::function<void()> act) {
-    undos_.push_back({now() + span, std::move(act)});
+  nlohmann::json query(const std::string& admin_endpoint, const std::string& path);
+  void undo_later(double span, std::function<void()> action) {
+    undos_.push_back({now() + span, std::move(action)});
   }
-  void set(Invoker& invoker, Relay::Way way, Relay::Mode mode);
-  void delay(Invoker& invoker, double most);
+  void set(Invoker& invoker, Relay::Direction direction, Relay::Mode mode);
+  void delay(Invoker& invoker, double max_delay);
   template <typename List>
-  auto& one_of(const List& list) {
+  auto& random_element(const List& list) {
     return *list[below(random, list.size())];
   }
-  double span(double least, double most) {
-    return least + (most - least) * static_cast<double>(below(random, 1000)) / 1000;
+  double random_duration(double min, double max) {
+    return min + (max - min) * static_cast<double>(below(random, 1000)) / 1000;
   }
 };
 
--- a/tests/control/tier_disturbances.cpp
+++ b/tests/control/tier_disturbances.cpp
@@ -1,32 +1,33 @@
-// What happens to the processes of a tier and to what they send each other.
+// Disturbances of the processes of a TierCluster and of the connections between them.
 #include "control/tier_cluster.h"
 
 namespace lotusyard::test {
 namespace {
 
-using Way = Relay::Way;
+using Direction = Relay::Direction;
 using Mode = Relay::Mode;
 
-// Beyond the lease and the longest call, so that the group goes on without whoever is away.
+// In milliseconds. The longer ones exceed the lease and the longest call, so that the group continues without
+// the absent process.
 constexpr double kShortAbsence = 200, kBeyondLease = 700, kLongAbsence = 2300;
 
 }  // namespace
 
-void TierCluster::set(Invoker& invoker, Way way, Mode mode) {
+void TierCluster::set(Invoker& invoker, Direction direction, Mode mode) {
   for (const auto& relay : invoker.relays)
-    relay->set(way, mode);
+    relay->set(direction, mode);
 }
 
-void TierCluster::delay(Invoker& invoker, double most) {
+void TierCluster::delay(Invoker& invoker, double max_delay) {
   for (const auto& relay : invoker.relays) {
-    for (const Way way : {Way::to_node, Way::to_invoker})
-      relay->delay(way, Millis(most));
+    for (const Direction direction : {Direction::to_node, Direction::to_invoker})
+      relay->delay(direction, Millis(max_delay));
   }
 }
 
 void TierCluster::cut_sessions(Invoker& invoker, bool cut) {
-  for (const Way way : {Way::to_node, Way::to_invoker})
-    set(invoker, way, cut ? Mode::cut : Mode::open);
+  for (const Direction direction : {Direction::to_node, Direction::to_invoker})
+    set(invoker, direction, cut ? Mode::cut : Mode::open);
 }
 
 void TierCluster::cut_from_log(Member& member, bool cut) {
@@ -54,19 +55,20 @@
 }
 
 void TierCluster::disturb() {
-  disturb(only_ ? *only_ : static_cast<Disturbance>(below(random, disturbances)));
+  disturb(only_disturbance_ ? *only_disturbance_ : static_cast<Disturbance>(below(random, disturbances)));
 }
 
 void TierCluster::disturb(Disturbance kind) {
-  Member& node = one_of(nodes);
-  Invoker& invoker = one_of(invokers);
-  const double absence = span(kShortAbsence, kLongAbsence), long_absence = span(kBeyondLease, kLongAbsence);
+  Member& node = random_element(nodes);
+  Invoker& invoker = random_element(invokers);
+  const double absence = random_duration(kShortAbsence, kLongAbsence),
+               long_absence = random_duration(kBeyondLease, kLongAbsence);
   const auto open_later = [&] { undo_later(absence, [this, &invoker] { cut_sessions(invoker, false); }); };
   switch (kind) {
     case Disturbance::kill_node:
       return kill_for(node, absence);
     case Disturbance::kill_voter:
-      return kill_for(one_of(voters), absence);
+      return kill_for(random_element(voters), absence);
     case Disturbance::kill_invoker:
       return kill_for(invoker, absence);
     case Disturbance::stop_node:
@@ -77,17 +79,17 @@
       cut_sessions(invoker, true);
       return undo_later(long_absence, [this, &invoker] { cut_sessions(invoker, false); });
     case Disturbance::delay_session:
-      delay(invoker, span(100, 1500));
+      delay(invoker, random_duration(100, 1500));
       return undo_later(absence, [this, &invoker] { delay(invoker, 0); });
     case Disturbance::hold_session:
-      for (const Way way : {Way::to_node, Way::to_invoker})
-        set(invoker, way, Mode::held);
+      for (const Direction direction : {Direction::to_node, Direction::to_invoker})
+        set(invoker, direction, Mode::held);
       return open_later();
     case Disturbance::cut_to_node:
-      set(invoker, Way::to_node, Mode::cut);
+      set(invoker, Direction::to_node, Mode::cut);
       return open_later();
     case Disturbance::cut_to_invoker:
-      set(invoker, Way::to_invoker, Mode::cut);
+      set(invoker, Direction::to_invoker, Mode::cut);
       return open_later();
     case Disturbance::reset_sessions:
       for (const auto& relay : invoker.relays)
--- a/tests/control/tier_processes_test.cpp
+++ b/tests/control/tier_processes_test.cpp
@@ -8,7 +8,7 @@
 
 using Disturbance = TierCluster::Disturbance;
 
-constexpr double kSlack = 500;  // for a busy machine
+constexpr double kSlack = 500;  // milliseconds, for a busy machine
 
 TierOptions with_seed(std::uint64_t seed) {
   TierOptions out;
@@ -17,7 +17,7 @@
 }
 
 void require_ready(TierCluster& tier) {
-  const bool ready = tier.begin_calls();
+  const bool ready = tier.start_calls();
   INFO(tier.all_logs());
   REQUIRE(ready);
 }
@@ -36,22 +36,23 @@
   return out;
 }
 
-TEST_CASE("control tier: invokers with sessions settle a work that members lead, and lose no call",
-          "[processes]") {
+TEST_CASE(
+    "control tier: a maintenance job completes with invokers that have only sessions, and no call is lost",
+    "[processes]") {
   TierOptions options = with_seed(1);
   options.silent_one_in = 0;
   TierCluster tier(options);
   require_ready(tier);
   REQUIRE(
       tier.poll_until([&] { return total_sessions(tier) == static_cast<int>(TierCluster::invoker_count); }));
-  const std::string broken = tier.run(0, 2);
+  const std::string violation = tier.run(0, 2);
   INFO(tier.all_logs());
-  REQUIRE(broken == "");
-  // The work was given before the nodes could account for all invokers: nothing was proposed in vain.
+  REQUIRE(violation == "");
+  // The job was added before the nodes could account for all invokers: no proposal may have been refused.
   CHECK(tier.all_logs().find("take refused") == std::string::npos);
   tier.calls_paused = true;
   CHECK(tier.all_answered(5));
-  CHECK(tier.answers("OK") == tier.last_call_number);
+  CHECK(tier.count_results("OK") == tier.last_call_number);
   int views = 0;
   for (const auto* node : tier.nodes) {
     const auto shown = tier.group_of(*node).at("control");
@@ -62,7 +63,7 @@
   CHECK(views >= static_cast<int>(TierCluster::invoker_count));
 }
 
-TEST_CASE("control tier: every rule holds whoever is killed, stopped, cut off, delayed or reset",
+TEST_CASE("control tier: every rule holds while processes are killed, stopped, cut off, delayed or reset",
           "[processes]") {
   for (const std::uint64_t seed : {21, 22}) {
     TierOptions options = with_seed(seed);
@@ -70,13 +71,13 @@
     TierCluster tier(options);
     require_ready(tier);
     REQUIRE(tier.poll_until([&] { return tier.all_followed(); }));
-    const std::string broken = tier.run(8, 2);
+    const std::string violation = tier.run(8, 2);
     INFO("seed " << seed << "\n" << tier.all_logs());
-    REQUIRE(broken == "");
+    REQUIRE(violation == "");
   }
 }
 
-TEST_CASE("control tier: a revocation ends once no regulated call can go out, also where sessions are cut",
+TEST_CASE("control tier: a revocation ends once no regulated call can be sent, even if sessions are cut",
           "[processes]") {
   TierCluster tier(with_seed(3));
   require_ready(tier);
@@ -116,7 +117,7 @@
   CHECK(count_calls_after(tier, 0, answered) == 0);
 }
 
-TEST_CASE("control tier: an invoker without a lease uses hosts for a stated time, then none, and comes back",
+TEST_CASE("control tier: an invoker without a lease uses hosts for the offline time, then none, and recovers",
           "[processes]") {
   const TierOptions options = with_seed(4);
   TierCluster tier(options);
@@ -139,14 +140,14 @@
   CHECK(tier.session_of(away).at("open") == true);
 }
 
-TEST_CASE("control tier: a node that is told to end gives its sessions up, and no call fails for it",
+TEST_CASE("control tier: a node that is terminated refuses its sessions, and no call fails because of it",
           "[processes]") {
   TierOptions options = with_seed(5);
   options.learn_nodes = true;
   options.silent_one_in = 0;
   TierCluster tier(options);
   require_ready(tier);
-  // All were told of this one alone, so that most are there.
+  // All invokers are configured with this node only, so most have their session there.
   TierCluster::Member& leaving = *tier.nodes[0];
   REQUIRE(tier.group_of(leaving).at("control").at("sessions") > 0);
   tier.wait(kSlack);
@@ -163,7 +164,7 @@
   tier.wait(1000);
   tier.calls_paused = true;
   CHECK(tier.all_answered(5));
-  CHECK(tier.answers("OK") == tier.last_call_number);
+  CHECK(tier.count_results("OK") == tier.last_call_number);
 }
 
 }  // namespace
