--- a/src/control/node_server.h
+++ b/src/control/node_server.h
@@ -40,8 +40,7 @@
   std::string address() const { return net::bound_address(listener_); }
   ControlNode& node() { return node_; }
   const ControlNode& node() const { return node_; }
-  // The number of connections.
-  std::size_t links() const { return connections_.size(); }
+  std::size_t connection_count() const { return connections_.size(); }
   // The bytes of buffers that all connections use.
   std::size_t pooled() const { return pool_.blocks_in_use() * net::BufferPool::kBlockSize; }
 
--- a/tests/control/transport_faults_test.cpp
+++ b/tests/control/transport_faults_test.cpp
@@ -46,7 +46,7 @@
   raw->send(fixture.cluster.open_message());
   CHECK(fixture.run_until_closed(*raw));
   CHECK(fixture.count("control.malformed") == faulty.size() + 1);
-  CHECK(fixture.cluster.run_until([&] { return fixture.server.links() == 1; }, Millis(2000)));
+  CHECK(fixture.cluster.run_until([&] { return fixture.server.connection_count() == 1; }, Millis(2000)));
   fixture.check_invoker_unaffected();
 }
 
@@ -63,7 +63,7 @@
       raw.read();
     }
   }
-  CHECK(fixture.cluster.run_until([&] { return fixture.server.links() == 1; }, Millis(5000)));
+  CHECK(fixture.cluster.run_until([&] { return fixture.server.connection_count() == 1; }, Millis(5000)));
   fixture.check_invoker_unaffected();
 }
 
@@ -99,10 +99,10 @@
   ScriptedInvoker half(fixture.server.address());
   const std::string open = control::encode(fixture.cluster.open_message());
   half.send_bytes(open.substr(0, open.size() / 2));
-  REQUIRE(fixture.cluster.run_until([&] { return fixture.server.links() == 102; }, Millis(1000)));
+  REQUIRE(fixture.cluster.run_until([&] { return fixture.server.connection_count() == 102; }, Millis(1000)));
   CHECK(fixture.run_until_closed(half, Millis(5000)));
   CHECK(fixture.cluster.loop.now() - began >= Millis(3000));
-  CHECK(fixture.cluster.run_until([&] { return fixture.server.links() == 1; }, Millis(1000)));
+  CHECK(fixture.cluster.run_until([&] { return fixture.server.connection_count() == 1; }, Millis(1000)));
   CHECK(fixture.cluster.loop.now() - began < Millis(4500));
   CHECK(fixture.count("control.no_open") == 101);
   fixture.check_invoker_unaffected();
@@ -158,7 +158,7 @@
     return std::count_if(others.begin(), others.end(), [](const auto& one) { return one->ended; });
   };
   CHECK(fixture.cluster.run_until([&] { return ended() == 3; }, Millis(1000)));
-  CHECK(fixture.server.links() == 5);
+  CHECK(fixture.server.connection_count() == 5);
   CHECK(fixture.count("control.too_many_links") == 3);
   fixture.check_invoker_unaffected();
 }
--- a/tests/control/transport_slow_test.cpp
+++ b/tests/control/transport_slow_test.cpp
@@ -39,7 +39,7 @@
     most = std::max(most, fixture.server.pooled());
   }
   REQUIRE(fixture.cluster.run_until([&] { return fixture.cluster.up_to_date(fixture.invoker); }));
-  CHECK(fixture.server.links() == 2);
+  CHECK(fixture.server.connection_count() == 2);
   CHECK(fixture.server.pooled() >= limits.connection.max_unsent_bytes);  // otherwise nothing was queued
   CHECK(most <= 2 * (limits.connection.max_unsent_bytes + kFrames));     // of both connections
   CHECK(fixture.cluster.run_until([&] {
@@ -71,7 +71,7 @@
       },
       Millis(3000));
   CHECK(ended);
-  CHECK(fixture.cluster.run_until([&] { return fixture.server.links() == 1; }, Millis(100)));
+  CHECK(fixture.cluster.run_until([&] { return fixture.server.connection_count() == 1; }, Millis(100)));
   CHECK(fixture.cluster.run_until([&] { return fixture.server.pooled() == 0; }, Millis(1000)));
   fixture.check_invoker_unaffected();
 }
@@ -116,7 +116,7 @@
       Millis(20000));
   CHECK(ended);
   CHECK(most < (2U << 20));
-  CHECK(fixture.cluster.run_until([&] { return fixture.server.links() == 1; }, Millis(100)));
+  CHECK(fixture.cluster.run_until([&] { return fixture.server.connection_count() == 1; }, Millis(100)));
   fixture.check_invoker_unaffected();
 }
 
--- a/tests/control/transport_test.cpp
+++ b/tests/control/transport_test.cpp
@@ -99,7 +99,7 @@
     }));
   }
   CHECK(cluster.counters.value("control.snapshots") == 1);
-  CHECK(cluster.nodes[0]->links() == 1);
+  CHECK(cluster.nodes[0]->connection_count() == 1);
 }
 
 TEST_CASE("the invokers of a killed node connect to another") {
@@ -109,13 +109,13 @@
   for (int i = 0; i < 6; ++i)
     cluster.add_invoker();
   REQUIRE(cluster.run_until([&] { return cluster.all_up_to_date(); }));
-  const std::size_t killed = cluster.nodes[0]->links() > 0 ? 0 : 1;
-  const std::size_t moved = cluster.nodes[killed]->links();
+  const std::size_t killed = cluster.nodes[0]->connection_count() > 0 ? 0 : 1;
+  const std::size_t moved = cluster.nodes[killed]->connection_count();
   REQUIRE(moved > 0);
   cluster.nodes[killed].reset();
   cluster.change("after", "the kill");
   REQUIRE(cluster.run_until([&] { return cluster.all_up_to_date(); }));
-  CHECK(cluster.nodes[1 - killed]->links() == 6);
+  CHECK(cluster.nodes[1 - killed]->connection_count() == 6);
   CHECK(cluster.nodes[1 - killed]->node().sessions().connected() == 6);
   CHECK(cluster.counters.value("control.opened") == 6 + moved);
 }
@@ -127,15 +127,16 @@
   for (int i = 0; i < 6; ++i)
     cluster.add_invoker();
   REQUIRE(cluster.run_until([&] { return cluster.all_up_to_date(); }));
-  const std::size_t left = cluster.nodes[0]->links() > 0 ? 0 : 1;
-  const std::size_t moved = cluster.nodes[left]->links();
+  const std::size_t left = cluster.nodes[0]->connection_count() > 0 ? 0 : 1;
+  const std::size_t moved = cluster.nodes[left]->connection_count();
   cluster.nodes[left]->node().shut_down();
   REQUIRE(cluster.run_until([&] { return cluster.nodes[1 - left]->node().sessions().connected() == 6; }));
   std::uint64_t refused = 0;
   for (const auto& one : cluster.invokers)
     refused += one->counters.value("control.session.refused.leaving");
   CHECK(refused >= moved);
-  CHECK(cluster.run_until([&] { return cluster.all_up_to_date() && cluster.nodes[left]->links() == 0; }));
+  CHECK(cluster.run_until(
+      [&] { return cluster.all_up_to_date() && cluster.nodes[left]->connection_count() == 0; }));
 }
 
 TEST_CASE("an invoker that closes releases its lease at once, even if its event loop no longer runs") {
@@ -146,7 +147,7 @@
   invoker.session().close(cluster.loop.now());
   invoker.client.reset();
   REQUIRE(cluster.run_until([&] { return cluster.counters.value("control.closed") == 1; }, Millis(1000)));
-  CHECK(cluster.run_until([&] { return cluster.nodes[0]->links() == 0; }, Millis(2000)));
+  CHECK(cluster.run_until([&] { return cluster.nodes[0]->connection_count() == 0; }, Millis(2000)));
 }
 
 TEST_CASE("a session may be closed from the update listener of its replica") {
@@ -161,7 +162,7 @@
   cluster.change("end", "now");
   cluster.change("behind", "it");
   REQUIRE(cluster.run_until([&] { return cluster.counters.value("control.closed") == 1; }, Millis(1000)));
-  CHECK(cluster.run_until([&] { return cluster.nodes[0]->links() == 0; }, Millis(2000)));
+  CHECK(cluster.run_until([&] { return cluster.nodes[0]->connection_count() == 0; }, Millis(2000)));
   CHECK(invoker.records().count("behind") == 0);
 }
 
--- a/tests/net/listeners_test.cpp
+++ b/tests/net/listeners_test.cpp
@@ -61,7 +61,7 @@
     auto& server = tier.add_node();
     const net::Socket caller = net::connect_to(server.address()).socket;
     CHECK(few(accepts_while_failing(tier.loop, error, [&] { tier.run_once(); })));
-    CHECK(tier.run_until([&] { return server.links() == 1; }, Millis(1000)));
+    CHECK(tier.run_until([&] { return server.connection_count() == 1; }, Millis(1000)));
   }
 }
 
