--- a/tests/control/session_table_test.cpp
+++ b/tests/control/session_table_test.cpp
@@ -61,7 +61,7 @@
   CHECK(table.renew(id, 13, kEarlierLeasesOver) == kTerms.lease);
   table.change(14);
   CHECK(table.sessions.floors(kEarlierLeasesOver).applied == 13);
-  CHECK(table.renew(id, 13, kEarlierLeasesOver) == kTerms.lease);  // the change is too recent to count
+  CHECK(table.renew(id, 13, kEarlierLeasesOver) == kTerms.lease);  // the change has not been reported yet
 }
 
 TEST_CASE("a session with an empty replica gets no lease") {
--- a/tests/control/transport_slow_test.cpp
+++ b/tests/control/transport_slow_test.cpp
@@ -84,7 +84,7 @@
   std::vector<std::unique_ptr<ScriptedInvoker>> slow;
   for (std::uint64_t i = 0; i < 10; ++i)
     slow.push_back(fixture.open_session(i + 1));
-  auto& late = fixture.cluster.add_invoker();  // fixture after all of them
+  auto& late = fixture.cluster.add_invoker();  // is served after all of them
   REQUIRE(fixture.cluster.run_until([&] { return fixture.cluster.all_up_to_date(); }));
   std::size_t most = 0;
   for (int i = 0; i < 1000; ++i) {
