--- a/tests/control/session_moves_test.cpp
+++ b/tests/control/session_moves_test.cpp
@@ -39,7 +39,8 @@
     CHECK((count > 900 && count < 1100));
 }
 
-TEST_CASE("known nodes: the last one that failed is not chosen if another is available, until failures are cleared") {
+TEST_CASE(
+    "known nodes: before failures are cleared, the last one that failed is chosen only if it is alone") {
   KnownNodes nodes("z1", "r1", kThreeRegions);
   std::mt19937_64 random(1);
   nodes.on_failure("here:7000");
--- a/tests/control/tier_faults_test.cpp
+++ b/tests/control/tier_faults_test.cpp
@@ -68,8 +68,7 @@
 }
 
 TEST_CASE(
-    "control tier: invokers that are cut off do not use released hosts, and the checker detects it if one "
-    "does",
+    "control tier: invokers that are cut off use no released host, and the checker detects one that does",
     "[processes]") {
   CHECK(release_behind_cut("", cut_session) == "");
   const std::string found = release_behind_cut("lease", cut_session);
