--- a/tests/control/tier.h
+++ b/tests/control/control_cluster.h
@@ -1,5 +1,5 @@
-// Control nodes and invokers on one loop, with a relay before every node for each invoker. The test plays
-// the group: it applies the same changes at all nodes and keeps their leases alive.
+// Control nodes and invokers on one event loop, with a relay in front of every node for each invoker. The
+// test acts as the group: it applies the same changes at all nodes and renews their leases.
 #pragma once
 
 #include <memory>
@@ -12,7 +12,7 @@
 
 namespace lotusyard::test {
 
-class Tier {
+class ControlCluster {
  public:
   struct Invoker {
     metrics::Counters counters;
@@ -23,12 +23,12 @@
     const control::Records& records() { return client->replica().records(); }
   };
 
-  explicit Tier(Millis lease = Millis(600)) {
+  explicit ControlCluster(Millis lease = Millis(600)) {
     terms.lease = lease;
     terms.max_attempt_time = Millis(100);
   }
 
-  // A node that continues from the present state.
+  // Adds a node that starts with the current state.
   control::NodeServer& add_node(control::NodeServer::Limits limits = control::NodeServer::Limits(),
                                 std::size_t sessions = 1200) {
     control::ControlNode::Config config;
@@ -77,25 +77,25 @@
         node->node().apply(index, change);
     }
   }
-  void turn() {
+  void run_once() {
     for (const auto& node : nodes) {
       if (node)
         node->node().set_lease(loop.now() + terms.lease);
     }
     loop.run_once(loop.now() + Millis(5), [] {});
   }
-  template <typename Until>
-  bool until(const Until& until, Millis most = Millis(10000)) {
-    const Millis end = loop.now() + most;
+  template <typename Condition>
+  bool run_until(const Condition& condition, Millis timeout = Millis(10000)) {
+    const Millis end = loop.now() + timeout;
     while (loop.now() < end) {
-      if (until())
+      if (condition())
         return true;
-      turn();
+      run_once();
     }
-    return until();
+    return condition();
   }
   void wait(Millis time) {
-    until([] { return false; }, time);
+    run_until([] { return false; }, time);
   }
   bool up_to_date(Invoker& invoker) {
     return invoker.session().holds_lease(loop.now()) && invoker.records() == records;
@@ -109,7 +109,7 @@
   raft::LeaseTerms terms;
   control::Records records = {{"first", "record"}};
   control::Index index = 1;
-  std::vector<std::unique_ptr<control::NodeServer>> nodes;  // null: killed
+  std::vector<std::unique_ptr<control::NodeServer>> nodes;  // null: was killed
   std::vector<std::unique_ptr<Invoker>> invokers;
 };
 
