--- a/tests/net/listeners_test.cpp
+++ b/tests/net/listeners_test.cpp
@@ -60,8 +60,8 @@
     ControlCluster tier;
     auto& server = tier.add_node();
     const net::Socket caller = net::connect_to(server.address()).socket;
-    CHECK(is_few(accepts_while_failing(tier.loop, error, [&] { tier.turn(); })));
-    CHECK(tier.until([&] { return server.links() == 1; }, Millis(1000)));
+    CHECK(is_few(accepts_while_failing(tier.loop, error, [&] { tier.run_once(); })));
+    CHECK(tier.run_until([&] { return server.connection_count() == 1; }, Millis(1000)));
   }
 }
 
