--- a/tests/wall_clock/answers_test.cpp
+++ b/tests/wall_clock/answers_test.cpp
@@ -1,5 +1,5 @@
-// The store of answers between two processes whose wall clocks differ: no call runs twice, and none is
-// refused for ever.
+// The result store, opened by two processes one after the other whose wall clocks differ: no call runs
+// twice, and none is rejected for ever.
 #include "catch2/catch.hpp"
 #include "idempotency/sqlite_result_store.h"
 #include "metrics/counters.h"
@@ -10,25 +10,25 @@
 
 using namespace idempotency;
 
-constexpr Millis kTrue{1e12};  // what a right clock reads when a test begins
+constexpr Millis kTrueTime{1e12};  // what a correct clock reads when a test starts
 constexpr Millis kMinute{60e3};
 constexpr Millis kYear = 24 * 365 * kHour;
 
-struct Opened {
-  Opened(const ScratchFile& file, Millis now, const Bounds& bounds = {})
+struct OpenedStore {
+  OpenedStore(const ScratchFile& file, Millis now, const Bounds& bounds = {})
       : store(file.path, bounds, now, counters, [](const std::string&) {}) {}
   metrics::Counters counters;
   SqliteResultStore store;
 
-  // What is done with a call that comes again, published then, at the only consumer.
-  Decision redelivered(const std::string& id, Millis published, Millis now = kTrue) {
-    std::optional<ResultRecord> known;
+  // The decision for a redelivered call that was published at `published`, when this is the only consumer.
+  Decision decide_redelivered(const std::string& id, Millis published, Millis now = kTrueTime) {
+    std::optional<ResultRecord> stored;
     StoreTrust trust;
-    trust.healthy = store.find(id, known);
+    trust.healthy = store.find(id, stored);
     trust.sole_consumer = true;
     trust.complete_from = store.complete_from();
     trust.now = now;
-    return decide(known, {true, published}, trust);
+    return decide(stored, {true, published}, trust);
   }
 };
 
@@ -39,92 +39,94 @@
   return out;
 }
 
-TEST_CASE("a call that ran and was forgotten under a clock set back does not run again") {
-  ScratchFile file("forgotten");
+TEST_CASE("a call that ran and whose record was pruned under a clock set back does not run again") {
+  ScratchFile file("pruned");
   Bounds bounds;
   bounds.max_records = 1;
-  Opened(file, kTrue - 24 * kHour, bounds).store.prune(kTrue - 24 * kHour);
+  OpenedStore(file, kTrueTime - 24 * kHour, bounds).store.prune(kTrueTime - 24 * kHour);
   // The clock is set back by an hour, and the next process writes by it.
-  const Millis wrong = kTrue - kHour;
-  Opened opened(file, wrong, bounds);
+  const Millis wrong_time = kTrueTime - kHour;
+  OpenedStore opened(file, wrong_time, bounds);
   for (const char* id : {"booked", "other"}) {
-    REQUIRE(opened.store.put(id, record(ResultStage::sent, wrong)));
-    REQUIRE(opened.store.put(id, record(ResultStage::answered, wrong + Millis(id == std::string("other")))));
-    opened.store.prune(wrong + Millis(2));
+    REQUIRE(opened.store.put(id, record(ResultStage::sent, wrong_time)));
+    REQUIRE(
+        opened.store.put(id, record(ResultStage::answered, wrong_time + Millis(id == std::string("other")))));
+    opened.store.prune(wrong_time + Millis(2));
   }
   std::optional<ResultRecord> found;
   REQUIRE(opened.store.find("booked", found));
   REQUIRE_FALSE(found.has_value());
-  CHECK(opened.redelivered("booked", kTrue - Millis(10)) == Decision::fail_may_have_run);
+  CHECK(opened.decide_redelivered("booked", kTrueTime - Millis(10)) == Decision::fail_may_have_run);
 }
 
-TEST_CASE(
-    "a new store vouches for no call before it, whether its clock or the publisher's is wrong by an hour") {
+TEST_CASE("a new store is not complete for earlier calls, whichever clock is wrong by an hour") {
   const Millis step = GENERATE(Millis(kHour), -1 * kHour);
   const bool publisher_is_wrong = GENERATE(false, true);
   ScratchFile file("new");
-  // A call went out a moment ago, and the file that told of it is lost.
-  Opened opened(file, publisher_is_wrong ? kTrue : kTrue + step);
-  const Millis published = kTrue - Millis(10) + (publisher_is_wrong ? step : Millis(0));
-  CHECK(opened.redelivered("booked", published) == Decision::fail_may_have_run);
+  // A call was sent shortly before, and the file with its record is lost.
+  OpenedStore opened(file, publisher_is_wrong ? kTrueTime : kTrueTime + step);
+  const Millis published = kTrueTime - Millis(10) + (publisher_is_wrong ? step : Millis(0));
+  CHECK(opened.decide_redelivered("booked", published) == Decision::fail_may_have_run);
 }
 
-TEST_CASE("a store whose clock is set back, or forwards, between two processes keeps what it knows") {
+TEST_CASE("a store whose clock is set back or forwards between two processes keeps its records") {
   const Millis step = GENERATE(Millis(7000), Millis(-7000), kHour, -1 * kHour);
-  ScratchFile file("kept");
+  ScratchFile file("retained");
   {
-    Opened opened(file, kTrue);
-    REQUIRE(opened.store.put("sent", record(ResultStage::sent, kTrue)));
-    REQUIRE(opened.store.put("booked", record(ResultStage::sent, kTrue)));
-    REQUIRE(opened.store.put("booked", record(ResultStage::answered, kTrue)));
+    OpenedStore opened(file, kTrueTime);
+    REQUIRE(opened.store.put("sent", record(ResultStage::sent, kTrueTime)));
+    REQUIRE(opened.store.put("booked", record(ResultStage::sent, kTrueTime)));
+    REQUIRE(opened.store.put("booked", record(ResultStage::answered, kTrueTime)));
   }
-  Opened opened(file, kTrue + step);
-  opened.store.prune(kTrue + step);
-  CHECK(opened.redelivered("sent", kTrue) == Decision::fail_may_have_run);
-  CHECK(opened.redelivered("booked", kTrue) == Decision::answer);
-  CHECK(opened.redelivered("before the store", kTrue - Millis(10)) == Decision::fail_may_have_run);
-  // It may go on: what is published two steps later has not gone out.
-  CHECK(opened.redelivered("young", kTrue + 2 * kHour + 2 * kMinute, kTrue + 3 * kHour) == Decision::run);
+  OpenedStore opened(file, kTrueTime + step);
+  opened.store.prune(kTrueTime + step);
+  CHECK(opened.decide_redelivered("sent", kTrueTime) == Decision::fail_may_have_run);
+  CHECK(opened.decide_redelivered("booked", kTrueTime) == Decision::answer);
+  CHECK(opened.decide_redelivered("before the store", kTrueTime - Millis(10)) == Decision::fail_may_have_run);
+  // A call published two steps later cannot have been sent before, so it may run.
+  CHECK(opened.decide_redelivered("young", kTrueTime + 2 * kHour + 2 * kMinute, kTrueTime + 3 * kHour) ==
+        Decision::run);
 }
 
-TEST_CASE("a store begun a year ahead vouches for calls again two hours after its clock is set right") {
+TEST_CASE("a store created a year ahead is complete again two hours after its clock is corrected") {
   ScratchFile file("ahead");
-  { Opened opened(file, kTrue + kYear); }
-  Opened opened(file, kTrue);
-  CHECK(opened.redelivered("early", kTrue) == Decision::fail_may_have_run);
-  CHECK(opened.redelivered("young", kTrue + 2 * kHour + 2 * kMinute, kTrue + 3 * kHour) == Decision::run);
+  { OpenedStore opened(file, kTrueTime + kYear); }
+  OpenedStore opened(file, kTrueTime);
+  CHECK(opened.decide_redelivered("early", kTrueTime) == Decision::fail_may_have_run);
+  CHECK(opened.decide_redelivered("young", kTrueTime + 2 * kHour + 2 * kMinute, kTrueTime + 3 * kHour) ==
+        Decision::run);
 }
 
-TEST_CASE("a process whose clock is a year behind forgets nothing, and vouches for no call") {
+TEST_CASE("a process whose clock is a year behind prunes nothing, and its store is complete for no call") {
   ScratchFile file("behind");
   {
-    Opened opened(file, kTrue);
-    REQUIRE(opened.store.put("sent", record(ResultStage::sent, kTrue)));
+    OpenedStore opened(file, kTrueTime);
+    REQUIRE(opened.store.put("sent", record(ResultStage::sent, kTrueTime)));
   }
   {
-    Opened opened(file, kTrue - kYear);
-    opened.store.prune(kTrue - kYear);
-    CHECK(opened.redelivered("sent", kTrue, kTrue - kYear) == Decision::fail_may_have_run);
-    CHECK(opened.redelivered("before the store", kTrue - kMinute, kTrue - kYear) ==
+    OpenedStore opened(file, kTrueTime - kYear);
+    opened.store.prune(kTrueTime - kYear);
+    CHECK(opened.decide_redelivered("sent", kTrueTime, kTrueTime - kYear) == Decision::fail_may_have_run);
+    CHECK(opened.decide_redelivered("before the store", kTrueTime - kMinute, kTrueTime - kYear) ==
           Decision::fail_may_have_run);
   }
-  Opened opened(file, kTrue + kMinute);
-  opened.store.prune(kTrue + kMinute);
-  CHECK(opened.redelivered("sent", kTrue, kTrue + kMinute) == Decision::fail_may_have_run);
-  CHECK(opened.store.complete_from() == kTrue);
+  OpenedStore opened(file, kTrueTime + kMinute);
+  opened.store.prune(kTrueTime + kMinute);
+  CHECK(opened.decide_redelivered("sent", kTrueTime, kTrueTime + kMinute) == Decision::fail_may_have_run);
+  CHECK(opened.store.complete_from() == kTrueTime);
 }
 
-TEST_CASE("forgetting a record stamped ahead leaves no mark years ahead") {
-  ScratchFile file("mark");
+TEST_CASE("pruning a record stamped ahead does not move complete_from years ahead") {
+  ScratchFile file("ahead-record");
   Bounds bounds;
   bounds.max_records = 1;
-  Opened opened(file, kTrue, bounds);
-  // Written by the same process before its clock was known to be wrong.
-  REQUIRE(opened.store.put("a", record(ResultStage::answered, kTrue + kYear)));
-  REQUIRE(opened.store.put("b", record(ResultStage::answered, kTrue + kYear + Millis(1))));
-  opened.store.prune(kTrue);
+  OpenedStore opened(file, kTrueTime, bounds);
+  // Written by the same process while its clock was ahead, before that was detected.
+  REQUIRE(opened.store.put("a", record(ResultStage::answered, kTrueTime + kYear)));
+  REQUIRE(opened.store.put("b", record(ResultStage::answered, kTrueTime + kYear + Millis(1))));
+  opened.store.prune(kTrueTime);
   CHECK(opened.store.size() == 1);
-  CHECK(opened.store.complete_from() <= kTrue + kHour);
+  CHECK(opened.store.complete_from() <= kTrueTime + kHour);
 }
 
 }  // namespace
--- a/tests/wall_clock/loop_test.cpp
+++ b/tests/wall_clock/loop_test.cpp
@@ -1,4 +1,4 @@
-// Spans within one process: no step of the wall clock shortens or lengthens them.
+// Durations within one process: a step of the wall clock neither shortens nor lengthens them.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <string>
@@ -17,34 +17,34 @@
 
 Millis any_step() { return GENERATE(Millis(7000), Millis(-7000), kHour, -1 * kHour); }
 
-TEST_CASE("the loop's time goes on through a step of the wall clock") {
+TEST_CASE("the event loop's time is continuous over a step of the wall clock") {
   ManualClock clock;
   net::EventLoop loop(clock.clocks());
-  const Millis began = loop.now();
-  CHECK(began == clock.wall);
+  const Millis started = loop.now();
+  CHECK(started == clock.wall);
   clock.wall += any_step();
-  CHECK(loop.now() == began);
-  clock.pass(Millis(250));
+  CHECK(loop.now() == started);
+  clock.advance(Millis(250));
   loop.run_once(loop.now(), [] {});
-  CHECK(loop.now() - began == Millis(250));
+  CHECK(loop.now() - started == Millis(250));
   CHECK(loop.iteration_started() == loop.now());
 }
 
-TEST_CASE("a timer rings when its span has passed, through a step of the wall clock") {
+TEST_CASE("a timer fires after its duration in spite of a step of the wall clock") {
   ManualClock clock;
   net::EventLoop loop(clock.clocks());
-  bool rung = false;
-  loop.schedule_at(loop.now() + Millis(100), [&] { rung = true; });
+  bool fired = false;
+  loop.schedule_at(loop.now() + Millis(100), [&] { fired = true; });
   clock.wall += any_step();
-  clock.pass(Millis(99));
+  clock.advance(Millis(99));
   loop.run_once(loop.now(), [] {});
-  CHECK_FALSE(rung);
-  clock.pass(Millis(1));
+  CHECK_FALSE(fired);
+  clock.advance(Millis(1));
   loop.run_once(loop.now(), [] {});
-  CHECK(rung);
+  CHECK(fired);
 }
 
-TEST_CASE("a lease, the last call and a key's window keep their spans through a step of the wall clock") {
+TEST_CASE("a step of the wall clock leaves a lease, the end of attempts and a key's window unchanged") {
   ManualClock clock;
   net::EventLoop loop(clock.clocks());
   const raft::LeaseTerms terms;
@@ -58,18 +58,18 @@
   REQUIRE(keys.begin(call, rule, loop.now()) == core::IdempotencyKeys::KeyDecision::accepted);
   keys.record_send(call, {}, {}, loop.now());
   clock.wall += any_step();
-  clock.pass(Millis(1999));
+  clock.advance(Millis(1999));
   CHECK(lease.is_held(loop.now()));
   CHECK_FALSE(lease.earlier_attempts_ended(loop.now()));
   CHECK(keys.may_send_to(call, rule, {}, loop.now()));
-  clock.pass(Millis(1001));
+  clock.advance(Millis(1001));
   CHECK_FALSE(lease.is_held(loop.now()));
   CHECK(lease.earlier_attempts_ended(loop.now()));
   CHECK_FALSE(keys.may_send_to(call, rule, {}, loop.now()));
 }
 
-struct Waiting final : core::FrontEnd {
-  explicit Waiting(net::EventLoop& loop) : loop_(loop) {}
+struct RecordingFrontEnd final : core::FrontEnd {
+  explicit RecordingFrontEnd(net::EventLoop& loop) : loop_(loop) {}
   void answer(core::CallId, core::Answer&& answer) override {
     status = answer.status;
     answered_at = loop_.now();
@@ -81,11 +81,11 @@
   net::EventLoop& loop_;
 };
 
-TEST_CASE("a call is answered when its time is over, through a step of the wall clock") {
+TEST_CASE("a call is answered at its time-out in spite of a step of the wall clock") {
   SteppedClock clock;
   InvokerFixture fixture(1, settings(), InvokerFixture::limits(), clock.clocks());
   fixture.host[0]->handler = [](const std::string&) { return Reaction{Reaction::silence, ""}; };
-  Waiting front(fixture.loop);
+  RecordingFrontEnd front(fixture.loop);
   core::Call call;
   call.ref = "00000000000000aa";
   call.class_name = "bin-record";
@@ -103,7 +103,7 @@
   CHECK(front.answered_at - arrived < Millis(600));
 }
 
-TEST_CASE("both settings of the wall clock count until the size of its step has passed") {
+TEST_CASE("the wall time covers both settings of the clock until the size of the step has passed") {
   ManualClock clock;
   net::EventLoop loop(clock.clocks());
   const Millis step = any_step();
@@ -115,17 +115,17 @@
   CHECK(wall.latest == std::max(before, before + step));
   CHECK(loop.wall_has_stepped());
   const Millis size = std::max(step, -1 * step);
-  clock.pass(size);
+  clock.advance(size);
   wall = loop.wall_time();
   CHECK((wall.earliest == clock.wall && wall.latest == clock.wall));
   CHECK(loop.wall_time(Millis(10)).latest - loop.wall_time(Millis(10)).earliest == size);
 }
 
-TEST_CASE("a clock that slews does not step, and no setting is doubted for ever") {
+TEST_CASE("slewing is not a step, and doubt about the wall time ends") {
   ManualClock clock;
   net::EventLoop loop(clock.clocks());
   for (int i = 0; i < 1000; ++i) {
-    clock.pass(Millis(100));
+    clock.advance(Millis(100));
     clock.wall += Millis(0.05);
     loop.run_once(loop.now(), [] {});
   }
@@ -134,7 +134,7 @@
   clock.wall += 24 * 365 * kHour;
   loop.record_wall_time(clock.wall + 24 * 365 * kHour);
   CHECK(loop.wall_time().latest - loop.wall_time().earliest > 24 * 700 * kHour);
-  clock.pass(net::WallClock::kMaxDoubt);
+  clock.advance(net::WallClock::kMaxDoubt);
   CHECK(loop.wall_time().earliest == clock.wall);
   CHECK(loop.wall_time().latest == clock.wall);
 }
--- a/tests/wall_clock/stepped_clock.h
+++ b/tests/wall_clock/stepped_clock.h
@@ -1,4 +1,4 @@
-// Clocks of a test. The wall clock can be set forwards and back; the steady one goes on.
+// Test clocks whose wall clock can be set forwards and back while the steady clock keeps running.
 #pragma once
 
 #include <unistd.h>
@@ -14,7 +14,7 @@
 
 constexpr Millis kHour{3600e3};
 
-// The system's clocks, with the wall clock set.
+// The system's clocks, with `step` added to the wall clock.
 struct SteppedClock {
   Millis step{0};
   net::Clocks clocks() {
@@ -24,19 +24,19 @@
   Millis wall() { return clocks().wall(); }
 };
 
-// Both under the test's hand.
+// Both clocks advance only through `advance` or by assignment.
 struct ManualClock {
   Millis steady{5e6}, wall{1e12};
   net::Clocks clocks() {
     return {[this] { return steady; }, [this] { return wall; }};
   }
-  void pass(Millis time) {
+  void advance(Millis time) {
     steady += time;
     wall += time;
   }
 };
 
-// A file of SQLite, removed with what SQLite puts beside it.
+// A path for an SQLite database; its file and its -wal and -shm files are removed before and after the test.
 struct ScratchFile {
   explicit ScratchFile(const std::string& name)
       : path("wall-clock-" + name + "-" + std::to_string(getpid()) + ".db") {
--- a/tests/wall_clock/triggers_test.cpp
+++ b/tests/wall_clock/triggers_test.cpp
@@ -16,13 +16,13 @@
   return out;
 }
 
-struct Stepped {
+struct AmqpClockFixture {
   SteppedClock clock;
-  AmqpFixture triggers;
-  explicit Stepped(Millis at_start = Millis(0), const core::Settings& s = settings())
-      : clock{at_start}, triggers(1, 1, {}, s, nullptr, {}, {}, clock.clocks()) {}
+  AmqpFixture amqp;
+  explicit AmqpClockFixture(Millis at_start = Millis(0), const core::Settings& s = settings())
+      : clock{at_start}, amqp(1, 1, {}, s, nullptr, {}, {}, clock.clocks()) {}
 
-  // The answer to a check that was published then.
+  // The result word of the answer to a `bin-check` call published at `published`.
   std::string check(const std::string& id, Millis published, const std::string& expiration,
                     bool redelivered = false) {
     StandInBroker::Message m;
@@ -33,24 +33,24 @@
     m.properties.expiration = expiration;
     m.properties.headers = {{"class", std::string("bin-check")}, {"lookup", std::string("00000000000000a1")}};
     m.redelivered = redelivered;
-    triggers.broker.enqueue(std::move(m));
-    REQUIRE(triggers.wait_for_answer(id));
-    return result_word(triggers.broker.answers_by_id["c-" + id][0]);
+    amqp.broker.enqueue(std::move(m));
+    REQUIRE(amqp.wait_for_answer(id));
+    return result_word(amqp.broker.answers_by_id["c-" + id][0]);
   }
 };
 
-TEST_CASE("after a step of the wall clock calls that expire are taken, and old ones refused") {
-  Stepped stepped;
-  CHECK(stepped.check("before", stepped.clock.wall(), "5000") == "OK");
-  stepped.clock.step = GENERATE(Millis(7000), Millis(-7000), kHour, -1 * kHour);
-  CHECK(stepped.check("after", stepped.clock.wall(), "5000") == "OK");
-  CHECK(stepped.check("old", stepped.clock.wall() - Millis(20000), "5000") == "BUSY");
+TEST_CASE("after a step of the wall clock calls that have not expired are accepted, and old ones rejected") {
+  AmqpClockFixture fixture;
+  CHECK(fixture.check("before", fixture.clock.wall(), "5000") == "OK");
+  fixture.clock.step = GENERATE(Millis(7000), Millis(-7000), kHour, -1 * kHour);
+  CHECK(fixture.check("after", fixture.clock.wall(), "5000") == "OK");
+  CHECK(fixture.check("old", fixture.clock.wall() - Millis(20000), "5000") == "BUSY");
 }
 
-TEST_CASE("a clock that was wrong at the start refuses no call once it is set right") {
-  Stepped stepped(GENERATE(Millis(kHour), -1 * kHour));
-  stepped.clock.step = Millis(0);
-  CHECK(stepped.check("right", stepped.clock.wall(), "5000") == "OK");
+TEST_CASE("a clock that was wrong at the start causes no rejections once it is corrected") {
+  AmqpClockFixture fixture(GENERATE(Millis(kHour), -1 * kHour));
+  fixture.clock.step = Millis(0);
+  CHECK(fixture.check("right", fixture.clock.wall(), "5000") == "OK");
 }
 
 TEST_CASE("a call stamped in the future waits no longer than its expiration") {
@@ -65,20 +65,19 @@
 
 TEST_CASE("a keyed call stamped in the future does not run again: its window may be over") {
   // The process starts under a clock that has been set back; the call is 16 s old, and the window 15 s.
-  Stepped stepped(-1 * kHour, keyed_checks());
-  const Millis published = stepped.clock.wall() + kHour - Millis(16000);
-  CHECK(stepped.check("old", published, "", true) == "FAILED");
-  CHECK(stepped.triggers.invoker.host[0]->execs == 0);
+  AmqpClockFixture fixture(-1 * kHour, keyed_checks());
+  const Millis published = fixture.clock.wall() + kHour - Millis(16000);
+  CHECK(fixture.check("old", published, "", true) == "FAILED");
+  CHECK(fixture.amqp.invoker.host[0]->execs == 0);
 }
 
 TEST_CASE("a keyed call published before its clock was set back does not run again after its window") {
-  Stepped stepped(Millis(0), keyed_checks());
-  REQUIRE(
-      stepped.triggers.invoker.run_until([&] { return stepped.triggers.broker.server.peers.size() == 1; }));
-  const Millis published = stepped.clock.wall() - kHour - Millis(5000);
-  stepped.clock.step = -1 * kHour;  // by the clock it is now 5 s old
-  CHECK(stepped.check("old", published, "", true) == "FAILED");
-  CHECK(stepped.triggers.invoker.host[0]->execs == 0);
+  AmqpClockFixture fixture(Millis(0), keyed_checks());
+  REQUIRE(fixture.amqp.invoker.run_until([&] { return fixture.amqp.broker.server.peers.size() == 1; }));
+  const Millis published = fixture.clock.wall() - kHour - Millis(5000);
+  fixture.clock.step = -1 * kHour;  // by the clock it is now 5 s old
+  CHECK(fixture.check("old", published, "", true) == "FAILED");
+  CHECK(fixture.amqp.invoker.host[0]->execs == 0);
 }
 
 TEST_CASE("keyed calls run again once a step is older than its size and the window") {
@@ -92,9 +91,9 @@
   };
   const Millis step = GENERATE(Millis(kHour), -1 * kHour);
   clock.wall += step;
-  const auto doubted = age_of(clock.wall);
-  CHECK((!doubted || *doubted >= kWindow));
-  clock.pass(kHour + kWindow);
+  const auto uncertain = age_of(clock.wall);
+  CHECK((!uncertain || *uncertain >= kWindow));
+  clock.advance(kHour + kWindow);
   REQUIRE(age_of(clock.wall - Millis(5000)).has_value());
   CHECK(*age_of(clock.wall - Millis(5000)) < kWindow);
 }
