--- a/tests/scale/agreed_log.cpp
+++ b/tests/scale/agreed_log.cpp
@@ -22,8 +22,8 @@
 }
 
 Index AgreedLog::last_change(Index index) const {
-  const auto behind = std::upper_bound(changes_.begin(), changes_.end(), index);
-  return behind == changes_.begin() ? 0 : *std::prev(behind);
+  const auto next = std::upper_bound(changes_.begin(), changes_.end(), index);
+  return next == changes_.begin() ? 0 : *std::prev(next);
 }
 
 std::vector<Index> AgreedLog::changes_between(Index after, Index until) const {
--- a/tests/scale/agreed_log.h
+++ b/tests/scale/agreed_log.h
@@ -1,4 +1,4 @@
-// A stand-in for the group's agreed log: entries in one order, each agreed upon at once, and the reference
+// A stand-in for the group's agreed log: entries in one order, each committed at once, and the reference
 // state of the records after every change.
 #pragma once
 
@@ -14,7 +14,7 @@
 
 using control::Index;
 
-// A node's sign of life. Once it is in the log the node's lease lasts from its stamp on.
+// A node's heartbeat. Once it is in the log, the node's lease starts at its stamp.
 struct NodeReport {
   std::size_t node = 0;
   std::uint64_t incarnation = 0;
@@ -31,19 +31,19 @@
 
 class AgreedLog {
  public:
-  static constexpr Index first_index = 1;  // of the state that the log begins with
+  static constexpr Index first_index = 1;  // of the initial state
 
-  // `keeps_states`: the state after each change, for checks; otherwise only the newest one.
+  // `keeps_states` retains the state after each change, for checks; otherwise only the latest one.
   AgreedLog(control::Records initial, bool keeps_states);
 
   const LogEntry& append(double now, control::Change change, std::vector<NodeReport> reports);
   Index last() const { return first_index + entries_.size(); }
   const LogEntry& entry(Index index) const { return entries_.at(index - first_index - 1); }
-  // The last change at or before `index`: what a replica needs to be up to date as of `index`.
+  // The last change at or before `index`: a replica at this position is up to date as of `index`.
   Index last_change(Index index) const;
-  // The changes behind `after`, up to `until`.
+  // Indexes of the changes after `after`, up to and including `until`.
   std::vector<Index> changes_between(Index after, Index until) const;
-  // Every record as of `index`; null: it was not kept.
+  // Every record as of `index`; null if that state was not retained.
   std::shared_ptr<const control::Records> state(Index index) const;
 
  private:
--- a/tests/scale/event_queue.h
+++ b/tests/scale/event_queue.h
@@ -1,4 +1,4 @@
-// A virtual clock with the events that are due on it, and the drifting clocks that processes read.
+// A discrete-event queue with a virtual clock, and the drifting local clocks of simulated processes.
 #pragma once
 
 #include <algorithm>
@@ -14,7 +14,7 @@
 
 using lotusyard::policy::Millis;
 
-// Events run in the order of their times; those of one time in the order in which they were added.
+// Events run in order of time; events of the same time in the order in which they were added.
 class EventQueue {
  public:
   using Action = std::function<void()>;
@@ -49,13 +49,13 @@
   double now_ = 0;
 };
 
-// A process's own clock: it starts anywhere, and runs faster than true time by a constant rate.
+// A process's local clock, with an arbitrary offset from true time and a constant rate.
 class DriftingClock {
  public:
   DriftingClock(double offset, double rate) : offset_(offset), rate_(rate) {}
-  Millis local(double truth) const { return Millis(offset_ + truth * rate_); }
-  double truth(Millis local) const { return (local.count() - offset_) / rate_; }
-  double true_span(Millis span) const { return span.count() / rate_; }
+  Millis local_time(double true_ms) const { return Millis(offset_ + true_ms * rate_); }
+  double true_time(Millis local) const { return (local.count() - offset_) / rate_; }
+  double true_duration(Millis local) const { return local.count() / rate_; }
 
  private:
   double offset_, rate_;
--- a/tests/scale/figures.h
+++ b/tests/scale/figures.h
@@ -1,4 +1,4 @@
-// Measured values and their output: one line of JSON for each point.
+// Statistics of measured values, printed as one line of JSON per point.
 #pragma once
 
 #include <algorithm>
@@ -17,7 +17,7 @@
     sorted_ = false;
   }
   std::size_t size() const { return values_.size(); }
-  double at(double share) {  // 0: the least, 1: the most
+  double quantile(double share) {  // 0: the minimum, 1: the maximum
     if (values_.empty())
       return 0;
     if (!std::exchange(sorted_, true))
@@ -30,7 +30,7 @@
   bool sorted_ = true;
 };
 
-// What all points of one run have in common.
+// Fields that all points of one run share.
 struct RunLabel {
   std::string test;
   std::size_t invokers = 0, nodes = 0;
@@ -48,10 +48,10 @@
                                 {"nodes", label.nodes},
                                 {"role", role},
                                 {"metric", metric},
-                                {"least", rounded(sample.at(0))},
-                                {"median", rounded(sample.at(0.5))},
-                                {"p99", rounded(sample.at(0.99))},
-                                {"most", rounded(sample.at(1))},
+                                {"least", rounded(sample.quantile(0))},
+                                {"median", rounded(sample.quantile(0.5))},
+                                {"p99", rounded(sample.quantile(0.99))},
+                                {"most", rounded(sample.quantile(1))},
                                 {"count", sample.size()},
                                 {"virtual_seconds", label.virtual_seconds},
                                 {"seed", label.seed}};
@@ -67,18 +67,18 @@
   print_point(label, role, metric, sample);
 }
 
-// Least squares: the slope of y over x.
+// The slope of a least-squares line through (x, y).
 inline double slope(const std::vector<std::pair<double, double>>& points) {
-  double x = 0, y = 0, above = 0, below = 0;
+  double mean_x = 0, mean_y = 0, numerator = 0, denominator = 0;
   for (const auto& point : points) {
-    x += point.first / static_cast<double>(points.size());
-    y += point.second / static_cast<double>(points.size());
+    mean_x += point.first / static_cast<double>(points.size());
+    mean_y += point.second / static_cast<double>(points.size());
   }
   for (const auto& point : points) {
-    above += (point.first - x) * (point.second - y);
-    below += (point.first - x) * (point.first - x);
+    numerator += (point.first - mean_x) * (point.second - mean_y);
+    denominator += (point.first - mean_x) * (point.first - mean_x);
   }
-  return below > 0 ? above / below : 0;
+  return denominator > 0 ? numerator / denominator : 0;
 }
 
 }  // namespace lotusyard::test
--- a/tests/scale/hollow_fleet.cpp
+++ b/tests/scale/hollow_fleet.cpp
@@ -3,8 +3,8 @@
 namespace lotusyard::test {
 namespace {
 
-constexpr double kLeadEvery = 100;    // the leader puts what it has heard into the log, milliseconds
-constexpr double kClockSpread = 1e6;  // clocks start within this
+constexpr double kLeaderInterval = 100;  // milliseconds between the leader's appends of received reports
+constexpr double kClockSpread = 1e6;     // range of the clocks' offsets, milliseconds
 constexpr std::size_t kKeyBytes = 12;
 
 std::string key_of(std::size_t number) {
@@ -28,7 +28,7 @@
       log_(initial_records(options), options.keeps_states),
       leader_(options.terms),
       leader_clock_(draw_clock()) {
-  network_.when_arrived([this](HollowConnection& connection, Direction direction, Packet&& packet) {
+  network_.set_arrival_handler([this](HollowConnection& connection, Direction direction, Packet&& packet) {
     if (direction == Direction::to_node) {
       arrived_at_node(connection, std::move(packet));
     } else {
@@ -42,8 +42,8 @@
   for (std::size_t i = 0; i < options.invokers; ++i)
     add_invoker(i);
   for (std::size_t i = 0; i < options.invokers; ++i)
-    at(uniform(0, options.start_over), [this, i] { start_invoker(i); });
-  at(kLeadEvery, [this] { lead(); });
+    at(uniform(0, options.start_spread), [this, i] { start_invoker(i); });
+  at(kLeaderInterval, [this] { run_leader(); });
 }
 
 DriftingClock HollowFleet::draw_clock() {
@@ -67,32 +67,32 @@
   Endpoint where;
   where.kind = ProcessKind::invoker;
   where.number = number;
-  where.zone = static_cast<int>(below(static_cast<std::size_t>(options_.zones)));
+  where.zone = static_cast<int>(random_below(static_cast<std::size_t>(options_.zones)));
   where.region = where.zone % options_.regions;
   invokers_.push_back(std::make_unique<HollowInvoker>(where, draw_clock()));
 }
 
-const LogEntry& HollowFleet::agree(control::Change change, std::vector<NodeReport> reports) {
+const LogEntry& HollowFleet::append_entry(control::Change change, std::vector<NodeReport> reports) {
   const LogEntry& entry = log_.append(now(), std::move(change), std::move(reports));
   for (auto& node : nodes_) {
-    if (!network_.passes(log_site_, node->endpoint))
+    if (!network_.is_reachable(log_site_, node->endpoint))
       continue;
     const double delay = network_.latency(log_site_, node->endpoint) + node->endpoint.extra_delay;
-    at(now() + delay, [this, target = node.get(), index = entry.index] { follow(*target, index); });
+    at(now() + delay, [this, target = node.get(), index = entry.index] { apply_until(*target, index); });
   }
   return entry;
 }
 
-void HollowFleet::lead() {
-  at(now() + kLeadEvery, [this] { lead(); });
-  std::vector<NodeReport> reports = leader_.take_waiting();
+void HollowFleet::run_leader() {
+  at(now() + kLeaderInterval, [this] { run_leader(); });
+  std::vector<NodeReport> reports = leader_.take_pending();
   if (!reports.empty()) {
-    const LogEntry& entry = agree({}, std::move(reports));
-    leader_.agreed(entry.reports, leader_clock_.local(now()));
+    const LogEntry& entry = append_entry({}, std::move(reports));
+    leader_.on_committed(entry.reports, leader_clock_.local_time(now()));
   }
-  const Proof proof = leader_.conclude(log_.last(), leader_clock_.local(now()));
+  const Proof proof = leader_.prove(log_.last(), leader_clock_.local_time(now()));
   for (FleetObserver* observer : observers_)
-    observer->proved(proof, now());
+    observer->on_proof(proof, now());
 }
 
 void HollowFleet::change() {
@@ -100,16 +100,16 @@
   std::set<std::size_t> chosen;
   const std::size_t one = kKeyBytes + options_.value_bytes + 9;
   for (std::size_t size = 0; size < options_.change_bytes && chosen.size() < options_.records; size += one)
-    chosen.insert(below(options_.records));
+    chosen.insert(random_below(options_.records));
   const auto before = log_.state(log_.last());
   for (const std::size_t number : chosen) {
     const std::string key = key_of(number);
     std::string value = std::to_string(log_.last()) + "." + std::to_string(random_() % 1000);
     value.resize(std::max(value.size(), options_.value_bytes), 'x');
-    const bool removes = below(10) == 0 && before->count(key) != 0;
+    const bool removes = random_below(10) == 0 && before->count(key) != 0;
     change.push_back({key, removes ? std::nullopt : std::optional<std::string>(std::move(value))});
   }
-  agree(std::move(change), {});
+  append_entry(std::move(change), {});
 }
 
 void HollowFleet::changes_each_second(double rate, double until) {
@@ -127,10 +127,10 @@
 void HollowFleet::heal(int name) {
   network_.heal(name);
   for (auto& node : nodes_) {
-    if (!network_.passes(log_site_, node->endpoint))
+    if (!network_.is_reachable(log_site_, node->endpoint))
       continue;
     const double delay = network_.latency(log_site_, node->endpoint);
-    at(now() + delay, [this, target = node.get(), index = log_.last()] { follow(*target, index); });
+    at(now() + delay, [this, target = node.get(), index = log_.last()] { apply_until(*target, index); });
   }
 }
 
--- a/tests/scale/hollow_fleet.h
+++ b/tests/scale/hollow_fleet.h
@@ -1,5 +1,5 @@
-// A whole fleet of hollow invokers and control nodes on a virtual clock: an agreed log that the nodes follow,
-// connections that carry encoded frames, and faults. Deterministic by its seed.
+// A simulated fleet of hollow invokers and control nodes on a virtual clock: an agreed log that the nodes
+// apply, connections that carry encoded frames, and faults. Deterministic for a given seed.
 #pragma once
 
 #include <set>
@@ -21,20 +21,21 @@
   control::ChangeLog::Limits changes;
   HollowNetwork::Capacity capacity;
   std::size_t records = 40, value_bytes = 50;
-  std::size_t change_bytes = 120;  // about so long is an encoded change
+  std::size_t change_bytes = 120;  // approximate size of an encoded change
   bool keeps_states = true;
-  double start_over = 5000;  // the invokers start within so long, milliseconds
+  double start_spread = 5000;  // invokers start at random times within it, milliseconds
 };
 
-// Told what happens, with true time.
+// Receives the events of a fleet; `now` is true time.
 class FleetObserver {
  public:
   virtual ~FleetObserver() = default;
-  virtual void moved(const HollowInvoker&, Index /*from*/, const HollowInvoker::Move&, double /*now*/) {}
-  // `before`: the end of the lease until now, by the invoker's clock.
-  virtual void leased(const HollowInvoker&, Millis /*before*/, double /*now*/) {}
-  virtual void opened(const HollowInvoker&, double /*now*/) {}
-  virtual void proved(const Proof&, double /*now*/) {}
+  // The replica's position changed.
+  virtual void on_move(const HollowInvoker&, Index /*from*/, const HollowInvoker::Move&, double /*now*/) {}
+  // The lease was extended; `before` is its previous end by the invoker's clock.
+  virtual void on_lease(const HollowInvoker&, Millis /*before*/, double /*now*/) {}
+  virtual void on_session_opened(const HollowInvoker&, double /*now*/) {}
+  virtual void on_proof(const Proof&, double /*now*/) {}
 };
 
 class HollowFleet {
@@ -46,7 +47,7 @@
   void at(double when, EventQueue::Action action) { queue_.at(when, std::move(action)); }
   void run(double span) { queue_.run_until(now() + span); }
   void observe(FleetObserver& observer) { observers_.push_back(&observer); }
-  void forget(FleetObserver& observer) {
+  void remove_observer(FleetObserver& observer) {
     observers_.erase(std::remove(observers_.begin(), observers_.end(), &observer), observers_.end());
   }
   const AgreedLog& log() const { return log_; }
@@ -57,14 +58,14 @@
   double uniform(double least, double most) {
     return std::uniform_real_distribution<double>(least, most)(random_);
   }
-  std::size_t below(std::size_t bound) { return static_cast<std::size_t>(random_() % bound); }
+  std::size_t random_below(std::size_t bound) { return static_cast<std::size_t>(random_() % bound); }
 
-  void change();                                        // one more change is agreed upon
-  void changes_each_second(double rate, double until);  // at random moments
+  void change();                                        // appends one random change to the log
+  void changes_each_second(double rate, double until);  // at random times (Poisson)
 
   // Faults; see also `network()`.
   void start_node(std::size_t number);
-  void kill_node(std::size_t number, bool resets = true);  // without resets: its machine is gone
+  void kill_node(std::size_t number, bool resets = true);  // without resets: its machine fails as well
   void drain_node(std::size_t number);
   void stop_node(std::size_t number, double span);
   void start_invoker(std::size_t number);
@@ -91,8 +92,8 @@
   DriftingClock draw_clock();
   void add_node(std::size_t number);
   void add_invoker(std::size_t number);
-  const LogEntry& agree(control::Change change, std::vector<NodeReport> reports);
-  void lead();  // what was reported goes into the log, and a conclusion is drawn
+  const LogEntry& append_entry(control::Change change, std::vector<NodeReport> reports);
+  void run_leader();  // appends pending reports to the log and computes the proof
 
   // Nodes.
   template <typename Call>
@@ -101,7 +102,7 @@
   void send_heartbeat(HollowNode& node);
   void send_heartbeats_periodically(std::size_t number, std::uint64_t incarnation);
   void tick_periodically(std::size_t number, std::uint64_t incarnation);
-  void follow(HollowNode& node, Index until);
+  void apply_until(HollowNode& node, Index until);
   void apply_entry(HollowNode& node, const LogEntry& entry);
   void handle_at_node(HollowNode& node, std::uint64_t connection, const Packet& packet);
   void arrived_at_node(HollowConnection& connection, Packet&& packet);
@@ -112,10 +113,10 @@
   void call_invoker(HollowInvoker& invoker, const Call& call);
   void dispatch(HollowInvoker& invoker);
   void connect(HollowInvoker& invoker, const std::string& address);
-  void note_moves(HollowInvoker& invoker);
-  void note_session(HollowInvoker& invoker);
-  void count_calls(HollowInvoker& invoker, Index before);
-  void leave_calls(HollowInvoker& invoker, double lease_end);
+  void notify_moves(HollowInvoker& invoker);
+  void notify_session_changes(HollowInvoker& invoker);
+  void track_calls(HollowInvoker& invoker, Index before);
+  void add_abandoned_calls(HollowInvoker& invoker, double lease_end);
   void schedule_tick(HollowInvoker& invoker);
   void tick(std::size_t number);
   void handle_at_invoker(HollowInvoker& invoker, std::uint64_t connection, const Packet& packet);
--- a/tests/scale/hollow_fleet_invokers.cpp
+++ b/tests/scale/hollow_fleet_invokers.cpp
@@ -1,76 +1,77 @@
-// The invokers of a hollow fleet: a session and a replica each, and the calls that they have under way.
+// The invokers of a hollow fleet: each has a session, a replica and calls in flight.
 #include "control/message_codec.h"
 #include "scale/hollow_fleet.h"
 
 namespace lotusyard::test {
 namespace {
 
-constexpr std::size_t kFirstNodes = 3;   // so many each invoker knows when it starts
-constexpr double kLeastTickWait = 0.01;  // a clock's rounding must not stop virtual time, milliseconds
-constexpr double kLongestTickWait = 3.6e6;
+constexpr std::size_t kConfiguredNodes = 3;  // number of nodes configured at each invoker's start
+constexpr double kMinTickWait = 0.01;        // milliseconds; rounding must not stop virtual time
+constexpr double kMaxTickWait = 3.6e6;
 
 }  // namespace
 
 template <typename Call>
 void HollowFleet::call_invoker(HollowInvoker& invoker, const Call& call) {
-  const Millis local = invoker.clock.local(now());
+  const Millis local = invoker.clock.local_time(now());
   invoker.cpu.start();
   call(*invoker.session, local);
   invoker.cpu.stop();
-  note_moves(invoker);
-  note_session(invoker);
+  notify_moves(invoker);
+  notify_session_changes(invoker);
   dispatch(invoker);
   schedule_tick(invoker);
 }
 
-void HollowFleet::note_moves(HollowInvoker& invoker) {
+void HollowFleet::notify_moves(HollowInvoker& invoker) {
   for (const auto& move : std::exchange(invoker.moves, {})) {
     const Index before = std::exchange(invoker.position, move.position);
-    count_calls(invoker, before);
+    track_calls(invoker, before);
     for (FleetObserver* observer : observers_)
-      observer->moved(invoker, before, move, now());
+      observer->on_move(invoker, before, move, now());
   }
 }
 
-void HollowFleet::note_session(HollowInvoker& invoker) {
+void HollowFleet::notify_session_changes(HollowInvoker& invoker) {
   const Millis before = std::exchange(invoker.lease_until, invoker.session->lease_until());
   if (invoker.lease_until < before)
-    leave_calls(invoker, invoker.clock.truth(before));
+    add_abandoned_calls(invoker, invoker.clock.true_time(before));
   if (invoker.lease_until > before) {
     for (FleetObserver* observer : observers_)
-      observer->leased(invoker, before, now());
+      observer->on_lease(invoker, before, now());
   }
   const bool was_open = std::exchange(invoker.was_open, invoker.session->open());
   if (!was_open && invoker.was_open) {
     for (FleetObserver* observer : observers_)
-      observer->opened(invoker, now());
+      observer->on_session_opened(invoker, now());
   }
 }
 
-// What began before a move ends within the last call after it; only then is the new index settled.
-void HollowFleet::count_calls(HollowInvoker& invoker, Index before) {
+// Calls started before a move end at most one attempt time after it; only then is the new index quiesced.
+void HollowFleet::track_calls(HollowInvoker& invoker, Index before) {
   while (!invoker.calls.empty() && invoker.calls.front().until <= now())
     invoker.calls.pop_front();
-  double settled_at = now();
+  double quiesced_at = now();
   if (invoker.lease_until.count() > 0) {
-    const double began = std::min(now(), invoker.lease_end());
-    const double longest = invoker.clock.true_span(options_.terms.max_attempt_time);
-    invoker.calls.push_back({before, began + uniform(0, longest)});
+    const double latest_start = std::min(now(), invoker.lease_end());
+    const double longest = invoker.clock.true_duration(options_.terms.max_attempt_time);
+    invoker.calls.push_back({before, latest_start + uniform(0, longest)});
   }
   for (const auto& calls : invoker.calls)
-    settled_at = std::max(settled_at, calls.until);
-  const auto settle = [target = &invoker, incarnation = invoker.incarnation, position = invoker.position] {
+    quiesced_at = std::max(quiesced_at, calls.until);
+  const auto report_quiesced = [target = &invoker, incarnation = invoker.incarnation,
+                                position = invoker.position] {
     if (target->up() && target->incarnation == incarnation)
       target->session->set_quiesced_index(position);
   };
-  if (settled_at <= now())
-    return settle();
-  at(settled_at, settle);
+  if (quiesced_at <= now())
+    return report_quiesced();
+  at(quiesced_at, report_quiesced);
 }
 
 void HollowFleet::schedule_tick(HollowInvoker& invoker) {
-  const double wait = invoker.clock.truth(invoker.session->due()) - now();
-  const double when = now() + std::clamp(wait, kLeastTickWait, kLongestTickWait);
+  const double wait = invoker.clock.true_time(invoker.session->due()) - now();
+  const double when = now() + std::clamp(wait, kMinTickWait, kMaxTickWait);
   if (when >= invoker.tick_at)
     return;
   invoker.tick_at = when;
@@ -85,7 +86,7 @@
 
 void HollowFleet::tick(std::size_t number) {
   HollowInvoker& invoker = *invokers_[number];
-  if (invoker.session->due() > invoker.clock.local(now()))
+  if (invoker.session->due() > invoker.clock.local_time(now()))
     return schedule_tick(invoker);
   call_invoker(invoker, [](control::Session& session, Millis local) { session.tick(local); });
 }
@@ -136,22 +137,22 @@
   config.incarnation = random_();
   config.terms = options_.terms;
   config.pacing = options_.pacing;
-  for (std::size_t i = 0; i < kFirstNodes; ++i)
-    config.nodes.push_back(nodes_[below(nodes_.size())]->address);
+  for (std::size_t i = 0; i < kConfiguredNodes; ++i)
+    config.nodes.push_back(nodes_[random_below(nodes_.size())]->address);
   invoker.replica = std::make_unique<control::Replica>();
   invoker.replica->set_update_listener([target = &invoker](const control::Change* change) {
     target->moves.push_back({target->replica->position(), change == nullptr});
   });
   invoker.session = std::make_unique<control::Session>(config, invoker, *invoker.replica, invoker.counters,
-                                                       random_(), invoker.clock.local(now()));
+                                                       random_(), invoker.clock.local_time(now()));
   call_invoker(invoker, [](control::Session& session, Millis local) { session.tick(local); });
 }
 
-// Calls that began under a lease which is given up stay at their hosts for a while.
-void HollowFleet::leave_calls(HollowInvoker& invoker, double lease_end) {
+// Calls started under a lease that was given up stay in flight at their hosts until they end.
+void HollowFleet::add_abandoned_calls(HollowInvoker& invoker, double lease_end) {
   if (lease_end <= 0)
     return;
-  const double longest = invoker.clock.true_span(options_.terms.max_attempt_time);
+  const double longest = invoker.clock.true_duration(options_.terms.max_attempt_time);
   invoker.calls.push_back({invoker.position, std::min(now(), lease_end) + longest});
 }
 
@@ -159,7 +160,7 @@
   HollowInvoker& invoker = *invokers_[number];
   if (!invoker.up())
     return;
-  leave_calls(invoker, invoker.lease_end());
+  add_abandoned_calls(invoker, invoker.lease_end());
   HollowConnection* connection = network_.find(invoker.connection);
   if (connection != nullptr)
     network_.end(*connection, Direction::to_node);
@@ -168,7 +169,7 @@
   invoker.replica.reset();
   invoker.outbox.clear();
   invoker.moves.clear();
-  invoker.while_stopped.clear();
+  invoker.deferred_while_stopped.clear();
 }
 
 void HollowFleet::close_invoker(std::size_t number) {
@@ -188,11 +189,11 @@
     if (target->incarnation != incarnation || !target->up())
       return;
     target->stopped = false;
-    const bool ticks_first = below(2) == 0;
+    const bool ticks_first = random_below(2) == 0;
     if (ticks_first)
       tick(number);
-    for (auto& late : std::exchange(target->while_stopped, {}))
-      late();
+    for (auto& deferred : std::exchange(target->deferred_while_stopped, {}))
+      deferred();
     if (target->up())
       tick(number);
   });
@@ -209,9 +210,10 @@
     return;
   if (!invoker.stopped)
     return handle_at_invoker(invoker, connection.id, packet);
-  invoker.while_stopped.push_back([this, target = &invoker, id = connection.id, late = std::move(packet)] {
-    handle_at_invoker(*target, id, late);
-  });
+  invoker.deferred_while_stopped.push_back(
+      [this, target = &invoker, id = connection.id, deferred = std::move(packet)] {
+        handle_at_invoker(*target, id, deferred);
+      });
 }
 
 void HollowFleet::handle_at_invoker(HollowInvoker& invoker, std::uint64_t connection, const Packet& packet) {
--- a/tests/scale/hollow_fleet_nodes.cpp
+++ b/tests/scale/hollow_fleet_nodes.cpp
@@ -1,4 +1,4 @@
-// The nodes of a hollow fleet: they follow the log, report to the leader and serve their connections.
+// The nodes of a hollow fleet: they apply the log, report to the leader and serve their connections.
 #include "control/message_codec.h"
 #include "scale/hollow_fleet.h"
 
@@ -6,14 +6,15 @@
 namespace {
 
 constexpr double kTickInterval = 1000;
-constexpr Index kSnapshotAge = 40;  // a restarted node's own snapshot is so many entries older, at most
+// At most so many entries lie between a restarted node's snapshot and what it had applied before.
+constexpr Index kMaxSnapshotAge = 40;
 constexpr double kDrainDuration = 5000;
 
 }  // namespace
 
 template <typename Call>
 void HollowFleet::call_node(HollowNode& node, const Call& call) {
-  const Millis local = node.clock.local(now());
+  const Millis local = node.clock.local_time(now());
   node.cpu.start();
   call(*node.control, local);
   node.cpu.stop();
@@ -49,20 +50,22 @@
   config.changes = options_.changes;
   node.unreachable = node.stopped = false;
   node.lease_end = 0;
-  node.control = std::make_unique<control::ControlNode>(config, node, node.counters, node.clock.local(now()));
-  const Index age = node.incarnation == 1 ? 0 : 1 + below(kSnapshotAge);
-  node.followed = std::max<Index>(AgreedLog::first_index, node.followed > age ? node.followed - age : 0);
+  node.control =
+      std::make_unique<control::ControlNode>(config, node, node.counters, node.clock.local_time(now()));
+  const Index age = node.incarnation == 1 ? 0 : 1 + random_below(kMaxSnapshotAge);
+  node.applied_index =
+      std::max<Index>(AgreedLog::first_index, node.applied_index > age ? node.applied_index - age : 0);
   std::vector<control::NodeAddress> all;
   for (const auto& other : nodes_)
     all.push_back(other->address);
-  const auto state = log_.state(node.followed);
+  const auto state = log_.state(node.applied_index);
   call_node(node, [&](control::ControlNode& control, Millis) {
     control.set_nodes(all);
-    control.reset(node.followed, *state);
+    control.reset(node.applied_index, *state);
   });
-  if (network_.passes(log_site_, node.endpoint)) {
+  if (network_.is_reachable(log_site_, node.endpoint)) {
     const double delay = network_.latency(log_site_, node.endpoint);
-    at(now() + delay, [this, target = &node, index = log_.last()] { follow(*target, index); });
+    at(now() + delay, [this, target = &node, index = log_.last()] { apply_until(*target, index); });
   }
   send_heartbeats_periodically(number, node.incarnation);
   tick_periodically(number, node.incarnation);
@@ -74,7 +77,7 @@
     return;
   node.control.reset();
   node.outbox.clear();
-  node.while_stopped.clear();
+  node.deferred_while_stopped.clear();
   node.readers.clear();
   node.unreachable = !resets;
   for (const std::uint64_t id : network_.connections_of(node.endpoint)) {
@@ -82,7 +85,7 @@
     if (resets) {
       network_.end(connection, Direction::to_invoker);
     } else {
-      connection.way(Direction::to_node).ended = true;
+      connection.channel(Direction::to_node).ended = true;
     }
   }
 }
@@ -107,13 +110,13 @@
     if (target->incarnation != incarnation || !target->up())
       return;
     target->stopped = false;
-    const bool reports_first = below(2) == 0;
+    const bool reports_first = random_below(2) == 0;
     if (reports_first)
       send_heartbeat(*target);
-    for (auto& late : std::exchange(target->while_stopped, {}))
-      late();
-    if (network_.passes(log_site_, target->endpoint))
-      follow(*target, log_.last());
+    for (auto& deferred : std::exchange(target->deferred_while_stopped, {}))
+      deferred();
+    if (network_.is_reachable(log_site_, target->endpoint))
+      apply_until(*target, log_.last());
   });
 }
 
@@ -121,10 +124,10 @@
   NodeReport report;
   report.node = node.endpoint.number;
   report.incarnation = node.incarnation;
-  report.stamp = node.clock.local(now());
+  report.stamp = node.clock.local_time(now());
   call_node(node,
             [&](control::ControlNode& control, Millis local) { report.floors = control.floors(local); });
-  if (!network_.passes(node.endpoint, log_site_))
+  if (!network_.is_reachable(node.endpoint, log_site_))
     return;
   const double delay = network_.latency(node.endpoint, log_site_) + node.endpoint.extra_delay;
   at(now() + delay, [this, report] { leader_.on_report(report); });
@@ -149,12 +152,12 @@
   at(now() + kTickInterval, [this, number, incarnation] { tick_periodically(number, incarnation); });
 }
 
-void HollowFleet::follow(HollowNode& node, Index until) {
+void HollowFleet::apply_until(HollowNode& node, Index until) {
   if (!node.up() || node.stopped)
     return;
-  while (node.followed < until) {
-    ++node.followed;
-    apply_entry(node, log_.entry(node.followed));
+  while (node.applied_index < until) {
+    ++node.applied_index;
+    apply_entry(node, log_.entry(node.applied_index));
   }
 }
 
@@ -164,9 +167,9 @@
     if (report.node != node.endpoint.number || report.incarnation != node.incarnation)
       continue;
     const Millis until = report.stamp + options_.terms.lease;
-    if (node.clock.truth(until) <= node.lease_end)
+    if (node.clock.true_time(until) <= node.lease_end)
       continue;
-    node.lease_end = node.clock.truth(until);
+    node.lease_end = node.clock.true_time(until);
     call_node(node, [&](control::ControlNode& control, Millis) { control.set_lease(until); });
   }
 }
@@ -180,7 +183,7 @@
   }
   if (packet.kind == Packet::Kind::connect) {
     connection.node_incarnation = node.incarnation;
-    Packet accepted;  // by the kernel, also while the process is stopped
+    Packet accepted;  // sent by the kernel, also while the process is stopped
     accepted.kind = Packet::Kind::accepted;
     network_.send(connection, Direction::to_invoker, std::move(accepted));
   }
@@ -188,9 +191,10 @@
     return network_.end(connection, Direction::to_invoker);
   if (!node.stopped)
     return handle_at_node(node, connection.id, packet);
-  node.while_stopped.push_back([this, target = &node, id = connection.id, late = std::move(packet)] {
-    handle_at_node(*target, id, late);
-  });
+  node.deferred_while_stopped.push_back(
+      [this, target = &node, id = connection.id, deferred = std::move(packet)] {
+        handle_at_node(*target, id, deferred);
+      });
 }
 
 void HollowFleet::handle_at_node(HollowNode& node, std::uint64_t connection, const Packet& packet) {
@@ -200,7 +204,7 @@
   }
   const auto reader = node.readers.find(connection);
   if (reader == node.readers.end())
-    return;  // the node has ended it
+    return;  // the node has closed it
   if (packet.kind == Packet::Kind::end) {
     node.readers.erase(reader);
     return call_node(node,
@@ -221,15 +225,15 @@
   HollowNode& node = *nodes_[number];
   if (!node.up() || node.readers.count(connection) == 0)
     return;
-  const auto tell = [this, target = &node, connection] {
+  const auto notify = [this, target = &node, connection] {
     if (target->readers.count(connection) == 0)
       return;
     call_node(*target, [&](control::ControlNode& control, Millis) { control.on_writable(connection); });
   };
   if (node.stopped) {
-    node.while_stopped.push_back(tell);
+    node.deferred_while_stopped.push_back(notify);
   } else {
-    tell();
+    notify();
   }
 }
 
--- a/tests/scale/hollow_network.cpp
+++ b/tests/scale/hollow_network.cpp
@@ -4,7 +4,7 @@
 namespace {
 
 constexpr double kLongestRepeatDelay = 3000;
-constexpr std::size_t kKindAt = 4;  // in a frame, behind its length
+constexpr std::size_t kKindAt = 4;  // offset in a frame, after its length
 constexpr char kDeltaKind = 7;
 
 bool is_delta(const Packet& packet) {
@@ -37,7 +37,7 @@
   return found == connections_.end() ? nullptr : &found->second;
 }
 
-bool HollowNetwork::passes(const Endpoint& from, const Endpoint& to) const {
+bool HollowNetwork::is_reachable(const Endpoint& from, const Endpoint& to) const {
   for (const auto& [name, cut] : cuts_) {
     if (cut.outward && cut.between(from, to))
       return false;
@@ -47,7 +47,7 @@
   return true;
 }
 
-void HollowNetwork::disturb(HollowConnection& connection, Packet& packet) {
+void HollowNetwork::inject_delta_faults(HollowConnection& connection, Packet& packet) {
   if (delta_loss <= 0 && delta_repeat <= 0)
     return;
   if (!is_delta(packet))
@@ -56,10 +56,10 @@
     queue_.at(queue_.now() + uniform(0, kLongestRepeatDelay),
               [this, id = connection.id, copy = packet]() mutable {
                 HollowConnection* same = find(id);
-                if (same == nullptr || !passes(*same->node, *same->invoker))
+                if (same == nullptr || !is_reachable(*same->node, *same->invoker))
                   return;
                 same->unread += copy.frame.size();
-                launch(*same, Direction::to_invoker, std::move(copy));
+                schedule_arrival(*same, Direction::to_invoker, std::move(copy));
               });
   }
   if (uniform(0, 1) < delta_loss)
@@ -68,47 +68,47 @@
 
 void HollowNetwork::send(HollowConnection& connection, Direction direction, Packet packet) {
   if (direction == Direction::to_invoker)
-    disturb(connection, packet);
-  if (!connection.way(direction).held.empty() ||
-      !passes(connection.from(direction), connection.to(direction))) {
-    connection.way(direction).held.push_back(std::move(packet));
+    inject_delta_faults(connection, packet);
+  if (!connection.channel(direction).stopped_packets.empty() ||
+      !is_reachable(connection.from(direction), connection.to(direction))) {
+    connection.channel(direction).stopped_packets.push_back(std::move(packet));
     return;
   }
-  launch(connection, direction, std::move(packet));
+  schedule_arrival(connection, direction, std::move(packet));
 }
 
-void HollowNetwork::launch(HollowConnection& connection, Direction direction, Packet packet) {
-  HollowConnection::Way& way = connection.way(direction);
+void HollowNetwork::schedule_arrival(HollowConnection& connection, Direction direction, Packet packet) {
+  HollowConnection::Channel& channel = connection.channel(direction);
   const double size = static_cast<double>(packet.frame.size());
-  way.free_at = std::max(way.free_at, queue_.now()) + size / capacity_.bytes_per_millisecond;
+  channel.free_at = std::max(channel.free_at, queue_.now()) + size / capacity_.bytes_per_millisecond;
   const double delay =
       connection.latency * uniform(0.9, 1.3) + connection.invoker->extra_delay + connection.node->extra_delay;
-  way.arrival = std::max(way.arrival, way.free_at + delay);
-  queue_.at(way.arrival, [this, id = connection.id, direction, packet = std::move(packet)]() mutable {
-    arrive(id, direction, std::move(packet));
+  channel.arrival = std::max(channel.arrival, channel.free_at + delay);
+  queue_.at(channel.arrival, [this, id = connection.id, direction, packet = std::move(packet)]() mutable {
+    deliver(id, direction, std::move(packet));
   });
 }
 
-void HollowNetwork::arrive(std::uint64_t id, Direction direction, Packet&& packet) {
+void HollowNetwork::deliver(std::uint64_t id, Direction direction, Packet&& packet) {
   HollowConnection* connection = find(id);
   if (connection == nullptr)
     return;
   if (direction == Direction::to_invoker)
     connection->unread -= packet.frame.size();
   const bool last = packet.kind == Packet::Kind::end;
-  if (!connection->way(direction).ended)
-    arrived_(*connection, direction, std::move(packet));
+  if (!connection->channel(direction).ended)
+    on_arrival_(*connection, direction, std::move(packet));
   connection = find(id);
   if (connection == nullptr || !last)
     return;
-  connection->way(direction).ended = true;
-  // Whoever sent the end takes nothing more, so that the connection is over when its end has arrived.
+  connection->channel(direction).ended = true;
+  // The side that sent the end receives nothing more, so the connection can be removed.
   connections_.erase(id);
 }
 
 void HollowNetwork::end(HollowConnection& connection, Direction direction) {
   const Direction back = direction == Direction::to_node ? Direction::to_invoker : Direction::to_node;
-  connection.way(back).ended = true;
+  connection.channel(back).ended = true;
   Packet last;
   last.kind = Packet::Kind::end;
   send(connection, direction, std::move(last));
@@ -133,10 +133,10 @@
   for (const std::uint64_t id : ids) {
     HollowConnection& connection = connections_.at(id);
     for (const Direction direction : {Direction::to_node, Direction::to_invoker}) {
-      if (!passes(connection.from(direction), connection.to(direction)))
+      if (!is_reachable(connection.from(direction), connection.to(direction)))
         continue;
-      for (Packet& packet : std::exchange(connection.way(direction).held, {}))
-        launch(connection, direction, std::move(packet));
+      for (Packet& packet : std::exchange(connection.channel(direction).stopped_packets, {}))
+        schedule_arrival(connection, direction, std::move(packet));
     }
   }
 }
--- a/tests/scale/hollow_network.h
+++ b/tests/scale/hollow_network.h
@@ -1,5 +1,6 @@
-// The connections between hollow invokers and nodes: bytes in order each way, with latency, bandwidth and
-// cuts. What a cut stops is delivered when it is healed, as a transport that retransmits would.
+// Simulated connections between hollow invokers and nodes: frames in order in each direction, with latency,
+// bandwidth and network partitions. Frames stopped by a cut are delivered after it is healed, as by a
+// transport that retransmits.
 #pragma once
 
 #include <deque>
@@ -21,13 +22,13 @@
   ProcessKind kind = ProcessKind::log;
   std::size_t number = 0;
   int region = -1, zone = -1;
-  double extra_delay = 0;  // on all that it sends and receives, milliseconds
+  double extra_delay = 0;  // added to everything it sends and receives, milliseconds
 };
 
-// Nothing passes between what is inside and what is outside, in the directions given.
+// A network partition: blocks traffic between `inside` and `outside` in the given directions.
 struct Cut {
   std::function<bool(const Endpoint&)> inside;
-  std::function<bool(const Endpoint&)> outside;  // none: all that is not inside
+  std::function<bool(const Endpoint&)> outside;  // none: every endpoint that is not inside
   bool outward = true, inward = true;
 
   bool between(const Endpoint& in, const Endpoint& out) const {
@@ -36,29 +37,29 @@
 };
 
 struct Packet {
-  enum class Kind { connect, accepted, frame, lost, end };  // lost: a frame that nobody gets
+  enum class Kind { connect, accepted, frame, lost, end };  // lost: a frame that is dropped
   Kind kind = Kind::frame;
   std::string frame;
-  double node_lease_end = 0;  // true time; of the node that sent it, as it was then
+  double node_lease_end = 0;  // true time; the sending node's lease when it was sent
 };
 
 enum class Direction { to_node, to_invoker };
 
 struct HollowConnection {
-  struct Way {
-    double arrival = 0;  // of the last packet
-    double free_at = 0;  // the line has taken all earlier bytes
-    std::deque<Packet> held;
-    bool ended = false;  // the receiving side is not interested any more
+  struct Channel {
+    double arrival = 0;  // of the latest packet
+    double free_at = 0;  // when all earlier bytes have been transmitted
+    std::deque<Packet> stopped_packets;
+    bool ended = false;  // the receiving side discards further packets
   };
   std::uint64_t id = 0;
   const Endpoint *invoker = nullptr, *node = nullptr;
   std::uint64_t invoker_incarnation = 0, node_incarnation = 0;
   double latency = 0;
-  Way ways[2];
-  std::size_t unread = 0;  // bytes for the invoker that were queued and have not arrived
+  Channel channels[2];
+  std::size_t unread = 0;  // bytes queued for the invoker that have not arrived
 
-  Way& way(Direction direction) { return ways[static_cast<int>(direction)]; }
+  Channel& channel(Direction direction) { return channels[static_cast<int>(direction)]; }
   const Endpoint& from(Direction direction) const {
     return direction == Direction::to_node ? *invoker : *node;
   }
@@ -67,9 +68,9 @@
 
 class HollowNetwork {
  public:
-  using Arrived = std::function<void(HollowConnection&, Direction, Packet&&)>;
+  using ArrivalHandler = std::function<void(HollowConnection&, Direction, Packet&&)>;
 
-  // Of every connection.
+  // Limits of each connection.
   struct Capacity {
     double bytes_per_millisecond = 10e3;
     std::size_t send_buffer = 256U << 10;  // at a node
@@ -78,31 +79,31 @@
   HollowNetwork(EventQueue& queue, Capacity capacity, std::uint64_t seed)
       : queue_(queue), capacity_(capacity), random_(seed) {}
   const Capacity& capacity() const { return capacity_; }
-  void when_arrived(Arrived arrived) { arrived_ = std::move(arrived); }
+  void set_arrival_handler(ArrivalHandler handler) { on_arrival_ = std::move(handler); }
 
   HollowConnection& open(const Endpoint& invoker, std::uint64_t invoker_incarnation, const Endpoint& node);
   HollowConnection* find(std::uint64_t id);
-  // Bytes for the invoker are counted as unread by whoever queues them, before they are sent.
+  // The caller adds bytes for the invoker to `unread` when it queues them, before they are sent.
   void send(HollowConnection& connection, Direction direction, Packet packet);
   void end(HollowConnection& connection,
-           Direction direction);  // the sending side is done; nothing reaches it any more
+           Direction direction);  // closes the sending side, which receives nothing further
   std::vector<std::uint64_t> connections_of(const Endpoint& endpoint) const;
   std::size_t connections() const { return connections_.size(); }
 
   void cut(int name, Cut cut) { cuts_[name] = std::move(cut); }
-  void forget_cut(int name) { cuts_.erase(name); }  // without delivering what it held
-  void heal(int name);                              // and delivers what nothing holds any more
-  bool passes(const Endpoint& from, const Endpoint& to) const;
-  double latency(const Endpoint& from, const Endpoint& to);  // drawn anew
+  void remove_cut(int name) { cuts_.erase(name); }  // does not deliver the packets that it stopped
+  void heal(int name);                              // also delivers the packets that no other cut stops
+  bool is_reachable(const Endpoint& from, const Endpoint& to) const;
+  double latency(const Endpoint& from, const Endpoint& to);  // a new random value for each call
 
-  // A transport that loses or repeats deltas: no real one does, but replicas must bear it.
+  // Probabilities of losing and repeating a delta: TCP does neither, but replicas must tolerate both.
   double delta_loss = 0, delta_repeat = 0;
 
  private:
   EventQueue& queue_;
   Capacity capacity_;
   std::mt19937_64 random_;
-  Arrived arrived_;
+  ArrivalHandler on_arrival_;
   std::map<int, Cut> cuts_;
   std::unordered_map<std::uint64_t, HollowConnection> connections_;
   std::uint64_t last_id_ = 0;
@@ -110,9 +111,9 @@
   double uniform(double least, double most) {
     return std::uniform_real_distribution<double>(least, most)(random_);
   }
-  void disturb(HollowConnection& connection, Packet& packet);
-  void launch(HollowConnection& connection, Direction direction, Packet packet);
-  void arrive(std::uint64_t id, Direction direction, Packet&& packet);
+  void inject_delta_faults(HollowConnection& connection, Packet& packet);
+  void schedule_arrival(HollowConnection& connection, Direction direction, Packet packet);
+  void deliver(std::uint64_t id, Direction direction, Packet&& packet);
 };
 
 }  // namespace lotusyard::test
--- a/tests/scale/hollow_processes.cpp
+++ b/tests/scale/hollow_processes.cpp
@@ -19,8 +19,8 @@
   static const double cost = [] {
     double sum = 0;
     for (int i = 0; i < kSpansToCalibrate; ++i) {
-      const double began = read();
-      sum += read() - began;
+      const double started = read();
+      sum += read() - started;
     }
     return sum / kSpansToCalibrate;
   }();
@@ -28,7 +28,7 @@
 }
 
 void HollowNode::send(ConnectionId connection, const std::string& frame) {
-  if (!CpuMeter::enabled && !sent_deltas[connection].follows_on(frame))
+  if (!CpuMeter::enabled && !sent_deltas[connection].is_continuous(frame))
     ++skipped_deltas;
   Packet packet;
   packet.frame = frame;
--- a/tests/scale/hollow_processes.h
+++ b/tests/scale/hollow_processes.h
@@ -1,5 +1,5 @@
-// Hollow nodes and invokers: the real decision modules of one process each, with a queue of what they send in
-// place of sockets.
+// Hollow nodes and invokers: the real control-tier modules of one process each, with an outbox in place of
+// sockets.
 #pragma once
 
 #include <time.h>
@@ -24,25 +24,25 @@
   std::uint64_t bytes_sent = 0, messages_sent = 0, bytes_received = 0, messages_received = 0;
 };
 
-// Processor time of the calls into one side.
+// Sums the processor time of calls into one process's modules.
 class CpuMeter {
  public:
   static bool enabled;
   void start() {
     if (enabled)
-      began_ = read();
+      started_ = read();
   }
   void stop() {
     if (!enabled)
       return;
-    seconds_ += read() - began_;
+    seconds_ += read() - started_;
     ++spans_;
   }
-  // Without what it costs to read the clock.
+  // Excludes the cost of reading the clock.
   double seconds() const { return std::max(0.0, seconds_ - static_cast<double>(spans_) * cost_of_span()); }
 
  private:
-  double began_ = 0, seconds_ = 0;
+  double started_ = 0, seconds_ = 0;
   std::uint64_t spans_ = 0;
   static double read();
   static double cost_of_span();
@@ -61,18 +61,18 @@
   Endpoint endpoint;
   DriftingClock clock;
   control::NodeAddress address;
-  std::unique_ptr<control::ControlNode> control;  // none: it is down
+  std::unique_ptr<control::ControlNode> control;  // null while the node is down
   metrics::Counters counters;
   std::uint64_t incarnation = 0;
   bool stopped = false;      // as by SIGSTOP
-  bool unreachable = false;  // with its machine: connections are not even refused
-  Index followed = 0;        // of the agreed log
-  double lease_end = 0;      // its own, true time
+  bool unreachable = false;  // its machine is down too, so that connects are not refused either
+  Index applied_index = 0;   // last applied index of the agreed log
+  double lease_end = 0;      // of the node's own lease, true time
   std::unordered_map<ConnectionId, control::MessageReader> readers;
-  std::unordered_map<ConnectionId, SentDeltas> sent_deltas;  // not kept while processor time is measured
+  std::unordered_map<ConnectionId, SentDeltas> sent_deltas;  // not updated while processor time is measured
   std::uint64_t skipped_deltas = 0;
   std::vector<Outgoing> outbox;
-  std::deque<std::function<void()>> while_stopped;
+  std::deque<std::function<void()>> deferred_while_stopped;
   Traffic traffic;
   CpuMeter cpu;
 
@@ -88,11 +88,12 @@
     Kind kind = Kind::frame;
     std::string text;  // the frame, or the node's address
   };
+  // A change of the replica's position.
   struct Move {
     Index position = 0;
     bool by_snapshot = false;
   };
-  // Calls that began while the replica was at `position`; the last of them ends at `until`, true time.
+  // Calls started while the replica was at `position`; the last of them ends at `until`, true time.
   struct Calls {
     Index position = 0;
     double until = 0;
@@ -102,29 +103,29 @@
   Endpoint endpoint;
   DriftingClock clock;
   std::unique_ptr<control::Replica> replica;
-  std::unique_ptr<control::Session> session;  // none: it is down
+  std::unique_ptr<control::Session> session;  // null while the invoker is down
   metrics::Counters counters;
   std::uint64_t incarnation = 0;
   bool stopped = false;
   std::uint64_t connection = 0;  // 0: none
   control::MessageReader reader{control::kMaxFrameBytesToInvoker};
   double tick_at = kNever;
-  std::vector<Move> moves;  // since the last look
+  std::vector<Move> moves;  // since the last notification
   std::vector<Outgoing> outbox;
-  std::deque<std::function<void()>> while_stopped;
+  std::deque<std::function<void()>> deferred_while_stopped;
   std::deque<Calls> calls;
   Traffic traffic;
   CpuMeter cpu;
 
-  // As it was after the last call.
+  // State after the last call into the session.
   bool was_open = false;
   Millis lease_until{0};
   Index position = 0;
-  double node_lease_end = 0;  // true time; of the node whose packet is being taken
+  double node_lease_end = 0;  // true time; of the node whose packet is being handled
 
   bool up() const { return session != nullptr; }
-  double lease_end() const { return lease_until.count() > 0 ? clock.truth(lease_until) : 0; }
-  bool holds_lease(double now) const { return up() && session->holds_lease(clock.local(now)); }
+  double lease_end() const { return lease_until.count() > 0 ? clock.true_time(lease_until) : 0; }
+  bool holds_lease(double now) const { return up() && session->holds_lease(clock.local_time(now)); }
   void connect(const control::NodeAddress& node) override {
     outbox.push_back({Outgoing::Kind::connect, node.address});
   }
--- a/tests/scale/leader_stand_in.h
+++ b/tests/scale/leader_stand_in.h
@@ -1,5 +1,6 @@
-// What the group's leader concludes from the nodes' reports: up to which index every invoker that can hold a
-// lease has applied the log, and up to which nothing forbidden is under way any more.
+// Stand-in for the group's leader. From the nodes' reports it computes the index up to which every invoker
+// that can hold a lease has applied the log, and the index up to which no attempt from before it is in
+// flight.
 #pragma once
 
 #include <map>
@@ -18,14 +19,14 @@
  public:
   explicit LeaderStandIn(const raft::LeaseTerms& terms) : terms_(terms) {}
 
-  // A report has arrived; it counts from when it is in the log.
-  void on_report(const NodeReport& report) { waiting_.push_back(report); }
-  std::vector<NodeReport> take_waiting() { return std::exchange(waiting_, {}); }
-  void agreed(const std::vector<NodeReport>& reports, Millis now);
+  // Receives a report; it takes effect once it is in the log.
+  void on_report(const NodeReport& report) { pending_.push_back(report); }
+  std::vector<NodeReport> take_pending() { return std::exchange(pending_, {}); }
+  void on_committed(const std::vector<NodeReport>& reports, Millis now);
 
-  // A conclusion is never taken back: the leader acts upon it. A node that was silent for long enough does
-  // not count; a later life of a node takes the place of the earlier one.
-  Proof conclude(Index last, Millis now);
+  // Indexes never decrease, because the leader acts on them. A node that has been silent until it is presumed
+  // dead is ignored; a later incarnation of a node replaces the earlier one.
+  Proof prove(Index last, Millis now);
 
  private:
   struct Node {
@@ -33,7 +34,7 @@
     Millis agreed_at{0};
   };
   raft::LeaseTerms terms_;
-  std::vector<NodeReport> waiting_;
+  std::vector<NodeReport> pending_;
   std::map<std::size_t, Node> nodes_;
   Proof proof_;
 };
--- a/tests/scale/random_faults.h
+++ b/tests/scale/random_faults.h
@@ -1,4 +1,4 @@
-// Faults of all kinds at random moments, for a hollow fleet that is checked meanwhile.
+// Injects faults of all kinds at random times into a hollow fleet.
 #pragma once
 
 #include "scale/hollow_fleet.h"
@@ -8,14 +8,14 @@
 class RandomFaults {
  public:
   explicit RandomFaults(HollowFleet& fleet) : fleet_(fleet) {}
-  // Between now and `until` one fault begins every `pause` milliseconds, about.
-  void begin(double until, double pause);
+  // Starts a fault about every `pause` milliseconds until `until`.
+  void start(double until, double pause);
 
  private:
   HollowFleet& fleet_;
   int last_cut_ = 0;
 
-  void strike();
+  void inject_fault();
   void kill_node(bool resets);
   void restart_all_nodes();
   void drain_node();
@@ -30,10 +30,10 @@
   void delay_some();
   void burst();
   void cut_for(Cut cut, double span);
-  void both_or_one_way(Cut& cut);
-  std::size_t some_node() { return fleet_.below(fleet_.nodes().size()); }
+  void choose_directions(Cut& cut);
+  std::size_t random_node() { return fleet_.random_below(fleet_.nodes().size()); }
   template <typename Fault>
-  void some_invokers(double share, const Fault& fault);
+  void for_some_invokers(double share, const Fault& fault);
 };
 
 }  // namespace lotusyard::test
--- a/tests/scale/sent_deltas.h
+++ b/tests/scale/sent_deltas.h
@@ -1,5 +1,5 @@
-// Looks at what a node sends over one connection: every delta must follow on from what was sent before it, so
-// that nothing is left out, whether or not the receiver finds that out and recovers.
+// Checks the frames that a node sends over one connection: every delta must continue from the position sent
+// before it, whether or not the receiver would detect the gap and recover.
 #pragma once
 
 #include <algorithm>
@@ -12,25 +12,25 @@
 
 class SentDeltas {
  public:
-  // False: the frame holds a delta that does not follow on.
-  bool follows_on(const std::string& frame) {
+  // Returns false if the frame is malformed or holds a delta that leaves a gap.
+  bool is_continuous(const std::string& frame) {
     std::vector<control::Message> messages;
     control::MessageReader reader(control::kMaxFrameBytesToInvoker);
     if (!reader.parse(frame, messages) || messages.size() != 1)
       return false;
     if (const auto* chunk = std::get_if<control::SnapshotChunk>(&messages[0]))
-      reached_ = chunk->index;
+      position_ = chunk->index;
     const auto* delta = std::get_if<control::Delta>(&messages[0]);
     if (delta == nullptr)
       return true;
-    // The first one follows the position that the invoker opened with.
-    const bool follows = !reached_ || delta->after <= *reached_;
-    reached_ = delta->index;
-    return follows;
+    // The first delta continues from the position in the invoker's Open.
+    const bool continuous = !position_ || delta->after <= *position_;
+    position_ = delta->index;
+    return continuous;
   }
 
  private:
-  std::optional<control::Index> reached_;
+  std::optional<control::Index> position_;
 };
 
 }  // namespace lotusyard::test
--- a/tests/scale/tier_checker.cpp
+++ b/tests/scale/tier_checker.cpp
@@ -3,7 +3,7 @@
 namespace lotusyard::test {
 namespace {
 
-constexpr std::size_t kMostViolations = 50;
+constexpr std::size_t kMaxViolations = 50;
 constexpr std::size_t kViolationsShown = 3;
 constexpr double kRounding = 0.01;  // milliseconds; durations travel in microseconds
 
@@ -28,7 +28,7 @@
 }
 
 void TierChecker::violate(Rule rule, double now, const HollowInvoker& invoker, const std::string& what) {
-  if (violations_.size() >= kMostViolations)
+  if (violations_.size() >= kMaxViolations)
     return;
   violations_.push_back({rule, now,
                          "invoker " + std::to_string(invoker.endpoint.number) + " life " +
@@ -49,8 +49,8 @@
   return out;
 }
 
-void TierChecker::moved(const HollowInvoker& invoker, Index from, const HollowInvoker::Move& move,
-                        double now) {
+void TierChecker::on_move(const HollowInvoker& invoker, Index from, const HollowInvoker::Move& move,
+                          double now) {
   ++moves_;
   const std::string step = std::to_string(from) + " -> " + std::to_string(move.position);
   if (move.position <= from)
@@ -66,7 +66,7 @@
     violate(Rule::records_differ, now, invoker, "other records after " + step);
 }
 
-void TierChecker::leased(const HollowInvoker& invoker, Millis, double now) {
+void TierChecker::on_lease(const HollowInvoker& invoker, Millis, double now) {
   ++leases_;
   const double end = invoker.lease_end();
   if (end > invoker.node_lease_end + kRounding)
@@ -74,17 +74,17 @@
             "by " + std::to_string(end - invoker.node_lease_end) + " ms");
   if (!invoker.holds_lease(now))
     return;
-  const std::string where = "lease taken at " + std::to_string(invoker.position) + ", proved ";
+  const std::string detail = "lease taken at " + std::to_string(invoker.position) + ", proved ";
   if (invoker.position < fleet_.log().last_change(proof_.applied))
-    violate(Rule::lease_behind_proof, now, invoker, where + std::to_string(proof_.applied));
+    violate(Rule::lease_behind_proof, now, invoker, detail + std::to_string(proof_.applied));
   if (invoker.position < fleet_.log().last_change(proof_.quiesced_index))
-    violate(Rule::settled_behind_proof, now, invoker, where + std::to_string(proof_.quiesced_index));
+    violate(Rule::settled_behind_proof, now, invoker, detail + std::to_string(proof_.quiesced_index));
 }
 
-// Calls that began while the replica was below `needed`, or may begin there now.
-bool TierChecker::busy_below(const HollowInvoker& invoker, Index needed, double now) const {
+// Whether calls that started while the replica was below `needed` are in flight, or may still start.
+bool TierChecker::has_calls_below(const HollowInvoker& invoker, Index needed, double now) const {
   const bool behind = invoker.up() && invoker.position < needed && invoker.lease_until.count() > 0;
-  const double last_call = invoker.clock.true_span(fleet_.options().terms.max_attempt_time);
+  const double last_call = invoker.clock.true_duration(fleet_.options().terms.max_attempt_time);
   if (behind && invoker.lease_end() + last_call > now)
     return true;
   return std::any_of(invoker.calls.begin(), invoker.calls.end(), [&](const HollowInvoker::Calls& calls) {
@@ -92,20 +92,20 @@
   });
 }
 
-void TierChecker::proved(const Proof& proof, double now) {
+void TierChecker::on_proof(const Proof& proof, double now) {
   const Proof before = std::exchange(proof_, proof);
   const Index applied = fleet_.log().last_change(proof.applied);
   const Index quiesced_index = fleet_.log().last_change(proof.quiesced_index);
   const bool applied_rose = applied > fleet_.log().last_change(before.applied);
-  const bool settled_rose = quiesced_index > fleet_.log().last_change(before.quiesced_index);
-  if (!applied_rose && !settled_rose)
+  const bool quiesced_rose = quiesced_index > fleet_.log().last_change(before.quiesced_index);
+  if (!applied_rose && !quiesced_rose)
     return;
   for (const auto& invoker : fleet_.invokers()) {
-    const std::string where = "at " + std::to_string(invoker->position) + ", proved ";
+    const std::string detail = "at " + std::to_string(invoker->position) + ", proved ";
     if (applied_rose && invoker->position < applied && invoker->holds_lease(now))
-      violate(Rule::lease_behind_proof, now, *invoker, where + std::to_string(proof.applied));
-    if (settled_rose && busy_below(*invoker, quiesced_index, now))
-      violate(Rule::settled_behind_proof, now, *invoker, where + std::to_string(proof.quiesced_index));
+      violate(Rule::lease_behind_proof, now, *invoker, detail + std::to_string(proof.applied));
+    if (quiesced_rose && has_calls_below(*invoker, quiesced_index, now))
+      violate(Rule::settled_behind_proof, now, *invoker, detail + std::to_string(proof.quiesced_index));
   }
 }
 
@@ -119,11 +119,11 @@
   for (const auto& invoker : fleet_.invokers()) {
     if (!invoker->up())
       continue;
-    const std::string where = "at " + std::to_string(invoker->position);
+    const std::string detail = "at " + std::to_string(invoker->position);
     if (!invoker->holds_lease(now))
-      violate(Rule::left_behind, now, *invoker, where + " without a lease");
+      violate(Rule::left_behind, now, *invoker, detail + " without a lease");
     if (invoker->position < fleet_.log().last_change(agreed))
-      violate(Rule::left_behind, now, *invoker, where + " of " + std::to_string(agreed));
+      violate(Rule::left_behind, now, *invoker, detail + " of " + std::to_string(agreed));
   }
 }
 
--- a/tests/scale/tier_fault_injection.cpp
+++ b/tests/scale/tier_fault_injection.cpp
@@ -1,4 +1,4 @@
-// The control sources of this test are told here which of their rules to break.
+// Connects the fault points of the control sources to the tests' FaultInjection.
 #include "core/fault_injection.h"
 #include "support/fault_injection.h"
 
--- a/tests/scale/tier_measure.cpp
+++ b/tests/scale/tier_measure.cpp
@@ -1,5 +1,5 @@
-// What the control tier costs for each invoker and node, by size, rate of changes and records; by hand, in a
-// Release build without sanitizers: [scale-measure]. One line of JSON for each figure.
+// Costs of the control tier per invoker and node, by size, rate of changes and records. Run by name, in a
+// Release build without sanitizers: [scale-measure]. Prints one line of JSON for each figure.
 #include <catch2/catch.hpp>
 
 #include "scale/figures.h"
@@ -9,9 +9,9 @@
 namespace {
 
 constexpr double kSecond = 1000;
-constexpr double kHeaderBytes = 40;  // of TCP and IP, for each message as if it went alone
+constexpr double kHeaderBytes = 40;  // of TCP and IP, assuming one packet per message
 
-struct Setting {
+struct MeasureCase {
   std::string test;
   std::size_t invokers = 1000, nodes = 28;
   double changes_per_second = 0.43;
@@ -31,24 +31,24 @@
   return out;
 }
 
-FleetOptions options_of(const Setting& setting) {
+FleetOptions options_of(const MeasureCase& given) {
   FleetOptions out;
-  out.invokers = setting.invokers;
-  out.nodes = setting.nodes;
+  out.invokers = given.invokers;
+  out.nodes = given.nodes;
   out.zones = 11;
   out.regions = 5;
-  out.records = setting.records;
+  out.records = given.records;
   out.value_bytes = 100;
   out.change_bytes = 500;
   out.keeps_states = false;
-  out.start_over = 10 * kSecond;
-  out.sessions.max_sessions = 2 * setting.invokers;  // also where few nodes hold all
+  out.start_spread = 10 * kSecond;
+  out.sessions.max_sessions = 2 * given.invokers;  // enough for few nodes to hold all sessions
   return out;
 }
 
 using Points = std::map<std::string, double>;  // medians, by role and metric
 
-// Prints, and returns the medians.
+// Prints the rates and adds their medians to `medians`.
 void print_usage(const RunLabel& label, const std::string& role, const std::vector<Usage>& before,
                  const std::vector<Usage>& after, Points& medians) {
   std::map<std::string, Sample> samples;
@@ -71,12 +71,12 @@
   }
   for (auto& [metric, sample] : samples) {
     print_point(label, role, metric, sample);
-    medians[role + " " + metric] = sample.at(0.5);
+    medians[role + " " + metric] = sample.quantile(0.5);
   }
 }
 
-// At the same moments for all sizes, so that these can be compared.
-void agree_evenly(HollowFleet& fleet, double changes_per_second, double span) {
+// Schedules changes at the same times for all sizes, so that results are comparable.
+void schedule_changes_evenly(HollowFleet& fleet, double changes_per_second, double span) {
   if (changes_per_second <= 0)
     return;
   const double pause = kSecond / changes_per_second;
@@ -84,34 +84,34 @@
     fleet.at(fleet.now() + at, [&fleet] { fleet.change(); });
 }
 
-Points measure(const Setting& setting) {
-  HollowFleet fleet(options_of(setting));
+Points measure(const MeasureCase& given) {
+  HollowFleet fleet(options_of(given));
   CpuMeter::enabled = true;
   const double span = 60 * kSecond;
   fleet.run(20 * kSecond);
-  agree_evenly(fleet, setting.changes_per_second, span);
+  schedule_changes_evenly(fleet, given.changes_per_second, span);
   const auto invokers = usage_of(fleet.invokers());
   const auto nodes = usage_of(fleet.nodes());
   const Index first = fleet.log().last();
   fleet.run(span);
   CpuMeter::enabled = false;
-  RunLabel label{setting.test, setting.invokers, setting.nodes, span / kSecond, fleet.options().seed, {}};
-  label.more = {{"changes_per_second", setting.changes_per_second},
+  RunLabel label{given.test, given.invokers, given.nodes, span / kSecond, fleet.options().seed, {}};
+  label.more = {{"changes_per_second", given.changes_per_second},
                 {"changes", fleet.log().changes_between(first, fleet.log().last()).size()},
-                {"records", setting.records}};
+                {"records", given.records}};
   Points medians;
   print_usage(label, "invoker", invokers, usage_of(fleet.invokers()), medians);
   print_usage(label, "node", nodes, usage_of(fleet.nodes()), medians);
   return medians;
 }
 
-// How much each median grows with each thousand invokers more.
+// Prints the growth of each median per thousand invokers.
 void print_slopes(const std::string& test, const std::vector<std::pair<double, Points>>& by_size) {
   for (const auto& [metric, first] : by_size.front().second) {
-    std::vector<std::pair<double, double>> line;
+    std::vector<std::pair<double, double>> points;
     for (const auto& [size, medians] : by_size)
-      line.emplace_back(size, medians.at(metric));
-    const double each_thousand = slope(line) * 1000;
+      points.emplace_back(size, medians.at(metric));
+    const double each_thousand = slope(points) * 1000;
     const nlohmann::ordered_json out = {{"test", test},
                                         {"slope_of", metric},
                                         {"first", rounded(first)},
@@ -127,8 +127,8 @@
   for (const double rate : {0.0, 0.43, 4.3}) {
     std::vector<std::pair<double, Points>> by_size;
     for (const std::size_t invokers : {100, 300, 1000, 3000, 10000, 16000}) {
-      Setting setting{"by-invokers", invokers, 28, rate, 100};
-      by_size.emplace_back(static_cast<double>(invokers), measure(setting));
+      MeasureCase given{"by-invokers", invokers, 28, rate, 100};
+      by_size.emplace_back(static_cast<double>(invokers), measure(given));
     }
     print_slopes("by-invokers, changes a second: " + std::to_string(rate), by_size);
   }
--- a/tests/scale/tier_memory.cpp
+++ b/tests/scale/tier_memory.cpp
@@ -1,4 +1,4 @@
-// Memory of sessions and replicas from the allocator's own figures; by hand, in a Release build without
+// Memory of sessions and replicas as reported by the allocator. Run by name, in a Release build without
 // sanitizers: [scale-measure].
 #include <malloc.h>
 
@@ -17,14 +17,14 @@
 constexpr control::Index kIndex = 100;
 const Millis kNow{1e6};
 
-class NodeWithoutNetwork : public control::ControlNode::Transport {
+class NullNodeTransport : public control::ControlNode::Transport {
  public:
   void send(std::uint64_t, const std::string&) override {}
   bool has_room(std::uint64_t) const override { return true; }
   void close(std::uint64_t) override {}
 };
 
-class InvokerWithoutNetwork : public control::Session::Transport {
+class NullInvokerTransport : public control::Session::Transport {
  public:
   void connect(const control::NodeAddress&) override {}
   void send(const std::string&) override {}
@@ -74,7 +74,7 @@
 }
 
 void measure_node(std::size_t records) {
-  NodeWithoutNetwork transport;
+  NullNodeTransport transport;
   metrics::Counters counters;
   control::ControlNode::Config config;
   config.cluster = "hollow";
@@ -94,7 +94,7 @@
 }
 
 struct MeasuredInvoker {
-  InvokerWithoutNetwork transport;
+  NullInvokerTransport transport;
   metrics::Counters counters;
   control::Replica replica;
   std::unique_ptr<control::Session> session;
--- a/tests/scale/tier_planted_test.cpp
+++ b/tests/scale/tier_planted_test.cpp
@@ -1,4 +1,4 @@
-// Faults planted in the control tier, one at a time: the checker has to find each within a few seeds.
+// Plants one fault at a time in the control tier; the checker must find each within a few seeds.
 #include <catch2/catch.hpp>
 #include <iostream>
 
@@ -13,7 +13,7 @@
 struct Planted {
   const char* fault;
   Rule found_by;
-  std::uint64_t within;  // so many seeds
+  std::uint64_t max_seeds;
 };
 
 constexpr Planted kPlanted[] = {
@@ -32,9 +32,9 @@
                      [&](const TierChecker::Violation& violation) { return violation.rule == rule; });
 }
 
-void look_for(const Planted& planted) {
-  const FaultInjection::Scope broken(planted.fault);
-  for (std::uint64_t seed = 1; seed <= planted.within; ++seed) {
+void expect_found(const Planted& planted) {
+  const FaultInjection::Scope injected(planted.fault);
+  for (std::uint64_t seed = 1; seed <= planted.max_seeds; ++seed) {
     const ScenarioResult result = run_scenario(planted_scenario(seed));
     if (!finds(result, planted.found_by))
       continue;
@@ -42,21 +42,21 @@
     SUCCEED(planted.fault);
     return;
   }
-  FAIL(planted.fault << " was not found within " << planted.within << " seeds");
+  FAIL(planted.fault << " was not found within " << planted.max_seeds << " seeds");
 }
 
 }  // namespace
 
-TEST_CASE("planted: session-outlasts-node", "[scale-short]") { look_for(kPlanted[0]); }
-TEST_CASE("planted: grant-behind", "[scale-short]") { look_for(kPlanted[1]); }
-TEST_CASE("planted: forget-disconnected", "[scale-short]") { look_for(kPlanted[2]); }
-TEST_CASE("planted: early-report", "[scale-short]") { look_for(kPlanted[3]); }
-TEST_CASE("planted: skip-delta", "[scale-short]") { look_for(kPlanted[4]); }
-TEST_CASE("planted: grant-from-receipt", "[scale-short]") { look_for(kPlanted[5]); }
-TEST_CASE("planted: apply-twice", "[scale-short]") { look_for(kPlanted[6]); }
-TEST_CASE("planted: accept-gap", "[scale-short]") { look_for(kPlanted[7]); }
+TEST_CASE("planted: session-outlasts-node", "[scale-short]") { expect_found(kPlanted[0]); }
+TEST_CASE("planted: grant-behind", "[scale-short]") { expect_found(kPlanted[1]); }
+TEST_CASE("planted: forget-disconnected", "[scale-short]") { expect_found(kPlanted[2]); }
+TEST_CASE("planted: early-report", "[scale-short]") { expect_found(kPlanted[3]); }
+TEST_CASE("planted: skip-delta", "[scale-short]") { expect_found(kPlanted[4]); }
+TEST_CASE("planted: grant-from-receipt", "[scale-short]") { expect_found(kPlanted[5]); }
+TEST_CASE("planted: apply-twice", "[scale-short]") { expect_found(kPlanted[6]); }
+TEST_CASE("planted: accept-gap", "[scale-short]") { expect_found(kPlanted[7]); }
 
-TEST_CASE("nothing is found where nothing was planted", "[scale-short]") {
+TEST_CASE("no violation is found without a planted fault", "[scale-short]") {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     const ScenarioResult result = run_scenario(planted_scenario(seed));
     INFO("seed " << seed << ": " << result.text);
@@ -64,12 +64,12 @@
   }
 }
 
-// By hand: how many of these seeds show each fault, and by which rule of the checker.
+// Run by name: reports in how many seeds each fault is found, and by which rule of the checker.
 TEST_CASE("how often planted faults are found", "[.][scale-planted]") {
   constexpr std::uint64_t kSeeds = 20;
   for (const Planted& planted : kPlanted) {
     std::map<std::string, int> found;
-    const FaultInjection::Scope broken(planted.fault);
+    const FaultInjection::Scope injected(planted.fault);
     for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
       const ScenarioResult result = run_scenario(planted_scenario(seed));
       std::set<std::string> rules;
--- a/tests/scale/tier_recorder.h
+++ b/tests/scale/tier_recorder.h
@@ -1,5 +1,5 @@
-// What the long runs of a hollow fleet measure: how long changes take, and what becomes of sessions that
-// lose their node.
+// Measurements of long runs of a hollow fleet: how long changes take to be applied, and how sessions recover
+// when their node fails.
 #pragma once
 
 #include "scale/figures.h"
@@ -7,7 +7,7 @@
 
 namespace lotusyard::test {
 
-// Counted from construction on.
+// Records what happens after its construction.
 class TierRecorder : public FleetObserver {
  public:
   struct Opening {
@@ -15,15 +15,16 @@
     std::size_t invoker = 0, node = 0;
   };
   struct Lapse {
-    double at = 0;  // when there was a lease again
+    double at = 0;  // when the invoker had a lease again
     double gap = 0;
     std::size_t invoker = 0;
   };
 
   explicit TierRecorder(HollowFleet& fleet);
-  void moved(const HollowInvoker& invoker, Index from, const HollowInvoker::Move& move, double now) override;
-  void leased(const HollowInvoker& invoker, Millis before, double now) override;
-  void opened(const HollowInvoker& invoker, double now) override;
+  void on_move(const HollowInvoker& invoker, Index from, const HollowInvoker::Move& move,
+               double now) override;
+  void on_lease(const HollowInvoker& invoker, Millis before, double now) override;
+  void on_session_opened(const HollowInvoker& invoker, double now) override;
 
   Sample& to_apply() { return to_apply_; }  // milliseconds from agreement, for each change and invoker
   const std::vector<Opening>& openings() const { return openings_; }
@@ -32,32 +33,33 @@
 
  private:
   HollowFleet& fleet_;
-  double began_;
+  double started_;
   Sample to_apply_;
   std::vector<Opening> openings_;
   std::vector<Lapse> lapses_;
   std::map<std::string, std::size_t> node_by_name_;
 };
 
-// Follows the sessions of nodes that die at one moment.
-class DeathWatch : public FleetObserver {
+// Records the recovery of the sessions of nodes that fail at the same time.
+class NodeFailureRecorder : public FleetObserver {
  public:
-  DeathWatch(HollowFleet& fleet, const TierRecorder& recorder, std::vector<std::size_t> dying);
-  void opened(const HollowInvoker& invoker, double now) override;
-  void leased(const HollowInvoker& invoker, Millis before, double now) override;
+  NodeFailureRecorder(HollowFleet& fleet, const TierRecorder& recorder,
+                      std::vector<std::size_t> failed_nodes);
+  void on_session_opened(const HollowInvoker& invoker, double now) override;
+  void on_lease(const HollowInvoker& invoker, Millis before, double now) override;
 
-  // What was seen until now goes to the output, and nothing more is followed.
+  // Prints what was recorded and stops recording.
   void finish(const RunLabel& label);
 
  private:
-  struct Orphan {
+  struct LostSession {
     double session_at = 0, lease_at = 0, gap = 0;
   };
   HollowFleet& fleet_;
   const TierRecorder& recorder_;
-  double died_at_;
-  std::vector<std::size_t> dying_;
-  std::map<std::size_t, Orphan> orphans_;                                // by invoker
+  double failed_at_;
+  std::vector<std::size_t> failed_nodes_;
+  std::map<std::size_t, LostSession> lost_sessions_;                     // by invoker
   std::map<std::size_t, std::map<int, std::size_t>> opens_each_second_;  // by node and second
 };
 
--- a/tests/scale/tier_region.cpp
+++ b/tests/scale/tier_region.cpp
@@ -1,4 +1,4 @@
-// A region that is cut off for an hour with its control nodes, by hand: [scale].
+// A region that is partitioned for an hour together with its control nodes, run by name: [scale].
 #include <catch2/catch.hpp>
 #include <cstdlib>
 
@@ -11,16 +11,17 @@
 constexpr double kSecond = 1000, kMinute = 60000;
 constexpr int kRegion = 1, kCutName = 1;
 
-// How each invoker of the region comes back to the present once its region is connected again.
+// Measures how the invokers of the region catch up after it is reconnected.
 class CatchUp : public FleetObserver {
  public:
   explicit CatchUp(HollowFleet& fleet)
       : fleet_(fleet), target_(fleet.log().last_change(fleet.log().last())), healed_at_(fleet.now()) {
     for (const auto& invoker : fleet.invokers())
-      before_.push_back(invoker->traffic.bytes_received);
+      bytes_before_.push_back(invoker->traffic.bytes_received);
     fleet.observe(*this);
   }
-  void moved(const HollowInvoker& invoker, Index from, const HollowInvoker::Move& move, double now) override {
+  void on_move(const HollowInvoker& invoker, Index from, const HollowInvoker::Move& move,
+               double now) override {
     if (invoker.endpoint.region != kRegion || from >= target_)
       return;
     if (move.by_snapshot)
@@ -28,10 +29,10 @@
     if (move.position < target_)
       return;
     times.add(now - healed_at_);
-    bytes.add(static_cast<double>(invoker.traffic.bytes_received - before_[invoker.endpoint.number]));
+    bytes.add(static_cast<double>(invoker.traffic.bytes_received - bytes_before_[invoker.endpoint.number]));
   }
-  void leased(const HollowInvoker& invoker, Millis before, double now) override {
-    if (invoker.endpoint.region == kRegion && invoker.clock.truth(before) < healed_at_)
+  void on_lease(const HollowInvoker& invoker, Millis before, double now) override {
+    if (invoker.endpoint.region == kRegion && invoker.clock.true_time(before) < healed_at_)
       leases.add(now - healed_at_);
   }
   Sample times, bytes, leases;
@@ -41,20 +42,20 @@
   HollowFleet& fleet_;
   Index target_;
   double healed_at_;
-  std::vector<std::uint64_t> before_;
+  std::vector<std::uint64_t> bytes_before_;
 };
 
-// Milliseconds from the cut until no invoker inside held a lease.
-double until_leases_end(HollowFleet& fleet) {
-  const double began = fleet.now();
-  const auto any_holds = [&fleet] {
+// Milliseconds from the cut until no invoker in the region holds a lease.
+double wait_until_leases_end(HollowFleet& fleet) {
+  const double started = fleet.now();
+  const auto any_lease = [&fleet] {
     return std::any_of(fleet.invokers().begin(), fleet.invokers().end(), [&](const auto& invoker) {
       return invoker->endpoint.region == kRegion && invoker->holds_lease(fleet.now());
     });
   };
-  while (any_holds() && fleet.now() < began + kMinute)
+  while (any_lease() && fleet.now() < started + kMinute)
     fleet.run(20);
-  return fleet.now() - began;
+  return fleet.now() - started;
 }
 
 std::size_t leases_outside(const HollowFleet& fleet) {
@@ -77,7 +78,7 @@
   out.value_bytes = 100;
   out.change_bytes = 500;
   out.changes.changes = kept_changes;
-  out.start_over = 10 * kSecond;
+  out.start_spread = 10 * kSecond;
   return out;
 }
 
@@ -91,7 +92,7 @@
   cut.inside = [](const Endpoint& endpoint) { return endpoint.region == kRegion; };
   fleet.changes_each_second(0.43, fleet.now() + 61 * kMinute);
   fleet.cut(kCutName, cut);
-  print_value(label, "invoker", "ms_until_all_leases_inside_ended", until_leases_end(fleet));
+  print_value(label, "invoker", "ms_until_all_leases_inside_ended", wait_until_leases_end(fleet));
   fleet.run(60 * kMinute);
   print_value(label, "fleet", "leases_outside", static_cast<double>(leases_outside(fleet)));
   CatchUp catch_up(fleet);
--- a/tests/scale/tier_scenario.h
+++ b/tests/scale/tier_scenario.h
@@ -1,4 +1,4 @@
-// The scenario of the short runs: a small fleet with every kind of fault, and the checker on it.
+// Scenario of the short runs: a small fleet with every kind of fault, checked by TierChecker.
 #pragma once
 
 #include "scale/random_faults.h"
@@ -17,15 +17,15 @@
 
 struct Scenario {
   FleetOptions fleet;
-  double span = 30000;        // with faults, milliseconds of virtual time
-  double calm = 25000;        // after them; then every invoker must be served, unless it is 0
-  double fault_pause = 1200;  // between two faults, about
+  double fault_span = 30000;     // milliseconds of virtual time with faults
+  double recovery_span = 25000;  // without faults; after it every invoker must be served, unless it is 0
+  double fault_interval = 1200;  // mean time between two faults, milliseconds
   double changes_per_second = 2;
   double delta_loss = 0, delta_repeat = 0;
 };
 
 ScenarioResult run_scenario(const Scenario& scenario);
-// The small and short one in which the checker looks for planted faults.
+// A small and short scenario in which the checker must find planted faults.
 Scenario planted_scenario(std::uint64_t seed);
 
 }  // namespace lotusyard::test
--- a/tests/scale/tier_soak.cpp
+++ b/tests/scale/tier_soak.cpp
@@ -1,4 +1,4 @@
-// Many seeds of the short scenarios, by hand: [scale-soak].
+// Many seeds of the short scenarios, run by name: [scale-soak].
 #include <catch2/catch.hpp>
 #include <cstdlib>
 #include <iostream>
@@ -8,13 +8,14 @@
 namespace lotusyard::test {
 namespace {
 
-std::uint64_t number_from(const char* variable, std::uint64_t otherwise) {
+std::uint64_t number_from_env(const char* variable, std::uint64_t fallback) {
   const char* text = std::getenv(variable);
-  return text == nullptr ? otherwise : std::strtoull(text, nullptr, 10);
+  return text == nullptr ? fallback : std::strtoull(text, nullptr, 10);
 }
 
 void soak(const char* name, Scenario (*scenario_of)(std::uint64_t seed)) {
-  const std::uint64_t first = number_from("TIER_FIRST_SEED", 1), seeds = number_from("TIER_SEEDS", 100);
+  const std::uint64_t first = number_from_env("TIER_FIRST_SEED", 1),
+                      seeds = number_from_env("TIER_SEEDS", 100);
   std::uint64_t unsound = 0, moves = 0, leases = 0;
   for (std::uint64_t seed = first; seed < first + seeds; ++seed) {
     const ScenarioResult result = run_scenario(scenario_of(seed));
--- a/tests/scale/tier_test.cpp
+++ b/tests/scale/tier_test.cpp
@@ -1,4 +1,4 @@
-// The control tier under every kind of fault, with a checker that knows the truth.
+// The control tier under every kind of fault, checked against the reference state and true time.
 #include <catch2/catch.hpp>
 #include <iostream>
 
@@ -9,7 +9,7 @@
 
 constexpr std::uint64_t kSeeds = 10;
 
-TEST_CASE("no lease outlives what it promises, whatever fails", "[scale-short]") {
+TEST_CASE("leases and replicas keep their invariants under every kind of fault", "[scale-short]") {
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     Scenario scenario;
     scenario.fleet.seed = seed;
@@ -22,7 +22,7 @@
   }
 }
 
-TEST_CASE("replicas bear a transport that loses and repeats deltas", "[scale-short]") {
+TEST_CASE("replicas tolerate a transport that loses and repeats deltas", "[scale-short]") {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     Scenario scenario;
     scenario.fleet.seed = seed;
