--- a/tests/scale/flat_hollow_sweep.cpp
+++ b/tests/scale/flat_hollow_sweep.cpp
@@ -1,5 +1,5 @@
-// What the module's sweep costs, every 20 ms over all functions that one invoker knows, against functions and
-// hosts. Virtual clock, no sockets. By name: lotusyard_scale_tests "[hollow-sweep]".
+// Costs of the policy's sweep, every 20 ms over all functions that one invoker has called, by functions and
+// hosts. Virtual clock, no sockets. Run by name: lotusyard_scale_tests "[hollow-sweep]".
 #include <catch2/catch.hpp>
 #include <random>
 #include <set>
@@ -13,7 +13,7 @@
 using core::Millis;
 
 constexpr int kSweepsPerSecond = 50;
-const Millis kSweep{1000.0 / kSweepsPerSecond};
+const Millis kSweepInterval{1000.0 / kSweepsPerSecond};
 constexpr int kInvokers = 16000;
 constexpr double kFunctionsAtTarget = 38750;  // 620,000 functions, each at 1,000 of 16,000 invokers
 const Millis kAnswerTime{20};
@@ -34,10 +34,10 @@
   return s;
 }
 
-// One invoker's decisions, with hosts that answer every call at once.
+// The policy of one invoker, with hosts that answer every call at once.
 class Invoker {
  public:
-  Invoker(std::size_t hosts, Millis idle_timeout) : module_(sweep_settings(idle_timeout), now_) {
+  Invoker(std::size_t hosts, Millis idle_timeout) : driver_(sweep_settings(idle_timeout), now_) {
     core::HostList list;
     for (std::size_t i = 0; i < hosts; ++i) {
       core::HostEntry entry;
@@ -46,18 +46,18 @@
       entry.zone = "z";
       list.entries.push_back(entry);
     }
-    module_.report(now_, list);
+    driver_.report(now_, list);
   }
-  // One call of the function, sent and answered. Its processor time is added up.
+  // Sends and answers one call of the function, and adds up its processor time.
   void call(std::uint64_t function) {
     core::Call call;
     call.class_name = "check";
     call.function = function;
     call.arrived = now_;
     call.timeout = Millis(1500);
-    const double began = processor_seconds();
-    auto steps = module_.pick(now_, ++calls_, call);
-    for (int turns = 0; turns < 8; ++turns) {
+    const double started = processor_seconds();
+    auto steps = driver_.pick(now_, ++calls_, call);
+    for (int attempts = 0; attempts < 8; ++attempts) {
       const auto* sent = first_send(steps);
       if (sent == nullptr)
         break;
@@ -68,23 +68,23 @@
       outcome.call_ended = true;
       outcome.elapsed = kAnswerTime;
       ++answered_;
-      steps = module_.report(now_, outcome);
+      steps = driver_.report(now_, outcome);
     }
-    call_seconds_ += processor_seconds() - began;
+    call_seconds_ += processor_seconds() - started;
   }
-  // One sweep, with the deadlines that came due since the last; gives its processor time.
+  // Runs one sweep, with the deadlines due since the last; returns its processor time.
   double sweep() {
-    now_ += kSweep;
-    const double began = processor_seconds();
-    module_.tick(now_);
-    return processor_seconds() - began;
+    now_ += kSweepInterval;
+    const double started = processor_seconds();
+    driver_.tick(now_);
+    return processor_seconds() - started;
   }
   std::uint64_t answered() const { return answered_; }
   double call_seconds() const { return call_seconds_; }
 
  private:
   Millis now_{1000};
-  core::PolicyDriver module_;
+  core::PolicyDriver driver_;
   std::uint64_t calls_ = 0, answered_ = 0;
   double call_seconds_ = 0;
 
@@ -106,7 +106,7 @@
   return {{"functions", static_cast<double>(c.functions)}, {"hosts", static_cast<double>(c.hosts)}};
 }
 
-// Core share of the sweeps of each of `seconds` virtual seconds.
+// Core share of the sweeps in each of `seconds` virtual seconds.
 std::vector<double> sweep_shares(Invoker& invoker, int seconds) {
   std::vector<double> out;
   for (int i = 0; i < seconds; ++i) {
@@ -118,14 +118,14 @@
   return out;
 }
 
-// All functions are known and stay so: each has one copy, whose keep-alive has no end. Called once, then not.
+// Each function is called once and then stays known: its one instance has no idle time-out.
 double measure_known(const SweepCase& c) {
   const double before = allocated_bytes();
   Invoker invoker(c.hosts, Millis(0));
   for (std::uint64_t f = 1; f <= c.functions; ++f)
     invoker.call(f);
   REQUIRE(invoker.answered() == c.functions);
-  sweep_shares(invoker, 2);  // timers of the calls' deadlines ring
+  sweep_shares(invoker, 2);  // until the timers of the calls' deadlines have fired
   print({c.test, 1, "member", "call_us", 0, given_of(c)},
         {invoker.call_seconds() * 1e6 / static_cast<double>(c.functions)});
   print({c.test, 1, "member", "memory_mb", 0, given_of(c)}, {(allocated_bytes() - before) / kMegabyte});
@@ -157,15 +157,15 @@
   }
 }
 
-// The share of one invoker at the size to come, with the memory of each function's order of hosts.
+// The share of one invoker at the target size, with the memory of each function's order of hosts.
 TEST_CASE("sweeps, at the size to come", "[.][scale][hollow-sweep]") {
   for (const std::size_t hosts : {12, 120, 1000, 10000})
     measure_known({"sweep_at_size", 38750, hosts});
 }
 
-// As configured: copies lapse after 9 s, functions are called at random, once in 90 s on average. What is
-// known is then what was called of late.
-TEST_CASE("sweeps while functions are called seldom", "[.][scale][hollow-sweep]") {
+// As configured: instances expire after 9 s, and functions are called at random, once in 90 s on average, so
+// that only recently called functions are known.
+TEST_CASE("sweeps while functions are called rarely", "[.][scale][hollow-sweep]") {
   constexpr double mean_pause_s = 90;
   Series series;
   for (const std::size_t functions : {1000, 10000, 38750, 100000}) {
@@ -174,17 +174,17 @@
     Invoker invoker(c.hosts, Millis(9000));
     std::mt19937_64 random(kSeed);
     const double calls_each = static_cast<double>(functions) / mean_pause_s / kSweepsPerSecond;
-    double owed = 0;
+    double due_calls = 0;
     std::vector<double> shares;
     for (int second = 0; second < 40; ++second) {
       double used = 0;
       for (int i = 0; i < kSweepsPerSecond; ++i) {
-        for (owed += calls_each; owed >= 1; --owed)
+        for (due_calls += calls_each; due_calls >= 1; --due_calls)
           invoker.call(1 + random() % functions);
         used += invoker.sweep();
       }
       if (second >= 25)
-        shares.push_back(used);  // more than a keep-alive and a deadline have passed
+        shares.push_back(used);  // after more than an idle time-out and a deadline
     }
     series.add(static_cast<double>(functions),
                print({c.test, 1, "member", "sweep_core_share", 1, given_of(c)}, shares));
@@ -196,7 +196,7 @@
             kFunctionsAtTarget);
 }
 
-TEST_CASE("a sweep takes time in proportion to functions", "[scale-short]") {
+TEST_CASE("the time of a sweep is proportional to the number of functions", "[scale-short]") {
   const double few = measure_known({"sweep_short", 250, 12});
   const double many = measure_known({"sweep_short", 2000, 12});
   CHECK(many > 3 * few);  // 8 times the functions; caches and noise are allowed for
--- a/tests/scale/point.h
+++ b/tests/scale/point.h
@@ -1,4 +1,4 @@
-// What every scale test prints: one JSON line for each measured point, and one for each fitted slope.
+// Output of the scale tests: one JSON line for each measured point and one for each fit.
 #pragma once
 
 #include <malloc.h>
@@ -17,18 +17,18 @@
 
 namespace lotusyard::scale {
 
-constexpr std::uint64_t kSeed = 20261202;  // of every random choice in these tests
+constexpr std::uint64_t kSeed = 20261202;  // of all random numbers in these tests
 constexpr double kTargetMembers = 16000;   // invokers
 constexpr double kMegabyte = 1024 * 1024;
 
-// Identifies one measured figure. `given` holds further conditions, such as the number of hosts.
+// Identifies one measured figure. `conditions` holds further parameters, such as the number of hosts.
 struct Point {
   std::string test;
   std::size_t n = 0;  // members
-  std::string role;   // whose figure it is: "leader", "other", "member"
+  std::string role;   // of the measured process: "leader", "other", "member"
   std::string metric;
   double seconds = 0;  // of the measured interval; 0: a single operation
-  std::map<std::string, double> given;
+  std::map<std::string, double> conditions;
 };
 
 inline double median(std::vector<double> values) {
@@ -46,7 +46,7 @@
                                  {"least", values.front()},  {"median", median(values)},
                                  {"most", values.back()},    {"values", values.size()},
                                  {"seconds", point.seconds}, {"seed", kSeed}};
-  for (const auto& [key, value] : point.given)
+  for (const auto& [key, value] : point.conditions)
     line[key] = value;
   std::cout << line.dump() << std::endl;
   return median(values);
@@ -89,7 +89,7 @@
   return fit_line(log_x, log_y);
 }
 
-// Medians of one metric against one growing quantity.
+// Medians of one metric against one varied quantity.
 struct Series {
   std::vector<double> x, y;
   void add(double at, double value) {
@@ -98,7 +98,7 @@
   }
 };
 
-// Prints three fits of a series (linear, power, linear in squares) and what each says at `target`.
+// Prints three fits of a series (linear, power, linear in squares) and what each predicts at `target`.
 inline void print_fit(const Point& point, const std::string& against, const Series& series, double target) {
   if (series.x.size() < 2)
     return;
@@ -127,19 +127,19 @@
                                 {"power_at_target", std::exp(power.at(std::log(target)))},
                                 {"square_at_target", square.at(target * target)},
                                 {"times_beyond_measured", target / most}};
-  for (const auto& [key, value] : point.given)
+  for (const auto& [key, value] : point.conditions)
     out[key] = value;
   std::cout << out.dump() << std::endl;
 }
 
-// Processor time that this process has used, in seconds.
+// Processor time used by this process, in seconds.
 inline double processor_seconds() {
   timespec used{};
   clock_gettime(CLOCK_PROCESS_CPUTIME_ID, &used);
   return static_cast<double>(used.tv_sec) + static_cast<double>(used.tv_nsec) * 1e-9;
 }
 
-// Bytes that are allocated now; not known under sanitizers.
+// Bytes currently allocated; meaningless under sanitizers.
 inline double allocated_bytes() {
   const auto info = mallinfo2();
   return static_cast<double>(info.uordblks + info.hblkhd);
@@ -150,20 +150,20 @@
 std::vector<double> timed(int times, const Body& body) {
   std::vector<double> out;
   for (int i = 0; i < times; ++i) {
-    const double began = processor_seconds();
+    const double started = processor_seconds();
     body();
-    out.push_back(processor_seconds() - began);
+    out.push_back(processor_seconds() - started);
   }
   return out;
 }
 
-// Numbers of an environment variable, separated by commas; `otherwise` if it is not set.
-inline std::vector<double> numbers_of(const char* variable, std::vector<double> otherwise) {
-  const char* given = std::getenv(variable);
-  if (given == nullptr)
-    return otherwise;
+// Comma-separated numbers of an environment variable; `fallback` if it is not set.
+inline std::vector<double> numbers_from_env(const char* variable, std::vector<double> fallback) {
+  const char* text = std::getenv(variable);
+  if (text == nullptr)
+    return fallback;
   std::vector<double> out;
-  std::istringstream words(given);
+  std::istringstream words(text);
   for (std::string word; std::getline(words, word, ',');)
     out.push_back(std::stod(word));
   return out;
--- a/tests/scale/process_fleet.h
+++ b/tests/scale/process_fleet.h
@@ -1,5 +1,5 @@
-// Real processes of one group at rest: stand-in change log, no calls, no relays in between, so that what is
-// measured is the group's own traffic.
+// Runs real processes of one group at rest, with a stand-in change log, no calls and no relays, so that only
+// the group's own traffic is measured.
 #pragma once
 
 #include "scale/process_usage.h"
@@ -8,15 +8,15 @@
 
 namespace lotusyard::scale {
 
-constexpr int kFirstPort = 10000;       // below the range from which outgoing connections take their ports
-constexpr int kRealHosts = 2;           // that `Service` lists by itself; nobody connects to them at rest
-constexpr double kLogPace = 1;          // seconds between the change log's signs of life
-constexpr double kCountersPrinted = 1;  // seconds that members are given to print their counters
+constexpr int kFirstPort = 10000;         // below the ephemeral port range
+constexpr int kStandInHosts = 2;          // listed by `ServiceHarness` itself; unused at rest
+constexpr double kChangeLogInterval = 1;  // seconds between the change log's heartbeats
+constexpr double kCounterPrintTime = 1;   // seconds for members to print their counters
 
 constexpr const char* kCluster = "scale";
 constexpr int kLeaseMs = 3000;
 
-// Addresses that nobody listens at, each given out once.
+// Hands out addresses on which nobody listens, each once.
 class Ports {
  public:
   std::string next() {
@@ -31,7 +31,8 @@
   int next_ = kFirstPort;
 };
 
-// The group's members, of which the last `control_nodes` have no vote, and invokers with sessions beside it.
+// The group's members, of which the last `control_nodes` have no vote, and invokers that keep sessions with
+// it.
 struct FleetShape {
   int members = 3, hosts = 12;
   int control_nodes = 0, invokers = 0;
@@ -45,14 +46,14 @@
  public:
   enum class Kind { member, control_node, invoker };
   struct Member {
-    std::string name, listen, door, clients, config, log;
+    std::string name, listen, admin_address, clients, config, log;
     std::unique_ptr<test::Process> process;
     Kind kind = Kind::member;
     std::string sessions;  // a control node's listening address for sessions
   };
 
   explicit ProcessFleet(const FleetShape& shape) : shape_(shape) {
-    for (int i = kRealHosts; i < shape.hosts; ++i) {
+    for (int i = kStandInHosts; i < shape.hosts; ++i) {
       const std::string address =
           "127.1." + std::to_string(i / 250) + '.' + std::to_string(i % 250 + 1) + ":9";
       service_.change_log.publish_host("h" + std::to_string(i), address, "ready");
@@ -86,28 +87,28 @@
     }
     return out;
   }
-  // Whether every member has its lease and serves.
+  // Whether every member becomes ready: it has its lease and serves calls.
   bool all_ready() {
     return std::all_of(members_.begin(), members_.end(), [this](const auto& m) {
-      return service_.run_until([&] { return service_.request(m.door, "GET", kReadyPath) == 200; });
+      return service_.run_until([&] { return service_.request(m.admin_address, "GET", kReadyPath) == 200; });
     });
   }
-  // Serves the change log for so long; `each_turn` is called in between.
-  template <typename EachTurn>
-  double run(double seconds, const EachTurn& each_turn) {
-    const double began = now();
-    while (now() - began < seconds) {
-      each_turn();
+  // Serves the change log for `seconds`; `each_iteration` is called in every iteration of the event loop.
+  template <typename EachIteration>
+  double run(double seconds, const EachIteration& each_iteration) {
+    const double started = now();
+    while (now() - started < seconds) {
+      each_iteration();
       keep_log_alive();
       service_.fixture.run_once();
     }
-    return now() - began;
+    return now() - started;
   }
   double now() const { return service_.fixture.loop.now().count() / 1000; }
   double run(double seconds) {
     return run(seconds, [] {});
   }
-  // The member whose log tells of the latest term that it led.
+  // The member whose log reports that it became leader in the latest term.
   const Member* leader() const {
     const Member* out = nullptr;
     long latest = 0;
@@ -115,9 +116,9 @@
       std::ifstream in(m.log);
       for (std::string line; std::getline(in, line);) {
         const auto term = line.find("term=");
-        const std::string note = kLeadsNote;
-        const bool leads =
-            line.size() > note.size() && line.compare(line.size() - note.size(), note.size(), note) == 0;
+        const std::string suffix = kLeaderLogSuffix;
+        const bool leads = line.size() > suffix.size() &&
+                           line.compare(line.size() - suffix.size(), suffix.size(), suffix) == 0;
         if (!leads || term == std::string::npos || std::stol(line.substr(term + 5)) < latest)
           continue;
         latest = std::stol(line.substr(term + 5));
@@ -126,11 +127,11 @@
     }
     return out;
   }
-  // The named counters, each with one value for every member, in their order; all read at one moment.
+  // The named counters, each with one value per member, in the members' order; all printed at the same time.
   std::map<std::string, std::vector<double>> counters(const std::vector<std::string>& names) {
     for (const auto& m : members_)
       m.process->signal(SIGUSR1);
-    run(kCountersPrinted);
+    run(kCounterPrintTime);
     std::map<std::string, std::vector<double>> out;
     for (const auto& name : names) {
       for (const auto& m : members_)
@@ -139,16 +140,17 @@
     return out;
   }
   std::vector<Usage> usage() const { return usage(member_ports()); }
-  // Bytes of connections to one of `ports` are told apart from the rest.
+  // Bytes of connections to one of `ports` are counted separately.
   std::vector<Usage> usage(const std::set<int>& ports) const {
     std::vector<Usage> out;
     for (const auto& m : members_)
       out.push_back(usage_of(m.process->pid(), ports));
     return out;
   }
-  // The HTTP status with which a proposal for the agreed log was taken.
-  int propose(const Member& at, const nlohmann::json& what) {
-    return service_.request(at.door, "POST", kProposeRegulation + test::percent_encoded(what.dump()));
+  // Proposes an entry for the agreed log; returns the HTTP status.
+  int propose(const Member& at, const nlohmann::json& entry) {
+    return service_.request(at.admin_address, "POST",
+                            kProposeCompliancePath + test::percent_encoded(entry.dump()));
   }
   test::InvokerFixture& fixture() { return service_.fixture; }
 
@@ -158,7 +160,7 @@
   Ports ports_;
   std::vector<Member> members_;
   nlohmann::json peers_ = nlohmann::json::array(), nodes_ = nlohmann::json::array();
-  double log_spoke_ = 0;
+  double change_log_written_at_ = 0;
 
   static int port_of(const std::string& address) { return std::stoi(address.substr(address.rfind(':') + 1)); }
 
@@ -170,41 +172,42 @@
       members_.back().sessions = ports_.next();
   }
 
-  // As the platform's log does: a log that is silent for longer is asked anew, and tells all hosts again.
+  // As the service's change log does: clients reconnect to a log that is silent for longer, and it then sends
+  // all hosts again.
   void keep_log_alive() {
-    if (now() - log_spoke_ < kLogPace)
+    if (now() - change_log_written_at_ < kChangeLogInterval)
       return;
-    log_spoke_ = now();
+    change_log_written_at_ = now();
     const std::string line = std::to_string(service_.change_log.lines.size()) + "\n";
     for (const auto& peer : service_.change_log.server.peers)
       peer->write(line);
   }
 
-  nlohmann::json group_part(const Member& m) const {
+  nlohmann::json group_config(const Member& m) const {
     return {{"cluster", kCluster},         {"store", service_.folder.path + "/" + m.name + ".db"},
             {"listen", m.listen},          {"members", peers_},
             {"lease_ms", kLeaseMs},        {"election_ms", 1000},
             {"view", {{"period_ms", 500}}}};
   }
 
-  nlohmann::json platform_file_of(const Member& m) {
-    auto file = test::invoker_config(m.clients, service_.change_log.server.address());
-    file["name"] = m.name;
-    file["console"] = m.door;
-    file["limits"] = {{"cores", 0.5}, {"memory_mb", 128}, {"sockets", 1024}};
-    file["settings"]["Balancers"] = shape_.members + shape_.invokers;
-    file["settings"]["Bounds"]["Probes"] = false;
+  nlohmann::json config_of(const Member& m) {
+    auto config = test::invoker_config(m.clients, service_.change_log.server.address());
+    config["name"] = m.name;
+    config["console"] = m.admin_address;
+    config["limits"] = {{"cores", 0.5}, {"memory_mb", 128}, {"sockets", 1024}};
+    config["settings"]["Balancers"] = shape_.members + shape_.invokers;
+    config["settings"]["Bounds"]["Probes"] = false;
     if (m.kind != Kind::invoker)
-      file["group"] = group_part(m);
+      config["group"] = group_config(m);
     if (m.kind == Kind::control_node)
-      file["control"] = {{"listen", m.sessions}, {"nodes", nodes_}};
+      config["control"] = {{"listen", m.sessions}, {"nodes", nodes_}};
     if (m.kind == Kind::invoker)
-      file["control"] = {{"cluster", kCluster}, {"lease_ms", kLeaseMs}, {"nodes", nodes_}};
-    return file;
+      config["control"] = {{"cluster", kCluster}, {"lease_ms", kLeaseMs}, {"nodes", nodes_}};
+    return config;
   }
 
   void start(Member& m) {
-    std::ofstream(m.config) << platform_file_of(m).dump();
+    std::ofstream(m.config) << config_of(m).dump();
     if (m.kind != Kind::invoker) {
       const std::string init = std::string(LOTUSYARD_CLUSTER) + " group init " + m.config + " >/dev/null";
       REQUIRE(std::system(init.c_str()) == 0);
--- a/tests/scale/process_usage.h
+++ b/tests/scale/process_usage.h
@@ -1,4 +1,4 @@
-// What a child process uses, read from outside: /proc for processor time, memory and descriptors, and
+// Resource usage of a child process, read from outside: /proc for processor time, memory and descriptors, and
 // TCP_INFO of its own sockets, taken by pidfd_getfd(2), for payload bytes. /proc/PID/io does not count
 // send() and recv(), so it is not used.
 #pragma once
@@ -33,10 +33,10 @@
   std::map<std::uint64_t, SocketBytes> sockets;  // by the kernel's cookie
 };
 
-// What was used between two looks at one process.
+// Usage per second between two readings of one process.
 struct UsageRate {
-  double core_share = 0, sent = 0, received = 0, segments_out = 0;  // a second
-  double members_sent = 0, members_received = 0;                    // likewise, among members alone
+  double core_share = 0, sent = 0, received = 0, segments_out = 0;  // per second
+  double members_sent = 0, members_received = 0;                    // likewise, between members only
 };
 
 inline std::vector<int> descriptors_of(pid_t pid) {
@@ -52,7 +52,7 @@
   return out;
 }
 
-// Nanosecond resolution, unlike /proc/PID/stat; the program has one thread, others are added.
+// Nanosecond resolution, unlike /proc/PID/stat; sums over all threads.
 inline double processor_seconds_of(pid_t pid) {
   const std::string tasks = "/proc/" + std::to_string(pid) + "/task";
   double out = 0;
@@ -86,7 +86,7 @@
   return address.sin_family == AF_INET ? ntohs(address.sin_port) : 0;
 }
 
-// Adds what the socket has carried; a descriptor that is no connected TCP socket adds nothing.
+// Adds the byte counts of a connected TCP socket; ignores any other descriptor.
 inline void read_socket(int fd, const std::set<int>& member_ports, Usage& out) {
   tcp_info info{};
   socklen_t size = sizeof info;
@@ -112,28 +112,28 @@
   const net::Socket process(static_cast<int>(syscall(SYS_pidfd_open, pid, 0)));
   if (!process)
     return out;
-  for (const int theirs : descriptors) {
-    const net::Socket copy(static_cast<int>(syscall(SYS_pidfd_getfd, process.fd(), theirs, 0)));
+  for (const int descriptor : descriptors) {
+    const net::Socket copy(static_cast<int>(syscall(SYS_pidfd_getfd, process.fd(), descriptor, 0)));
     if (copy)
       read_socket(copy.fd(), member_ports, out);
   }
   return out;
 }
 
-// What sockets carried that were closed in between is lost; `group.links_ended` tells whether there were any.
+// Traffic of sockets closed in between is missing; the counter `group.links_ended` shows whether any were.
 inline UsageRate rate_between(const Usage& before, const Usage& after, double seconds) {
   UsageRate out;
   out.core_share = (after.processor_seconds - before.processor_seconds) / seconds;
-  for (const auto& [cookie, now] : after.sockets) {
+  for (const auto& [cookie, current] : after.sockets) {
     const auto found = before.sockets.find(cookie);
-    const SocketBytes was = found == before.sockets.end() ? SocketBytes() : found->second;
-    const double sent = static_cast<double>(now.sent - was.sent) / seconds;
-    const double received = static_cast<double>(now.received - was.received) / seconds;
+    const SocketBytes earlier = found == before.sockets.end() ? SocketBytes() : found->second;
+    const double sent = static_cast<double>(current.sent - earlier.sent) / seconds;
+    const double received = static_cast<double>(current.received - earlier.received) / seconds;
     out.sent += sent;
     out.received += received;
-    out.segments_out += static_cast<double>(now.segments_out - was.segments_out) / seconds;
-    out.members_sent += now.among_members ? sent : 0;
-    out.members_received += now.among_members ? received : 0;
+    out.segments_out += static_cast<double>(current.segments_out - earlier.segments_out) / seconds;
+    out.members_sent += current.among_members ? sent : 0;
+    out.members_received += current.among_members ? received : 0;
   }
   return out;
 }
--- a/tests/scale/tier.h
+++ b/tests/scale/tier.h
@@ -1,4 +1,4 @@
-// The names of the measured program that these tests use: its modules, paths and counters, in one place.
+// Aliases of the measured program's types, and its paths, log texts and counters that these tests use.
 #pragma once
 
 #include "compliance/certificate_state.h"
@@ -11,15 +11,15 @@
 namespace lotusyard::scale {
 
 using MaintenanceState = maintenance::MaintenanceState;
-using BoardEntry = maintenance::LogEntry;
-using Beat = maintenance::Heartbeat;
-using BoardView = maintenance::HostObservations;
-using Epochs = quota::QuotaEpochs;
+using MaintenanceEntry = maintenance::LogEntry;
+using Heartbeat = maintenance::Heartbeat;
+using HostObservations = maintenance::HostObservations;
+using QuotaEpochs = quota::QuotaEpochs;
 using CertificateState = compliance::CertificateState;
 
 constexpr const char* kReadyPath = "/-/ready";
-constexpr const char* kProposeRegulation = "/-/compliance/propose/";
-constexpr const char* kLeadsNote = " leads";  // ends the line of a member that begins to lead
+constexpr const char* kProposeCompliancePath = "/-/compliance/propose/";
+constexpr const char* kLeaderLogSuffix = " leads";  // ends the log line of a member that becomes leader
 constexpr const char* kFramesSent = "group.sent";
 constexpr const char* kViewsMalformed = "view.malformed";
 constexpr const char* kFramesTooLong = "group.too_long";
--- a/tests/scale/tier_processes.cpp
+++ b/tests/scale/tier_processes.cpp
@@ -1,5 +1,5 @@
-// What the control tier costs at rest, with real processes: 3 voters and 3 control nodes without a vote in
-// one group, and N invokers that each keep a session. By name: lotusyard_scale_tests "[tier-processes]" and
+// Costs of the control tier at rest, with real processes: 3 voters and 3 control nodes without a vote in one
+// group, and N invokers that each keep a session. Run by name: lotusyard_scale_tests "[tier-processes]" and
 // "[tier-changes]"; LOTUSYARD_INVOKERS=3,10 for other sizes, LOTUSYARD_SCALE_S=60 for a longer interval.
 #include <catch2/catch.hpp>
 
@@ -14,19 +14,19 @@
 using Kind = ProcessFleet::Kind;
 
 constexpr int kVoters = 3, kControlNodes = 3, kHosts = 12;
-constexpr int kTimedChanges = 20;        // proposals whose way to the invokers is timed
-constexpr double kArrivesWithin = 10;    // seconds, or the change counts as lost
-constexpr double kBytesAtRest = 1024;    // a second, either way, of an invoker with a session
-constexpr double kMostDescriptors = 40;  // of an invoker with a session
+constexpr int kTimedChanges = 20;                // proposals whose propagation to the invokers is timed
+constexpr double kArrivalTimeout = 10;           // seconds, after which a change counts as lost
+constexpr double kMaxIdleBytesPerSecond = 1024;  // in each direction, of an invoker with a session
+constexpr double kMaxDescriptors = 40;           // of an invoker with a session
 
 struct TierCase {
   std::string test;
   int invokers = 0;
-  double changes = 0;  // proposals a second
+  double changes = 0;  // proposals per second
   double settle = 15, seconds = 30;
 };
 
-// By role and metric: one value for each process of that role.
+// One value for each process of a role, by role and metric.
 using Figures = std::map<std::pair<std::string, std::string>, std::vector<double>>;
 
 FleetShape shape_of(const TierCase& given) {
@@ -46,8 +46,8 @@
                                            [](const auto& socket) { return socket.second.among_members; }));
 }
 
-// Connections that ended in between; what they carried is lost to the rates.
-double ended_between(const Usage& before, const Usage& after) {
+// Connections closed in between; their traffic is missing from the rates.
+double connections_ended(const Usage& before, const Usage& after) {
   return static_cast<double>(
       std::count_if(before.sockets.begin(), before.sockets.end(),
                     [&after](const auto& socket) { return after.sockets.count(socket.first) == 0; }));
@@ -66,7 +66,7 @@
   add("resident_mb", after.resident_bytes / kMegabyte);
   add("descriptors", after.descriptors);
   add("sessions", sessions_in(after));
-  add("connections_ended", ended_between(before, after));
+  add("connections_ended", connections_ended(before, after));
 }
 
 void print_figures(const TierCase& given, double changes, double seconds, const Figures& figures) {
@@ -97,25 +97,25 @@
   REQUIRE(fleet.leader() != nullptr);
 }
 
-// Measures one interval of a fleet that has settled, while `proposer` proposes.
-Figures measure(ProcessFleet& fleet, const TierCase& given, Proposer& proposer) {
+// Measures one interval of a settled fleet while `proposer` proposes.
+Figures measure(ProcessFleet& fleet, const TierCase& given, CertificateProposer& proposer) {
   const std::string leader = fleet.leader()->name;
   const auto ports = fleet.session_ports();
   const auto before = fleet.usage(ports);
-  const double seconds = fleet.run(given.seconds, [&] { proposer.turn(); });
+  const double seconds = fleet.run(given.seconds, [&] { proposer.propose_if_due(); });
   const auto after = fleet.usage(ports);
-  CHECK(fleet.leader()->name == leader);  // else the figures of two leaders are mixed
+  CHECK(fleet.leader()->name == leader);  // otherwise figures of two leaders are mixed
 
   Figures figures;
   for (std::size_t i = 0; i < fleet.members().size(); ++i) {
     const std::string role = role_of(fleet.members()[i], leader);
     add_rates(figures, role, before[i], after[i], seconds);
   }
-  print_figures(given, proposer.taken() / seconds, seconds, figures);
+  print_figures(given, proposer.accepted() / seconds, seconds, figures);
   return figures;
 }
 
-// The invokers' `records`, each read once.
+// The number of records of each invoker, read once.
 std::vector<std::size_t> records_of(ProcessFleet& fleet) {
   SessionReader reader(fleet);
   std::vector<std::size_t> out;
@@ -124,13 +124,13 @@
   return out;
 }
 
-// Milliseconds from a proposal until each invoker shows so many records; invokers that do not show them in
-// time are left out.
+// Milliseconds from a proposal until each invoker reports at least `records` records; invokers that do not in
+// time are omitted.
 std::vector<double> arrivals(ProcessFleet& fleet, double proposed_at, std::size_t records) {
   SessionReader reader(fleet);
   std::vector<double> out;
   auto waiting = members_of(fleet, Kind::invoker);
-  while (!waiting.empty() && fleet.now() - proposed_at < kArrivesWithin) {
+  while (!waiting.empty() && fleet.now() - proposed_at < kArrivalTimeout) {
     const auto sessions = reader.read(waiting);
     std::vector<const ProcessFleet::Member*> behind;
     for (std::size_t i = 0; i < waiting.size(); ++i) {
@@ -146,13 +146,13 @@
   return out;
 }
 
-// Times changes on their way from a control node's admin endpoint to all invokers' replicas.
-std::vector<double> time_changes(ProcessFleet& fleet, const TierCase& given, Proposer& proposer) {
+// Times the propagation of changes from a control node's admin endpoint to all invokers' replicas.
+std::vector<double> time_changes(ProcessFleet& fleet, const TierCase& given, CertificateProposer& proposer) {
   std::vector<double> out;
-  std::size_t records = static_cast<std::size_t>(proposer.taken()) + 1;  // and the regime
+  std::size_t records = static_cast<std::size_t>(proposer.accepted()) + 1;  // the regime is a record as well
   for (int i = 0; i < kTimedChanges; ++i) {
     double proposed_at = fleet.now();
-    while (!proposer.turn()) {
+    while (!proposer.propose_if_due()) {
       fleet.run(0.005);
       proposed_at = fleet.now();
     }
@@ -160,21 +160,21 @@
     CHECK(arrived.size() == static_cast<std::size_t>(given.invokers));
     out.insert(out.end(), arrived.begin(), arrived.end());
   }
-  CHECK(records == static_cast<std::size_t>(proposer.taken()) + 1);
-  for (const std::size_t shown : records_of(fleet))
-    CHECK(shown == records);
+  CHECK(records == static_cast<std::size_t>(proposer.accepted()) + 1);
+  for (const std::size_t count : records_of(fleet))
+    CHECK(count == records);
   return out;
 }
 
-double interval() { return numbers_of("LOTUSYARD_SCALE_S", {30}).front(); }
+double interval() { return numbers_from_env("LOTUSYARD_SCALE_S", {30}).front(); }
 
 TEST_CASE("control tier of processes at rest, by invokers", "[.][scale][tier-processes]") {
   std::map<std::pair<std::string, std::string>, Series> series;
-  for (const double n : numbers_of("LOTUSYARD_INVOKERS", {3, 10, 30, 60, 100})) {
+  for (const double n : numbers_from_env("LOTUSYARD_INVOKERS", {3, 10, 30, 60, 100})) {
     const TierCase given = {"tier_processes", static_cast<int>(n), 0, 15, interval()};
     ProcessFleet fleet(shape_of(given));
     start(fleet, given);
-    Proposer nothing(fleet, fleet.members().front(), 0);
+    CertificateProposer nothing(fleet, fleet.members().front(), 0);
     for (const auto& [key, values] : measure(fleet, given, nothing))
       series[key].add(n, median(values));
   }
@@ -183,21 +183,21 @@
 }
 
 TEST_CASE("control tier of processes with changes", "[.][scale][tier-changes]") {
-  const TierCase given = {"tier_processes_changes", 30, kChangesAtTarget, 15, interval()};
+  const TierCase given = {"tier_processes_changes", 30, kTargetChangesPerSecond, 15, interval()};
   ProcessFleet fleet(shape_of(given));
   start(fleet, given);
-  Proposer proposer(fleet, *members_of(fleet, Kind::control_node).front(), given.changes);
+  CertificateProposer proposer(fleet, *members_of(fleet, Kind::control_node).front(), given.changes);
   measure(fleet, given, proposer);
   const auto delays = time_changes(fleet, given, proposer);
   const Figures figures = {{{"invoker", "change_arrives_ms"}, delays}};
-  print_figures(given, kChangesAtTarget, 0, figures);
+  print_figures(given, kTargetChangesPerSecond, 0, figures);
 }
 
-TEST_CASE("three invokers with sessions at rest, shortly", "[scale-short]") {
+TEST_CASE("three invokers with sessions at rest, short run", "[scale-short]") {
   const TierCase given = {"tier_processes_short", 3, 0, 1, 4};
   ProcessFleet fleet(shape_of(given));
   start(fleet, given);
-  Proposer nothing(fleet, fleet.members().front(), 0);
+  CertificateProposer nothing(fleet, fleet.members().front(), 0);
   const Figures figures = measure(fleet, given, nothing);
   const auto most = [&](const std::string& metric) {
     const auto& values = figures.at({"invoker", metric});
@@ -206,9 +206,9 @@
   REQUIRE(figures.at({"invoker", "sent_bytes_s"}).size() == 3);
   const auto& sent = figures.at({"invoker", "session_sent_bytes_s"});
   CHECK(*std::min_element(sent.begin(), sent.end()) > 10);  // each one renews its lease
-  CHECK(most("sent_bytes_s") < kBytesAtRest);
-  CHECK(most("received_bytes_s") < kBytesAtRest);
-  CHECK(most("descriptors") < kMostDescriptors);
+  CHECK(most("sent_bytes_s") < kMaxIdleBytesPerSecond);
+  CHECK(most("received_bytes_s") < kMaxIdleBytesPerSecond);
+  CHECK(most("descriptors") < kMaxDescriptors);
   CHECK(figures.at({"invoker", "sessions"}) == std::vector<double>(3, 1));
   CHECK(most("connections_ended") == 0);
 }
