--- a/tests/scale/flat_hollow_log.cpp
+++ b/tests/scale/flat_hollow_log.cpp
@@ -84,7 +84,7 @@
   costs.point("entry_bytes", {static_cast<double>(encoded.size())});
   std::optional<MaintenanceEntry> decoded;
   const auto decode_times = microseconds(times, [&] { decoded = maintenance::parse_entry(encoded); });
-  costs.status("read_back", decoded.has_value());  // if not, the program stops applying the log for good
+  costs.status("read_back", decoded.has_value());  // if not, the member's lease is revoked for good
   if (decoded)
     costs.point("read_us", decode_times);
 
